--- a/examples/store_bench.rs
+++ b/examples/store_bench.rs
@@ -11,7 +11,9 @@
 const SPAN: Duration = Duration::from_secs(3);
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
-    let parent = std::env::args().nth(1).map_or_else(std::env::temp_dir, PathBuf::from);
+    let parent = std::env::args()
+        .nth(1)
+        .map_or_else(std::env::temp_dir, PathBuf::from);
     let directory = parent.join(format!("store-bench-{}", std::process::id()));
     let result = measure(&directory);
     std::fs::remove_dir_all(&directory)?;
@@ -22,8 +24,10 @@
     println!("record batch  appends/s  records/s   p50 us   p99 us   max us");
     for bytes in [100, 1000] {
         for batch in [1, 8, 64] {
-            let (mut store, _) =
-                Store::open(&directory.join(format!("{bytes}-{batch}")), Settings::default())?;
+            let (mut store, _) = Store::open(
+                &directory.join(format!("{bytes}-{batch}")),
+                Settings::default(),
+            )?;
             let records = vec![vec![7; bytes]; batch];
             let mut took = Vec::new();
             let begin = Instant::now();
@@ -41,7 +45,10 @@
             took.sort_unstable();
             let at = |part: f64| took[((took.len() - 1) as f64 * part) as usize];
             let (p50, p99, most) = (at(0.5), at(0.99), at(1.0));
-            println!("{bytes:6} {batch:5} {each:10.0} {:10.0} {p50:8} {p99:8} {most:8}", each * batch as f64);
+            println!(
+                "{bytes:6} {batch:5} {each:10.0} {:10.0} {p50:8} {p99:8} {most:8}",
+                each * batch as f64
+            );
         }
     }
     let path = directory.join("snapshot");
@@ -51,11 +58,18 @@
     for bytes in [64 << 10, 1 << 20, 8 << 20] {
         let call = Instant::now();
         store.install_snapshot(0, &vec![7; bytes])?;
-        println!("snapshot of {bytes} bytes beside 2000 records of 1000: {} us", call.elapsed().as_micros());
+        println!(
+            "snapshot of {bytes} bytes beside 2000 records of 1000: {} us",
+            call.elapsed().as_micros()
+        );
     }
     drop(store);
     let call = Instant::now();
     let (_, restored) = Store::open(&path, Settings::default())?;
-    println!("opening that with {} records: {} us", restored.records.len(), call.elapsed().as_micros());
+    println!(
+        "opening that with {} records: {} us",
+        restored.records.len(),
+        call.elapsed().as_micros()
+    );
     Ok(())
 }
--- a/examples/toy.rs
+++ b/examples/toy.rs
@@ -10,7 +10,14 @@
     let (history, states) = (History::new(), Arc::new(States::default()));
     let host = |name: &str, role, port: u16, tokens_per_s| {
         let quick = HostSettings::quick(name, role, ([127, 0, 0, 1], port).into());
-        Host::start(HostSettings { tokens_per_s, ..quick }, states.clone(), history.clone())
+        Host::start(
+            HostSettings {
+                tokens_per_s,
+                ..quick
+            },
+            states.clone(),
+            history.clone(),
+        )
     };
     let _reader = host("reader-1", HostRole::Reader, 9101, 0.0)?;
     let _writer = host("writer-1", HostRole::Writer, 9201, 2.0)?;
--- a/lab/shim/src/faults.rs
+++ b/lab/shim/src/faults.rs
@@ -38,12 +38,18 @@
 impl Rate {
     /// The rate of one call.
     pub const fn of(call: &'static str) -> Rate {
-        Rate { call, set: OnceLock::new(), calls: AtomicU64::new(0) }
+        Rate {
+            call,
+            set: OnceLock::new(),
+            calls: AtomicU64::new(0),
+        }
     }
 
     fn read(&self) -> Option<(Effect, u64)> {
         let all = std::env::var("FAULT_SHIM").ok()?;
-        let one = all.split(',').find_map(|fault| fault.strip_prefix(self.call)?.strip_prefix(':'))?;
+        let one = all
+            .split(',')
+            .find_map(|fault| fault.strip_prefix(self.call)?.strip_prefix(':'))?;
         let (effect, every) = one.split_once(':')?;
         Some((Effect::parse(effect)?, every.parse().ok()?))
     }
@@ -71,11 +77,14 @@
 
 fn control_file() -> Option<&'static String> {
     static FILE: OnceLock<Option<String>> = OnceLock::new();
-    FILE.get_or_init(|| std::env::var("FAULT_SHIM_FILES").ok()).as_ref()
+    FILE.get_or_init(|| std::env::var("FAULT_SHIM_FILES").ok())
+        .as_ref()
 }
 
 fn strike_in(lines: &str, call: &str, path: &std::path::Path) -> Option<Effect> {
-    let of_call = lines.lines().filter_map(|line| line.strip_prefix(call)?.strip_prefix(':'));
+    let of_call = lines
+        .lines()
+        .filter_map(|line| line.strip_prefix(call)?.strip_prefix(':'));
     let mut faults = of_call.filter_map(|fault| fault.split_once(':'));
     let (effect, _) = faults.find(|(_, folder)| path.starts_with(folder))?;
     Effect::parse(effect)
@@ -85,6 +94,8 @@
 pub fn wall_step() -> i64 {
     static FILE: OnceLock<Option<String>> = OnceLock::new();
     let file = FILE.get_or_init(|| std::env::var("FAULT_SHIM_WALL").ok());
-    let text = file.as_ref().and_then(|file| std::fs::read_to_string(file).ok());
+    let text = file
+        .as_ref()
+        .and_then(|file| std::fs::read_to_string(file).ok());
     text.and_then(|text| text.trim().parse().ok()).unwrap_or(0)
 }
--- a/lab/shim/src/lib.rs
+++ b/lab/shim/src/lib.rs
@@ -61,7 +61,10 @@
         set_errno(number);
         return -1;
     }
-    let real = real!(c"accept4", fn(c_int, *mut libc::sockaddr, *mut libc::socklen_t, c_int) -> c_int);
+    let real = real!(
+        c"accept4",
+        fn(c_int, *mut libc::sockaddr, *mut libc::socklen_t, c_int) -> c_int
+    );
     // SAFETY: the caller keeps to accept4(2), and everything is passed on as it came.
     unsafe { real(socket, address, length, flags) }
 }
@@ -81,7 +84,10 @@
         set_errno(number);
         return -1;
     }
-    let real = real!(c"connect", fn(c_int, *const libc::sockaddr, libc::socklen_t) -> c_int);
+    let real = real!(
+        c"connect",
+        fn(c_int, *const libc::sockaddr, libc::socklen_t) -> c_int
+    );
     // SAFETY: the caller keeps to connect(2), and everything is passed on as it came.
     unsafe { real(socket, address, length) }
 }
@@ -91,7 +97,12 @@
 /// # Safety
 /// As recv(2).
 #[unsafe(no_mangle)]
-pub unsafe extern "C" fn recv(socket: c_int, bytes: *mut c_void, length: usize, flags: c_int) -> isize {
+pub unsafe extern "C" fn recv(
+    socket: c_int,
+    bytes: *mut c_void,
+    length: usize,
+    flags: c_int,
+) -> isize {
     static RATE: Rate = Rate::of("recv");
     let length = match RATE.strike() {
         Some(Effect::Fail(number)) => {
@@ -111,7 +122,12 @@
 /// # Safety
 /// As send(2).
 #[unsafe(no_mangle)]
-pub unsafe extern "C" fn send(socket: c_int, bytes: *const c_void, length: usize, flags: c_int) -> isize {
+pub unsafe extern "C" fn send(
+    socket: c_int,
+    bytes: *const c_void,
+    length: usize,
+    flags: c_int,
+) -> isize {
     static RATE: Rate = Rate::of("send");
     let length = match RATE.strike() {
         Some(Effect::Fail(number)) => {
@@ -220,7 +236,10 @@
         set_errno(number);
         return -1;
     }
-    let real = real!(c"epoll_wait", fn(c_int, *mut libc::epoll_event, c_int, c_int) -> c_int);
+    let real = real!(
+        c"epoll_wait",
+        fn(c_int, *mut libc::epoll_event, c_int, c_int) -> c_int
+    );
     // SAFETY: the caller keeps to epoll_wait(2), and everything is passed on as it came.
     unsafe { real(poll, events, most, timeout) }
 }
@@ -245,7 +264,10 @@
         Some(Effect::Short | Effect::HalfThenKill) => half(length),
         None => length,
     };
-    let real = real!(c"pwrite64", fn(c_int, *const c_void, usize, libc::off64_t) -> isize);
+    let real = real!(
+        c"pwrite64",
+        fn(c_int, *const c_void, usize, libc::off64_t) -> isize
+    );
     // SAFETY: the caller keeps to pwrite64(2); the length is at most the caller's.
     let written = unsafe { real(file, bytes, part, offset) };
     if effect == Some(Effect::HalfThenKill) {
@@ -307,7 +329,9 @@
 pub unsafe extern "C" fn rename(from: *const c_char, to: *const c_char) -> c_int {
     // SAFETY: the caller gives strings that end in zero.
     let path = unsafe { CStr::from_ptr(to) };
-    if let Some(Effect::Fail(number)) = strike_path("rename", OsStr::from_bytes(path.to_bytes()).as_ref()) {
+    if let Some(Effect::Fail(number)) =
+        strike_path("rename", OsStr::from_bytes(path.to_bytes()).as_ref())
+    {
         set_errno(number);
         return -1;
     }
@@ -322,7 +346,10 @@
 /// As clock_gettime(2).
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn clock_gettime(clock: libc::clockid_t, time: *mut libc::timespec) -> c_int {
-    let real = real!(c"clock_gettime", fn(libc::clockid_t, *mut libc::timespec) -> c_int);
+    let real = real!(
+        c"clock_gettime",
+        fn(libc::clockid_t, *mut libc::timespec) -> c_int
+    );
     // SAFETY: the caller keeps to clock_gettime(2), and everything is passed on as it came.
     let done = unsafe { real(clock, time) };
     if clock == libc::CLOCK_REALTIME && done == 0 {
--- a/lab/src/checker/lease.rs
+++ b/lab/src/checker/lease.rs
@@ -29,7 +29,9 @@
                 if is_life(lease) {
                     dead.remove(&holder);
                 }
-                let first = granted.entry((lease.as_str(), *token)).or_insert_with(|| holder.clone());
+                let first = granted
+                    .entry((lease.as_str(), *token))
+                    .or_insert_with(|| holder.clone());
                 if *first != holder {
                     let (name, life) = first;
                     let what = format!(
@@ -42,18 +44,27 @@
                 ended.remove(&(lease.as_str(), *token, holder.clone()));
                 let before = last.insert((lease.as_str(), holder.clone()), *token);
                 if before.is_some_and(|before| before > *token) {
-                    let what = format!("{lease}: {} was granted token {token} after {before:?}", act.source);
+                    let what = format!(
+                        "{lease}: {} was granted token {token} after {before:?}",
+                        act.source
+                    );
                     verdict.broken(act.order, what);
                 }
             }
-            Fact::LeaseLost(LeaseFact { lease, token }) | Fact::LeaseReleased(LeaseFact { lease, token }) => {
+            Fact::LeaseLost(LeaseFact { lease, token })
+            | Fact::LeaseReleased(LeaseFact { lease, token }) => {
                 if is_life(lease) {
                     dead.insert(holder.clone());
                 }
                 ended.insert((lease.as_str(), *token, holder));
             }
-            Fact::LifeEnded { peer, peer_incarnation } => {
-                let at = buried.entry((peer.clone(), *peer_incarnation)).or_insert(act.at_us);
+            Fact::LifeEnded {
+                peer,
+                peer_incarnation,
+            } => {
+                let at = buried
+                    .entry((peer.clone(), *peer_incarnation))
+                    .or_insert(act.at_us);
                 *at = act.at_us.min(*at);
             }
             Fact::LifeGained {} => _ = dead.remove(&holder),
@@ -76,7 +87,10 @@
                     );
                 }
                 if dead.contains(&holder) {
-                    verdict.broken(act.order, format!("{lease}: {who} acted though it may not act"));
+                    verdict.broken(
+                        act.order,
+                        format!("{lease}: {who} acted though it may not act"),
+                    );
                 }
                 done.push((act, fact));
             }
@@ -86,8 +100,14 @@
     done.sort_by_key(|(act, _)| (act.at_us, act.order));
     let mut acting: BTreeMap<&str, (u64, &Act)> = BTreeMap::new();
     for (act, LeaseFact { lease, token }) in done {
-        if buried.get(&(act.source.clone(), act.incarnation)).is_some_and(|at| act.at_us > *at) {
-            let what = format!("{lease}: {}@{} acted after its life was ended", act.source, act.incarnation);
+        if buried
+            .get(&(act.source.clone(), act.incarnation))
+            .is_some_and(|at| act.at_us > *at)
+        {
+            let what = format!(
+                "{lease}: {}@{} acted after its life was ended",
+                act.source, act.incarnation
+            );
             verdict.broken(act.order, what);
         }
         if let Some((before, other)) = acting.get(lease.as_str()) {
--- a/lab/src/checker/mod.rs
+++ b/lab/src/checker/mod.rs
@@ -111,11 +111,31 @@
 
 /// All promises that are checked.
 pub const PROMISES: &[Promise] = &[
-    Promise { number: 1, name: "view", check: view::check },
-    Promise { number: 2, name: "lease", check: lease::check },
-    Promise { number: 4, name: "takeover", check: takeover::check },
-    Promise { number: 5, name: "policy", check: policy::check },
-    Promise { number: 7, name: "bounds", check: bounds::check },
+    Promise {
+        number: 1,
+        name: "view",
+        check: view::check,
+    },
+    Promise {
+        number: 2,
+        name: "lease",
+        check: lease::check,
+    },
+    Promise {
+        number: 4,
+        name: "takeover",
+        check: takeover::check,
+    },
+    Promise {
+        number: 5,
+        name: "policy",
+        check: policy::check,
+    },
+    Promise {
+        number: 7,
+        name: "bounds",
+        check: bounds::check,
+    },
 ];
 
 /// What the checker says of a history.
@@ -155,7 +175,9 @@
             if v.open > 0 {
                 write!(f, ", {} open at the end", v.open)?;
             }
-            v.figures.iter().try_for_each(|(name, value)| write!(f, ", {name} {value}"))?;
+            v.figures
+                .iter()
+                .try_for_each(|(name, value)| write!(f, ", {name} {value}"))?;
             writeln!(f)?;
             for violation in v.violations.iter().take(20) {
                 writeln!(f, "  record {}: {}", violation.order, violation.what)?;
@@ -181,7 +203,10 @@
                 fact,
             }),
             Err(error) => {
-                unread.push(Violation { order: record.order, what: format!("{}: {error}", record.event) });
+                unread.push(Violation {
+                    order: record.order,
+                    what: format!("{}: {error}", record.event),
+                });
             }
         }
     }
@@ -192,9 +217,16 @@
 pub fn check(records: &[Record], limits: &Limits) -> Report {
     let (acts, unread) = acts(records);
     let verdicts = PROMISES.iter().map(|promise| {
-        let mut verdict = Verdict { promise: promise.number, name: promise.name, ..Verdict::default() };
+        let mut verdict = Verdict {
+            promise: promise.number,
+            name: promise.name,
+            ..Verdict::default()
+        };
         (promise.check)(&acts, limits, &mut verdict);
         verdict
     });
-    Report { verdicts: verdicts.collect(), unread }
+    Report {
+        verdicts: verdicts.collect(),
+        unread,
+    }
 }
--- a/lab/src/checker/policy.rs
+++ b/lab/src/checker/policy.rs
@@ -17,11 +17,17 @@
             Fact::PolicyEpoch { epoch, digest } => {
                 let (first, other) = *digests.entry(*epoch).or_insert((digest, &act.source));
                 if first != digest {
-                    let what = format!("epoch {epoch} is {first} at {other} and {digest} at {}", act.source);
+                    let what = format!(
+                        "epoch {epoch} is {first} at {other} and {digest} at {}",
+                        act.source
+                    );
                     verdict.broken(act.order, what);
                 }
                 if let Some(before) = held.insert(life, *epoch).filter(|before| before >= epoch) {
-                    verdict.broken(act.order, format!("{} went from epoch {before} to {epoch}", who()));
+                    verdict.broken(
+                        act.order,
+                        format!("{} went from epoch {before} to {epoch}", who()),
+                    );
                 }
                 verdict.most("epochs", *epoch);
             }
@@ -29,7 +35,10 @@
                 verdict.checked += 1;
                 if held.get(&life) != Some(epoch) {
                     let has = held.get(&life).map_or("none".to_owned(), u64::to_string);
-                    let what = format!("{} began a request under epoch {epoch} and holds {has}", who());
+                    let what = format!(
+                        "{} began a request under epoch {epoch} and holds {has}",
+                        who()
+                    );
                     verdict.broken(act.order, what);
                 }
                 begins.push((act, *epoch));
--- a/lab/src/checker/takeover.rs
+++ b/lab/src/checker/takeover.rs
@@ -22,8 +22,16 @@
     for act in acts {
         match &act.fact {
             Fact::ClientTaken { name } => requests.entry(name).or_default().counts = true,
-            Fact::ClientGaveUp { name } => requests.entry(name).or_default().gave_up = Some(act.order),
-            Fact::ClientFinal { name, at, kind, text, code } => {
+            Fact::ClientGaveUp { name } => {
+                requests.entry(name).or_default().gave_up = Some(act.order)
+            }
+            Fact::ClientFinal {
+                name,
+                at,
+                kind,
+                text,
+                code,
+            } => {
                 let request = requests.entry(name).or_default();
                 let answer = (kind.as_str(), text.as_deref(), *code, at.as_str());
                 let (k, t, c, first) = *request.answer.get_or_insert(answer);
@@ -50,7 +58,11 @@
                     requests.entry(name).or_default().counts = true;
                 }
             }
-            Fact::RunBegun { name, class, resumed } => {
+            Fact::RunBegun {
+                name,
+                class,
+                resumed,
+            } => {
                 let request = requests.entry(name).or_default();
                 if !limits.unsafe_classes.contains(class) {
                     continue;
@@ -93,8 +105,10 @@
         let time = now.saturating_sub(since);
         verdict.most("state_held_us", time);
         if time > limits.release_us {
-            verdict
-                .broken(order, format!("{name}: its state was held for {time} us with no fault meanwhile"));
+            verdict.broken(
+                order,
+                format!("{name}: its state was held for {time} us with no fault meanwhile"),
+            );
         }
     };
     for act in acts {
@@ -113,7 +127,8 @@
                 if let Fact::Kill { member } = fact {
                     killed.insert(member);
                 }
-                held.values_mut().for_each(|(since, _, _)| *since = act.at_us);
+                held.values_mut()
+                    .for_each(|(since, _, _)| *since = act.at_us);
             }
             _ => {}
         }
@@ -126,5 +141,7 @@
             verdict.count("states_held_at_the_end");
         }
     }
-    verdict.figures.insert("members_killed", killed.len() as u64);
+    verdict
+        .figures
+        .insert("members_killed", killed.len() as u64);
 }
--- a/lab/src/checker/view.rs
+++ b/lab/src/checker/view.rs
@@ -19,7 +19,11 @@
                 self.lives.insert(act.source.clone(), act.incarnation);
                 self.seen.insert(act.source.clone(), BTreeMap::new());
             }
-            Fact::ViewChange { peer, peer_incarnation, to } => {
+            Fact::ViewChange {
+                peer,
+                peer_incarnation,
+                to,
+            } => {
                 let seen = self.seen.entry(act.source.clone()).or_default();
                 seen.insert(peer.clone(), (*peer_incarnation, to.clone()));
             }
@@ -31,18 +35,24 @@
     /// lives, and nobody else alive or suspect.
     pub fn difference(&self, alive: &BTreeSet<String>) -> Option<String> {
         for member in alive {
-            let Some(seen) = self.seen.get(member) else { return Some(format!("{member} has not begun")) };
+            let Some(seen) = self.seen.get(member) else {
+                return Some(format!("{member} has not begun"));
+            };
             for peer in alive.iter().filter(|p| *p != member) {
                 let life = self.lives.get(peer).copied();
                 match seen.get(peer) {
                     Some((incarnation, to)) if to == "alive" && Some(*incarnation) == life => {}
                     Some((incarnation, to)) => {
-                        return Some(format!("{member} sees {peer} {to} in its life {incarnation}"));
+                        return Some(format!(
+                            "{member} sees {peer} {to} in its life {incarnation}"
+                        ));
                     }
                     None => return Some(format!("{member} does not see {peer}")),
                 }
             }
-            let others = seen.iter().filter(|(p, _)| !alive.contains(*p) && *p != member);
+            let others = seen
+                .iter()
+                .filter(|(p, _)| !alive.contains(*p) && *p != member);
             for (peer, (_, to)) in others {
                 if to == "alive" || to == "suspect" {
                     return Some(format!("{member} sees {peer} {to}, and it is not running"));
@@ -62,7 +72,9 @@
     // Ends a quiet time: with nobody taken for dead who lives.
     let close = |views: &Views, alive: &BTreeSet<String>, order: u64, verdict: &mut Verdict| {
         for member in alive {
-            let Some(seen) = views.seen.get(member) else { continue };
+            let Some(seen) = views.seen.get(member) else {
+                continue;
+            };
             for (peer, (_, to)) in seen.iter().filter(|(p, _)| alive.contains(*p)) {
                 if to == "dead" || to == "left" {
                     verdict.broken(
@@ -92,7 +104,10 @@
             agreed = false;
             verdict.checked += 1;
         }
-        if let Some((from, ..)) = quiet.as_ref().filter(|q| !agreed && views.difference(&q.3).is_none()) {
+        if let Some((from, ..)) = quiet
+            .as_ref()
+            .filter(|q| !agreed && views.difference(&q.3).is_none())
+        {
             agreed = true;
             verdict.most("settled_us", act.at_us - from);
         }
@@ -106,7 +121,12 @@
     }
     if let Some((_, until, order, alive)) = quiet {
         if agreed {
-            close(&views, &alive, acts.last().map_or(order, |a| a.order), verdict);
+            close(
+                &views,
+                &alive,
+                acts.last().map_or(order, |a| a.order),
+                verdict,
+            );
         } else if end < until {
             verdict.open += 1;
         }
--- a/lab/src/clients.rs
+++ b/lab/src/clients.rs
@@ -27,13 +27,24 @@
 impl Ask {
     /// A request of the unsafe class.
     pub fn send(name: &str, words: u32, calls: u32) -> Ask {
-        let plan = Plan { name: name.to_owned(), words, calls };
-        Ask { plan, class: "send".to_owned(), deadline: Duration::from_secs(8) }
+        let plan = Plan {
+            name: name.to_owned(),
+            words,
+            calls,
+        };
+        Ask {
+            plan,
+            class: "send".to_owned(),
+            deadline: Duration::from_secs(8),
+        }
     }
 
     /// A request of the class that may be repeated.
     pub fn explain(name: &str, words: u32) -> Ask {
-        Ask { class: "explain".to_owned(), ..Ask::send(name, words, 0) }
+        Ask {
+            class: "explain".to_owned(),
+            ..Ask::send(name, words, 0)
+        }
     }
 }
 
@@ -99,7 +110,13 @@
     /// A client with the usual patience.
     pub fn new(conductors: Vec<(String, SocketAddr)>, history: History) -> Client {
         let (silence, pause) = (Duration::from_secs(10), Duration::from_millis(50));
-        Client { conductors, silence, pause, most_tries: 200, history }
+        Client {
+            conductors,
+            silence,
+            pause,
+            most_tries: 200,
+            history,
+        }
     }
 
     fn note(&self, event: &str, ask: &Ask, at: &str, mut fields: Value) {
@@ -112,14 +129,29 @@
     /// follows a broken one asks for the rest.
     pub fn attempt(&self, at: usize, ask: &Ask, got: &mut Got, resume: bool) -> Tried {
         let (name, address) = &self.conductors[at % self.conductors.len()];
-        self.note("client.sent", ask, name, json!({ "class": ask.class, "resumed": resume }));
+        self.note(
+            "client.sent",
+            ask,
+            name,
+            json!({ "class": ask.class, "resumed": resume }),
+        );
         let tried = self.carry_out(name, *address, ask, got, resume);
         match &tried {
             Tried::Final(Final::Text(text)) => {
-                self.note("client.final", ask, name, json!({ "kind": "text", "text": text }));
+                self.note(
+                    "client.final",
+                    ask,
+                    name,
+                    json!({ "kind": "text", "text": text }),
+                );
             }
             Tried::Final(Final::Error(code)) => {
-                self.note("client.final", ask, name, json!({ "kind": "error", "code": code }));
+                self.note(
+                    "client.final",
+                    ask,
+                    name,
+                    json!({ "kind": "error", "code": code }),
+                );
             }
             Tried::Refused(_) => self.note("client.refused", ask, name, json!({})),
             Tried::Unreached => self.note("client.unreached", ask, name, json!({})),
@@ -128,24 +160,42 @@
         tried
     }
 
-    fn carry_out(&self, name: &str, address: SocketAddr, ask: &Ask, got: &mut Got, resume: bool) -> Tried {
+    fn carry_out(
+        &self,
+        name: &str,
+        address: SocketAddr,
+        ask: &Ask,
+        got: &mut Got,
+        resume: bool,
+    ) -> Tried {
         let mut params = json!({ "request": ask.plan.name, "deadline_ms": ask.deadline.as_millis() as u64,
             "messages": [{ "role": "user", "content": ask.plan.prompt() }] });
         got.calls = got.calls_before;
         if resume {
             params["resume"] = json!({ "text": got.text, "calls": got.calls_before });
         }
-        let body = json!({ "jsonrpc": "2.0", "id": 1, "method": ask.class, "params": params }).to_string();
-        let head = format!("POST /rpc HTTP/1.1\r\nhost: a\r\ncontent-length: {}\r\n\r\n", body.len());
+        let body =
+            json!({ "jsonrpc": "2.0", "id": 1, "method": ask.class, "params": params }).to_string();
+        let head = format!(
+            "POST /rpc HTTP/1.1\r\nhost: a\r\ncontent-length: {}\r\n\r\n",
+            body.len()
+        );
         let Ok(mut stream) = TcpStream::connect_timeout(&address, self.silence) else {
             return Tried::Unreached;
         };
-        let ready = stream.set_read_timeout(Some(self.silence)).and_then(|()| stream.set_nodelay(true));
-        if ready.and_then(|()| stream.write_all((head + &body).as_bytes())).is_err() {
+        let ready = stream
+            .set_read_timeout(Some(self.silence))
+            .and_then(|()| stream.set_nodelay(true));
+        if ready
+            .and_then(|()| stream.write_all((head + &body).as_bytes()))
+            .is_err()
+        {
             return Tried::Broke;
         }
         let mut from = BufReader::new(stream);
-        let Some(mut message) = Message::read_head(&mut from) else { return Tried::Broke };
+        let Some(mut message) = Message::read_head(&mut from) else {
+            return Tried::Broke;
+        };
         let status = message.status();
         if status == 200 {
             self.note("client.taken", ask, name, json!({}));
@@ -179,14 +229,18 @@
                 }
             }
         });
-        let Some(last) = last.filter(|_| message.whole) else { return Tried::Broke };
+        let Some(last) = last.filter(|_| message.whole) else {
+            return Tried::Broke;
+        };
         let error = &last["error"];
         match error["code"].as_i64() {
             None => Tried::Final(Final::Text(got.text.clone())),
             // Refused, or in hand: here or at a conductor that is taken for living.
-            Some(-32000 | -32003) => {
-                Tried::Refused(error["data"]["retry_after"].as_f64().map(Duration::from_secs_f64))
-            }
+            Some(-32000 | -32003) => Tried::Refused(
+                error["data"]["retry_after"]
+                    .as_f64()
+                    .map(Duration::from_secs_f64),
+            ),
             Some(code) => Tried::Final(Final::Error(code)),
         }
     }
@@ -196,15 +250,25 @@
         let (mut at, mut got, mut resume) = (first, Got::default(), false);
         for tries in 1..=self.most_tries {
             match self.attempt(at, ask, &mut got, resume) {
-                Tried::Final(answer) => return Ended { answer: Some(answer), tries },
-                Tried::Refused(after) => std::thread::sleep(after.unwrap_or(self.pause).min(self.pause * 4)),
+                Tried::Final(answer) => {
+                    return Ended {
+                        answer: Some(answer),
+                        tries,
+                    };
+                }
+                Tried::Refused(after) => {
+                    std::thread::sleep(after.unwrap_or(self.pause).min(self.pause * 4))
+                }
                 Tried::Unreached => std::thread::sleep(self.pause),
                 Tried::Broke => resume = true,
             }
             at += 1;
         }
         self.note("client.gave_up", ask, "", json!({}));
-        Ended { answer: None, tries: self.most_tries }
+        Ended {
+            answer: None,
+            tries: self.most_tries,
+        }
     }
 
     /// Asks for a name that has had its final answer once more, at another conductor, as a client that lost it would.
@@ -237,16 +301,25 @@
             stream.write_all(request.as_bytes())?;
             Ok(stream)
         });
-        let answer = sent.ok().and_then(|stream| Message::read(&mut BufReader::new(stream)));
+        let answer = sent
+            .ok()
+            .and_then(|stream| Message::read(&mut BufReader::new(stream)));
         let status = answer.as_ref().map_or(0, Message::status);
         let whole = answer.filter(|a| a.status() == 200 && a.whole);
         let text = whole.map(|a| {
             let events = a.text();
             let events = events.lines().filter_map(|l| l.strip_prefix("data: "));
             let pieces = events.filter_map(|e| serde_json::from_str::<Value>(e).ok());
-            pieces.filter_map(|e| Some(e["choices"][0]["delta"]["content"].as_str()?.to_owned())).collect()
+            pieces
+                .filter_map(|e| Some(e["choices"][0]["delta"]["content"].as_str()?.to_owned()))
+                .collect()
         });
-        self.note("client.platform", ask, name, json!({ "status": status, "text": text }));
+        self.note(
+            "client.platform",
+            ask,
+            name,
+            json!({ "status": status, "text": text }),
+        );
         (status, text)
     }
 }
@@ -278,11 +351,15 @@
 impl Load {
     /// `clients` clients ask for `per_s` requests a second in all, half of them unsafe with tool calls, from one seed.
     pub fn start(client: &Client, clients: usize, per_s: f64, seed: u64) -> Load {
-        let (stop, counts) = (Arc::new(AtomicBool::new(false)), Arc::new(Counts::default()));
+        let (stop, counts) = (
+            Arc::new(AtomicBool::new(false)),
+            Arc::new(Counts::default()),
+        );
         let every = Duration::from_secs_f64(clients as f64 / per_s.max(0.01));
         let threads = (0..clients).map(|c| {
             let (client, stop, counts) = (client.clone(), stop.clone(), counts.clone());
-            let mut random = ChaCha8Rng::seed_from_u64(seed.wrapping_mul(1009).wrapping_add(c as u64));
+            let mut random =
+                ChaCha8Rng::seed_from_u64(seed.wrapping_mul(1009).wrapping_add(c as u64));
             std::thread::spawn(move || {
                 let mut next = Instant::now() + every.mul_f64(random.random());
                 for number in 0u64.. {
@@ -304,7 +381,9 @@
                     };
                     counts.asked.fetch_add(1, Ordering::Relaxed);
                     let Ended { answer, tries } = client.ask(&ask, random.random_range(0..64));
-                    counts.repeats.fetch_add(u64::from(tries) - 1, Ordering::Relaxed);
+                    counts
+                        .repeats
+                        .fetch_add(u64::from(tries) - 1, Ordering::Relaxed);
                     let end = match answer {
                         Some(Final::Text(text)) if ask.plan.accepts(&text) => &counts.right,
                         Some(Final::Text(_)) => &counts.wrong,
@@ -316,7 +395,11 @@
             })
         });
         let threads = threads.collect();
-        Load { stop, threads, counts }
+        Load {
+            stop,
+            threads,
+            counts,
+        }
     }
 
     /// What it has come to so far.
--- a/lab/src/discovery.rs
+++ b/lab/src/discovery.rs
@@ -61,8 +61,14 @@
 impl Discovery {
     /// An empty list.
     pub fn new(history: History) -> Discovery {
-        let shared = Arc::new(Shared { list: Default::default(), history });
-        Discovery { shared, agents: Mutex::default() }
+        let shared = Arc::new(Shared {
+            list: Default::default(),
+            history,
+        });
+        Discovery {
+            shared,
+            agents: Mutex::default(),
+        }
     }
 
     /// Enters a host or changes its entry.
@@ -84,7 +90,10 @@
     pub fn set_health(&self, host: &str, health: &str) {
         let entry = self.shared.lock().entries.get(host).map(|(_, e)| e.clone());
         if let Some(entry) = entry {
-            self.set(Entry { health: health.to_owned(), ..entry });
+            self.set(Entry {
+                health: health.to_owned(),
+                ..entry
+            });
         }
     }
 
@@ -98,9 +107,14 @@
         dial: BTreeMap<String, SocketAddr>,
     ) -> std::io::Result<SocketAddr> {
         let shared = self.shared.clone();
-        let peer = Peer::start_at(listen, move |message, conn| answer(&shared, &dial, message, conn))?;
+        let peer = Peer::start_at(listen, move |message, conn| {
+            answer(&shared, &dial, message, conn)
+        })?;
         let address = peer.address;
-        self.agents.lock().unwrap_or_else(PoisonError::into_inner).push(peer);
+        self.agents
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .push(peer);
         Ok(address)
     }
 }
@@ -117,18 +131,37 @@
         Some(after) => *seq > after,
         None => entry.health != "gone",
     };
-    let mut hosts: Vec<Entry> = list.entries.values().filter(|e| told(e)).map(|(_, e)| e.clone()).collect();
-    hosts.iter_mut().for_each(|e| e.dial = *dial.get(&e.host).unwrap_or(&e.dial));
+    let mut hosts: Vec<Entry> = list
+        .entries
+        .values()
+        .filter(|e| told(e))
+        .map(|(_, e)| e.clone())
+        .collect();
+    hosts
+        .iter_mut()
+        .for_each(|e| e.dial = *dial.get(&e.host).unwrap_or(&e.dial));
     json!({ "seq": list.seq, "whole": after.is_none(), "hosts": hosts }).to_string()
 }
 
-fn answer(shared: &Shared, dial: &BTreeMap<String, SocketAddr>, request: &Message, conn: &mut Conn) -> bool {
-    let (path, query) = request.path().split_once('?').unwrap_or((request.path(), ""));
+fn answer(
+    shared: &Shared,
+    dial: &BTreeMap<String, SocketAddr>,
+    request: &Message,
+    conn: &mut Conn,
+) -> bool {
+    let (path, query) = request
+        .path()
+        .split_once('?')
+        .unwrap_or((request.path(), ""));
     if path != "/v1/servers" {
         conn.answer("404 Not Found", "", "");
         return true;
     }
-    let field = |name: &str| query.split('&').find_map(|p| p.strip_prefix(name)?.strip_prefix('='));
+    let field = |name: &str| {
+        query
+            .split('&')
+            .find_map(|p| p.strip_prefix(name)?.strip_prefix('='))
+    };
     if field("watch").is_none() {
         let body = message(&shared.lock(), dial, None);
         conn.answer("200 OK", "", &body);
@@ -138,12 +171,19 @@
     conn.begin_stream();
     loop {
         let unchanged = |list: &mut List| list.seq <= after && !list.closed;
-        let waited = shared.list.1.wait_timeout_while(shared.lock(), BEAT, unchanged);
+        let waited = shared
+            .list
+            .1
+            .wait_timeout_while(shared.lock(), BEAT, unchanged);
         let list = waited.unwrap_or_else(PoisonError::into_inner).0;
         if list.closed {
             return false;
         }
-        let line = if list.seq > after { message(&list, dial, Some(after)) } else { String::new() };
+        let line = if list.seq > after {
+            message(&list, dial, Some(after))
+        } else {
+            String::new()
+        };
         after = list.seq;
         drop(list);
         if line.is_empty() {
--- a/lab/src/experiments/ground.rs
+++ b/lab/src/experiments/ground.rs
@@ -77,10 +77,16 @@
             all.push(figures);
         }
     }
-    println!("times in seconds, median (most) of {} rounds; rates of one member, sent", args.rounds);
+    println!(
+        "times in seconds, median (most) of {} rounds; rates of one member, sent",
+        args.rounds
+    );
     let lines = |loss: u32| {
         let of = |name: &str, value: fn(&Figures) -> f64| {
-            let points = all.iter().filter(|f| f.loss == loss).map(|f| (f.members as f64, value(f)));
+            let points = all
+                .iter()
+                .filter(|f| f.loss == loss)
+                .map(|f| (f.members as f64, value(f)));
             (format!("{name}, loss {loss}%"), points.collect::<Vec<_>>())
         };
         [
@@ -104,8 +110,13 @@
 
 impl Figures {
     fn line(&self) -> String {
-        let time =
-            |all: &[f64]| format!("{:.2} ({:.1})", median(all), all.iter().copied().fold(0.0, f64::max));
+        let time = |all: &[f64]| {
+            format!(
+                "{:.2} ({:.1})",
+                median(all),
+                all.iter().copied().fold(0.0, f64::max)
+            )
+        };
         format!(
             "{:>7} {:>5} {:>10} {:>10} {:>10} {:>10} {:>10} {:>12.1} {:>10.0} {:>12.0} {:>12}",
             self.members,
@@ -149,12 +160,25 @@
     let all_agree = || fleet.wait_for_views(&everybody);
     all_agree()?;
     acted(&fleet, fleet.history.len(), "")?;
-    for (a, b) in names.iter().flat_map(|a| names.iter().map(move |b| (a, b))).filter(|(a, b)| a != b) {
-        fleet.network.set(a, b, |f| f.loss = f64::from(loss) / 100.0);
+    for (a, b) in names
+        .iter()
+        .flat_map(|a| names.iter().map(move |b| (a, b)))
+        .filter(|(a, b)| a != b)
+    {
+        fleet
+            .network
+            .set(a, b, |f| f.loss = f64::from(loss) / 100.0);
     }
-    let mut figures = Figures { members, loss, ..Figures::default() };
+    let mut figures = Figures {
+        members,
+        loss,
+        ..Figures::default()
+    };
     let carried = || {
-        let pairs = names.iter().flat_map(|a| names.iter().map(move |b| (a, b))).filter(|(a, b)| a != b);
+        let pairs = names
+            .iter()
+            .flat_map(|a| names.iter().map(move |b| (a, b)))
+            .filter(|(a, b)| a != b);
         pairs
             .map(|(a, b)| fleet.network.carried(a, b))
             .fold([0; 5], |sum, c| std::array::from_fn(|i| sum[i] + c[i]))
@@ -163,8 +187,11 @@
     std::thread::sleep(Duration::from_secs(args.quiet));
     let (after, time) = (carried(), (unix_micros() - begun) as f64 / 1e6);
     let rate = |i: usize| (after[i] - before[i]) as f64 / time / members as f64;
-    (figures.datagrams_per_s, figures.bytes_per_s, figures.connection_bytes_per_s) =
-        (rate(0), rate(1), rate(4));
+    (
+        figures.datagrams_per_s,
+        figures.bytes_per_s,
+        figures.connection_bytes_per_s,
+    ) = (rate(0), rate(1), rate(4));
     let mut struck: Vec<String> = Vec::new();
     for round in 0..args.rounds {
         // Whoever holds the lease dies, so that both are measured by one death.
@@ -175,7 +202,9 @@
         let others: Vec<&str> = everybody.iter().copied().filter(|n| *n != holder).collect();
         let seen = |to: &str| {
             let (holder, to) = (holder.clone(), to.to_owned());
-            move |r: &Record| r.event == "view.change" && r.text("peer") == holder && r.text("to") == to
+            move |r: &Record| {
+                r.event == "view.change" && r.text("peer") == holder && r.text("to") == to
+            }
         };
         // Not every member comes to suspect first; somebody does.
         let suspected = fleet.wait_for(from, seen("suspect"))?;
@@ -183,22 +212,30 @@
         let mut last = 0.0f64;
         for other in &others {
             let is_dead = seen("dead");
-            last = last.max(since(killed, &fleet.wait_for(from, |r| r.source == *other && is_dead(r))?));
+            last = last.max(since(
+                killed,
+                &fleet.wait_for(from, |r| r.source == *other && is_dead(r))?,
+            ));
         }
         figures.dead_at_all.push(last);
-        figures.new_holder.push(since(killed, &acted(&fleet, from, &holder)?));
+        figures
+            .new_holder
+            .push(since(killed, &acted(&fleet, from, &holder)?));
         let restarted = unix_micros();
         fleet.restart(&holder, false)?;
         all_agree()?;
-        figures.back_at_all.push((unix_micros() - restarted) as f64 / 1e6);
+        figures
+            .back_at_all
+            .push((unix_micros() - restarted) as f64 / 1e6);
         struck.push(holder);
         // Cut off until all others take it for dead, then healed.
         let victim = &names[round % names.len()];
         let from = fleet.history.len();
         fleet.isolate(victim);
         for other in everybody.iter().filter(|n| *n != victim) {
-            let dead =
-                |r: &Record| r.is(other, "view.change") && r.text("peer") == victim && r.text("to") == "dead";
+            let dead = |r: &Record| {
+                r.is(other, "view.change") && r.text("peer") == victim && r.text("to") == "dead"
+            };
             fleet.wait_for(from, dead)?;
         }
         let healed = unix_micros();
@@ -206,14 +243,19 @@
             fleet.network.set_both(victim, other, |f| f.cut = false);
         }
         all_agree()?;
-        figures.agreed_after_heal.push((unix_micros() - healed) as f64 / 1e6);
+        figures
+            .agreed_after_heal
+            .push((unix_micros() - healed) as f64 / 1e6);
         struck.push(victim.clone());
     }
     let records = fleet.history.records();
     // A cut-off member takes all others for dead; those are no mistakes, nor are the deaths of those that were struck.
     let false_death = |r: &&Record| {
         let (peer, by) = (r.text("peer").to_owned(), &r.source);
-        r.event == "view.change" && r.text("to") == "dead" && !struck.contains(&peer) && !struck.contains(by)
+        r.event == "view.change"
+            && r.text("to") == "dead"
+            && !struck.contains(&peer)
+            && !struck.contains(by)
     };
     figures.false_deaths = records.iter().filter(false_death).count();
     Ok(figures)
--- a/lab/src/experiments/sites.rs
+++ b/lab/src/experiments/sites.rs
@@ -45,7 +45,9 @@
 }
 
 fn by_second(outcome: &Outcome, of: impl Fn(usize) -> f64) -> Vec<(f64, f64)> {
-    (0..outcome.seconds.len().saturating_sub(6)).map(|t| (t as f64, of(t))).collect()
+    (0..outcome.seconds.len().saturating_sub(6))
+        .map(|t| (t as f64, of(t)))
+        .collect()
 }
 
 fn quantile(values: &[f64], q: f64) -> f64 {
@@ -68,7 +70,11 @@
 /// # Errors
 /// There is no plan, or a file can't be written.
 pub fn run(options: &SitesArgs) -> Result<(), Box<dyn Error>> {
-    let day = if options.quick { Day::small(options.seed) } else { Day::large(options.seed) };
+    let day = if options.quick {
+        Day::small(options.seed)
+    } else {
+        Day::large(options.seed)
+    };
     println!(
         "{} sites, {} conductors, {} hosts, seed {}: site-0 is lost at {} s and back, cold, at {} s",
         day.sites,
@@ -80,14 +86,23 @@
     );
     let start = std::time::Instant::now();
     let plans = Plans::new(day.fleet()).map_err(|e| e.to_string())?;
-    println!("{} plans were made in {:.0} ms", plans.iter().count(), start.elapsed().as_secs_f64() * 1e3);
-    println!("worth served of what was asked for; hosts that fell over, of sites that stayed and of site-0");
+    println!(
+        "{} plans were made in {:.0} ms",
+        plans.iter().count(),
+        start.elapsed().as_secs_f64() * 1e3
+    );
+    println!(
+        "worth served of what was asked for; hosts that fell over, of sites that stayed and of site-0"
+    );
     println!(
         "{:<8}{:<9}{:>8}{:>8}{:>8}{:>8}{:>10}{:>8}   steady after the loss, full after the return",
         "demand", "rule", "before", "lost", "return", "all", "survivors", "site-0"
     );
     for demand in DEMANDS {
-        let day = Day { demand, ..day.clone() };
+        let day = Day {
+            demand,
+            ..day.clone()
+        };
         let mut worth = Vec::new();
         for rule in [Rule::Plan, Rule::Near, Rule::Even] {
             let outcome = play(&day, rule)?;
@@ -107,14 +122,19 @@
                 marks: marks(&day),
             };
             let folder = options.folder().map_err(|e| e.to_string())?;
-            chart.save(&folder.join("sites-worth.svg")).map_err(|e| e.to_string())?;
+            chart
+                .save(&folder.join("sites-worth.svg"))
+                .map_err(|e| e.to_string())?;
         }
     }
     Ok(())
 }
 
 fn marks(day: &Day) -> Vec<(f64, String)> {
-    vec![(day.lost_at as f64, "lost".to_owned()), (day.back_at as f64, "back".to_owned())]
+    vec![
+        (day.lost_at as f64, "lost".to_owned()),
+        (day.back_at as f64, "back".to_owned()),
+    ]
 }
 
 fn row(day: &Day, rule: Rule, outcome: &Outcome) {
@@ -136,8 +156,11 @@
         after(outcome.steady(day.back_at, usual * 0.97..f64::MAX, end)),
     );
     if rule == Rule::Plan {
-        let agreed: Vec<String> =
-            outcome.standings().iter().map(|(at, what)| format!("{what} {at:.1} s")).collect();
+        let agreed: Vec<String> = outcome
+            .standings()
+            .iter()
+            .map(|(at, what)| format!("{what} {at:.1} s"))
+            .collect();
         println!(
             "                 agreed: {}; refused out of order: {}",
             agreed.join(", "),
@@ -159,15 +182,46 @@
         let file = format!("sites-{what}-{}.svg", name(rule).replace(' ', "-"));
         chart.save(&folder.join(file)).map_err(|e| e.to_string())
     };
-    let refused = |c: usize| smooth(by_second(outcome, |t| f64::from(outcome.seconds[t].refused[c])));
+    let refused = |c: usize| {
+        smooth(by_second(outcome, |t| {
+            f64::from(outcome.seconds[t].refused[c])
+        }))
+    };
     let fleet = day.fleet();
-    let classes = fleet.tables.classes.iter().enumerate().map(|(c, class)| (class.name.clone(), refused(c)));
-    save("refused", "Refused by class", "requests a second", classes.collect())?;
+    let classes = fleet
+        .tables
+        .classes
+        .iter()
+        .enumerate()
+        .map(|(c, class)| (class.name.clone(), refused(c)));
+    save(
+        "refused",
+        "Refused by class",
+        "requests a second",
+        classes.collect(),
+    )?;
     let sites = |of: &dyn Fn(usize, usize) -> f64| -> Vec<(String, Vec<(f64, f64)>)> {
-        (0..day.sites).map(|s| (format!("site-{s}"), smooth(by_second(outcome, |t| of(t, s))))).collect()
+        (0..day.sites)
+            .map(|s| {
+                (
+                    format!("site-{s}"),
+                    smooth(by_second(outcome, |t| of(t, s))),
+                )
+            })
+            .collect()
     };
     let load = sites(&|t, s| outcome.seconds[t].load[s][0]);
-    save("load", "Load of readers by site", "sent, as a part of what they can do warm", load)?;
+    save(
+        "load",
+        "Load of readers by site",
+        "sent, as a part of what they can do warm",
+        load,
+    )?;
     let first = sites(&|t, s| quantile(&outcome.seconds[t].first[s], 0.95));
-    save("first", "First tokens by site, 95 of 100 within", "seconds", first)
+    save(
+        "first",
+        "First tokens by site, 95 of 100 within",
+        "seconds",
+        first,
+    )
 }
--- a/lab/src/experiments/takeover.rs
+++ b/lab/src/experiments/takeover.rs
@@ -115,8 +115,14 @@
 /// Bytes that the conductors have sent each other.
 fn carried(fleet: &Fleet) -> u64 {
     let names = fleet.names();
-    let pairs = names.iter().flat_map(|a| names.iter().map(move |b| (a, b))).filter(|(a, b)| a != b);
-    pairs.map(|(a, b)| fleet.network.carried(a, b)).map(|c| c[1] + c[4]).sum()
+    let pairs = names
+        .iter()
+        .flat_map(|a| names.iter().map(move |b| (a, b)))
+        .filter(|(a, b)| a != b);
+    pairs
+        .map(|(a, b)| fleet.network.carried(a, b))
+        .map(|c| c[1] + c[4])
+        .sum()
 }
 
 /// Clients of the unsafe class without tool calls, each with its next request as soon as one has ended.
@@ -134,10 +140,21 @@
     let (first_us, not_whole) = whole.into_inner().map_err(|e| e.to_string())?;
     let per_s = first_us.len() as f64 / time;
     let peer_bytes_per_s = (carried(fleet) - before) as f64 / time;
-    Ok(Load { first_us, per_s, not_whole, peer_bytes_per_s })
+    Ok(Load {
+        first_us,
+        per_s,
+        not_whole,
+        peer_bytes_per_s,
+    })
 }
 
-fn one_client(client: &Client, c: usize, label: &str, until: Instant, whole: &Mutex<(Histogram<u64>, u64)>) {
+fn one_client(
+    client: &Client,
+    c: usize,
+    label: &str,
+    until: Instant,
+    whole: &Mutex<(Histogram<u64>, u64)>,
+) {
     for number in 0.. {
         let sent = Instant::now();
         if sent >= until {
@@ -158,27 +175,51 @@
 /// The first token at a low load.
 fn cost(args: &TakeoverArgs) -> Result<(), Failed> {
     let mut lines = Vec::new();
-    for (voters, takeover) in [(3, false)].into_iter().chain(args.voters.iter().map(|v| (*v, true))) {
+    for (voters, takeover) in [(3, false)]
+        .into_iter()
+        .chain(args.voters.iter().map(|v| (*v, true)))
+    {
         let fleet = fleet(voters, takeover, args)?;
         let (mut half, mut most) = (Vec::new(), Vec::new());
-        let what = if takeover { format!("{voters} voters") } else { "no record".to_owned() };
+        let what = if takeover {
+            format!("{voters} voters")
+        } else {
+            "no record".to_owned()
+        };
         for &delay in &args.delays {
             between(&fleet, Duration::from_millis(delay));
             load(&fleet, FEW, &format!("warm-{delay}"), 1)?;
             let load = load(&fleet, FEW, &format!("cost-{delay}"), args.seconds)?;
-            println!("{}", load.line(&format!("{:<28}", format!("{what}, {delay} ms, {FEW} clients"))));
+            println!(
+                "{}",
+                load.line(&format!(
+                    "{:<28}",
+                    format!("{what}, {delay} ms, {FEW} clients")
+                ))
+            );
             half.push((delay as f64, load.first_ms(0.5)));
             most.push((delay as f64, load.first_ms(0.99)));
         }
         lines.push((format!("{what}, p50"), half));
         lines.push((format!("{what}, p99"), most));
     }
-    save(args, "takeover-cost", "First token of a named request", "delay between conductors, ms", "ms", lines)
+    save(
+        args,
+        "takeover-cost",
+        "First token of a named request",
+        "delay between conductors, ms",
+        "ms",
+        lines,
+    )
 }
 
 fn between(fleet: &Fleet, delay: Duration) {
     let names = fleet.names();
-    for (a, b) in names.iter().flat_map(|a| names.iter().map(move |b| (a, b))).filter(|(a, b)| a != b) {
+    for (a, b) in names
+        .iter()
+        .flat_map(|a| names.iter().map(move |b| (a, b)))
+        .filter(|(a, b)| a != b)
+    {
         fleet.network.set(a, b, |f| f.delay = delay);
     }
 }
@@ -193,7 +234,13 @@
         load(&fleet, FEW, "warm", 1)?;
         for &clients in &args.clients {
             let load = load(&fleet, clients, &format!("knee-{clients}"), args.seconds)?;
-            println!("{}", load.line(&format!("{:<28}", format!("{what}, 0 ms, {clients} clients"))));
+            println!(
+                "{}",
+                load.line(&format!(
+                    "{:<28}",
+                    format!("{what}, 0 ms, {clients} clients")
+                ))
+            );
             rate.push((clients as f64, load.per_s));
             first.push((load.per_s, load.first_ms(0.5)));
         }
@@ -220,27 +267,50 @@
 
 /// A conductor dies with states held at readers.
 fn deaths(args: &TakeoverArgs) -> Result<(), Failed> {
-    println!("{:>8} {:>10} {:>10} {:>10} {:>10}", "in hand", "ended", "adopted", "released", "answered");
+    println!(
+        "{:>8} {:>10} {:>10} {:>10} {:>10}",
+        "in hand", "ended", "adopted", "released", "answered"
+    );
     let mut lines: [Vec<(f64, f64)>; 4] = Default::default();
     let fleet = fleet(3, true, args)?;
     for &in_hand in &args.in_hand {
         let mut times: [Vec<f64>; 4] = Default::default();
         for death in 0..args.deaths {
             let one = one_death(&fleet, in_hand, &format!("death-{in_hand}-{death}"))?;
-            times.iter_mut().zip(one).for_each(|(all, one)| all.push(one));
+            times
+                .iter_mut()
+                .zip(one)
+                .for_each(|(all, one)| all.push(one));
         }
         let medians = times.each_ref().map(|t| median(t));
         println!(
             "{in_hand:>8} {:>10.2} {:>10.2} {:>10.2} {:>10.2}",
             medians[0], medians[1], medians[2], medians[3]
         );
-        lines.iter_mut().zip(medians).for_each(|(l, t)| l.push((in_hand as f64, t)));
+        lines
+            .iter_mut()
+            .zip(medians)
+            .for_each(|(l, t)| l.push((in_hand as f64, t)));
     }
-    println!("seconds since SIGKILL, median of {} deaths; released and answered: the last one", args.deaths);
-    let names =
-        ["its life is ended by the log", "adopted", "all its states released", "all its clients answered"];
+    println!(
+        "seconds since SIGKILL, median of {} deaths; released and answered: the last one",
+        args.deaths
+    );
+    let names = [
+        "its life is ended by the log",
+        "adopted",
+        "all its states released",
+        "all its clients answered",
+    ];
     let lines = names.map(str::to_owned).into_iter().zip(lines).collect();
-    save(args, "takeover-death", "After the death of 1 of 3 conductors", "requests in hand", "seconds", lines)
+    save(
+        args,
+        "takeover-death",
+        "After the death of 1 of 3 conductors",
+        "requests in hand",
+        "seconds",
+        lines,
+    )
 }
 
 /// Seconds from a SIGKILL to: the end of the life, adopted, the last state released, the last client's answer.
@@ -258,12 +328,19 @@
             })
             .collect();
         let all_held = |all: &[Record]| {
-            let held = all[from..].iter().filter(|r| r.event == "state.held").count();
+            let held = all[from..]
+                .iter()
+                .filter(|r| r.event == "state.held")
+                .count();
             (held >= in_hand).then_some(())
         };
         let held = fleet.history.wait_until(STUCK, all_held);
         fleet.conductor("c1").kill();
-        let answered = asking.into_iter().map(|t| t.join().unwrap_or(false)).filter(|a| *a).count();
+        let answered = asking
+            .into_iter()
+            .map(|t| t.join().unwrap_or(false))
+            .filter(|a| *a)
+            .count();
         held.ok_or("not all states came to be held")?;
         Ok(answered)
     })?;
@@ -278,12 +355,19 @@
     let sends = adopted.number("sends").unwrap_or(0) as usize;
     let last = |event: &'static str, count: usize| {
         let found = fleet.history.wait_until(STUCK, |all: &[Record]| {
-            let of: Vec<u64> = all[from..].iter().filter(|r| r.event == event).map(|r| r.at_us).collect();
+            let of: Vec<u64> = all[from..]
+                .iter()
+                .filter(|r| r.event == event)
+                .map(|r| r.at_us)
+                .collect();
             (of.len() >= count).then(|| of.into_iter().max().unwrap_or(kill))
         });
         found.ok_or(format!("{label}: less than {count} times {event}"))
     };
-    let (released, answered) = (last("work.released", sends)?, last("client.final", in_hand)?);
+    let (released, answered) = (
+        last("work.released", sends)?,
+        last("client.final", in_hand)?,
+    );
     fleet.wait_for_release()?;
     fleet.network.heal();
     let before = fleet.history.len();
@@ -307,7 +391,13 @@
     y: &str,
     lines: Vec<(String, Vec<(f64, f64)>)>,
 ) -> Result<(), Failed> {
-    let chart = Chart { title: title.into(), x: x.into(), y: y.into(), lines, marks: Vec::new() };
+    let chart = Chart {
+        title: title.into(),
+        x: x.into(),
+        y: y.into(),
+        lines,
+        marks: Vec::new(),
+    };
     let file = args.out.join(format!("{name}.svg"));
     chart.save(&file)?;
     println!("plot: {}", file.display());
--- a/lab/src/experiments/view.rs
+++ b/lab/src/experiments/view.rs
@@ -55,7 +55,13 @@
             Whose::Ours => Box::new(Fleet::new(plan)),
             Whose::Foca | Whose::FocaQuiet => {
                 let gossip = self == Whose::Foca;
-                Box::new(FocaFleet::new(members, &plan.settings, plan.link, seed, gossip))
+                Box::new(FocaFleet::new(
+                    members,
+                    &plan.settings,
+                    plan.link,
+                    seed,
+                    gossip,
+                ))
             }
         }
     }
@@ -75,7 +81,10 @@
 }
 
 fn link(loss: u32) -> Link {
-    Link { loss: f64::from(loss) / 100.0, ..Link::default() }
+    Link {
+        loss: f64::from(loss) / 100.0,
+        ..Link::default()
+    }
 }
 
 fn period() -> Micros {
@@ -106,7 +115,11 @@
 }
 
 fn mean(of: &[f64]) -> f64 {
-    if of.is_empty() { f64::NAN } else { of.iter().sum::<f64>() / of.len() as f64 }
+    if of.is_empty() {
+        f64::NAN
+    } else {
+        of.iter().sum::<f64>() / of.len() as f64
+    }
 }
 
 fn worst(of: &[f64]) -> f64 {
@@ -118,7 +131,9 @@
     let mut member_hours = 0.0;
     let mut deaths = 0;
     for seed in 0..runs {
-        let Some(mut bed) = whose.settled(members, loss, seed) else { continue };
+        let Some(mut bed) = whose.settled(members, loss, seed) else {
+            continue;
+        };
         // Quiet: traffic and false deaths.
         let periods = if members > 100 { 40 } else { 240 };
         let before: Vec<_> = (0..members).map(|node| bed.sent(node)).collect();
@@ -126,12 +141,20 @@
         bed.run(until);
         let seconds = (periods * period()) as f64 / 1e6;
         let after = |node: usize| bed.sent(node);
-        let messages: u64 = (0..members).map(|node| after(node).messages - before[node].messages).sum();
-        let bytes: u64 = (0..members).map(|node| after(node).bytes - before[node].bytes).sum();
+        let messages: u64 = (0..members)
+            .map(|node| after(node).messages - before[node].messages)
+            .sum();
+        let bytes: u64 = (0..members)
+            .map(|node| after(node).bytes - before[node].bytes)
+            .sum();
         point.messages += messages as f64 / seconds / members as f64 / runs as f64;
         point.bytes += bytes as f64 / seconds / members as f64 / runs as f64;
         member_hours += members as f64 * seconds / 3600.0;
-        deaths += bed.heard().iter().filter(|(_, _, _, to)| *to == Status::Dead).count();
+        deaths += bed
+            .heard()
+            .iter()
+            .filter(|(_, _, _, to)| *to == Status::Dead)
+            .count();
 
         // A crash.
         let lost = members - 1;
@@ -153,20 +176,28 @@
                 }
             }
         }
-        let least = |of: &std::collections::BTreeMap<usize, f64>| of.values().copied().reduce(f64::min);
-        let most = |of: &std::collections::BTreeMap<usize, f64>| of.values().copied().reduce(f64::max);
+        let least =
+            |of: &std::collections::BTreeMap<usize, f64>| of.values().copied().reduce(f64::min);
+        let most =
+            |of: &std::collections::BTreeMap<usize, f64>| of.values().copied().reduce(f64::max);
         point.suspected.extend(least(&suspects));
         point.first.extend(least(&dead));
         if dead.len() == survivors {
             point.all.extend(most(&dead));
         }
-        point.spread.extend(least(&suspects).zip(most(&suspects)).map(|(first, last)| last - first));
+        point.spread.extend(
+            least(&suspects)
+                .zip(most(&suspects))
+                .map(|(first, last)| last - first),
+        );
 
         // A new life of it joins. Without loss: the spread of news is what is asked.
         if loss == 0 {
             bed.start(lost);
             let took = bed.until_agreed(period() / 10, 600 * period());
-            point.joined.extend(took.map(|took| took as f64 / period() as f64));
+            point
+                .joined
+                .extend(took.map(|took| took as f64 / period() as f64));
         }
         // A split in halves for a minute, and its heal.
         for one in (0..members).filter(|one| one % 2 == 0) {
@@ -179,7 +210,9 @@
         bed.run(until);
         bed.heal();
         let took = bed.until_agreed(period() / 4, 600 * period());
-        point.healed.push(took.map(|took| took as f64 / period() as f64));
+        point
+            .healed
+            .push(took.map(|took| took as f64 / period() as f64));
     }
     point.false_deaths = deaths as f64 / member_hours;
     point
@@ -192,7 +225,10 @@
 /// # Errors
 /// A figure could not be written.
 pub fn run(args: &ViewArgs) -> Result<(), Box<dyn Error>> {
-    println!("times in periods of {} ms; mean / worst over the runs", period() / 1000);
+    println!(
+        "times in periods of {} ms; mean / worst over the runs",
+        period() / 1000
+    );
     println!(
         "{:<22}{:>6}{:>6}{:>12}{:>14}{:>14}{:>12}{:>14}{:>16}{:>13}{:>9}{:>9}",
         "whose",
@@ -210,7 +246,13 @@
     );
     let mut rows: Vec<Row> = Vec::new();
     let small = args.sizes.iter().copied().min().unwrap_or(5);
-    let middle = args.sizes.iter().copied().filter(|size| *size <= 30).max().unwrap_or(small);
+    let middle = args
+        .sizes
+        .iter()
+        .copied()
+        .filter(|size| *size <= 30)
+        .max()
+        .unwrap_or(small);
     for whose in Whose::ALL {
         let by_size = args.sizes.iter().map(|size| (*size, 0));
         let lossy = args.losses.iter().filter(|loss| **loss > 0);
@@ -230,7 +272,11 @@
     let pair = |of: &[f64]| format!("{:.1} / {:.1}", mean(of), worst(of));
     let healed: Vec<f64> = point.healed.iter().flatten().copied().collect();
     let never = point.healed.len() - healed.len();
-    let healed = if never > 0 { format!("{} ({never} not)", pair(&healed)) } else { pair(&healed) };
+    let healed = if never > 0 {
+        format!("{} ({never} not)", pair(&healed))
+    } else {
+        pair(&healed)
+    };
     println!(
         "{:<22}{size:>6}{loss:>5}%{:>12}{:>14}{:>14}{:>12}{:>14}{healed:>16}{:>13.2}{:>9.1}{:>9.0}",
         whose.name(),
@@ -253,12 +299,18 @@
 fn figures(folder: &Path, rows: &[Row], small: usize) -> Result<(), Box<dyn Error>> {
     let by_size = |name: &str, whose: Whose, value: &dyn Fn(&Point) -> f64| Curve {
         name: format!("{}: {name}", whose.name()),
-        points: (rows.iter().filter(|(w, _, loss, _)| *w == whose && *loss == 0))
-            .map(|(_, size, _, point)| ((*size as f64).log10(), value(point)))
-            .filter(|(_, value)| value.is_finite())
-            .collect(),
+        points: (rows
+            .iter()
+            .filter(|(w, _, loss, _)| *w == whose && *loss == 0))
+        .map(|(_, size, _, point)| ((*size as f64).log10(), value(point)))
+        .filter(|(_, value)| value.is_finite())
+        .collect(),
     };
-    let sizes: Vec<f64> = by_size("", Whose::Ours, &|_| 0.0).points.iter().map(|(size, _)| *size).collect();
+    let sizes: Vec<f64> = by_size("", Whose::Ours, &|_| 0.0)
+        .points
+        .iter()
+        .map(|(size, _)| *size)
+        .collect();
     let expected = std::f64::consts::E / (std::f64::consts::E - 1.0);
     let constant = |name: &str, value: f64| Curve {
         name: name.to_owned(),
@@ -267,11 +319,21 @@
     let x = "members, power of ten";
     let healed = |point: &Point| mean(&point.healed.iter().flatten().copied().collect::<Vec<_>>());
     let mut curves = vec![
-        by_size("first suspicion", Whose::Ours, &|point| mean(&point.suspected)),
+        by_size("first suspicion", Whose::Ours, &|point| {
+            mean(&point.suspected)
+        }),
         constant("SWIM paper: e/(e-1)", expected),
     ];
-    curves.extend(Whose::ALL.map(|whose| by_size("held dead by all", whose, &|point| mean(&point.all))));
-    draw(&folder.join("view-detect.svg"), "Time to detect a crash", x, "periods", &curves)?;
+    curves.extend(
+        Whose::ALL.map(|whose| by_size("held dead by all", whose, &|point| mean(&point.all))),
+    );
+    draw(
+        &folder.join("view-detect.svg"),
+        "Time to detect a crash",
+        x,
+        "periods",
+        &curves,
+    )?;
     let curves = Whose::ALL.map(|whose| by_size("all agree", whose, &healed));
     draw(
         &folder.join("view-heal.svg"),
@@ -281,28 +343,59 @@
         &curves,
     )?;
     let curves = Whose::ALL.map(|whose| by_size("sent", whose, &|point| point.bytes / 1000.0));
-    draw(&folder.join("view-bytes.svg"), "Traffic of a member at rest", x, "kB/s", &curves)?;
+    draw(
+        &folder.join("view-bytes.svg"),
+        "Traffic of a member at rest",
+        x,
+        "kB/s",
+        &curves,
+    )?;
     let curves = [
-        by_size("a crash's suspicion", Whose::Ours, &|point| mean(&point.spread)),
+        by_size("a crash's suspicion", Whose::Ours, &|point| {
+            mean(&point.spread)
+        }),
         by_size("a join", Whose::Ours, &|point| mean(&point.joined)),
         by_size("a join", Whose::Foca, &|point| mean(&point.joined)),
         Curve {
             name: "log2 n".to_owned(),
-            points: sizes.iter().map(|size| (*size, size * 10_f64.log2())).collect(),
+            points: sizes
+                .iter()
+                .map(|size| (*size, size * 10_f64.log2()))
+                .collect(),
         },
     ];
-    draw(&folder.join("view-spread.svg"), "Time for a change to reach all", x, "periods", &curves)?;
+    draw(
+        &folder.join("view-spread.svg"),
+        "Time for a change to reach all",
+        x,
+        "periods",
+        &curves,
+    )?;
     let curves = Whose::ALL.map(|whose| Curve {
         name: whose.name().to_owned(),
-        points: (rows.iter().filter(|(w, size, ..)| *w == whose && *size == small))
-            .map(|(_, _, loss, point)| (f64::from(*loss), point.false_deaths))
-            .collect(),
+        points: (rows
+            .iter()
+            .filter(|(w, size, ..)| *w == whose && *size == small))
+        .map(|(_, _, loss, point)| (f64::from(*loss), point.false_deaths))
+        .collect(),
     });
     let title = format!("Live members held dead, at {small} members");
-    draw(&folder.join("view-false.svg"), &title, "loss, percent", "a member and hour", &curves)
+    draw(
+        &folder.join("view-false.svg"),
+        &title,
+        "loss, percent",
+        "a member and hour",
+        &curves,
+    )
 }
 
-fn draw(path: &Path, title: &str, x: &str, y: &str, curves: &[Curve]) -> Result<(), Box<dyn Error>> {
+fn draw(
+    path: &Path,
+    title: &str,
+    x: &str,
+    y: &str,
+    curves: &[Curve],
+) -> Result<(), Box<dyn Error>> {
     let all = || curves.iter().flat_map(|curve| &curve.points);
     let right = all().map(|point| point.0).fold(0.1, f64::max);
     let top = all().map(|point| point.1).fold(0.1, f64::max);
@@ -322,11 +415,16 @@
         chart
             .draw_series(line)?
             .label(&curve.name)
-            .legend(move |(x, y)| PathElement::new(vec![(x, y), (x + 16, y)], color.stroke_width(2)));
+            .legend(move |(x, y)| {
+                PathElement::new(vec![(x, y), (x + 16, y)], color.stroke_width(2))
+            });
     }
     let mut legend = chart.configure_series_labels();
     legend.position(SeriesLabelPosition::UpperLeft);
-    legend.background_style(WHITE.mix(0.8)).border_style(BLACK.mix(0.3)).draw()?;
+    legend
+        .background_style(WHITE.mix(0.8))
+        .border_style(BLACK.mix(0.3))
+        .draw()?;
     area.present()?;
     Ok(())
 }
--- a/lab/src/explore.rs
+++ b/lab/src/explore.rs
@@ -19,9 +19,21 @@
     M::Action: Clone + Debug + PartialEq + Send + Sync + 'static,
 {
     let begun = Instant::now();
-    let checker =
-        model.checker().threads(2).target_state_count(MOST_STATES).finish_when(until).spawn_bfs().join();
-    println!("{name}: {} states in {:.1} s", checker.unique_state_count(), begun.elapsed().as_secs_f64());
-    assert!(checker.unique_state_count() < MOST_STATES, "cut short: not all orders were seen");
+    let checker = model
+        .checker()
+        .threads(2)
+        .target_state_count(MOST_STATES)
+        .finish_when(until)
+        .spawn_bfs()
+        .join();
+    println!(
+        "{name}: {} states in {:.1} s",
+        checker.unique_state_count(),
+        begun.elapsed().as_secs_f64()
+    );
+    assert!(
+        checker.unique_state_count() < MOST_STATES,
+        "cut short: not all orders were seen"
+    );
     checker
 }
--- a/lab/src/fleet.rs
+++ b/lab/src/fleet.rs
@@ -162,7 +162,10 @@
     /// # Errors
     /// Something can't be started.
     pub fn start(settings: FleetSettings) -> Result<Fleet, FleetError> {
-        let folder = settings.folder.as_deref().map_or_else(Folder::temporary, Folder::at)?;
+        let folder = settings
+            .folder
+            .as_deref()
+            .map_or_else(Folder::temporary, Folder::at)?;
         let history = History::to_file(&folder.path().join("history.jsonl"))?;
         let block = Block::take()?;
         let network = Arc::new(Network::new(settings.seed, history.clone())?);
@@ -172,9 +175,19 @@
         let mut hosts = BTreeMap::new();
         for (i, (role, number)) in roles(&settings).enumerate() {
             let site = site(&settings, number);
-            let word = if role == HostRole::Reader { "reader" } else { "writer" };
+            let word = if role == HostRole::Reader {
+                "reader"
+            } else {
+                "writer"
+            };
             let (name, listen) = (format!("{word}-{}", number + 1), block.at(100 + i, 8000));
-            let own = HostSettings { name: name.clone(), listen, site, role, ..settings.host.clone() };
+            let own = HostSettings {
+                name: name.clone(),
+                listen,
+                site,
+                role,
+                ..settings.host.clone()
+            };
             let host = Host::start(own, states.clone(), history.clone())?;
             discovery.set(entry(&host));
             hosts.insert(name, host);
@@ -201,19 +214,28 @@
             let file = fleet.folder.path().join(format!("{name}.toml"));
             std::fs::write(&file, text)?;
             let front = fleet.block.at(RELAYS[3], 10_000 + i + 1);
-            fleet.network.link("front", name, front, fleet.block.at(i + 1, 8080))?;
+            fleet
+                .network
+                .link("front", name, front, fleet.block.at(i + 1, 8080))?;
             fleet.fronts.push((name.clone(), front));
-            let mut conductor = Conductor::new(name, file, &["--log-format", "json"], fleet.history.clone());
+            let mut conductor =
+                Conductor::new(name, file, &["--log-format", "json"], fleet.history.clone());
             conductor.environment = fleet.settings.environment.clone();
             fleet.conductors.insert(name.clone(), conductor);
         }
-        fleet.history.note("lab", "lab.fleet", json!({ "members": names, "seed": fleet.settings.seed }));
+        fleet.history.note(
+            "lab",
+            "lab.fleet",
+            json!({ "members": names, "seed": fleet.settings.seed }),
+        );
         for conductor in fleet.conductors.values() {
             conductor.start()?;
         }
         if fleet.is_fleet() {
             for name in &names {
-                fleet.wait_for(0, |r| r.is(name, "life.gained")).map_err(StartError::Silent)?;
+                fleet
+                    .wait_for(0, |r| r.is(name, "life.gained"))
+                    .map_err(StartError::Silent)?;
             }
         }
         Ok(fleet)
@@ -225,7 +247,12 @@
     }
 
     /// Opens the relays of conductor `number` and writes its file.
-    fn operator_file(&self, number: usize, name: &str, names: &[String]) -> Result<String, FleetError> {
+    fn operator_file(
+        &self,
+        number: usize,
+        name: &str,
+        names: &[String],
+    ) -> Result<String, FleetError> {
         let (block, settings) = (&self.block, &self.settings);
         let site = self.site(number - 1);
         let mut file = String::new();
@@ -240,9 +267,12 @@
         let mut dial = BTreeMap::new();
         for (i, host) in self.hosts.values().enumerate() {
             let relay = block.at(RELAYS[1], 10_000 + number * 100 + i);
-            self.network.link(name, &host.settings().name, relay, host.address())?;
+            self.network
+                .link(name, &host.settings().name, relay, host.address())?;
             dial.insert(host.settings().name.clone(), relay);
-            let Entry { host, site, class, .. } = entry(host);
+            let Entry {
+                host, site, class, ..
+            } = entry(host);
             let _ = writeln!(
                 known,
                 "[[known.hosts]]\nhost = {host:?}\ndial = \"{relay}\"\nsite = {site:?}\nclass = {class:?}\nhealth = \"ready\""
@@ -261,7 +291,8 @@
             let mut peers = Vec::new();
             for (i, other) in names.iter().enumerate().filter(|(_, n)| *n != name) {
                 let relay = block.at(RELAYS[0], 10_000 + number * 100 + i + 1);
-                self.network.link(name, other, relay, block.at(i + 1, 7100))?;
+                self.network
+                    .link(name, other, relay, block.at(i + 1, 7100))?;
                 peers.push(format!("{other} = \"{relay}\""));
             }
             let first = voters.len();
@@ -304,7 +335,9 @@
     /// # Panics
     /// There is none of that name.
     pub fn conductor(&self, name: &str) -> &Conductor {
-        self.conductors.get(name).unwrap_or_else(|| panic!("no conductor {name}"))
+        self.conductors
+            .get(name)
+            .unwrap_or_else(|| panic!("no conductor {name}"))
     }
 
     /// The conductors' names, in order.
@@ -323,7 +356,9 @@
     /// There is no conductor of such a name.
     pub fn peer_link(&self, from: &str, to: &str) -> SocketAddr {
         let place = |name: &str| self.fronts.iter().position(|(n, _)| n == name);
-        let (Some(from), Some(to)) = (place(from), place(to)) else { panic!("no link {from} to {to}") };
+        let (Some(from), Some(to)) = (place(from), place(to)) else {
+            panic!("no link {from} to {to}")
+        };
         self.block.at(RELAYS[0], 10_000 + (from + 1) * 100 + to + 1)
     }
 
@@ -335,8 +370,12 @@
         self.conductor(name).kill();
         if emptied {
             match std::fs::remove_dir_all(self.store(name)) {
-                Err(error) if error.kind() != std::io::ErrorKind::NotFound => return Err(error.into()),
-                _ => self.history.note("lab", "fault.emptied", json!({ "member": name })),
+                Err(error) if error.kind() != std::io::ErrorKind::NotFound => {
+                    return Err(error.into());
+                }
+                _ => self
+                    .history
+                    .note("lab", "fault.emptied", json!({ "member": name })),
             }
         }
         Ok(self.conductor(name).start()?)
@@ -359,9 +398,15 @@
     ) -> impl FnOnce() + Send + use<> + 'static {
         let (network, name) = (Arc::downgrade(&self.network), name.to_owned());
         move || {
-            let Some(network) = network.upgrade() else { return };
+            let Some(network) = network.upgrade() else {
+                return;
+            };
             for other in others.iter().filter(|other| **other != name) {
-                if one_way { network.cut_one_way(other, &name) } else { network.cut(&name, other) }
+                if one_way {
+                    network.cut_one_way(other, &name)
+                } else {
+                    network.cut(&name, other)
+                }
             }
         }
     }
@@ -372,9 +417,20 @@
 
     /// The conductors and hosts of a site.
     pub fn site_names(&self, site: &str) -> Vec<String> {
-        let conductors = self.names().into_iter().enumerate().filter(|(i, _)| self.site(*i) == site);
-        let hosts = self.hosts.values().map(Host::settings).filter(|s| s.site == site);
-        conductors.map(|(_, name)| name).chain(hosts.map(|s| s.name.clone())).collect()
+        let conductors = self
+            .names()
+            .into_iter()
+            .enumerate()
+            .filter(|(i, _)| self.site(*i) == site);
+        let hosts = self
+            .hosts
+            .values()
+            .map(Host::settings)
+            .filter(|s| s.site == site);
+        conductors
+            .map(|(_, name)| name)
+            .chain(hosts.map(|s| s.name.clone()))
+            .collect()
     }
 
     /// Cuts all that is in a site from all that is not, the clients and the tool side included.
@@ -382,21 +438,26 @@
         let inside = self.site_names(site);
         let all = self.names().into_iter().chain(self.hosts.keys().cloned());
         let outside: Vec<String> = all.chain(["front".to_owned(), "tool".to_owned()]).collect();
-        for (a, b) in inside.iter().flat_map(|a| outside.iter().map(move |b| (a, b))) {
+        for (a, b) in inside
+            .iter()
+            .flat_map(|a| outside.iter().map(move |b| (a, b)))
+        {
             if !inside.contains(b) {
                 self.network.set_both(a, b, |f| f.cut = true);
             }
         }
-        self.history.note("lab", "fault.cut", json!({ "site": site }));
+        self.history
+            .note("lab", "fault.cut", json!({ "site": site }));
     }
 
     /// Cuts all links between conductors of different groups; a conductor in no group is cut from nobody.
     pub fn split(&self, groups: &[&[&str]]) {
         for (i, group) in groups.iter().enumerate() {
-            for (a, b) in group
-                .iter()
-                .flat_map(|a| groups[i + 1..].iter().flat_map(move |g| g.iter().map(move |b| (a, b))))
-            {
+            for (a, b) in group.iter().flat_map(|a| {
+                groups[i + 1..]
+                    .iter()
+                    .flat_map(move |g| g.iter().map(move |b| (a, b)))
+            }) {
                 self.network.cut(a, b);
             }
         }
@@ -419,7 +480,11 @@
     ///
     /// # Errors
     /// None came in time.
-    pub fn wait_for(&self, after: usize, wanted: impl Fn(&Record) -> bool) -> Result<Record, NotSeen> {
+    pub fn wait_for(
+        &self,
+        after: usize,
+        wanted: impl Fn(&Record) -> bool,
+    ) -> Result<Record, NotSeen> {
         self.history.wait_for(after, STUCK, wanted)
     }
 
@@ -427,8 +492,7 @@
     pub fn note_memory(&self) {
         for conductor in self.conductors.values() {
             if let Some(bytes) = conductor.memory() {
-                let fields =
-                    json!({ "member": conductor.name, "bytes": bytes, "limit": MEMORY_MB * 1024 * 1024 });
+                let fields = json!({ "member": conductor.name, "bytes": bytes, "limit": MEMORY_MB * 1024 * 1024 });
                 self.history.note("lab", "lab.memory", fields);
             }
         }
@@ -449,7 +513,8 @@
         let text = text.replace(&format!("{own:?}"), &format!("{key:?}"));
         let file = self.file(name);
         std::fs::write(&file, text)?;
-        self.history.note("lab", "lab.stranger", json!({ "name": name }));
+        self.history
+            .note("lab", "lab.stranger", json!({ "name": name }));
         let conductor = Conductor::new(name, file, &["--log-format", "json"], self.history.clone());
         conductor.start()?;
         self.conductors.insert(name.to_owned(), conductor);
@@ -461,14 +526,19 @@
     /// # Errors
     /// They still do; the last records.
     pub fn wait_for_release(&self) -> Result<(), NotSeen> {
-        let freed = self.history.wait_until(STUCK * 2, |_| self.states.held().is_empty().then_some(()));
+        let freed = self
+            .history
+            .wait_until(STUCK * 2, |_| self.states.held().is_empty().then_some(()));
         freed.ok_or_else(|| self.history.not_seen(STUCK * 2))
     }
 
     /// Where the views of `alive` differ from what is so, by the history: nothing once they agree.
     pub fn views_differ(&self, alive: &[&str]) -> Option<String> {
         let mut views = Views::default();
-        checker::acts(&self.history.records()).0.iter().for_each(|act| views.take(act));
+        checker::acts(&self.history.records())
+            .0
+            .iter()
+            .for_each(|act| views.take(act));
         views.difference(&alive.iter().map(|n| (*n).to_owned()).collect())
     }
 
@@ -480,33 +550,51 @@
         let wanted = alive.iter().map(|n| (*n).to_owned()).collect();
         let (mut views, mut seen) = (Views::default(), 0);
         let agreed = self.history.wait_until(STUCK * 2, |records| {
-            checker::acts(&records[seen..]).0.iter().for_each(|act| views.take(act));
+            checker::acts(&records[seen..])
+                .0
+                .iter()
+                .for_each(|act| views.take(act));
             seen = records.len();
             views.difference(&wanted).is_none().then_some(())
         });
-        let how =
-            || StillDiffer(views.difference(&wanted).unwrap_or_default(), self.history.not_seen(STUCK * 2));
+        let how = || {
+            StillDiffer(
+                views.difference(&wanted).unwrap_or_default(),
+                self.history.not_seen(STUCK * 2),
+            )
+        };
         agreed.ok_or_else(how)
     }
 
     /// Who acted last under a lease, by the history.
     pub fn holder(&self, lease: &str) -> Option<String> {
         let records = self.history.records();
-        let acted = records.iter().rev().find(|r| r.event == "lease.act" && r.text("lease") == lease);
+        let acted = records
+            .iter()
+            .rev()
+            .find(|r| r.event == "lease.act" && r.text("lease") == lease);
         acted.map(|r| r.source.clone())
     }
 
     /// Who leads in the highest term that any member knows a leader of, by the history.
     pub fn leader(&self) -> Option<String> {
         let records = self.history.records();
-        let leading = records.iter().filter(|r| r.event == "group.leading" && !r.text("leader").is_empty());
-        leading.max_by_key(|r| (r.number("term"), r.order)).map(|r| r.text("leader").to_owned())
+        let leading = records
+            .iter()
+            .filter(|r| r.event == "group.leading" && !r.text("leader").is_empty());
+        leading
+            .max_by_key(|r| (r.number("term"), r.order))
+            .map(|r| r.text("leader").to_owned())
     }
 
     /// Writes that faults have stopped and who should be seen alive from now on: the checker judges views by it.
     pub fn quiet(&self, alive: &[&str], within: Duration) {
         let within_us = within.as_micros() as u64;
-        self.history.note("lab", "lab.quiet", json!({ "alive": alive, "within_us": within_us }));
+        self.history.note(
+            "lab",
+            "lab.quiet",
+            json!({ "alive": alive, "within_us": within_us }),
+        );
     }
 }
 
@@ -526,7 +614,12 @@
     ChaCha8Rng::seed_from_u64(seed).fill_bytes(&mut key);
     let hex: String = key.iter().map(|b| format!("{b:02x}")).collect();
     let mut options = std::fs::OpenOptions::new();
-    let mut file = options.write(true).create(true).truncate(true).mode(0o600).open(path)?;
+    let mut file = options
+        .write(true)
+        .create(true)
+        .truncate(true)
+        .mode(0o600)
+        .open(path)?;
     writeln!(file, "{hex}")
 }
 
--- a/lab/src/history.rs
+++ b/lab/src/history.rs
@@ -18,7 +18,9 @@
 
 /// Microseconds since 1970 by this machine's clock, which all processes of a lab share.
 pub fn unix_micros() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as u64)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |d| d.as_micros() as u64)
 }
 
 /// One thing that happened.
@@ -108,7 +110,11 @@
     /// Adds a record; `fields` is a JSON object. What reacts to it has acted when this returns: a stand-in that
     /// notes its step before it goes on can be killed, cut off or held at exactly that step.
     pub fn note(&self, source: &str, event: &str, fields: Value) {
-        let fields = if let Value::Object(fields) = fields { fields } else { Map::new() };
+        let fields = if let Value::Object(fields) = fields {
+            fields
+        } else {
+            Map::new()
+        };
         self.add(Record {
             order: 0,
             at_us: unix_micros(),
@@ -124,7 +130,10 @@
         let Some(mut fields) = parsed else {
             return self.note(source, "log", serde_json::json!({ "line": line }));
         };
-        let at_us = fields.remove("at_us").and_then(|v| v.as_u64()).unwrap_or_else(unix_micros);
+        let at_us = fields
+            .remove("at_us")
+            .and_then(|v| v.as_u64())
+            .unwrap_or_else(unix_micros);
         let event = match fields.remove("event") {
             Some(Value::String(event)) => event,
             _ => "log".to_owned(),
@@ -133,7 +142,13 @@
             let text = fields.remove("message").unwrap_or_else(|| line.into());
             fields.insert("line".into(), text);
         }
-        self.add(Record { order: 0, at_us, source: source.into(), event, fields });
+        self.add(Record {
+            order: 0,
+            at_us,
+            source: source.into(),
+            event,
+            fields,
+        });
     }
 
     fn add(&self, mut record: Record) {
@@ -146,7 +161,11 @@
         let mut fired = Vec::new();
         let waiting = std::mem::take(&mut inner.reactions);
         for (wanted, reaction) in waiting {
-            if wanted(&record) { fired.push(reaction) } else { inner.reactions.push((wanted, reaction)) }
+            if wanted(&record) {
+                fired.push(reaction)
+            } else {
+                inner.reactions.push((wanted, reaction))
+            }
         }
         inner.records.push(record.clone());
         drop(inner);
@@ -160,7 +179,9 @@
         wanted: impl Fn(&Record) -> bool + Send + 'static,
         reaction: impl FnOnce(&Record) + Send + 'static,
     ) {
-        self.lock().reactions.push((Box::new(wanted), Box::new(reaction)));
+        self.lock()
+            .reactions
+            .push((Box::new(wanted), Box::new(reaction)));
     }
 
     /// How many records there are: a place to wait from.
@@ -180,7 +201,11 @@
 
     /// The records behind the first `after`.
     pub fn since(&self, after: usize) -> Vec<Record> {
-        self.lock().records.get(after..).unwrap_or_default().to_vec()
+        self.lock()
+            .records
+            .get(after..)
+            .unwrap_or_default()
+            .to_vec()
     }
 
     /// How many records so far are wanted.
@@ -200,7 +225,10 @@
     ) -> Result<Record, NotSeen> {
         let mut next = after;
         let found = self.wait_until(patience, |records| {
-            let found = records[next.min(records.len())..].iter().find(|r| wanted(r)).cloned();
+            let found = records[next.min(records.len())..]
+                .iter()
+                .find(|r| wanted(r))
+                .cloned();
             next = records.len();
             found
         });
@@ -233,7 +261,13 @@
     pub fn not_seen(&self, patience: Duration) -> NotSeen {
         let inner = self.lock();
         let from = inner.records.len().saturating_sub(40);
-        NotSeen { patience, last: inner.records[from..].iter().map(|r| format!("\n  {r}")).collect() }
+        NotSeen {
+            patience,
+            last: inner.records[from..]
+                .iter()
+                .map(|r| format!("\n  {r}"))
+                .collect(),
+        }
     }
 
     /// Writes what is buffered.
@@ -287,7 +321,8 @@
         if line.trim().is_empty() || line.starts_with('#') {
             continue;
         }
-        let mut record: Record = serde_json::from_str(&line).map_err(|e| ReadError::Line(i + 1, e))?;
+        let mut record: Record =
+            serde_json::from_str(&line).map_err(|e| ReadError::Line(i + 1, e))?;
         if record.order == 0 {
             record.order = i as u64 + 1;
         }
--- a/lab/src/hosts.rs
+++ b/lab/src/hosts.rs
@@ -100,14 +100,23 @@
 impl Plan {
     /// The words of a prompt that carry this plan.
     pub fn prompt(&self) -> String {
-        format!("plan name={} words={} calls={}", self.name, self.words, self.calls)
+        format!(
+            "plan name={} words={} calls={}",
+            self.name, self.words, self.calls
+        )
     }
 
     /// The plan in a request's body. Where there is none, six words, with a call among them for the class `send`.
     pub fn read(body: &str, id: &str) -> Plan {
         let calls = u32::from(body.contains(r#""model":"send""#));
-        let mut plan = Plan { name: id.to_owned(), words: 6, calls };
-        let Some(at) = body.find("plan name=") else { return plan };
+        let mut plan = Plan {
+            name: id.to_owned(),
+            words: 6,
+            calls,
+        };
+        let Some(at) = body.find("plan name=") else {
+            return plan;
+        };
         let end = body[at..].find('"').map_or(body.len(), |n| at + n);
         for (key, value) in body[at..end].split(' ').filter_map(|w| w.split_once('=')) {
             match key {
@@ -129,7 +138,11 @@
         if calls > rest {
             return true;
         }
-        let part = |w: u32| (u64::from(w) * calls + rest / 2).checked_div(rest).unwrap_or(0);
+        let part = |w: u32| {
+            (u64::from(w) * calls + rest / 2)
+                .checked_div(rest)
+                .unwrap_or(0)
+        };
         word > 0 && part(word) > part(word - 1)
     }
 
@@ -144,7 +157,10 @@
         let mut text = String::new();
         for word in 0..self.words {
             if self.has_call(word) {
-                text += &format!("[{}] ", crate::tools::said(&format!("{}/{ordinal}", self.name), 1));
+                text += &format!(
+                    "[{}] ",
+                    crate::tools::said(&format!("{}/{ordinal}", self.name), 1)
+                );
                 ordinal += 1;
             } else {
                 text += &self.word(word);
@@ -162,10 +178,15 @@
     /// say that the tool was not reached, or that the outcome is unknown.
     pub fn accepts(&self, text: &str) -> bool {
         let wanted = self.answer();
-        let words = |text: &str| text.split_inclusive(' ').map(str::to_owned).collect::<Vec<_>>();
+        let words = |text: &str| {
+            text.split_inclusive(' ')
+                .map(str::to_owned)
+                .collect::<Vec<_>>()
+        };
         let (wanted, said) = (words(&wanted), words(text));
-        let fits =
-            |(w, s): (&String, &String)| w == s || w.starts_with('[') && SAID_OTHERWISE.contains(&s.as_str());
+        let fits = |(w, s): (&String, &String)| {
+            w == s || w.starts_with('[') && SAID_OTHERWISE.contains(&s.as_str())
+        };
         wanted.len() == said.len() && wanted.iter().zip(&said).all(fits)
     }
 }
@@ -194,26 +215,44 @@
     /// Ids of the states that are held, in order.
     pub fn held(&self) -> Vec<String> {
         let held = lock(&self.held);
-        let mut ids: Vec<String> =
-            held.iter().filter(|(_, h)| !h.reading).map(|(id, _)| id.clone()).collect();
+        let mut ids: Vec<String> = held
+            .iter()
+            .filter(|(_, h)| !h.reading)
+            .map(|(id, _)| id.clone())
+            .collect();
         ids.sort();
         ids
     }
 
     /// Tokens that a host's memory holds.
     fn tokens(&self, host: &str) -> u64 {
-        lock(&self.held).values().filter(|h| h.host == host).map(|h| h.tokens).sum()
+        lock(&self.held)
+            .values()
+            .filter(|h| h.host == host)
+            .map(|h| h.tokens)
+            .sum()
     }
 
     fn begin(&self, id: &str, host: &str, name: &str, tokens: u64) {
         let (host, name) = (host.to_owned(), name.to_owned());
-        lock(&self.held).insert(id.to_owned(), Held { host, tokens, name, reading: true, unwanted: false });
+        lock(&self.held).insert(
+            id.to_owned(),
+            Held {
+                host,
+                tokens,
+                name,
+                reading: true,
+                unwanted: false,
+            },
+        );
     }
 
     /// Ends a read: whether its state is held from now on.
     fn end(&self, id: &str) -> bool {
         let mut held = lock(&self.held);
-        let Some(state) = held.get_mut(id) else { return false };
+        let Some(state) = held.get_mut(id) else {
+            return false;
+        };
         if state.unwanted {
             held.remove(id);
             return false;
@@ -240,8 +279,11 @@
 
     fn forget(&self, host: &str) -> Vec<String> {
         let mut held = lock(&self.held);
-        let mut gone: Vec<String> =
-            held.iter().filter(|(_, h)| h.host == host).map(|(id, _)| id.clone()).collect();
+        let mut gone: Vec<String> = held
+            .iter()
+            .filter(|(_, h)| h.host == host)
+            .map(|(id, _)| id.clone())
+            .collect();
         gone.sort();
         gone.iter().for_each(|id| _ = held.remove(id));
         gone
@@ -270,8 +312,10 @@
     }
 
     fn has_result(&self, id: &str, patience: Duration) -> Option<String> {
-        let waiting =
-            self.results.1.wait_timeout_while(lock(&self.results.0), patience, |r| !r.contains_key(id));
+        let waiting = self
+            .results
+            .1
+            .wait_timeout_while(lock(&self.results.0), patience, |r| !r.contains_key(id));
         waiting.unwrap_or_else(PoisonError::into_inner).0.remove(id)
     }
 }
@@ -309,9 +353,19 @@
     ///
     /// # Errors
     /// Its address is taken.
-    pub fn start(settings: HostSettings, states: Arc<States>, history: History) -> std::io::Result<Host> {
+    pub fn start(
+        settings: HostSettings,
+        states: Arc<States>,
+        history: History,
+    ) -> std::io::Result<Host> {
         let address = settings.listen;
-        let mut host = Host { settings, states, history, life: Arc::default(), address };
+        let mut host = Host {
+            settings,
+            states,
+            history,
+            life: Arc::default(),
+            address,
+        };
         let life = host.live()?;
         host.address = life.peer.get().map_or(address, |p| p.address);
         *lock(&host.life) = Some(life);
@@ -329,7 +383,9 @@
             peer: OnceLock::new(),
         });
         let served = shared.clone();
-        let peer = Peer::start_at(self.address, move |message, conn| served.answer(message, conn))?;
+        let peer = Peer::start_at(self.address, move |message, conn| {
+            served.answer(message, conn)
+        })?;
         shared.note("host.started", json!({ "role": self.settings.role.kind() }));
         let _ = shared.peer.set(peer);
         Ok(shared)
@@ -347,7 +403,9 @@
 
     /// Whether it runs: neither killed nor fallen over.
     pub fn is_running(&self) -> bool {
-        lock(&self.life).as_ref().is_some_and(|life| !lock(&life.slots.0).closed)
+        lock(&self.life)
+            .as_ref()
+            .is_some_and(|life| !lock(&life.slots.0).closed)
     }
 
     /// Ends it as the death of its process would: connections break, new ones are refused, its states are gone.
@@ -388,7 +446,8 @@
 
 impl Shared {
     fn note(&self, event: &str, fields: Value) {
-        self.history.note(&format!("host/{}", self.settings.name), event, fields);
+        self.history
+            .note(&format!("host/{}", self.settings.name), event, fields);
     }
 
     /// Takes nothing more; whether it did until now.
@@ -425,14 +484,23 @@
 
     /// Counts what it is sent; whether that was too much and it falls over.
     fn falls(&self, tokens: f64) -> bool {
-        let HostSettings { fall_multiple, fall_after, tokens_per_s, slots, .. } = self.settings;
+        let HostSettings {
+            fall_multiple,
+            fall_after,
+            tokens_per_s,
+            slots,
+            ..
+        } = self.settings;
         if fall_multiple <= 0.0 || tokens_per_s <= 0.0 {
             return false;
         }
         let mut sent = lock(&self.sent);
         let now = Instant::now();
         sent.push_back((now, tokens));
-        while sent.front().is_some_and(|(at, _)| now.duration_since(*at) > fall_after) {
+        while sent
+            .front()
+            .is_some_and(|(at, _)| now.duration_since(*at) > fall_after)
+        {
             sent.pop_front();
         }
         let all: f64 = sent.iter().map(|(_, tokens)| tokens).sum();
@@ -453,7 +521,11 @@
             }
             slots.waiting += 1;
             let full = |s: &mut Slots| s.busy >= self.settings.slots && !s.closed;
-            slots = self.slots.1.wait_while(slots, full).unwrap_or_else(PoisonError::into_inner);
+            slots = self
+                .slots
+                .1
+                .wait_while(slots, full)
+                .unwrap_or_else(PoisonError::into_inner);
             slots.waiting -= 1;
         }
         if slots.closed {
@@ -476,7 +548,10 @@
                 return true;
             }
             if let Some(state) = self.states.release(id) {
-                self.note("state.released", json!({ "id": id, "name": state.name, "at": state.host }));
+                self.note(
+                    "state.released",
+                    json!({ "id": id, "name": state.name, "at": state.host }),
+                );
             }
             conn.answer("204 No Content", "", "");
         } else if message.method() != "POST" {
@@ -485,7 +560,11 @@
             let text = message.text();
             let plan = Plan::read(&text, id);
             let reads = self.settings.role == HostRole::Reader;
-            if self.falls(if reads { text.len() as f64 / 4.0 } else { f64::from(plan.words) }) {
+            if self.falls(if reads {
+                text.len() as f64 / 4.0
+            } else {
+                f64::from(plan.words)
+            }) {
                 return false;
             }
             return match self.settings.role {
@@ -507,11 +586,18 @@
             conn.answer("503 Service Unavailable", NOT_RUN, "");
             return true;
         }
-        self.note("read.begun", json!({ "id": id, "name": plan.name, "tokens": tokens }));
-        self.states.begin(id, &self.settings.name, &plan.name, tokens);
+        self.note(
+            "read.begun",
+            json!({ "id": id, "name": plan.name, "tokens": tokens }),
+        );
+        self.states
+            .begin(id, &self.settings.name, &plan.name, tokens);
         self.work(tokens as f64);
         if self.states.end(id) {
-            self.note("state.held", json!({ "id": id, "name": plan.name, "tokens": tokens }));
+            self.note(
+                "state.held",
+                json!({ "id": id, "name": plan.name, "tokens": tokens }),
+            );
         }
         drop(slot);
         conn.answer("202 Accepted", "", r#"{"cached_tokens":0}"#);
@@ -531,7 +617,10 @@
             return true;
         };
         self.states.began(id, &plan.name);
-        self.note("state.taken", json!({ "id": id, "name": plan.name, "at": state.host }));
+        self.note(
+            "state.taken",
+            json!({ "id": id, "name": plan.name, "at": state.host }),
+        );
         let request: Value = serde_json::from_str(body).unwrap_or_default();
         let class = request["model"].as_str().unwrap_or("");
         let resume = request.get("resume");
@@ -546,7 +635,10 @@
         for word in first..plan.words {
             self.work(1.0);
             let text = if plan.has_call(word) {
-                self.note("run.call", json!({ "id": id, "name": plan.name, "ordinal": calls }));
+                self.note(
+                    "run.call",
+                    json!({ "id": id, "name": plan.name, "ordinal": calls }),
+                );
                 let call = json!({ "jsonrpc": "2.0", "id": format!("w-{calls}"), "method": "annex.fetch",
                     "params": { "request": plan.name, "ordinal": calls } });
                 calls += 1;
--- a/lab/src/network.rs
+++ b/lab/src/network.rs
@@ -108,7 +108,10 @@
 
 impl Direction {
     fn draw(&self) -> f64 {
-        self.random.lock().unwrap_or_else(PoisonError::into_inner).random()
+        self.random
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .random()
     }
 
     /// Flips one bit.
@@ -121,7 +124,11 @@
 
     /// How long something is under way now.
     fn way(&self, faults: &Faults) -> Duration {
-        if faults.jitter.is_zero() { faults.delay } else { faults.delay + faults.jitter.mul_f64(self.draw()) }
+        if faults.jitter.is_zero() {
+            faults.delay
+        } else {
+            faults.delay + faults.jitter.mul_f64(self.draw())
+        }
     }
 }
 
@@ -148,7 +155,11 @@
     /// The system gives no threads.
     pub fn new(seed: u64, history: History) -> std::io::Result<Network> {
         let mut builder = tokio::runtime::Builder::new_multi_thread();
-        let runtime = builder.worker_threads(2).thread_name("network").enable_all().build()?;
+        let runtime = builder
+            .worker_threads(2)
+            .thread_name("network")
+            .enable_all()
+            .build()?;
         Ok(Network {
             runtime: Some(runtime),
             seed,
@@ -159,7 +170,9 @@
     }
 
     fn directions(&self) -> MutexGuard<'_, Directions> {
-        self.directions.lock().unwrap_or_else(PoisonError::into_inner)
+        self.directions
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     fn direction(&self, from: &str, to: &str) -> Arc<Direction> {
@@ -188,7 +201,9 @@
         listen: SocketAddr,
         dest: SocketAddr,
     ) -> std::io::Result<SocketAddr> {
-        let Some(runtime) = &self.runtime else { return Err(std::io::ErrorKind::NotConnected.into()) };
+        let Some(runtime) = &self.runtime else {
+            return Err(std::io::ErrorKind::NotConnected.into());
+        };
         let (there, back) = (self.direction(from, to), self.direction(to, from));
         let (tcp, udp) = runtime.block_on(async {
             // With a port of the system's choice the other protocol may have it taken: then another one is tried.
@@ -231,13 +246,18 @@
     /// Cuts everything from `from` to `to`.
     pub fn cut_one_way(&self, from: &str, to: &str) {
         self.set(from, to, |f| f.cut = true);
-        self.history.note("lab", "fault.cut", json!({ "from": from, "to": to, "ways": 1 }));
+        self.history.note(
+            "lab",
+            "fault.cut",
+            json!({ "from": from, "to": to, "ways": 1 }),
+        );
     }
 
     /// Cuts everything between `a` and `b`.
     pub fn cut(&self, a: &str, b: &str) {
         self.set_both(a, b, |f| f.cut = true);
-        self.history.note("lab", "fault.cut", json!({ "from": a, "to": b, "ways": 2 }));
+        self.history
+            .note("lab", "fault.cut", json!({ "from": a, "to": b, "ways": 2 }));
     }
 
     /// Ends all faults of all links.
@@ -252,8 +272,16 @@
         for ((f, t), direction) in self.directions().iter() {
             if matches(from, f) && matches(to, t) {
                 let c = &direction.carried;
-                let all = [&c.datagrams, &c.datagram_bytes, &c.lost, &c.connections, &c.connection_bytes];
-                sum.iter_mut().zip(all).for_each(|(s, n)| *s += n.load(Ordering::Relaxed));
+                let all = [
+                    &c.datagrams,
+                    &c.datagram_bytes,
+                    &c.lost,
+                    &c.connections,
+                    &c.connection_bytes,
+                ];
+                sum.iter_mut()
+                    .zip(all)
+                    .for_each(|(s, n)| *s += n.load(Ordering::Relaxed));
             }
         }
         sum
@@ -270,7 +298,9 @@
 
 /// Carries datagrams until the task ends.
 async fn datagrams(udp: UdpSocket, dest: SocketAddr, direction: Arc<Direction>) {
-    let Ok(out) = UdpSocket::bind((dest.ip(), 0)).await else { return };
+    let Ok(out) = UdpSocket::bind((dest.ip(), 0)).await else {
+        return;
+    };
     let (udp, out) = (Arc::new(udp), Arc::new(out));
     let mut faults = direction.faults.subscribe();
     let mut held: Vec<Vec<u8>> = Vec::new();
@@ -316,7 +346,9 @@
         if now.replay > 0.0 {
             if direction.draw() < now.replay && !earlier.is_empty() {
                 let which = (direction.draw() * earlier.len() as f64) as usize;
-                let _ = out.send_to(&earlier[which.min(earlier.len() - 1)], dest).await;
+                let _ = out
+                    .send_to(&earlier[which.min(earlier.len() - 1)], dest)
+                    .await;
             }
             earlier.push_back(datagram.clone());
             if earlier.len() > MOST_EARLIER {
@@ -332,7 +364,8 @@
             let mut way = direction.way(&now);
             if copy > 0 || now.reorder > 0.0 && direction.draw() < now.reorder {
                 // Long enough for what comes within the next moments to overtake it.
-                way += Duration::from_millis(5) + Duration::from_millis(45).mul_f64(direction.draw());
+                way +=
+                    Duration::from_millis(5) + Duration::from_millis(45).mul_f64(direction.draw());
             }
             if way.is_zero() {
                 let _ = out.send_to(&datagram, dest).await;
@@ -348,9 +381,16 @@
 }
 
 /// Carries connections until the task ends.
-async fn connections(tcp: TcpListener, dest: SocketAddr, there: Arc<Direction>, back: Arc<Direction>) {
+async fn connections(
+    tcp: TcpListener,
+    dest: SocketAddr,
+    there: Arc<Direction>,
+    back: Arc<Direction>,
+) {
     loop {
-        let Ok((client, _)) = tcp.accept().await else { continue };
+        let Ok((client, _)) = tcp.accept().await else {
+            continue;
+        };
         let (there, back) = (there.clone(), back.clone());
         tokio::spawn(async move {
             let _ = client.set_nodelay(true);
@@ -367,7 +407,9 @@
                 () = given_up(&client, &mut early) => return,
             }
             // Dropped with its bytes unread it is reset.
-            let Ok(server) = TcpStream::connect(dest).await else { return };
+            let Ok(server) = TcpStream::connect(dest).await else {
+                return;
+            };
             let _ = server.set_nodelay(true);
             there.carried.connections.fetch_add(1, Ordering::Relaxed);
             let ((from_client, to_client), (from_server, to_server)) =
@@ -384,7 +426,11 @@
 
 /// Waits until a direction is neither cut nor held.
 async fn open(direction: &Direction) {
-    let _ = direction.faults.subscribe().wait_for(|f| !f.cut && !f.held).await;
+    let _ = direction
+        .faults
+        .subscribe()
+        .wait_for(|f| !f.cut && !f.held)
+        .await;
 }
 
 /// Keeps what is written to a connection that is not up yet, and returns when its opener closes it.
@@ -420,7 +466,12 @@
     let (pieces, mut arriving) = mpsc::channel::<(Instant, Piece)>(PIECES);
     let reading = async {
         let mut buffer = vec![0; 16 * 1024];
-        if !early.is_empty() && pieces.send((Instant::now(), Piece::Bytes(early))).await.is_err() {
+        if !early.is_empty()
+            && pieces
+                .send((Instant::now(), Piece::Bytes(early)))
+                .await
+                .is_err()
+        {
             return Ok(());
         }
         loop {
@@ -452,14 +503,21 @@
             let mut rest = bytes.as_slice();
             while !rest.is_empty() {
                 let drip = direction.faults.borrow().drip;
-                let now = if drip == 0 { rest.len() } else { rest.len().min((drip / 50).max(1) as usize) };
+                let now = if drip == 0 {
+                    rest.len()
+                } else {
+                    rest.len().min((drip / 50).max(1) as usize)
+                };
                 let (part, after) = rest.split_at(now);
                 rest = after;
                 // Where the receiver is gone, its own way back tells so, by that way's faults.
                 if to.write_all(part).await.is_err() {
                     return Ok(());
                 }
-                direction.carried.connection_bytes.fetch_add(now as u64, Ordering::Relaxed);
+                direction
+                    .carried
+                    .connection_bytes
+                    .fetch_add(now as u64, Ordering::Relaxed);
                 if drip > 0 {
                     tokio::time::sleep(Duration::from_secs_f64(now as f64 / drip as f64)).await;
                     open(&direction).await;
--- a/lab/src/peer.rs
+++ b/lab/src/peer.rs
@@ -23,7 +23,10 @@
 impl Message {
     /// A header by its lower-case name.
     pub fn header(&self, name: &str) -> Option<&str> {
-        self.headers.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str())
+        self.headers
+            .iter()
+            .find(|(n, _)| n == name)
+            .map(|(_, v)| v.as_str())
     }
 
     /// The body as text.
@@ -33,7 +36,11 @@
 
     /// The status of a response.
     pub fn status(&self) -> u16 {
-        self.line.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
+        self.line
+            .split(' ')
+            .nth(1)
+            .and_then(|s| s.parse().ok())
+            .unwrap_or(0)
     }
 
     /// The method of a request.
@@ -53,8 +60,12 @@
         loop {
             let mut line = String::new();
             from.read_line(&mut line).ok().filter(|n| *n > 0)?;
-            let Some((name, value)) = line.trim_end().split_once(':') else { break };
-            message.headers.push((name.to_lowercase(), value.trim().to_owned()));
+            let Some((name, value)) = line.trim_end().split_once(':') else {
+                break;
+            };
+            message
+                .headers
+                .push((name.to_lowercase(), value.trim().to_owned()));
         }
         message.line = message.line.trim_end().to_owned();
         Some(message)
@@ -79,7 +90,10 @@
                 piece(&chunk);
             }
         } else {
-            let length = self.header("content-length").and_then(|l| l.parse().ok()).unwrap_or(0);
+            let length = self
+                .header("content-length")
+                .and_then(|l| l.parse().ok())
+                .unwrap_or(0);
             self.body.resize(length, 0);
             self.whole = from.read_exact(&mut self.body).is_ok();
             piece(&self.body);
@@ -105,21 +119,25 @@
     pub fn answer(&mut self, status: &str, headers: &str, body: &str) {
         let length = body.len();
         let date = date();
-        let answer = format!("HTTP/1.1 {status}\r\n{date}{headers}content-length: {length}\r\n\r\n{body}");
+        let answer =
+            format!("HTTP/1.1 {status}\r\n{date}{headers}content-length: {length}\r\n\r\n{body}");
         let _ = self.0.write_all(answer.as_bytes());
     }
 
     /// Writes the head of a stream of events.
     pub fn begin_stream(&mut self) {
         let (date, kind) = (date(), "text/event-stream");
-        let head =
-            format!("HTTP/1.1 200 OK\r\n{date}content-type: {kind}\r\ntransfer-encoding: chunked\r\n\r\n");
+        let head = format!(
+            "HTTP/1.1 200 OK\r\n{date}content-type: {kind}\r\ntransfer-encoding: chunked\r\n\r\n"
+        );
         let _ = self.0.write_all(head.as_bytes());
     }
 
     /// Writes a chunk; whether the system took it.
     pub fn chunk(&mut self, data: &str) -> bool {
-        self.0.write_all(format!("{:x}\r\n{data}\r\n", data.len()).as_bytes()).is_ok()
+        self.0
+            .write_all(format!("{:x}\r\n{data}\r\n", data.len()).as_bytes())
+            .is_ok()
     }
 
     /// Writes an event; whether the system took it.
@@ -157,7 +175,8 @@
         }
         let seen = self.0.peek(&mut [0]);
         let _ = self.0.set_nonblocking(false);
-        !matches!(seen, Ok(1..)) && !matches!(seen, Err(e) if e.kind() == std::io::ErrorKind::WouldBlock)
+        !matches!(seen, Ok(1..))
+            && !matches!(seen, Err(e) if e.kind() == std::io::ErrorKind::WouldBlock)
     }
 }
 
@@ -207,7 +226,9 @@
             for stream in listener.incoming().flatten() {
                 let script = script.clone();
                 let _ = stream.set_nodelay(true);
-                let Ok(copy) = stream.try_clone() else { continue };
+                let Ok(copy) = stream.try_clone() else {
+                    continue;
+                };
                 let mut all = lock(&all);
                 if all.closed {
                     return;
@@ -218,7 +239,11 @@
                 thread::spawn(move || serve(stream, &*script));
             }
         });
-        Ok(Peer { address, sockets, accepting: Mutex::new(Some(accepting)) })
+        Ok(Peer {
+            address,
+            sockets,
+            accepting: Mutex::new(Some(accepting)),
+        })
     }
 
     /// Breaks all of its connections; new ones come up.
@@ -234,9 +259,17 @@
             return;
         }
         // Wakes whoever accepts, so that the listener goes, and waits until it has.
-        if let Some(accepting) = self.accepting.lock().unwrap_or_else(PoisonError::into_inner).take() {
+        if let Some(accepting) = self
+            .accepting
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .take()
+        {
             while !accepting.is_finished() {
-                drop(TcpStream::connect_timeout(&self.address, Duration::from_millis(100)));
+                drop(TcpStream::connect_timeout(
+                    &self.address,
+                    Duration::from_millis(100),
+                ));
             }
             let _ = accepting.join();
         }
@@ -259,7 +292,9 @@
     /// # Panics
     /// There is no free address.
     pub fn nobody() -> SocketAddr {
-        TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a free address")
+        TcpListener::bind("127.0.0.1:0")
+            .and_then(|l| l.local_addr())
+            .expect("a free address")
     }
 }
 
@@ -297,12 +332,20 @@
     /// There is no free address.
     pub fn start() -> Silent {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free address");
-        let address = listener.local_addr().expect("a bound socket has an address");
-        socket2::SockRef::from(&listener).listen(0).expect("listening again with a shorter queue");
+        let address = listener
+            .local_addr()
+            .expect("a bound socket has an address");
+        socket2::SockRef::from(&listener)
+            .listen(0)
+            .expect("listening again with a shorter queue");
         // One handshake fills a queue of none; should the system allow more, the next ones fill it.
         let fill = |_| TcpStream::connect_timeout(&address, Duration::from_millis(200)).ok();
         let queued = (0..3).map_while(fill).collect();
-        Silent { address, _listener: listener, _queued: queued }
+        Silent {
+            address,
+            _listener: listener,
+            _queued: queued,
+        }
     }
 }
 
--- a/lab/src/play.rs
+++ b/lab/src/play.rs
@@ -90,16 +90,21 @@
                 Fact::Cut {} => mark("cut".to_owned()),
                 Fact::Links {} => mark("links".to_owned()),
                 Fact::Heal {} => mark("heal".to_owned()),
-                Fact::GroupLeading { leader: Some(leader), term }
-                    if self.leader.as_ref().is_none_or(|(t, _)| t <= term) =>
-                {
+                Fact::GroupLeading {
+                    leader: Some(leader),
+                    term,
+                } if self.leader.as_ref().is_none_or(|(t, _)| t <= term) => {
                     self.leader = Some((*term, leader.clone()));
                 }
                 Fact::LeaseGranted(fact) if !fact.lease.starts_with("life/") => {
-                    self.holders.insert(fact.lease.clone(), (fact.token, act.source.clone()));
+                    self.holders
+                        .insert(fact.lease.clone(), (fact.token, act.source.clone()));
                 }
                 Fact::LeaseLost(fact) | Fact::LeaseReleased(fact)
-                    if self.holders.get(&fact.lease).is_some_and(|(t, _)| *t == fact.token) =>
+                    if self
+                        .holders
+                        .get(&fact.lease)
+                        .is_some_and(|(t, _)| *t == fact.token) =>
                 {
                     self.holders.remove(&fact.lease);
                 }
@@ -114,16 +119,31 @@
     }
 
     fn up(&self) -> BTreeSet<String> {
-        self.processes.iter().filter(|(_, s)| **s == "up").map(|(n, _)| n.clone()).collect()
+        self.processes
+            .iter()
+            .filter(|(_, s)| **s == "up")
+            .map(|(n, _)| n.clone())
+            .collect()
     }
 
     fn line(&self, fleet: &Fleet, counts: &Counts) -> String {
         let n = |c: &AtomicU64| c.load(Ordering::Relaxed);
-        let processes: Vec<String> = self.processes.iter().map(|(n, s)| format!("{n} {s}")).collect();
+        let processes: Vec<String> = self
+            .processes
+            .iter()
+            .map(|(n, s)| format!("{n} {s}"))
+            .collect();
         let mut line = processes.join(", ");
         if fleet.is_fleet() {
-            let views = if self.views.difference(&self.up()).is_none() { "agree" } else { "differ" };
-            let leader = self.leader.as_ref().map_or("none".to_owned(), |(t, l)| format!("{l} (term {t})"));
+            let views = if self.views.difference(&self.up()).is_none() {
+                "agree"
+            } else {
+                "differ"
+            };
+            let leader = self
+                .leader
+                .as_ref()
+                .map_or("none".to_owned(), |(t, l)| format!("{l} (term {t})"));
             line += &format!(" | views {views} | leader {leader}");
             for (lease, (token, holder)) in &self.holders {
                 line += &format!(" | {lease}: {holder} ({token})");
@@ -156,18 +176,30 @@
     /// # Errors
     /// The fleet can't be started or a file can't be written, in one line.
     pub fn run(&self) -> Result<bool, String> {
-        let text = self.script.as_ref().map(std::fs::read_to_string).transpose();
+        let text = self
+            .script
+            .as_ref()
+            .map(std::fs::read_to_string)
+            .transpose();
         let text = text.map_err(|e| format!("script: {e}"))?;
-        let script = text.as_deref().map(script::read).transpose().map_err(|e| format!("script: {e}"))?;
+        let script = text
+            .as_deref()
+            .map(script::read)
+            .transpose()
+            .map_err(|e| format!("script: {e}"))?;
         let host = HostSettings {
             tokens_per_s: 400.0,
             ..HostSettings::quick("", HostRole::Reader, ([127, 0, 0, 1], 0).into())
         };
         let settings = FleetSettings {
             conductors: self.conductors.clamp(1, 60),
-            voters: self
-                .voters
-                .unwrap_or_else(|| if self.conductors < 5 { self.conductors.min(3) } else { 5 }),
+            voters: self.voters.unwrap_or_else(|| {
+                if self.conductors < 5 {
+                    self.conductors.min(3)
+                } else {
+                    5
+                }
+            }),
             sites: self.sites,
             readers: 3 * self.sites.max(1),
             writers: 4 * self.sites.max(1),
@@ -176,13 +208,22 @@
             folder: Some(self.out.clone()),
             ..FleetSettings::default()
         };
-        let fleet = Arc::new(Fleet::start(settings).map_err(|e| format!("the fleet does not start: {e}"))?);
-        println!("{} conductors; files, history and plot in {}", self.conductors, self.out.display());
+        let fleet =
+            Arc::new(Fleet::start(settings).map_err(|e| format!("the fleet does not start: {e}"))?);
+        println!(
+            "{} conductors; files, history and plot in {}",
+            self.conductors,
+            self.out.display()
+        );
         println!(
             "commands: kill c2, stop c2, cont c2, cut c1 c2, isolate c1, heal, restart c2, status, quit"
         );
-        let load =
-            Load::start(&fleet.client(), (self.load * 4.0).clamp(1.0, 64.0) as usize, self.load, self.seed);
+        let load = Load::start(
+            &fleet.client(),
+            (self.load * 4.0).clamp(1.0, 64.0) as usize,
+            self.load,
+            self.seed,
+        );
         let inputs = inputs(&fleet, script);
         let (mut board, samples, begun_us) = self.watch(&fleet, &load, &inputs);
         println!("ending: the load finishes what it has in hand");
@@ -210,7 +251,9 @@
         inputs: &mpsc::Receiver<Input>,
     ) -> (Board, Samples, u64) {
         let (begun, begun_us) = (Instant::now(), crate::history::unix_micros());
-        let until = self.seconds.map(|s| begun + Duration::from_secs_f64(s.max(0.0)));
+        let until = self
+            .seconds
+            .map(|s| begun + Duration::from_secs_f64(s.max(0.0)));
         let (mut board, mut samples) = (Board::default(), Samples::default());
         let live = std::io::stdout().is_terminal();
         let mut told = Instant::now();
@@ -291,8 +334,15 @@
         let report = check(&fleet.history.records(), &Limits::default());
         print!("{report}");
         let plot = self.out.join("play.svg");
-        samples.chart(&board.marks, begun_us).save(&plot).map_err(|e| e.to_string())?;
-        println!("history: {}; plot: {}", self.out.join("history.jsonl").display(), plot.display());
+        samples
+            .chart(&board.marks, begun_us)
+            .save(&plot)
+            .map_err(|e| e.to_string())?;
+        println!(
+            "history: {}; plot: {}",
+            self.out.join("history.jsonl").display(),
+            plot.display()
+        );
         Ok(report.is_kept())
     }
 }
@@ -302,19 +352,29 @@
     let (tell, inputs) = mpsc::channel();
     let keyboard = tell.clone();
     std::thread::spawn(move || {
-        let lines = std::io::stdin().lock().lines().map_while(Result::ok).filter(|l| !l.trim().is_empty());
-        let sent = lines.map(|l| keyboard.send(Input::Line(l.trim().to_owned()))).all(|s| s.is_ok());
+        let lines = std::io::stdin()
+            .lock()
+            .lines()
+            .map_while(Result::ok)
+            .filter(|l| !l.trim().is_empty());
+        let sent = lines
+            .map(|l| keyboard.send(Input::Line(l.trim().to_owned())))
+            .all(|s| s.is_ok());
         if sent {
             let _ = keyboard.send(Input::Closed);
         }
     });
     let interrupts = tell.clone();
     std::thread::spawn(move || {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build();
         let Ok(runtime) = runtime else { return };
         runtime.block_on(async {
             use tokio::signal::unix::{SignalKind, signal};
-            let Ok(mut term) = signal(SignalKind::terminate()) else { return };
+            let Ok(mut term) = signal(SignalKind::terminate()) else {
+                return;
+            };
             tokio::select! {
                 _ = tokio::signal::ctrl_c() => {}
                 _ = term.recv() => {}
@@ -340,7 +400,8 @@
     fn take(&mut self, at: f64, counts: &Counts) {
         let n = |c: &AtomicU64| c.load(Ordering::Relaxed);
         let bad = n(&counts.wrong) + n(&counts.failed) + n(&counts.given_up);
-        self.0.push((at, [n(&counts.right), bad, n(&counts.repeats)]));
+        self.0
+            .push((at, [n(&counts.right), bad, n(&counts.repeats)]));
     }
 
     fn chart(&self, marks: &[(u64, String)], begun_us: u64) -> Chart {
@@ -348,18 +409,32 @@
         let over = 4;
         let rate = |which: usize| -> Vec<(f64, f64)> {
             let pairs = self.0.iter().zip(self.0.iter().skip(over));
-            pairs.map(|(a, b)| (b.0, (b.1[which] - a.1[which]) as f64 / (b.0 - a.0).max(1e-3))).collect()
+            pairs
+                .map(|(a, b)| {
+                    (
+                        b.0,
+                        (b.1[which] - a.1[which]) as f64 / (b.0 - a.0).max(1e-3),
+                    )
+                })
+                .collect()
         };
-        let lines =
-            [("right answers", 0), ("errors, wrong answers, given up", 1), ("tries beyond the first", 2)];
+        let lines = [
+            ("right answers", 0),
+            ("errors, wrong answers, given up", 1),
+            ("tries beyond the first", 2),
+        ];
         Chart {
             title: "Answers while parts of the fleet fail".to_owned(),
             x: "time (s)".to_owned(),
             y: "a second".to_owned(),
-            lines: lines.map(|(name, which)| (name.to_owned(), rate(which))).to_vec(),
+            lines: lines
+                .map(|(name, which)| (name.to_owned(), rate(which)))
+                .to_vec(),
             marks: marks
                 .iter()
-                .filter_map(|(at, what)| Some((at.checked_sub(begun_us)? as f64 / 1e6, what.clone())))
+                .filter_map(|(at, what)| {
+                    Some((at.checked_sub(begun_us)? as f64 / 1e6, what.clone()))
+                })
                 .collect(),
         }
     }
--- a/lab/src/plot.rs
+++ b/lab/src/plot.rs
@@ -30,15 +30,23 @@
 impl Chart {
     fn ranges(&self) -> (Range<f64>, Range<f64>) {
         let points = || self.lines.iter().flat_map(|(_, points)| points);
-        let most =
-            |all: &mut dyn Iterator<Item = f64>| all.filter(|v| v.is_finite()).fold(f64::MIN, f64::max);
-        let least =
-            |all: &mut dyn Iterator<Item = f64>| all.filter(|v| v.is_finite()).fold(f64::MAX, f64::min);
-        let (from, to) = (least(&mut points().map(|p| p.0)), most(&mut points().map(|p| p.0)));
+        let most = |all: &mut dyn Iterator<Item = f64>| {
+            all.filter(|v| v.is_finite()).fold(f64::MIN, f64::max)
+        };
+        let least = |all: &mut dyn Iterator<Item = f64>| {
+            all.filter(|v| v.is_finite()).fold(f64::MAX, f64::min)
+        };
+        let (from, to) = (
+            least(&mut points().map(|p| p.0)),
+            most(&mut points().map(|p| p.0)),
+        );
         let top = most(&mut points().map(|p| p.1)).max(1e-9) * 1.1;
         // Nothing drawn, or one point: an axis needs some length all the same.
-        let (from, to) =
-            if from < to { (from, to) } else { (from.min(0.0), from.clamp(-1e300, 1e300) + 1.0) };
+        let (from, to) = if from < to {
+            (from, to)
+        } else {
+            (from.min(0.0), from.clamp(-1e300, 1e300) + 1.0)
+        };
         (from..to, 0.0..top)
     }
 
@@ -47,8 +55,10 @@
     /// # Errors
     /// The file can't be written.
     pub fn save(&self, path: &Path) -> Result<(), PlotError> {
-        let failed =
-            |e: &dyn std::fmt::Display| PlotError { file: path.display().to_string(), why: e.to_string() };
+        let failed = |e: &dyn std::fmt::Display| PlotError {
+            file: path.display().to_string(),
+            why: e.to_string(),
+        };
         self.draw(path).map_err(|e| failed(&e))
     }
 
@@ -63,7 +73,12 @@
             .x_label_area_size(40)
             .y_label_area_size(64)
             .build_cartesian_2d(x, y)?;
-        chart.configure_mesh().x_desc(&self.x).y_desc(&self.y).light_line_style(WHITE).draw()?;
+        chart
+            .configure_mesh()
+            .x_desc(&self.x)
+            .y_desc(&self.y)
+            .light_line_style(WHITE)
+            .draw()?;
         for (i, (at, word)) in self.marks.iter().enumerate() {
             chart.draw_series([PathElement::new([(*at, 0.0), (*at, top)], BLACK.mix(0.4))])?;
             let height = top * (1.0 - 0.05 * (i % 6 + 1) as f64);
@@ -71,8 +86,13 @@
         }
         for (i, (name, points)) in self.lines.iter().enumerate() {
             let color = Palette99::pick(i).to_rgba();
-            let drawn = chart.draw_series(LineSeries::new(points.iter().copied(), color.stroke_width(2)))?;
-            drawn.label(name).legend(move |(x, y)| PathElement::new([(x, y), (x + 16, y)], color));
+            let drawn = chart.draw_series(LineSeries::new(
+                points.iter().copied(),
+                color.stroke_width(2),
+            ))?;
+            drawn
+                .label(name)
+                .legend(move |(x, y)| PathElement::new([(x, y), (x + 16, y)], color));
         }
         chart
             .configure_series_labels()
--- a/lab/src/process.rs
+++ b/lab/src/process.rs
@@ -35,7 +35,11 @@
 /// # Panics
 /// It can't be built.
 pub fn fault_shim() -> PathBuf {
-    build("libwhinhaven_fault_shim.so", &["--package", "whinhaven-fault-shim"], "lab/shim/src")
+    build(
+        "libwhinhaven_fault_shim.so",
+        &["--package", "whinhaven-fault-shim"],
+        "lab/shim/src",
+    )
 }
 
 /// The wall clock of processes that run with the fault shim.
@@ -49,7 +53,9 @@
     /// # Errors
     /// The file that drives it can't be written.
     pub fn new() -> std::io::Result<WallClock> {
-        let clock = WallClock { folder: Folder::temporary()? };
+        let clock = WallClock {
+            folder: Folder::temporary()?,
+        };
         clock.step(0)?;
         Ok(clock)
     }
@@ -79,7 +85,12 @@
 fn build(file: &str, what: &[&str], sources: &str) -> PathBuf {
     let me = std::env::current_exe().expect("an executable knows its path");
     // Tests lie in `deps`, one below.
-    let folder = me.ancestors().skip(1).find(|d| !d.ends_with("deps")).expect("a folder").to_owned();
+    let folder = me
+        .ancestors()
+        .skip(1)
+        .find(|d| !d.ends_with("deps"))
+        .expect("a folder")
+        .to_owned();
     let made = folder.join(file);
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("..");
     let changed = |path: &Path| path.metadata().and_then(|m| m.modified()).ok();
@@ -90,11 +101,16 @@
         // With the features that this lab was built with, so that nothing is built twice.
         cargo.args(["build", "--quiet", "--locked"]).args(what);
         cargo.arg("--manifest-path").arg(root.join("Cargo.toml"));
-        cargo.arg("--target-dir").arg(folder.parent().expect("profiles have a folder above"));
+        cargo
+            .arg("--target-dir")
+            .arg(folder.parent().expect("profiles have a folder above"));
         if folder.ends_with("release") {
             cargo.arg("--release");
         }
-        assert!(cargo.status().is_ok_and(|s| s.success()), "{file} can't be built");
+        assert!(
+            cargo.status().is_ok_and(|s| s.success()),
+            "{file} can't be built"
+        );
     }
     made
 }
@@ -122,7 +138,8 @@
     pub fn temporary() -> std::io::Result<Folder> {
         static NUMBER: AtomicU32 = AtomicU32::new(0);
         let number = NUMBER.fetch_add(1, Ordering::Relaxed);
-        let path = std::env::temp_dir().join(format!("whinhaven-lab-{}-{number}", std::process::id()));
+        let path =
+            std::env::temp_dir().join(format!("whinhaven-lab-{}-{number}", std::process::id()));
         std::fs::create_dir_all(&path)?;
         Ok(Folder { path, kept: false })
     }
@@ -134,7 +151,10 @@
     pub fn at(path: &Path) -> std::io::Result<Folder> {
         std::fs::create_dir_all(path)?;
         // Whole: conductors take the paths in their files as from where those are.
-        Ok(Folder { path: path.canonicalize()?, kept: true })
+        Ok(Folder {
+            path: path.canonicalize()?,
+            kept: true,
+        })
     }
 
     /// Where it is.
@@ -165,7 +185,11 @@
     static WATCH: OnceLock<Mutex<Option<Child>>> = OnceLock::new();
     let watch = WATCH.get_or_init(|| {
         let mut shell = Command::new("sh");
-        shell.args(["-c", SCRIPT]).stdin(Stdio::piped()).stdout(Stdio::null()).stderr(Stdio::null());
+        shell
+            .args(["-c", SCRIPT])
+            .stdin(Stdio::piped())
+            .stdout(Stdio::null())
+            .stderr(Stdio::null());
         Mutex::new(shell.process_group(0).spawn().ok())
     });
     let mut watch = watch.lock().unwrap_or_else(PoisonError::into_inner);
@@ -213,7 +237,14 @@
     pub fn new(name: &str, file: PathBuf, arguments: &[&str], history: History) -> Conductor {
         let arguments = arguments.iter().map(|a| (*a).to_owned()).collect();
         let (name, environment, running) = (name.to_owned(), Vec::new(), Arc::default());
-        Conductor { name, environment, file, arguments, history, running }
+        Conductor {
+            name,
+            environment,
+            file,
+            arguments,
+            history,
+            running,
+        }
     }
 
     fn child(&self) -> MutexGuard<'_, Option<Child>> {
@@ -242,8 +273,11 @@
         let line = self.history.wait_for(before, STUCK, serves)?;
         if line.event == "lab.exited" {
             let records = self.history.since(before);
-            let lines: Vec<&str> =
-                records.iter().filter(|r| r.source == self.name).map(|r| r.text("line")).collect();
+            let lines: Vec<&str> = records
+                .iter()
+                .filter(|r| r.source == self.name)
+                .map(|r| r.text("line"))
+                .collect();
             return Err(StartError::Ended(self.name.clone(), lines.join("; ")));
         }
         Ok(line)
@@ -257,18 +291,29 @@
         self.kill();
         let mut command = Command::new(program());
         command.arg("serve").arg(&self.file).args(&self.arguments);
-        command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
+        command
+            .stdin(Stdio::null())
+            .stdout(Stdio::null())
+            .stderr(Stdio::piped());
         // A group of its own: an interrupt from the keyboard is the lab's to handle.
         command.process_group(0);
         command.envs(self.environment.iter().map(|(name, value)| (name, value)));
         let mut child = command.spawn()?;
         watched('+', child.id());
         let stderr = child.stderr.take().map(BufReader::new);
-        self.history.note("lab", "lab.started", json!({ "member": self.name, "pid": child.id() }));
+        self.history.note(
+            "lab",
+            "lab.started",
+            json!({ "member": self.name, "pid": child.id() }),
+        );
         let (history, name, pid) = (self.history.clone(), self.name.clone(), child.id());
         *self.child() = Some(child);
         std::thread::spawn(move || {
-            for line in stderr.into_iter().flat_map(BufRead::lines).map_while(Result::ok) {
+            for line in stderr
+                .into_iter()
+                .flat_map(BufRead::lines)
+                .map_while(Result::ok)
+            {
                 history.line(&name, &line);
             }
             history.note(&name, "lab.exited", json!({ "member": name, "pid": pid }));
@@ -283,9 +328,16 @@
 
     /// What kills it from wherever it is called, once: for reactions to the history.
     pub fn killer(&self) -> impl FnOnce() + Send + 'static {
-        let (running, history, name) = (self.running.clone(), self.history.clone(), self.name.clone());
+        let (running, history, name) = (
+            self.running.clone(),
+            self.history.clone(),
+            self.name.clone(),
+        );
         move || {
-            let child = running.lock().unwrap_or_else(PoisonError::into_inner).take();
+            let child = running
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner)
+                .take();
             if let Some(child) = child {
                 end(child);
                 history.note("lab", "fault.kill", json!({ "member": name }));
@@ -297,7 +349,11 @@
     pub fn memory(&self) -> Option<u64> {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.id()?)).ok()?;
         let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:"))?;
-        line.split_whitespace().next()?.parse::<u64>().ok().map(|kb| kb * 1024)
+        line.split_whitespace()
+            .next()?
+            .parse::<u64>()
+            .ok()
+            .map(|kb| kb * 1024)
     }
 
     fn signal(&self, signal: Signal) -> bool {
@@ -311,7 +367,11 @@
 
     /// What stops it from wherever it is called, once: for reactions to the history.
     pub fn stopper(&self) -> impl FnOnce() + Send + 'static {
-        let (running, history, name) = (self.running.clone(), self.history.clone(), self.name.clone());
+        let (running, history, name) = (
+            self.running.clone(),
+            self.history.clone(),
+            self.name.clone(),
+        );
         move || {
             if send(&running, Signal::STOP) {
                 history.note("lab", "fault.stop", json!({ "member": name }));
@@ -322,7 +382,8 @@
     /// Lets a stopped process run on (SIGCONT).
     pub fn cont(&self) {
         // Noted first: what the process does from here on comes after.
-        self.history.note("lab", "fault.cont", json!({ "member": self.name }));
+        self.history
+            .note("lab", "fault.cont", json!({ "member": self.name }));
         self.signal(Signal::CONT);
     }
 
@@ -333,7 +394,8 @@
 
     /// Asks for an orderly end (SIGTERM) without waiting for it.
     pub fn begin_to_terminate(&self) {
-        self.history.note("lab", "fault.term", json!({ "member": self.name }));
+        self.history
+            .note("lab", "fault.term", json!({ "member": self.name }));
         self.signal(Signal::TERM);
     }
 
@@ -342,8 +404,11 @@
     /// # Errors
     /// The process does not end.
     pub fn terminate(&self) -> Result<Option<ExitStatus>, NotSeen> {
-        let Some(pid) = self.id() else { return Ok(None) };
-        self.history.note("lab", "fault.term", json!({ "member": self.name }));
+        let Some(pid) = self.id() else {
+            return Ok(None);
+        };
+        self.history
+            .note("lab", "fault.term", json!({ "member": self.name }));
         let before = self.history.len();
         self.signal(Signal::TERM);
         let gone = |r: &Record| r.event == "lab.exited" && r.number("pid") == Some(pid.into());
@@ -358,7 +423,9 @@
 
 fn send(running: &Mutex<Option<Child>>, signal: Signal) -> bool {
     let child = running.lock().unwrap_or_else(PoisonError::into_inner);
-    let pid = child.as_ref().and_then(|c| Pid::from_raw(i32::try_from(c.id()).ok()?));
+    let pid = child
+        .as_ref()
+        .and_then(|c| Pid::from_raw(i32::try_from(c.id()).ok()?));
     pid.is_some_and(|pid| kill_process(pid, signal).is_ok())
 }
 
--- a/lab/src/scale/decisions.rs
+++ b/lab/src/scale/decisions.rs
@@ -55,15 +55,31 @@
 ) -> io::Result<DecisionFigures> {
     let memory = resident_bytes()?;
     let mut module = Module::new(tenants);
-    let entries: Vec<Entry> = (0..hosts).map(|host| entry(host, with_slow_start)).collect();
-    let in_slow_start = entries.iter().filter(|entry| entry.started.is_some()).count();
-    let list_us = module.time(Event::List { kind: ListKind::Full, entries }) as f64 / 1e3;
+    let entries: Vec<Entry> = (0..hosts)
+        .map(|host| entry(host, with_slow_start))
+        .collect();
+    let in_slow_start = entries
+        .iter()
+        .filter(|entry| entry.started.is_some())
+        .count();
+    let list_us = module.time(Event::List {
+        kind: ListKind::Full,
+        entries,
+    }) as f64
+        / 1e3;
     let mut changes = new_histogram();
     let begun = Instant::now();
     for change in (0..200).take_while(|_| begun.elapsed() < MOST_TIME) {
         let mut changed = entry(change * 13 % hosts, with_slow_start);
-        changed.status = if change % 2 == 0 { Status::Draining } else { Status::Ready };
-        let event = Event::List { kind: ListKind::Changes, entries: vec![changed] };
+        changed.status = if change % 2 == 0 {
+            Status::Draining
+        } else {
+            Status::Ready
+        };
+        let event = Event::List {
+            kind: ListKind::Changes,
+            entries: vec![changed],
+        };
         changes.saturating_record(module.time(event));
         module.now += MS;
     }
@@ -94,10 +110,16 @@
 
 /// A host of the list: one in three reads, by the operators' figures.
 fn entry(host: usize, with_slow_start: bool) -> Entry {
-    let kind = if host.is_multiple_of(3) { "reader" } else { "writer" };
+    let kind = if host.is_multiple_of(3) {
+        "reader"
+    } else {
+        "writer"
+    };
     let is_new = with_slow_start && host.is_multiple_of(ONE_IN_SLOW_START);
     Entry {
-        worker: WorkerId(format!("10.{}.{}.{}:8000", host >> 16, host >> 8 & 255, host & 255).into()),
+        worker: WorkerId(
+            format!("10.{}.{}.{}:8000", host >> 16, host >> 8 & 255, host & 255).into(),
+        ),
         zone: format!("zone{:02}", host / HOSTS_A_ZONE % 24),
         kind: kind.to_owned(),
         cell: (host / HOSTS_A_ZONE) as u64,
@@ -116,7 +138,11 @@
 impl Module {
     fn new(tenants: usize) -> Module {
         let mut policy = Policy::new(settings(tenants), 7);
-        policy.handle(BEGIN - 10 * SECOND, Event::SlowStart { allowed: true }, &mut Vec::new());
+        policy.handle(
+            BEGIN - 10 * SECOND,
+            Event::SlowStart { allowed: true },
+            &mut Vec::new(),
+        );
         Module { policy, now: BEGIN }
     }
 
@@ -153,10 +179,18 @@
         while let Some(writes) = self.next_send(&actions) {
             self.now += 20 * MS;
             if writes {
-                let started = Event::Started { request, attempt: AttemptIndex(attempt), elapsed: 20 * MS };
+                let started = Event::Started {
+                    request,
+                    attempt: AttemptIndex(attempt),
+                    elapsed: 20 * MS,
+                };
                 spent += self.time(started);
             }
-            let outcome = if writes { Outcome::Served } else { Outcome::Read };
+            let outcome = if writes {
+                Outcome::Served
+            } else {
+                Outcome::Read
+            };
             let (time, next) = self.handle(ended(request, attempt, outcome));
             spent += time;
             actions = next;
@@ -171,8 +205,15 @@
             Action::Send { worker, .. } => Some(worker),
             _ => None,
         })?;
-        let number = worker.0.trim_end_matches(":8000").rsplit('.').take(3).enumerate();
-        let host: usize = number.map(|(i, part)| part.parse::<usize>().unwrap_or(0) << (8 * i)).sum();
+        let number = worker
+            .0
+            .trim_end_matches(":8000")
+            .rsplit('.')
+            .take(3)
+            .enumerate();
+        let host: usize = number
+            .map(|(i, part)| part.parse::<usize>().unwrap_or(0) << (8 * i))
+            .sum();
         Some(!host.is_multiple_of(3))
     }
 }
@@ -181,11 +222,23 @@
     let settled = outcome == Outcome::Served;
     let attempt = AttemptIndex(attempt);
     let (elapsed, kept, report) = (20 * MS, 4_000, None);
-    Event::Ended(Ended { request, attempt, outcome, elapsed, settled, kept, report })
+    Event::Ended(Ended {
+        request,
+        attempt,
+        outcome,
+        elapsed,
+        settled,
+        kept,
+        report,
+    })
 }
 
 fn settings(tenants: usize) -> Settings {
-    let kind = |name: &str, role| Kind { name: name.to_owned(), role, memory_tokens: Some(3_800_000) };
+    let kind = |name: &str, role| Kind {
+        name: name.to_owned(),
+        role,
+        memory_tokens: Some(3_800_000),
+    };
     let class = Class {
         name: "chat".to_owned(),
         effect: Effect::Safe,
@@ -197,7 +250,10 @@
         late_share: 0.3,
         ..Class::default()
     };
-    let tenant = |number| Tenant { name: format!("tenant{number}"), quota_per_s: 35.0 };
+    let tenant = |number| Tenant {
+        name: format!("tenant{number}"),
+        quota_per_s: 35.0,
+    };
     Settings {
         index: Some(7),
         routers: 1_400,
--- a/lab/src/scale/hollow.rs
+++ b/lab/src/scale/hollow.rs
@@ -75,9 +75,17 @@
             voters: names[..layout.voters()].iter().cloned().collect(),
             restored: group::Restored::default(),
             seed: node as u64 * 7_919 + life,
-            relays: layout.relays_of(node).into_iter().map(|relay| names[relay].clone()).collect(),
+            relays: layout
+                .relays_of(node)
+                .into_iter()
+                .map(|relay| names[relay].clone())
+                .collect(),
         };
-        HollowMember { node: Node::new(start, settings, now), counts: Counts::default(), names }
+        HollowMember {
+            node: Node::new(start, settings, now),
+            counts: Counts::default(),
+            names,
+        }
     }
 
     /// Hands an event in and counts what comes of it.
@@ -86,12 +94,20 @@
         self.node.handle(now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Send { to, message, reliable, .. } => self.send(&to, message, reliable, out),
+                Action::Send {
+                    to,
+                    message,
+                    reliable,
+                    ..
+                } => self.send(&to, message, reliable, out),
                 Action::Persist(group::Write::Entries { entries, .. }) => {
                     self.counts.entries += entries.len() as u64;
                 }
                 Action::View(change) => {
-                    out.notes.extend(self.position(&change.member).map(|node| Note::Sees(node, change.to)));
+                    out.notes.extend(
+                        self.position(&change.member)
+                            .map(|node| Note::Sees(node, change.to)),
+                    );
                 }
                 Action::MayAct(may) => out.notes.push(Note::MayAct(may)),
                 _ => {}
@@ -99,13 +115,28 @@
         }
     }
 
-    fn send(&mut self, to: &MemberName, message: Message, reliable: bool, out: &mut Outbox<Frame, Note>) {
+    fn send(
+        &mut self,
+        to: &MemberName,
+        message: Message,
+        reliable: bool,
+        out: &mut Outbox<Frame, Note>,
+    ) {
         let Some(to) = self.position(to) else { return };
         let bytes = message.encode().len() + FRAME;
-        let traffic = if reliable { &mut self.counts.streams } else { &mut self.counts.datagrams };
+        let traffic = if reliable {
+            &mut self.counts.streams
+        } else {
+            &mut self.counts.datagrams
+        };
         traffic.messages += 1;
         traffic.bytes += bytes as u64;
-        out.sent.push(Sent { to, message: Frame { message, bytes }, reliable, bytes });
+        out.sent.push(Sent {
+            to,
+            message: Frame { message, bytes },
+            reliable,
+            bytes,
+        });
     }
 
     fn position(&self, name: &MemberName) -> Option<usize> {
@@ -115,7 +146,9 @@
 
 /// Whom a starting member asks first: the voters.
 pub fn seeds(layout: &Layout, names: &[MemberName]) -> Vec<(MemberName, SocketAddr)> {
-    (0..layout.voters()).map(|node| (names[node].clone(), views::address(node))).collect()
+    (0..layout.voters())
+        .map(|node| (names[node].clone(), views::address(node)))
+        .collect()
 }
 
 impl Machine for HollowMember {
@@ -130,7 +163,14 @@
         self.counts.taken.messages += 1;
         self.counts.taken.bytes += frame.bytes as u64;
         let from = self.names[from].clone();
-        self.event(now, Event::Message { from, message: frame.message }, out);
+        self.event(
+            now,
+            Event::Message {
+                from,
+                message: frame.message,
+            },
+            out,
+        );
     }
 
     fn timeout(&self) -> Option<Micros> {
--- a/lab/src/scale/layout.rs
+++ b/lab/src/scale/layout.rs
@@ -57,7 +57,9 @@
         }
         let first = self.zone(node) % self.relays;
         let count = RELAYS_OF_A_CONDUCTOR.min(self.relays);
-        (0..count).map(|further| self.voters() + (first + further) % self.relays).collect()
+        (0..count)
+            .map(|further| self.voters() + (first + further) % self.relays)
+            .collect()
     }
 
     /// The zone of a node. Voters are spread over regions, relays and conductors over zones.
--- a/lab/src/scale/mod.rs
+++ b/lab/src/scale/mod.rs
@@ -99,7 +99,10 @@
     let report = report::Report::new(&args.out, &args.name);
     let mut fleets = Vec::new();
     for members in args.members.iter().copied().filter(|members| *members > 0) {
-        let layout = Layout { members, relays: args.relays };
+        let layout = Layout {
+            members,
+            relays: args.relays,
+        };
         let settings = settings_for(layout, args.renewals);
         let figures = simulated::measure_fleet(layout, settings, args.seed, args.seconds)?;
         println!("{}", report::fleet_line(&figures));
@@ -107,8 +110,14 @@
     }
     report.fleets(&fleets)?;
     let mut processes = Vec::new();
-    for members in args.processes.iter().copied().filter(|members| *members > 0) {
-        let figures = real::measure_processes(members, args.relays, args.renewals, args.seconds, args.seed)?;
+    for members in args
+        .processes
+        .iter()
+        .copied()
+        .filter(|members| *members > 0)
+    {
+        let figures =
+            real::measure_processes(members, args.relays, args.renewals, args.seconds, args.seed)?;
         println!("{figures:?}");
         processes.push(figures);
     }
@@ -116,7 +125,8 @@
     let mut decisions = Vec::new();
     for hosts in args.hosts.iter().copied().filter(|hosts| *hosts > 0) {
         for with_slow_start in [false, true] {
-            let figures = decisions::measure_decisions(hosts, args.tenants, with_slow_start, args.requests)?;
+            let figures =
+                decisions::measure_decisions(hosts, args.tenants, with_slow_start, args.requests)?;
             println!("{figures:?}");
             decisions.push(figures);
         }
--- a/lab/src/scale/process.rs
+++ b/lab/src/scale/process.rs
@@ -9,8 +9,13 @@
 /// The system does not tell.
 pub fn processor_time() -> io::Result<Duration> {
     let text = std::fs::read_to_string("/proc/self/schedstat")?;
-    let nanoseconds = text.split_whitespace().next().and_then(|field| field.parse().ok());
-    nanoseconds.map(Duration::from_nanos).ok_or(io::ErrorKind::InvalidData.into())
+    let nanoseconds = text
+        .split_whitespace()
+        .next()
+        .and_then(|field| field.parse().ok());
+    nanoseconds
+        .map(Duration::from_nanos)
+        .ok_or(io::ErrorKind::InvalidData.into())
 }
 
 /// Resident memory of this process.
@@ -29,8 +34,15 @@
     const TICK: Duration = Duration::from_millis(10);
     let text = std::fs::read_to_string(format!("/proc/{id}/stat"))?;
     // The name, in parentheses, may have blanks; user and system time are the 12th and 13th field after it.
-    let fields = text.rsplit_once(')').map(|(_, rest)| rest).unwrap_or_default();
-    let ticks = fields.split_whitespace().skip(11).take(2).filter_map(|field| field.parse::<u32>().ok());
+    let fields = text
+        .rsplit_once(')')
+        .map(|(_, rest)| rest)
+        .unwrap_or_default();
+    let ticks = fields
+        .split_whitespace()
+        .skip(11)
+        .take(2)
+        .filter_map(|field| field.parse::<u32>().ok());
     let ticks: Vec<u32> = ticks.collect();
     match ticks[..] {
         [user, system] => Ok(TICK * (user + system)),
@@ -45,7 +57,10 @@
 pub fn resident_bytes_of(id: &str) -> io::Result<u64> {
     let text = std::fs::read_to_string(format!("/proc/{id}/status"))?;
     let line = text.lines().find_map(|line| line.strip_prefix("VmRSS:"));
-    let kilobytes =
-        line.and_then(|line| line.split_whitespace().next()).and_then(|kb| kb.parse::<u64>().ok());
-    kilobytes.map(|kb| kb * 1024).ok_or(io::ErrorKind::InvalidData.into())
+    let kilobytes = line
+        .and_then(|line| line.split_whitespace().next())
+        .and_then(|kb| kb.parse::<u64>().ok());
+    kilobytes
+        .map(|kb| kb * 1024)
+        .ok_or(io::ErrorKind::InvalidData.into())
 }
--- a/lab/src/scale/real.rs
+++ b/lab/src/scale/real.rs
@@ -48,19 +48,35 @@
     let names = fleet.names();
     let everybody: Vec<&str> = names.iter().map(String::as_str).collect();
     fleet.wait_for_views(&everybody)?;
-    let processes: Vec<u32> = names.iter().filter_map(|name| fleet.conductor(name).id()).collect();
-    let processor_time = || processes.iter().map(|id| processor_time_of(*id)).sum::<Result<Duration, _>>();
+    let processes: Vec<u32> = names
+        .iter()
+        .filter_map(|name| fleet.conductor(name).id())
+        .collect();
+    let processor_time = || {
+        processes
+            .iter()
+            .map(|id| processor_time_of(*id))
+            .sum::<Result<Duration, _>>()
+    };
     let carried = || {
-        let pairs = names.iter().flat_map(|a| names.iter().map(move |b| (a, b))).filter(|(a, b)| a != b);
+        let pairs = names
+            .iter()
+            .flat_map(|a| names.iter().map(move |b| (a, b)))
+            .filter(|(a, b)| a != b);
         let each = pairs.map(|(a, b)| fleet.network.carried(a, b));
-        each.fold([0; 5], |sum: [u64; 5], pair| std::array::from_fn(|i| sum[i] + pair[i]))
+        each.fold([0; 5], |sum: [u64; 5], pair| {
+            std::array::from_fn(|i| sum[i] + pair[i])
+        })
     };
     let (cpu, before, begun) = (processor_time()?, carried(), Instant::now());
     std::thread::sleep(Duration::from_secs(seconds));
     let (cpu_after, after, time) = (processor_time()?, carried(), begun.elapsed().as_secs_f64());
     let each = |value: f64| value / time / members as f64;
     let rate = |field: usize| each((after[field] - before[field]) as f64);
-    let memory: u64 = processes.iter().map(|id| resident_bytes_of(&id.to_string())).sum::<Result<_, _>>()?;
+    let memory: u64 = processes
+        .iter()
+        .map(|id| resident_bytes_of(&id.to_string()))
+        .sum::<Result<_, _>>()?;
     Ok(RealFigures {
         members,
         cpu_us: each((cpu_after - cpu).as_micros() as f64),
--- a/lab/src/scale/report.rs
+++ b/lab/src/scale/report.rs
@@ -29,7 +29,10 @@
 impl Report {
     /// Files of this name in this folder.
     pub fn new(folder: &Path, name: &str) -> Report {
-        Report { folder: folder.to_owned(), name: name.to_owned() }
+        Report {
+            folder: folder.to_owned(),
+            name: name.to_owned(),
+        }
     }
 
     /// Writes what simulated fleets showed: a table for each phase, and one of times.
@@ -42,18 +45,52 @@
         }
         let times = |f: &FleetFigures| {
             let memory = f.memory / 1024.0;
-            vec![f.members as f64, f.settled_s, f.change_s, f.death_first_s, f.death_all_s, f.cpu_us, memory]
+            vec![
+                f.members as f64,
+                f.settled_s,
+                f.change_s,
+                f.death_first_s,
+                f.death_all_s,
+                f.cpu_us,
+                memory,
+            ]
         };
-        let columns = ["members", "settled s", "change s", "first death s", "death at all s", "cpu us/s"];
+        let columns = [
+            "members",
+            "settled s",
+            "change s",
+            "first death s",
+            "death at all s",
+            "cpu us/s",
+        ];
         let columns = columns.into_iter().chain(["memory KB"]).collect();
-        self.write("times", &Table { columns, rows: fleets.iter().map(times).collect() })?;
+        self.write(
+            "times",
+            &Table {
+                columns,
+                rows: fleets.iter().map(times).collect(),
+            },
+        )?;
         for phase in Phase::ALL {
-            let of =
-                |f: &FleetFigures| Some((f.members, f.phases.iter().find(|p| p.phase == phase)?.clone()));
-            let rows = fleets.iter().filter_map(of).map(|(members, figures)| phase_row(members, &figures));
+            let of = |f: &FleetFigures| {
+                Some((
+                    f.members,
+                    f.phases.iter().find(|p| p.phase == phase)?.clone(),
+                ))
+            };
+            let rows = fleets
+                .iter()
+                .filter_map(of)
+                .map(|(members, figures)| phase_row(members, &figures));
             let rows: Vec<Vec<f64>> = rows.collect();
             if !rows.is_empty() {
-                self.write(&phase.name().replace(' ', "-"), &Table { columns: phase_columns(), rows })?;
+                self.write(
+                    &phase.name().replace(' ', "-"),
+                    &Table {
+                        columns: phase_columns(),
+                        rows,
+                    },
+                )?;
             }
         }
         Ok(())
@@ -69,10 +106,30 @@
         }
         let row = |f: &RealFigures| {
             let (cpu, memory) = (f.cpu_us, f.memory / 1024.0);
-            vec![f.members as f64, cpu, memory, f.datagrams, f.datagram_bytes, f.stream_bytes]
+            vec![
+                f.members as f64,
+                cpu,
+                memory,
+                f.datagrams,
+                f.datagram_bytes,
+                f.stream_bytes,
+            ]
         };
-        let columns = vec!["members", "cpu us/s", "memory KB", "datagrams/s", "datagram B/s", "stream B/s"];
-        self.write("processes", &Table { columns, rows: all.iter().map(row).collect() })
+        let columns = vec![
+            "members",
+            "cpu us/s",
+            "memory KB",
+            "datagrams/s",
+            "datagram B/s",
+            "stream B/s",
+        ];
+        self.write(
+            "processes",
+            &Table {
+                columns,
+                rows: all.iter().map(row).collect(),
+            },
+        )
     }
 
     /// Writes what the deciding module showed.
@@ -95,12 +152,26 @@
                     memory,
                 ]
             };
-            let rows: Vec<Vec<f64>> = all.iter().filter(|f| (f.in_slow_start > 0) == slow).map(row).collect();
+            let rows: Vec<Vec<f64>> = all
+                .iter()
+                .filter(|f| (f.in_slow_start > 0) == slow)
+                .map(row)
+                .collect();
             if rows.is_empty() {
                 continue;
             }
-            let columns = ["hosts", "in slow start", "list us", "change us", "requests", "request us"];
-            let columns = columns.into_iter().chain(["request p99 us", "memory KB"]).collect();
+            let columns = [
+                "hosts",
+                "in slow start",
+                "list us",
+                "change us",
+                "requests",
+                "request us",
+            ];
+            let columns = columns
+                .into_iter()
+                .chain(["request p99 us", "memory KB"])
+                .collect();
             self.write(name, &Table { columns, rows })?;
         }
         Ok(())
@@ -110,7 +181,9 @@
         let file = |ending: &str| self.folder.join(format!("{}-{what}.{ending}", self.name));
         std::fs::write(file("csv"), table.csv())?;
         std::fs::write(file("md"), table.markdown())?;
-        table.chart(&format!("{}: {what}", self.name)).save(&file("svg"))?;
+        table
+            .chart(&format!("{}: {what}", self.name))
+            .save(&file("svg"))?;
         println!("{}", file("md").display());
         print!("{}", table.markdown());
         Ok(())
@@ -139,11 +212,18 @@
             let row: Vec<String> = row.iter().map(|value| short(*value)).collect();
             let _ = writeln!(text, "| {} |", row.join(" | "));
         }
-        let slopes: Vec<Option<Slope>> =
-            (1..self.columns.len()).map(|column| Slope::through(&self.points(column))).collect();
+        let slopes: Vec<Option<Slope>> = (1..self.columns.len())
+            .map(|column| Slope::through(&self.points(column)))
+            .collect();
         let mut line = |name: &str, value: fn(&Slope) -> f64| {
-            let cells = slopes.iter().map(|slope| slope.as_ref().map_or("-".to_owned(), |s| short(value(s))));
-            let _ = writeln!(text, "| {name} | {} |", cells.collect::<Vec<_>>().join(" | "));
+            let cells = slopes
+                .iter()
+                .map(|slope| slope.as_ref().map_or("-".to_owned(), |s| short(value(s))));
+            let _ = writeln!(
+                text,
+                "| {name} | {} |",
+                cells.collect::<Vec<_>>().join(" | ")
+            );
         };
         line("slope: base", |slope| slope.base);
         line("slope: each further one", |slope| slope.each);
@@ -182,7 +262,13 @@
 
 fn phase_row(members: usize, figures: &PhaseFigures) -> Vec<f64> {
     let messages = |rates: &Rates| rates.messages + rates.taken_messages;
-    let PhaseFigures { conductor, relay, voter, rights_lost, .. } = figures;
+    let PhaseFigures {
+        conductor,
+        relay,
+        voter,
+        rights_lost,
+        ..
+    } = figures;
     vec![
         members as f64,
         conductor.bytes(),
@@ -199,7 +285,9 @@
 /// One fleet in a line.
 pub fn fleet_line(figures: &FleetFigures) -> String {
     let steady = figures.phases.iter().find(|p| p.phase == Phase::Steady);
-    let rates = steady.map(|p| (p.conductor.bytes(), p.voter.bytes(), p.voter.entries)).unwrap_or_default();
+    let rates = steady
+        .map(|p| (p.conductor.bytes(), p.voter.bytes(), p.voter.entries))
+        .unwrap_or_default();
     let (conductor, voter, entries) = rates;
     format!(
         "{} members: settled {:.1} s, change {:.2} s, death {:.1} to {:.1} s, cpu {:.0} us/s, memory {:.0} KB, conductor \
--- a/lab/src/scale/simulated.rs
+++ b/lab/src/scale/simulated.rs
@@ -36,7 +36,12 @@
 
 impl Phase {
     /// All phases.
-    pub const ALL: [Phase; 4] = [Phase::Steady, Phase::Roll, Phase::ZoneLost, Phase::RegionsApart];
+    pub const ALL: [Phase; 4] = [
+        Phase::Steady,
+        Phase::Roll,
+        Phase::ZoneLost,
+        Phase::RegionsApart,
+    ];
 
     /// As tables have it.
     pub fn name(self) -> &'static str {
@@ -138,14 +143,23 @@
 impl SimulatedFleet {
     /// Starts all members, over the first seconds.
     pub fn start(layout: Layout, settings: Settings, seed: u64) -> SimulatedFleet {
-        let link = Link { delay: (WITHIN_ZONE, WITHIN_ZONE * 2), ..Link::default() };
+        let link = Link {
+            delay: (WITHIN_ZONE, WITHIN_ZONE * 2),
+            ..Link::default()
+        };
         let zones: Vec<usize> = (0..layout.members).map(|node| layout.zone(node)).collect();
         let distance = move |from: usize, to: usize| way(zones[from], zones[to]);
         let network = Network::<Frame>::new(layout.members, link, seed).with_ways(distance);
         let names: Arc<Vec<MemberName>> = Arc::new((0..layout.members).map(views::name).collect());
         let world = World::new(network, layout.members);
         let lives = vec![0; layout.members];
-        let mut fleet = SimulatedFleet { layout, world, names, settings, lives };
+        let mut fleet = SimulatedFleet {
+            layout,
+            world,
+            names,
+            settings,
+            lives,
+        };
         for node in 0..layout.members {
             fleet.restart(node);
             let spread = fleet.world.now() + 3 * SECOND / layout.members as Micros;
@@ -159,9 +173,14 @@
         self.lives[node] += 1;
         let (life, now) = (self.lives[node], self.world.now());
         let (settings, names) = (self.settings.clone(), self.names.clone());
-        self.world.start(node, HollowMember::new(&self.layout, node, life, settings, names, now));
+        self.world.start(
+            node,
+            HollowMember::new(&self.layout, node, life, settings, names, now),
+        );
         let seeds = seeds(&self.layout, &self.names);
-        self.world.with(node, |member, now, out| member.event(now, Event::Join { seeds }, out));
+        self.world.with(node, |member, now, out| {
+            member.event(now, Event::Join { seeds }, out)
+        });
     }
 
     /// Ends a member without a word.
@@ -181,8 +200,14 @@
 
     /// How many others than these have lost their right to act since the last call.
     pub fn rights_lost(&mut self, struck: &BTreeSet<usize>) -> usize {
-        let lost = |note: &(Micros, usize, Note)| note.2 == Note::MayAct(false) && !struck.contains(&note.1);
-        self.world.take_notes().iter().filter(|note| lost(note)).count()
+        let lost = |note: &(Micros, usize, Note)| {
+            note.2 == Note::MayAct(false) && !struck.contains(&note.1)
+        };
+        self.world
+            .take_notes()
+            .iter()
+            .filter(|note| lost(note))
+            .count()
     }
 
     /// Lets time pass.
@@ -200,7 +225,10 @@
         let from = self.world.now();
         while !is_so(&self.world) {
             if self.world.now() - from > MOST_WAIT {
-                return Err(SimulationError::Late { members: self.layout.members, what });
+                return Err(SimulationError::Late {
+                    members: self.layout.members,
+                    what,
+                });
             }
             self.run_for(step);
         }
@@ -214,7 +242,13 @@
         self.until("the right to act of each", SECOND / 5, |world| {
             members(world).all(|(_, member)| {
                 member.node.may_act(&life_of(member), world.now()).is_some()
-                    && member.node.view().peers().filter(|p| p.status == Status::Alive).count() == all
+                    && member
+                        .node
+                        .view()
+                        .peers()
+                        .filter(|p| p.status == Status::Alive)
+                        .count()
+                        == all
             })
         })?;
         let took = (self.world.now() - begun) as f64 / SECOND as f64;
@@ -234,12 +268,19 @@
         let lease = LeaseName::try_from("scale/change").expect("a plain name");
         let begun = self.world.now();
         let wanted = lease.clone();
-        self.world.with(proposer, |member, now, out| member.event(now, Event::Want(wanted), out));
+        self.world.with(proposer, |member, now, out| {
+            member.event(now, Event::Want(wanted), out)
+        });
         let granted = |world: &World<HollowMember>| -> Option<Index> {
             let state = world.machine(proposer)?.node.state();
-            state.leases().grant(&lease).map(|grant| Index(grant.token.0))
+            state
+                .leases()
+                .grant(&lease)
+                .map(|grant| Index(grant.token.0))
         };
-        self.until("a grant at its holder", STEP, |world| granted(world).is_some())?;
+        self.until("a grant at its holder", STEP, |world| {
+            granted(world).is_some()
+        })?;
         self.until("a grant at all", STEP, |world| {
             let index = granted(world).unwrap_or_default();
             members(world).all(|(_, member)| member.node.state().applied() >= index)
@@ -255,13 +296,25 @@
         let died = self.world.now();
         let name = self.names[victim].clone();
         let dead = |member: &HollowMember| {
-            member.node.view().peer(&name).is_some_and(|peer| peer.status == Status::Dead)
+            member
+                .node
+                .view()
+                .peer(&name)
+                .is_some_and(|peer| peer.status == Status::Dead)
         };
-        self.until("a death at all", STEP, |world| members(world).all(|(_, member)| dead(member)))?;
+        self.until("a death at all", STEP, |world| {
+            members(world).all(|(_, member)| dead(member))
+        })?;
         let seen = |note: &(Micros, usize, Note)| note.2 == Note::Sees(victim, Status::Dead);
-        let times: Vec<Micros> =
-            self.world.take_notes().iter().filter(|n| seen(n)).map(|n| n.0 - died).collect();
-        let seconds = |time: Option<&Micros>| time.map_or(f64::NAN, |time| *time as f64 / SECOND as f64);
+        let times: Vec<Micros> = self
+            .world
+            .take_notes()
+            .iter()
+            .filter(|n| seen(n))
+            .map(|n| n.0 - died)
+            .collect();
+        let seconds =
+            |time: Option<&Micros>| time.map_or(f64::NAN, |time| *time as f64 / SECOND as f64);
         let figures = (seconds(times.iter().min()), seconds(times.iter().max()));
         self.restart(victim);
         Ok(figures)
@@ -290,7 +343,10 @@
         let after = self.counts();
         let rights_lost = self.rights_lost(&struck);
         let role = |role: Role| self.rates(&before, &after, seconds, role);
-        let most = |all: Vec<Rates>| all.into_iter().max_by(|a, b| a.bytes().total_cmp(&b.bytes()));
+        let most = |all: Vec<Rates>| {
+            all.into_iter()
+                .max_by(|a, b| a.bytes().total_cmp(&b.bytes()))
+        };
         PhaseFigures {
             phase,
             conductor: mean(&role(Role::Conductor)),
@@ -304,7 +360,9 @@
     fn part_regions(&mut self) -> Vec<usize> {
         let layout = self.layout;
         let region = |wanted: usize| -> Vec<usize> {
-            (0..layout.members).filter(|node| layout.region(*node) == wanted).collect()
+            (0..layout.members)
+                .filter(|node| layout.region(*node) == wanted)
+                .collect()
         };
         let (one, other) = (region(REGIONS - 2), region(REGIONS - 1));
         for (a, b) in one.iter().flat_map(|a| other.iter().map(move |b| (*a, *b))) {
@@ -326,8 +384,14 @@
     }
 
     fn counts(&self) -> Vec<(u64, Counts)> {
-        let of = |node| self.world.machine(node).map_or(Counts::default(), |member| member.counts);
-        (0..self.layout.members).map(|node| (self.lives[node], of(node))).collect()
+        let of = |node| {
+            self.world
+                .machine(node)
+                .map_or(Counts::default(), |member| member.counts)
+        };
+        (0..self.layout.members)
+            .map(|node| (self.lives[node], of(node)))
+            .collect()
     }
 
     /// Rates of the members of a role that lived through all of the time.
@@ -344,7 +408,9 @@
                 && self.world.machine(*node).is_some()
         };
         let nodes = (0..self.layout.members).filter(through);
-        nodes.map(|node| Rates::between(&before[node].1, &after[node].1, seconds)).collect()
+        nodes
+            .map(|node| Rates::between(&before[node].1, &after[node].1, seconds))
+            .collect()
     }
 }
 
@@ -421,5 +487,14 @@
     fleet.settle()?;
     phases.push(fleet.measure(Phase::ZoneLost, seconds));
     let members = layout.members;
-    Ok(FleetFigures { members, settled_s, change_s, death_first_s, death_all_s, cpu_us, memory, phases })
+    Ok(FleetFigures {
+        members,
+        settled_s,
+        change_s,
+        death_first_s,
+        death_all_s,
+        cpu_us,
+        memory,
+        phases,
+    })
 }
--- a/lab/src/scale/slope.rs
+++ b/lab/src/scale/slope.rs
@@ -21,11 +21,25 @@
         if points.len() < 2 || spread <= 0.0 {
             return None;
         }
-        let each = points.iter().map(|p| (p.0 - mean_x) * (p.1 - mean_y)).sum::<f64>() / spread;
+        let each = points
+            .iter()
+            .map(|p| (p.0 - mean_x) * (p.1 - mean_y))
+            .sum::<f64>()
+            / spread;
         let base = mean_y - each * mean_x;
-        let largest = points.iter().map(|p| p.1.abs()).fold(f64::MIN_POSITIVE, f64::max);
-        let farthest = points.iter().map(|p| (p.1 - base - each * p.0).abs()).fold(0.0, f64::max);
-        Some(Slope { base, each, off_by: farthest / largest })
+        let largest = points
+            .iter()
+            .map(|p| p.1.abs())
+            .fold(f64::MIN_POSITIVE, f64::max);
+        let farthest = points
+            .iter()
+            .map(|p| (p.1 - base - each * p.0).abs())
+            .fold(0.0, f64::max);
+        Some(Slope {
+            base,
+            each,
+            off_by: farthest / largest,
+        })
     }
 
     /// The line's value at a size.
--- a/lab/src/script.rs
+++ b/lab/src/script.rs
@@ -49,10 +49,16 @@
 
 impl Pattern {
     fn read(words: &[&str]) -> Option<Pattern> {
-        let [source, event, fields @ ..] = words else { return None };
+        let [source, event, fields @ ..] = words else {
+            return None;
+        };
         let pair = |w: &&str| w.split_once('=').map(|(k, v)| (k.to_owned(), v.to_owned()));
         let fields = fields.iter().map(pair).collect::<Option<_>>()?;
-        Some(Pattern { source: (*source).to_owned(), event: (*event).to_owned(), fields })
+        Some(Pattern {
+            source: (*source).to_owned(),
+            event: (*event).to_owned(),
+            fields,
+        })
     }
 
     /// Whether a record fits.
@@ -193,7 +199,10 @@
     pub fn carry_out(&self, fleet: &Fleet) -> Result<(), ScriptError> {
         let failed = |e: &dyn fmt::Display| ScriptError::Failed(e.to_string());
         let conductor = |name: &str| {
-            fleet.conductors.get(name).ok_or_else(|| ScriptError::Failed(format!("no conductor {name:?}")))
+            fleet
+                .conductors
+                .get(name)
+                .ok_or_else(|| ScriptError::Failed(format!("no conductor {name:?}")))
         };
         match self {
             Command::Kill(name) => fleet.kill(name).map_err(|e| failed(&e))?,
@@ -227,8 +236,10 @@
                     fleet.network.set_both(a, b, |f| change.make(f));
                 } else {
                     let names = fleet.names();
-                    for (a, b) in
-                        names.iter().flat_map(|a| names.iter().map(move |b| (a, b))).filter(|(a, b)| a != b)
+                    for (a, b) in names
+                        .iter()
+                        .flat_map(|a| names.iter().map(move |b| (a, b)))
+                        .filter(|(a, b)| a != b)
                     {
                         fleet.network.set(a, b, |f| change.make(f));
                     }
@@ -269,17 +280,22 @@
             let words: Vec<&str> = pattern.split_whitespace().collect();
             return Pattern::read(&words).map(Line::Wait).ok_or_else(unknown);
         }
-        let Some((when, command)) = line.split_once(": ") else { return Ok(Line::Now(line.parse()?)) };
+        let Some((when, command)) = line.split_once(": ") else {
+            return Ok(Line::Now(line.parse()?));
+        };
         let words: Vec<&str> = when.split_whitespace().collect();
         match words.as_slice() {
             ["at", time] => {
                 let seconds: Option<f64> = time.strip_suffix('s').and_then(|t| t.parse().ok());
-                let seconds = seconds.filter(|s| (0.0..1e6).contains(s)).ok_or_else(unknown)?;
+                let seconds = seconds
+                    .filter(|s| (0.0..1e6).contains(s))
+                    .ok_or_else(unknown)?;
                 Ok(Line::At(Duration::from_secs_f64(seconds), command.parse()?))
             }
-            ["on", pattern @ ..] => {
-                Ok(Line::On(Pattern::read(pattern).ok_or_else(unknown)?, command.parse()?))
-            }
+            ["on", pattern @ ..] => Ok(Line::On(
+                Pattern::read(pattern).ok_or_else(unknown)?,
+                command.parse()?,
+            )),
             _ => Err(unknown()),
         }
     }
@@ -290,7 +306,10 @@
 /// # Errors
 /// The first line that is none.
 pub fn read(text: &str) -> Result<Vec<Line>, ScriptError> {
-    let lines = text.lines().map(|l| l.split('#').next().unwrap_or("").trim()).filter(|l| !l.is_empty());
+    let lines = text
+        .lines()
+        .map(|l| l.split('#').next().unwrap_or("").trim())
+        .filter(|l| !l.is_empty());
     lines.map(str::parse).collect()
 }
 
@@ -314,7 +333,9 @@
                 fleet.history.once(
                     move |r| pattern.fits(r),
                     move |_| {
-                        let Some(fleet) = fleet_there.upgrade() else { return };
+                        let Some(fleet) = fleet_there.upgrade() else {
+                            return;
+                        };
                         // What waits for records can't wait in the thread that brings them.
                         let waits = matches!(command, Command::Restart(..) | Command::Term(_));
                         let act = move || {
@@ -326,13 +347,19 @@
                                 );
                             }
                         };
-                        if waits { _ = std::thread::spawn(act) } else { act() }
+                        if waits {
+                            _ = std::thread::spawn(act)
+                        } else {
+                            act()
+                        }
                     },
                 );
                 continue;
             }
             Line::Wait(pattern) => {
-                let found = fleet.history.wait_for(after, STUCK * 2, |r| pattern.fits(r));
+                let found = fleet
+                    .history
+                    .wait_for(after, STUCK * 2, |r| pattern.fits(r));
                 found.map_err(|e| ScriptError::Failed(e.to_string()))?;
                 continue;
             }
--- a/lab/src/script/tests.rs
+++ b/lab/src/script/tests.rs
@@ -17,7 +17,17 @@
             Line::Now(Command::Heal),
         ]
     );
-    for wrong in ["kil c2", "at 2: heal", "on tool: heal", "wait c1", "loss much", "cut a b c d"] {
-        assert_eq!(read(wrong).unwrap_err().to_string(), format!("no command: {wrong:?}"));
+    for wrong in [
+        "kil c2",
+        "at 2: heal",
+        "on tool: heal",
+        "wait c1",
+        "loss much",
+        "cut a b c d",
+    ] {
+        assert_eq!(
+            read(wrong).unwrap_err().to_string(),
+            format!("no command: {wrong:?}")
+        );
     }
 }
--- a/lab/src/sim/bed.rs
+++ b/lab/src/sim/bed.rs
@@ -101,13 +101,20 @@
     }
 
     fn holds(&self, by: usize, of: usize) -> bool {
-        let peer = self.world.machine(by).and_then(|member| member.view.peer(&self.names[of]));
+        let peer = self
+            .world
+            .machine(by)
+            .and_then(|member| member.view.peer(&self.names[of]));
         peer.is_some_and(|peer| peer.status <= Status::Suspect)
     }
 
     fn heard(&mut self) -> Vec<(Micros, usize, usize, Status)> {
         let notes = self.world.take_notes();
-        let node = |change: &whinhaven::fleet::view::Change| self.names.binary_search(&change.member).ok();
-        notes.into_iter().filter_map(|(at, by, change)| Some((at, by, node(&change)?, change.to))).collect()
+        let node =
+            |change: &whinhaven::fleet::view::Change| self.names.binary_search(&change.member).ok();
+        notes
+            .into_iter()
+            .filter_map(|(at, by, change)| Some((at, by, node(&change)?, change.to)))
+            .collect()
     }
 }
--- a/lab/src/sim/faults.rs
+++ b/lab/src/sim/faults.rs
@@ -59,7 +59,11 @@
                 let loss = *[0.0, 0.02, 0.1, 0.3].choose(&mut rng).unwrap_or(&0.0);
                 let most = *[1_300, 20_000, 120_000].choose(&mut rng).unwrap_or(&1_300);
                 let duplicate = if rng.random_bool(0.3) { 0.1 } else { 0.0 };
-                Fault::Links(Link { loss, duplicate, delay: (700, most) })
+                Fault::Links(Link {
+                    loss,
+                    duplicate,
+                    delay: (700, most),
+                })
             }
         };
         script.push((at, fault));
@@ -101,7 +105,11 @@
 pub fn settle<T: Machine>(world: &mut World<T>) {
     world.network.heal_all();
     world.network.set_link(Link::default());
-    (0..world.nodes()).filter(|node| world.paused(*node)).collect::<Vec<_>>().into_iter().for_each(|node| {
-        world.resume(node);
-    });
+    (0..world.nodes())
+        .filter(|node| world.paused(*node))
+        .collect::<Vec<_>>()
+        .into_iter()
+        .for_each(|node| {
+            world.resume(node);
+        });
 }
--- a/lab/src/sim/foca.rs
+++ b/lab/src/sim/foca.rs
@@ -5,7 +5,8 @@
 use super::views::{FRAME, address, name};
 use super::world::{Machine, Outbox, World};
 use foca::{
-    AccumulatingRuntime, Config, Foca, Identity, NoCustomBroadcast, OwnedNotification, PostcardCodec, Timer,
+    AccumulatingRuntime, Config, Foca, Identity, NoCustomBroadcast, OwnedNotification,
+    PostcardCodec, Timer,
 };
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -32,7 +33,10 @@
     type Addr = usize;
 
     fn renew(&self) -> Option<Id> {
-        Some(Id { renewed: self.renewed + 1, ..self.clone() })
+        Some(Id {
+            renewed: self.renewed + 1,
+            ..self.clone()
+        })
     }
 
     fn addr(&self) -> usize {
@@ -69,11 +73,17 @@
         let _ = call(&mut self.foca, &mut runtime);
         while let Some((to, data)) = runtime.to_send() {
             let bytes = data.len() + FRAME;
-            out.sent.push(Sent { to: to.node, message: data.to_vec(), reliable: false, bytes });
+            out.sent.push(Sent {
+                to: to.node,
+                message: data.to_vec(),
+                reliable: false,
+                bytes,
+            });
         }
         while let Some((after, timer)) = runtime.to_schedule() {
             self.count += 1;
-            self.timers.insert((now + after.as_micros() as Micros, self.count), timer);
+            self.timers
+                .insert((now + after.as_micros() as Micros, self.count), timer);
         }
         while let Some(notification) = runtime.to_notify() {
             match notification {
@@ -96,14 +106,20 @@
     type Note = (usize, Status);
 
     fn tick(&mut self, now: Micros, out: &mut Out) {
-        while let Some(entry) = self.timers.first_entry().filter(|entry| entry.key().0 <= now) {
+        while let Some(entry) = self
+            .timers
+            .first_entry()
+            .filter(|entry| entry.key().0 <= now)
+        {
             let timer = entry.remove();
             self.call(now, out, |foca, runtime| foca.handle_timer(timer, runtime));
         }
     }
 
     fn receive(&mut self, now: Micros, _: usize, message: Vec<u8>, out: &mut Out) {
-        self.call(now, out, |foca, runtime| foca.handle_data(&message, runtime));
+        self.call(now, out, |foca, runtime| {
+            foca.handle_data(&message, runtime)
+        });
     }
 
     fn timeout(&self) -> Option<Micros> {
@@ -121,15 +137,25 @@
 
 impl FocaFleet {
     /// Its LAN settings for that size, with the period, the waits and the pings to the dead of `settings`.
-    pub fn new(members: usize, settings: &Settings, link: Link, seed: u64, gossip: bool) -> FocaFleet {
-        let mut config = Config::new_lan(NonZeroU32::new(members as u32).unwrap_or(NonZeroU32::MIN));
+    pub fn new(
+        members: usize,
+        settings: &Settings,
+        link: Link,
+        seed: u64,
+        gossip: bool,
+    ) -> FocaFleet {
+        let mut config =
+            Config::new_lan(NonZeroU32::new(members as u32).unwrap_or(NonZeroU32::MIN));
         let period = Duration::from_millis(settings.period_ms);
-        config.suspect_to_down_after =
-            config.suspect_to_down_after.mul_f64(period.as_secs_f64() / config.probe_period.as_secs_f64());
+        config.suspect_to_down_after = config
+            .suspect_to_down_after
+            .mul_f64(period.as_secs_f64() / config.probe_period.as_secs_f64());
         config.probe_period = period;
         config.probe_rtt = Duration::from_millis(settings.probe_timeout_ms);
-        config.num_indirect_probes = NonZeroUsize::new(settings.indirect).unwrap_or(NonZeroUsize::MIN);
-        config.max_packet_size = NonZeroUsize::new(settings.most_bytes).unwrap_or(NonZeroUsize::MIN);
+        config.num_indirect_probes =
+            NonZeroUsize::new(settings.indirect).unwrap_or(NonZeroUsize::MIN);
+        config.max_packet_size =
+            NonZeroUsize::new(settings.most_bytes).unwrap_or(NonZeroUsize::MIN);
         if let Some(announce) = config.periodic_announce_to_down_members.as_mut() {
             announce.frequency = Duration::from_millis(settings.reconnect_ms);
             announce.num_members = NonZeroUsize::MIN;
@@ -138,13 +164,25 @@
             config.periodic_gossip = None;
         }
         let world = World::new(Network::new(members, link, seed), members);
-        FocaFleet { world, config, lives: vec![0; members], seed }
+        FocaFleet {
+            world,
+            config,
+            lives: vec![0; members],
+            seed,
+        }
     }
 
     fn id(&self, node: usize) -> Id {
         let site = ["milano", "bergamo", "novara"][node % 3].to_owned();
         let name = name(node).as_str().to_owned();
-        Id { node, name, site, address: address(node), life: self.lives[node], renewed: 0 }
+        Id {
+            node,
+            name,
+            site,
+            address: address(node),
+            life: self.lives[node],
+            renewed: 0,
+        }
     }
 }
 
@@ -163,12 +201,20 @@
 
     fn start(&mut self, node: usize) {
         self.lives[node] += 1;
-        let rng = ChaCha8Rng::seed_from_u64(self.seed ^ ((node as u64) << 20) ^ (self.lives[node] << 50));
+        let rng =
+            ChaCha8Rng::seed_from_u64(self.seed ^ ((node as u64) << 20) ^ (self.lives[node] << 50));
         let foca = Foca::new(self.id(node), self.config.clone(), rng, PostcardCodec);
-        let member = Member { foca, timers: BTreeMap::new(), count: 0, up: BTreeSet::new() };
+        let member = Member {
+            foca,
+            timers: BTreeMap::new(),
+            count: 0,
+            up: BTreeSet::new(),
+        };
         self.world.start(node, member);
-        let seeds: Vec<Id> =
-            (0..3.min(self.nodes())).filter(|seed| *seed != node).map(|s| self.id(s)).collect();
+        let seeds: Vec<Id> = (0..3.min(self.nodes()))
+            .filter(|seed| *seed != node)
+            .map(|s| self.id(s))
+            .collect();
         for seed in seeds {
             self.world.with(node, |member, now, out| {
                 member.call(now, out, |foca, runtime| foca.announce(seed, runtime));
@@ -201,10 +247,16 @@
     }
 
     fn holds(&self, by: usize, of: usize) -> bool {
-        self.world.machine(by).is_some_and(|member| member.up.contains(&of))
+        self.world
+            .machine(by)
+            .is_some_and(|member| member.up.contains(&of))
     }
 
     fn heard(&mut self) -> Vec<(Micros, usize, usize, Status)> {
-        self.world.take_notes().into_iter().map(|(at, by, (of, status))| (at, by, of, status)).collect()
+        self.world
+            .take_notes()
+            .into_iter()
+            .map(|(at, by, (of, status))| (at, by, of, status))
+            .collect()
     }
 }
--- a/lab/src/sim/network.rs
+++ b/lab/src/sim/network.rs
@@ -18,7 +18,11 @@
 
 impl Default for Link {
     fn default() -> Link {
-        Link { loss: 0.0, duplicate: 0.0, delay: (700, 1300) }
+        Link {
+            loss: 0.0,
+            duplicate: 0.0,
+            delay: (700, 1300),
+        }
     }
 }
 
@@ -86,7 +90,10 @@
 
     /// With a further delay that depends on who sends to whom.
     pub fn with_ways(self, ways: impl Fn(usize, usize) -> Micros + 'static) -> Network<M> {
-        Network { ways: Box::new(ways), ..self }
+        Network {
+            ways: Box::new(ways),
+            ..self
+        }
     }
 
     /// Changes all links. What is on its way is not touched.
@@ -128,7 +135,12 @@
     pub fn send(&mut self, now: Micros, from: usize, sent: Sent<M>) {
         self.sent[from].messages += 1;
         self.sent[from].bytes += sent.bytes as u64;
-        let Sent { to, message, reliable, .. } = sent;
+        let Sent {
+            to,
+            message,
+            reliable,
+            ..
+        } = sent;
         let mut wait = (self.ways)(from, to);
         let most_wait = wait + 10 * RESEND;
         if reliable {
@@ -141,12 +153,20 @@
         } else if self.lost() {
             return;
         }
-        let twice = !reliable && self.link.duplicate > 0.0 && self.rng.random_bool(self.link.duplicate);
+        let twice =
+            !reliable && self.link.duplicate > 0.0 && self.rng.random_bool(self.link.duplicate);
         for _ in 0..1 + usize::from(twice) {
             let (least, most) = self.link.delay;
             let at = now + wait + self.rng.random_range(least..=most.max(least));
             self.count += 1;
-            self.on_the_way.insert((at, self.count), Arrived { from, to, message: message.clone() });
+            self.on_the_way.insert(
+                (at, self.count),
+                Arrived {
+                    from,
+                    to,
+                    message: message.clone(),
+                },
+            );
         }
     }
 
