--- a/lab/src/sim/views.rs
+++ b/lab/src/sim/views.rs
@@ -5,7 +5,9 @@
 use super::world::{Machine, Outbox, World};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
-use whinhaven::fleet::view::{self, Action, Change, Event, Kind, Me, Message, Settings, Status, View};
+use whinhaven::fleet::view::{
+    self, Action, Change, Event, Kind, Me, Message, Settings, Status, View,
+};
 use whinhaven::fleet::{Incarnation, MemberName, SiteName};
 use whinhaven::interface::Micros;
 
@@ -57,11 +59,22 @@
         self.view.handle(now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Send { to, mut message, reliable, .. } => {
+                Action::Send {
+                    to,
+                    mut message,
+                    reliable,
+                    ..
+                } => {
                     let Some(to) = self.node(&to) else { continue };
                     self.lie(&mut message, to);
-                    let bytes = postcard::to_allocvec(&message).map_or(0, |bytes| bytes.len()) + FRAME;
-                    out.sent.push(Sent { to, message, reliable, bytes });
+                    let bytes =
+                        postcard::to_allocvec(&message).map_or(0, |bytes| bytes.len()) + FRAME;
+                    out.sent.push(Sent {
+                        to,
+                        message,
+                        reliable,
+                        bytes,
+                    });
                 }
                 Action::Changed(change) => out.notes.push(change),
             }
@@ -74,11 +87,20 @@
         }
         let me = &self.view.me().name;
         for peer in self.view.peers().filter(|peer| peer.name != *me) {
-            let (member, incarnation, refutation) = (peer.name.clone(), peer.incarnation, peer.refutation);
+            let (member, incarnation, refutation) =
+                (peer.name.clone(), peer.incarnation, peer.refutation);
             let claim = view::Claim::Dead;
-            let mut news = view::News { member, incarnation, refutation, claim };
+            let mut news = view::News {
+                member,
+                incarnation,
+                refutation,
+                claim,
+            };
             if self.broken == Broken::Raves {
-                let alive = view::Claim::Alive { site: site(to), address: address(to) };
+                let alive = view::Claim::Alive {
+                    site: site(to),
+                    address: address(to),
+                };
                 match refutation.wrapping_add(to as u32) % 4 {
                     0 => (news.refutation, news.claim) = (u32::MAX, alive),
                     1 => (news.incarnation, news.claim) = (Incarnation(u64::MAX), alive),
@@ -99,7 +121,13 @@
         self.event(now, Event::Tick, out);
     }
 
-    fn receive(&mut self, now: Micros, from: usize, mut message: Message, out: &mut Outbox<Message, Change>) {
+    fn receive(
+        &mut self,
+        now: Micros,
+        from: usize,
+        mut message: Message,
+        out: &mut Outbox<Message, Change>,
+    ) {
         if self.broken == Broken::Deaf {
             let me = &self.view.me().name;
             message.news.retain(|news| news.member != *me);
@@ -134,8 +162,17 @@
 impl Plan {
     /// A fleet that is not broken, with the usual settings and links.
     pub fn new(members: usize, seed: u64) -> Plan {
-        let settings = Settings { most_members: members.max(16) * 2, ..Settings::default() };
-        Plan { members, settings, link: Link::default(), broken: Vec::new(), seed }
+        let settings = Settings {
+            most_members: members.max(16) * 2,
+            ..Settings::default()
+        };
+        Plan {
+            members,
+            settings,
+            link: Link::default(),
+            broken: Vec::new(),
+            seed,
+        }
     }
 }
 
@@ -155,7 +192,12 @@
         let network = Network::new(plan.members, plan.link.clone(), plan.seed);
         let world = World::new(network, plan.members);
         let lives = vec![0; plan.members];
-        Fleet { world, plan, names, lives }
+        Fleet {
+            world,
+            plan,
+            names,
+            lives,
+        }
     }
 
     /// A fleet whose members all know each other: all run, and time has passed until they agree, at most `periods`.
@@ -181,18 +223,39 @@
             address: address(node),
             incarnation: Incarnation(self.lives[node]),
         };
-        let seed = self.plan.seed.wrapping_mul(31).wrapping_add(node as u64) ^ (self.lives[node] << 40);
+        let seed =
+            self.plan.seed.wrapping_mul(31).wrapping_add(node as u64) ^ (self.lives[node] << 40);
         let view = View::new(me, self.plan.settings.clone(), seed);
-        let broken = self.plan.broken.iter().find(|(broken, _)| *broken == node).map_or(Broken::No, |b| b.1);
-        self.world.start(node, Member { view, broken, names: self.names.clone() });
-        let known = if self.plan.members <= 16 { self.plan.members } else { 3 };
+        let broken = self
+            .plan
+            .broken
+            .iter()
+            .find(|(broken, _)| *broken == node)
+            .map_or(Broken::No, |b| b.1);
+        self.world.start(
+            node,
+            Member {
+                view,
+                broken,
+                names: self.names.clone(),
+            },
+        );
+        let known = if self.plan.members <= 16 {
+            self.plan.members
+        } else {
+            3
+        };
         let seeds = (0..known).map(|node| (name(node), address(node))).collect();
-        self.world.with(node, |member, now, out| member.event(now, Event::Join { seeds }, out));
+        self.world.with(node, |member, now, out| {
+            member.event(now, Event::Join { seeds }, out)
+        });
     }
 
     /// A member leaves and ends.
     pub fn leave(&mut self, node: usize) {
-        self.world.with(node, |member, now, out| member.event(now, Event::Leave, out));
+        self.world.with(node, |member, now, out| {
+            member.event(now, Event::Leave, out)
+        });
         self.world.crash(node);
     }
 
@@ -215,7 +278,9 @@
     /// else alive or suspected.
     pub fn wrong(&self) -> Option<String> {
         for a in 0..self.plan.members {
-            let Some(member) = self.world.machine(a) else { continue };
+            let Some(member) = self.world.machine(a) else {
+                continue;
+            };
             for b in 0..self.plan.members {
                 let held = member.view.peer(&self.names[b]);
                 let said = held.map(|peer| (peer.status, peer.incarnation.0));
@@ -226,11 +291,15 @@
                 if !right {
                     let life = self.lives[b];
                     let runs = self.world.machine(b).is_some();
-                    return Some(format!("{a} holds {b} {said:?}; it runs: {runs}, life {life}"));
+                    return Some(format!(
+                        "{a} holds {b} {said:?}; it runs: {runs}, life {life}"
+                    ));
                 }
             }
-            if let Some(known) =
-                member.view.peers().find(|peer| self.names.binary_search(&peer.name).is_err())
+            if let Some(known) = member
+                .view
+                .peers()
+                .find(|peer| self.names.binary_search(&peer.name).is_err())
             {
                 return Some(format!("{a} knows {}, which does not exist", known.name));
             }
--- a/lab/src/sim/world.rs
+++ b/lab/src/sim/world.rs
@@ -57,9 +57,20 @@
 impl<T: Machine> World<T> {
     /// A world of `nodes` nodes on which nothing runs yet.
     pub fn new(network: Network<T::Message>, nodes: usize) -> World<T> {
-        let node = |_| Node { machine: None, paused: false, held: VecDeque::new(), due: None };
+        let node = |_| Node {
+            machine: None,
+            paused: false,
+            held: VecDeque::new(),
+            due: None,
+        };
         let nodes = (0..nodes).map(node).collect();
-        World { network, now: 0, nodes, due: BTreeSet::new(), notes: Vec::new() }
+        World {
+            network,
+            now: 0,
+            nodes,
+            due: BTreeSet::new(),
+            notes: Vec::new(),
+        }
     }
 
     /// The simulation's time.
@@ -114,15 +125,23 @@
     }
 
     /// Hands something to a running machine from outside.
-    pub fn with(&mut self, node: usize, call: impl FnOnce(&mut T, Micros, &mut Outbox<T::Message, T::Note>)) {
-        let mut out = Outbox { sent: Vec::new(), notes: Vec::new() };
+    pub fn with(
+        &mut self,
+        node: usize,
+        call: impl FnOnce(&mut T, Micros, &mut Outbox<T::Message, T::Note>),
+    ) {
+        let mut out = Outbox {
+            sent: Vec::new(),
+            notes: Vec::new(),
+        };
         if let Some(machine) = self.nodes[node].machine.as_mut() {
             call(machine, self.now, &mut out);
         }
         for sent in out.sent {
             self.network.send(self.now, node, sent);
         }
-        self.notes.extend(out.notes.into_iter().map(|note| (self.now, node, note)));
+        self.notes
+            .extend(out.notes.into_iter().map(|note| (self.now, node, note)));
         self.schedule(node);
     }
 
@@ -160,7 +179,9 @@
             return;
         }
         let Arrived { from, to, message } = arrived;
-        self.with(to, |machine, now, out| machine.receive(now, from, message, out));
+        self.with(to, |machine, now, out| {
+            machine.receive(now, from, message, out)
+        });
     }
 
     fn schedule(&mut self, node: usize) {
--- a/lab/src/sim_sites/hosts.rs
+++ b/lab/src/sim_sites/hosts.rs
@@ -80,7 +80,9 @@
 
     /// The part of its capacity that it has now.
     pub fn warmth(&self, now: Micros) -> f64 {
-        let Some(started) = self.started else { return 1.0 };
+        let Some(started) = self.started else {
+            return 1.0;
+        };
         (COLD_FROM + (1.0 - COLD_FROM) * now.saturating_sub(started) as f64 / COLD as f64).min(1.0)
     }
 
@@ -116,7 +118,9 @@
         } else if self.reads {
             (self.sent_sum / (self.can * FALL as f64 / 1e6)).min(3.0)
         } else {
-            (self.running + self.waiting.len()) as f64 / self.slots as f64 / self.warmth(now).max(0.01)
+            (self.running + self.waiting.len()) as f64
+                / self.slots as f64
+                / self.warmth(now).max(0.01)
         }
     }
 
--- a/lab/src/sim_sites/mod.rs
+++ b/lab/src/sim_sites/mod.rs
@@ -52,7 +52,15 @@
     /// 18 conductors and 30 hosts at 3 sites.
     pub fn small(seed: u64) -> Self {
         let large = Day::large(seed);
-        Day { sites: 3, conductors: 6, readers: 4, lost_at: 15, back_at: 40, end: 100, ..large }
+        Day {
+            sites: 3,
+            conductors: 6,
+            readers: 4,
+            lost_at: 15,
+            back_at: 40,
+            end: 100,
+            ..large
+        }
     }
 
     /// The fleet's tables.
@@ -79,9 +87,15 @@
             worth: Some(worth),
         };
         let size = f64::from(self.readers) / 8.0 * self.demand;
-        let rows =
-            [("explain", "acme", 18.0), ("explain", "", 22.0), ("send", "acme", 10.0), ("send", "", 20.0)];
-        let rows = rows.into_iter().chain([("digest", "bolt", 15.0), ("digest", "", 10.0)]);
+        let rows = [
+            ("explain", "acme", 18.0),
+            ("explain", "", 22.0),
+            ("send", "acme", 10.0),
+            ("send", "", 20.0),
+        ];
+        let rows = rows
+            .into_iter()
+            .chain([("digest", "bolt", 15.0), ("digest", "", 10.0)]);
         let mut demand = Vec::new();
         for (class, tenant, per_s) in rows {
             demand.extend((0..self.sites).map(|s| Demand {
@@ -100,13 +114,26 @@
             watch: WatchSettings::default(),
             ramp: RampSettings::default(),
             site: (0..self.sites)
-                .map(|s| Site { name: name(s), conductors: self.conductors, falls_to: Default::default() })
+                .map(|s| Site {
+                    name: name(s),
+                    conductors: self.conductors,
+                    falls_to: Default::default(),
+                })
                 .collect(),
             hosts: (0..self.sites)
-                .flat_map(|s| [host(s, "read", self.readers), host(s, "write", self.readers * 3 / 2)])
+                .flat_map(|s| {
+                    [
+                        host(s, "read", self.readers),
+                        host(s, "write", self.readers * 3 / 2),
+                    ]
+                })
                 .collect(),
             links: pairs
-                .map(|(a, b)| Link { between: [name(a), name(b)], tokens_per_s: 100_000.0, delay_ms: 1.5 })
+                .map(|(a, b)| Link {
+                    between: [name(a), name(b)],
+                    tokens_per_s: 100_000.0,
+                    delay_ms: 1.5,
+                })
                 .collect(),
             classes: vec![
                 class("explain", 3_000.0, 0.7, 150.0, 3.0),
@@ -114,7 +141,10 @@
                 class("digest", 2_500.0, 0.5, 200.0, 1.0),
             ],
             tenants: [("acme", 60.0), ("bolt", 20.0)]
-                .map(|(name, per_s)| Tenant { name: name.into(), guaranteed_per_s: per_s * size })
+                .map(|(name, per_s)| Tenant {
+                    name: name.into(),
+                    guaranteed_per_s: per_s * size,
+                })
                 .to_vec(),
             demand,
         };
--- a/lab/src/sim_sites/run.rs
+++ b/lab/src/sim_sites/run.rs
@@ -76,7 +76,11 @@
 impl Outcome {
     /// Worth served over worth asked between two seconds.
     pub fn part(&self, from: u64, to: u64) -> f64 {
-        let of = self.seconds.iter().skip(from as usize).take(to.saturating_sub(from) as usize);
+        let of = self
+            .seconds
+            .iter()
+            .skip(from as usize)
+            .take(to.saturating_sub(from) as usize);
         let (asked, served) = of.fold((0.0, 0.0), |(a, s), v| (a + v.asked, s + v.served));
         if asked > 0.0 { served / asked } else { 0.0 }
     }
@@ -194,7 +198,11 @@
             let site = fleet.site(&rows.site).unwrap_or(0);
             let reads = rows.kind == "read";
             let slots = rows.slots as usize;
-            let can = if reads { rows.tokens_per_s } else { f64::from(rows.slots) * 1e3 / rows.token_ms };
+            let can = if reads {
+                rows.tokens_per_s
+            } else {
+                f64::from(rows.slots) * 1e3 / rows.token_ms
+            };
             for _ in 0..rows.count {
                 by_site[site][usize::from(!reads)].push(hosts.len());
                 hosts.push(Host::new(site, reads, can, slots, rows.memory_tokens));
@@ -214,7 +222,12 @@
         let mut demand = Vec::new();
         for (c, tenants) in fleet.demand.iter().enumerate() {
             for (t, by_site) in tenants.iter().enumerate() {
-                demand.extend(by_site.iter().enumerate().map(|(s, per_s)| (c, t, s, *per_s)));
+                demand.extend(
+                    by_site
+                        .iter()
+                        .enumerate()
+                        .map(|(s, per_s)| (c, t, s, *per_s)),
+                );
             }
         }
         Ok(World {
@@ -226,7 +239,9 @@
             events: Vec::new(),
             free: Vec::new(),
             seq: 0,
-            conductors: (0..day.sites * day.conductors as usize).map(conductor).collect(),
+            conductors: (0..day.sites * day.conductors as usize)
+                .map(conductor)
+                .collect(),
             hosts,
             by_site,
             requests: Vec::new(),
@@ -273,8 +288,21 @@
             self.member(i, Event::Table(table.clone()));
             for site in 0..self.day.sites {
                 let of = self.day.conductors;
-                self.member(i, Event::Seen(watch::Event::Conductors { site, alive: of, of }));
-                self.member(i, Event::Seen(watch::Event::Host { site, reached: true }));
+                self.member(
+                    i,
+                    Event::Seen(watch::Event::Conductors {
+                        site,
+                        alive: of,
+                        of,
+                    }),
+                );
+                self.member(
+                    i,
+                    Event::Seen(watch::Event::Host {
+                        site,
+                        reached: true,
+                    }),
+                );
             }
         }
         // The leader, at a site that stays.
@@ -289,7 +317,9 @@
         }
         let mut actions = Vec::new();
         let now = self.now;
-        self.conductors[i].member.handle(&mut self.plans, now, event, &mut actions);
+        self.conductors[i]
+            .member
+            .handle(&mut self.plans, now, event, &mut actions);
         for action in actions {
             match action {
                 Action::Propose(command) => self.at(now + COMMIT, Ev::Commit(i, command)),
@@ -299,7 +329,10 @@
                     let host = hosts[self.rng.random_range(0..hosts.len())];
                     let reached = self.hosts[host].up;
                     let seen = watch::Event::Host { site, reached };
-                    self.at(now + if reached { 3 * MS } else { 250 * MS }, Ev::Seen(i, seen));
+                    self.at(
+                        now + if reached { 3 * MS } else { 250 * MS },
+                        Ev::Seen(i, seen),
+                    );
                 }
                 Action::Changed(_) | Action::NoPlan(_) => {}
             }
@@ -338,9 +371,14 @@
             Ev::Listed(site, there) => {
                 self.listed[site] = there;
                 let of = self.by_site[site].iter().map(Vec::len).sum::<usize>() as u32;
-                let seen = watch::Event::Listed { site, ready: if there { of } else { 0 }, of };
+                let seen = watch::Event::Listed {
+                    site,
+                    ready: if there { of } else { 0 },
+                    of,
+                };
                 if self.rule == Rule::Plan {
-                    (0..self.conductors.len()).for_each(|i| self.member(i, Event::Seen(seen.clone())));
+                    (0..self.conductors.len())
+                        .for_each(|i| self.member(i, Event::Seen(seen.clone())));
                 }
             }
             Ev::Back(host, life) => {
@@ -364,9 +402,12 @@
         self.table.apply(command, &mut effects);
         let at = self.now as f64 / 1e6;
         let changed = effects.iter().all(|e| !matches!(e, Effect::Refused(_)));
-        self.out
-            .agreed
-            .extend(effects.into_iter().filter(|e| !matches!(e, Effect::Refused(_))).map(|e| (at, e)));
+        self.out.agreed.extend(
+            effects
+                .into_iter()
+                .filter(|e| !matches!(e, Effect::Refused(_)))
+                .map(|e| (at, e)),
+        );
         if changed || self.table.epoch() != epoch {
             for i in 0..self.conductors.len() {
                 let table = Box::new(self.table.clone());
@@ -384,14 +425,22 @@
         for host in self.hosts.iter_mut().filter(|h| h.site == 0) {
             host.stop();
         }
-        self.conductors.iter_mut().filter(|c| c.site == 0).for_each(|c| c.up = false);
+        self.conductors
+            .iter_mut()
+            .filter(|c| c.site == 0)
+            .for_each(|c| c.up = false);
         self.everyone_sees(0, DEATH, false);
     }
 
     fn bring_back(&mut self) {
         self.lost = false;
         self.kept.retain(|(_, reader), _| *reader != 0);
-        for host in self.by_site[0].iter().flatten().copied().collect::<Vec<_>>() {
+        for host in self.by_site[0]
+            .iter()
+            .flatten()
+            .copied()
+            .collect::<Vec<_>>()
+        {
             let (life, wait) = (self.hosts[host].life, self.rng.random_range(0..S));
             self.at(self.now + wait, Ev::Back(host, life));
         }
@@ -419,7 +468,11 @@
         }
         let of = self.day.conductors;
         for i in 0..self.conductors.len() {
-            let seen = watch::Event::Conductors { site, alive: if there { of } else { 0 }, of };
+            let seen = watch::Event::Conductors {
+                site,
+                alive: if there { of } else { 0 },
+                of,
+            };
             self.later(after, Ev::Seen(i, seen));
         }
     }
@@ -432,7 +485,9 @@
             drawn -= d.3;
             drawn <= 0.0
         });
-        let Some((class, tenant, home, _)) = row.or(self.demand.last()).copied() else { return };
+        let Some((class, tenant, home, _)) = row.or(self.demand.last()).copied() else {
+            return;
+        };
         let request = Request {
             class,
             tenant,
@@ -472,14 +527,20 @@
         if home == 0 && self.lost {
             site = 1 + self.rng.random_range(0..self.day.sites - 1);
         }
-        let conductor =
-            site * self.day.conductors as usize + self.rng.random_range(0..self.day.conductors as usize);
+        let conductor = site * self.day.conductors as usize
+            + self.rng.random_range(0..self.day.conductors as usize);
         let r = &mut self.requests[id as usize];
         r.conductor = conductor;
         if self.rule == Rule::Plan {
             let (class, tenant, key) = (r.class, r.tenant, r.key.to_le_bytes());
-            let door = self.conductors[conductor].gate.ask(now, class, tenant, &key, false);
-            if let Door::Refuse { retry_after, by_level } = door {
+            let door = self.conductors[conductor]
+                .gate
+                .ask(now, class, tenant, &key, false);
+            if let Door::Refuse {
+                retry_after,
+                by_level,
+            } = door
+            {
                 self.count_order(id, by_level);
                 self.refused(id, retry_after);
                 return;
@@ -496,11 +557,15 @@
         let fleet = self.plans.fleet();
         let takes = |c: usize| {
             let class = &fleet.tables.classes[c];
-            [class.prompt_tokens * (1.0 - class.kept), class.answer_tokens]
+            [
+                class.prompt_tokens * (1.0 - class.kept),
+                class.answer_tokens,
+            ]
         };
         let [reads, writes] = takes(r.class);
-        let no_better =
-            |c: usize| fleet.worth[c] < fleet.worth[r.class] && takes(c)[0] >= reads && takes(c)[1] >= writes;
+        let no_better = |c: usize| {
+            fleet.worth[c] < fleet.worth[r.class] && takes(c)[0] >= reads && takes(c)[1] >= writes
+        };
         let taken_more = |c: usize| orders.levels[c][0] > orders.levels[r.class][0];
         let untidy = (0..fleet.classes()).any(|c| no_better(c) && taken_more(c));
         self.out.out_of_order += u32::from(by_level && untidy);
@@ -543,7 +608,10 @@
             Rule::Plan => {
                 let mut key = r.key.to_le_bytes().to_vec();
                 key.push(attempts as u8);
-                let way = self.conductors[r.conductor].gate.orders().way(r.class, &key);
+                let way = self.conductors[r.conductor]
+                    .gate
+                    .orders()
+                    .way(r.class, &key);
                 way.map(|w| (w.reader, w.writer))
             }
             Rule::Near if attempts == 0 => Some((own, own)),
@@ -554,7 +622,11 @@
                 }
                 let mut draw = || open[self.rng.random_range(0..open.len())];
                 let site = draw();
-                Some(if self.rule == Rule::Even { (site, draw()) } else { (site, site) })
+                Some(if self.rule == Rule::Even {
+                    (site, draw())
+                } else {
+                    (site, site)
+                })
             }
         }
     }
@@ -632,13 +704,20 @@
         let reached = !matches!(said, Said::Silent | Said::Fell);
         if reached {
             let refused = u32::from(said == Said::Full);
-            let measured = Measured { outcomes: refused, late: 0, refused };
+            let measured = Measured {
+                outcomes: refused,
+                late: 0,
+                refused,
+            };
             self.member(conductor, Event::Seen(watch::Event::Host { site, reached }));
             if refused > 0 {
                 self.member(conductor, Event::Measured { site, measured });
             }
         } else {
-            self.at(self.now + 250 * MS, Ev::Seen(conductor, watch::Event::Host { site, reached }));
+            self.at(
+                self.now + 250 * MS,
+                Ev::Seen(conductor, watch::Event::Host { site, reached }),
+            );
         }
     }
 
@@ -708,7 +787,11 @@
         r.may_have_run = true;
         let far = r.way.is_some_and(|(reading, writing)| reading != writing);
         let prompt = self.plans.fleet().tables.classes[r.class].prompt_tokens;
-        let takes = if far { prompt / 100_000.0 } else { prompt / 300_000.0 };
+        let takes = if far {
+            prompt / 100_000.0
+        } else {
+            prompt / 300_000.0
+        };
         let (life, since, class) = (self.hosts[host].life, r.asked, r.class);
         let tokens = self.answer(class).0;
         let first = self.now + (takes * 1e6) as Micros + 50 * MS;
@@ -730,7 +813,8 @@
             return;
         }
         r.done = true;
-        let (waited, asked, class, conductor) = (self.now - since, r.first_asked, r.class, r.conductor);
+        let (waited, asked, class, conductor) =
+            (self.now - since, r.first_asked, r.class, r.conductor);
         let site = self.hosts[host].site;
         let part = if waited <= AIM { 1.0 } else { LATE };
         let worth = self.plans.fleet().worth[class] * part;
@@ -741,7 +825,11 @@
             s.first[site].push(waited as f64 / 1e6);
         }
         if self.rule == Rule::Plan {
-            let measured = Measured { outcomes: 1, late: u32::from(waited > AIM), refused: 0 };
+            let measured = Measured {
+                outcomes: 1,
+                late: u32::from(waited > AIM),
+                refused: 0,
+            };
             self.member(conductor, Event::Measured { site, measured });
         }
     }
@@ -754,7 +842,9 @@
         self.hosts[host].running -= 1;
         self.hosts[host].held -= memory;
         loop {
-            let classes: Vec<f64> = (0..self.plans.fleet().classes()).map(|c| self.answer(c).1).collect();
+            let classes: Vec<f64> = (0..self.plans.fleet().classes())
+                .map(|c| self.answer(c).1)
+                .collect();
             let requests = &self.requests;
             let next = self.hosts[host].next(self.now, |id| classes[requests[id as usize].class]);
             let Some(next) = next else { return };
@@ -775,11 +865,20 @@
         let (sites, classes) = (self.day.sites, self.plans.fleet().classes());
         let load = |site: usize, stage: usize| {
             let hosts = &self.by_site[site][stage];
-            hosts.iter().map(|h| self.hosts[*h].load(self.now)).sum::<f64>() / hosts.len().max(1) as f64
+            hosts
+                .iter()
+                .map(|h| self.hosts[*h].load(self.now))
+                .sum::<f64>()
+                / hosts.len().max(1) as f64
         };
         let load = (0..sites).map(|s| [load(s, 0), load(s, 1)]).collect();
         let first = vec![Vec::new(); sites];
-        self.out.seconds.push(Second { refused: vec![0; classes], load, first, ..Second::default() });
+        self.out.seconds.push(Second {
+            refused: vec![0; classes],
+            load,
+            first,
+            ..Second::default()
+        });
         self.at(self.now + S, Ev::Second);
     }
 }
--- a/lab/src/soak/invariants.rs
+++ b/lab/src/soak/invariants.rs
@@ -57,7 +57,14 @@
 
 impl fmt::Display for Outcome {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let Outcome { asked, served, held, longest_held_ms, releases_behind_sends, .. } = self;
+        let Outcome {
+            asked,
+            served,
+            held,
+            longest_held_ms,
+            releases_behind_sends,
+            ..
+        } = self;
         write!(
             f,
             "{asked} asked, {served} served, {held} states held for {longest_held_ms} ms at most, \
@@ -93,10 +100,14 @@
         let mut outcome = Outcome::default();
         let asked = requests(records);
         outcome.asked = asked.len();
-        outcome.served =
-            asked.values().filter(|a| a.answered.is_some_and(|(_, status)| status == 200)).count();
-        outcome.releases_behind_sends =
-            records.iter().filter(|r| r.text("line").contains("its send is not answered yet")).count();
+        outcome.served = asked
+            .values()
+            .filter(|a| a.answered.is_some_and(|(_, status)| status == 200))
+            .count();
+        outcome.releases_behind_sends = records
+            .iter()
+            .filter(|r| r.text("line").contains("its send is not answered yet"))
+            .count();
         self.check_answers(records, &asked, &mut outcome);
         self.check_held(records, &asked, &mut outcome);
         check_runs(records, &asked, &mut outcome);
@@ -105,10 +116,17 @@
     }
 
     /// Each request has its final answer in time, unless its conductor was killed or could not be reached.
-    fn check_answers(&self, records: &[Record], asked: &BTreeMap<&str, Asked>, outcome: &mut Outcome) {
+    fn check_answers(
+        &self,
+        records: &[Record],
+        asked: &BTreeMap<&str, Asked>,
+        outcome: &mut Outcome,
+    ) {
         let ends = ends_of_conductors(records);
         for (id, request) in asked {
-            let Some((at, status)) = request.answered else { continue };
+            let Some((at, status)) = request.answered else {
+                continue;
+            };
             let until = request.deadline_us + ANSWER_SLACK;
             let late_by = between(&self.lateness, request.at_us, at) + HELD_UP;
             let is_restarting = ends.iter().any(|(name, from, to)| {
@@ -117,10 +135,16 @@
                     && *to + MILLISECOND * 100 >= request.at_us
             });
             if status == 0 && !is_restarting {
-                outcome.broken.push(format!("{id} got no answer of {}", request.conductor));
+                outcome
+                    .broken
+                    .push(format!("{id} got no answer of {}", request.conductor));
             }
-            if self.judges_times && matches!(status, 429 | 502 | 503 | 504) && at > until + late_by {
-                outcome.broken.push(format!("{id} was answered {} ms late", (at - until) / MILLISECOND));
+            if self.judges_times && matches!(status, 429 | 502 | 503 | 504) && at > until + late_by
+            {
+                outcome.broken.push(format!(
+                    "{id} was answered {} ms late",
+                    (at - until) / MILLISECOND
+                ));
             }
         }
     }
@@ -139,17 +163,31 @@
                     let host = record.source.trim_start_matches("host/");
                     let answered = asked.get(record.text("id")).and_then(|a| a.answered);
                     let is_late = answered.is_some_and(|(at, _)| at <= record.at_us);
-                    let needed = if is_late { LATE_ASKED_WITHIN } else { ANSWER_ARRIVES_WITHIN };
+                    let needed = if is_late {
+                        LATE_ASKED_WITHIN
+                    } else {
+                        ANSWER_ARRIVES_WITHIN
+                    };
                     let was_reader_reachable =
                         !unreachable.is(host) && !falls_silent(records, host, record.at_us, needed);
-                    let state = Held { at_us: record.at_us, was_reader_reachable };
+                    let state = Held {
+                        at_us: record.at_us,
+                        was_reader_reachable,
+                    };
                     held.insert(record.text("id").to_owned(), state);
                 }
                 "state.taken" | "state.released" => {
                     if let Some(mut state) = held.remove(record.text("id")) {
                         // Where no host could be heard there was nobody to take it or to release it.
                         state.at_us = state.at_us.max(unreachable.last_all_us.min(record.at_us));
-                        self.check_one(record.text("id"), &state, record.at_us, asked, &ends, outcome);
+                        self.check_one(
+                            record.text("id"),
+                            &state,
+                            record.at_us,
+                            asked,
+                            &ends,
+                            outcome,
+                        );
                     }
                 }
                 "host.killed" | "host.fell" => {
@@ -164,11 +202,19 @@
         }
         for (id, state) in held {
             let conductor = asked.get(id.as_str()).map_or("", |a| a.conductor);
-            let died = ends.iter().any(|(name, _, to)| *name == conductor && *to >= state.at_us);
+            let died = ends
+                .iter()
+                .any(|(name, _, to)| *name == conductor && *to >= state.at_us);
             if !died {
-                let host = if state.was_reader_reachable { "" } else { ", its reader was silent" };
+                let host = if state.was_reader_reachable {
+                    ""
+                } else {
+                    ", its reader was silent"
+                };
                 let ms = last_us.saturating_sub(state.at_us) / MILLISECOND;
-                outcome.broken.push(format!("{id} was held to the end, for {ms} ms{host}"));
+                outcome
+                    .broken
+                    .push(format!("{id} was held to the end, for {ms} ms{host}"));
             }
         }
     }
@@ -185,7 +231,9 @@
         let conductor = asked.get(id).map_or("", |a| a.conductor);
         // What a dead conductor left is freed by whoever asks again, or by its hosts.
         let sent_us = asked.get(id).map_or(state.at_us, |a| a.at_us);
-        let died = ends.iter().any(|(name, from, to)| name == conductor && *from <= at_us && *to >= sent_us);
+        let died = ends
+            .iter()
+            .any(|(name, from, to)| name == conductor && *from <= at_us && *to >= sent_us);
         if !state.was_reader_reachable || died {
             return;
         }
@@ -197,16 +245,22 @@
         let held_up = if was_stopped { HELD_UP } else { 0 };
         let allowed = HELD_LIMIT + held_up + between(&self.lateness, state.at_us, at_us);
         if self.judges_times && time > allowed {
-            outcome.broken.push(format!("{id} was held for {} ms", time / MILLISECOND));
+            outcome
+                .broken
+                .push(format!("{id} was held for {} ms", time / MILLISECOND));
         }
     }
 }
 
 /// Whether a fault on a host begins within some time of a moment.
 fn falls_silent(records: &[Record], host: &str, at_us: u64, within_us: u64) -> bool {
-    let begins = |r: &&Record| r.event == "soak.begin" && r.at_us >= at_us && r.at_us <= at_us + within_us;
+    let begins =
+        |r: &&Record| r.event == "soak.begin" && r.at_us >= at_us && r.at_us <= at_us + within_us;
     let quoted = format!("\"{host}\"");
-    records.iter().filter(begins).any(|r| r.text("fault").contains(&quoted))
+    records
+        .iter()
+        .filter(begins)
+        .any(|r| r.text("fault").contains(&quoted))
 }
 
 /// Hosts that some conductor can't hear now, by the faults noted.
@@ -233,18 +287,29 @@
             _ => return,
         };
         let fault = record.text("fault");
-        if !["Silence", "SilentWay", "Slow"].iter().any(|kind| fault.starts_with(kind)) {
+        if !["Silence", "SilentWay", "Slow"]
+            .iter()
+            .any(|kind| fault.starts_with(kind))
+        {
             return;
         }
-        for host in fault.split('"').filter(|part| part.starts_with("reader-") || part.starts_with("writer-"))
+        for host in fault
+            .split('"')
+            .filter(|part| part.starts_with("reader-") || part.starts_with("writer-"))
         {
             let count = self.counts.entry(host.to_owned()).or_default();
-            *count = if begins { *count + 1 } else { count.saturating_sub(1) };
+            *count = if begins {
+                *count + 1
+            } else {
+                count.saturating_sub(1)
+            };
         }
     }
 
     fn take_life(&mut self, record: &Record) {
-        let Some(host) = record.source.strip_prefix("host/") else { return };
+        let Some(host) = record.source.strip_prefix("host/") else {
+            return;
+        };
         match record.event.as_str() {
             "host.started" => {
                 self.hosts.insert(host.to_owned());
@@ -260,7 +325,11 @@
     }
 
     fn is_all(&self) -> bool {
-        !self.hosts.is_empty() && self.hosts.iter().all(|host| self.dead.contains(host) || self.is(host))
+        !self.hosts.is_empty()
+            && self
+                .hosts
+                .iter()
+                .all(|host| self.dead.contains(host) || self.is(host))
     }
 }
 
@@ -307,7 +376,10 @@
             _ => {}
         }
     }
-    ends.extend(down.into_iter().map(|(name, from)| (name.to_owned(), from, u64::MAX / 2)));
+    ends.extend(
+        down.into_iter()
+            .map(|(name, from)| (name.to_owned(), from, u64::MAX / 2)),
+    );
     ends
 }
 
@@ -320,7 +392,9 @@
     let unsafe_requests = asked.iter().filter(|(_, request)| request.class == "send");
     for (id, request) in unsafe_requests {
         let count = runs.get(id).copied().unwrap_or(0);
-        let is_refused = request.answered.is_some_and(|(_, status)| matches!(status, 429 | 503));
+        let is_refused = request
+            .answered
+            .is_some_and(|(_, status)| matches!(status, 429 | 503));
         if count > 1 {
             outcome.broken.push(format!("{id} ran {count} times"));
         }
@@ -358,12 +432,16 @@
 /// When conductors were stopped for a moment.
 pub fn stops(records: &[Record]) -> Vec<(String, u64)> {
     let stops = records.iter().filter(|r| r.event == "fault.stop");
-    stops.map(|r| (r.text("member").to_owned(), r.at_us)).collect()
+    stops
+        .map(|r| (r.text("member").to_owned(), r.at_us))
+        .collect()
 }
 
 /// A counter in the line that a conductor prints at its end.
 fn count(line: &str, name: &str) -> u64 {
-    let found = line.split(' ').find_map(|part| part.strip_prefix(name)?.strip_prefix('='));
+    let found = line
+        .split(' ')
+        .find_map(|part| part.strip_prefix(name)?.strip_prefix('='));
     found.and_then(|number| number.parse().ok()).unwrap_or(0)
 }
 
--- a/lab/src/soak/invariants/tests.rs
+++ b/lab/src/soak/invariants/tests.rs
@@ -3,8 +3,16 @@
 use serde_json::{Value, json};
 
 fn record(at_ms: u64, source: &str, event: &str, fields: Value) -> Record {
-    let Value::Object(fields) = fields else { panic!("an object") };
-    Record { order: 0, at_us: at_ms * MILLISECOND, source: source.into(), event: event.into(), fields }
+    let Value::Object(fields) = fields else {
+        panic!("an object")
+    };
+    Record {
+        order: 0,
+        at_us: at_ms * MILLISECOND,
+        source: source.into(),
+        event: event.into(),
+        fields,
+    }
 }
 
 fn asked(class: &str) -> Record {
@@ -17,7 +25,12 @@
 }
 
 fn answered(at_ms: u64, status: u64) -> Record {
-    record(at_ms, "client", "client.platform", json!({ "name": "r", "at": "c1", "status": status }))
+    record(
+        at_ms,
+        "client",
+        "client.platform",
+        json!({ "name": "r", "at": "c1", "status": status }),
+    )
 }
 
 fn host(at_ms: u64, event: &str) -> Record {
@@ -25,8 +38,13 @@
 }
 
 fn judge(records: &[Record]) -> Outcome {
-    Rules { lateness: Vec::new(), failed_exits: Vec::new(), stops: Vec::new(), judges_times: true }
-        .judge(records)
+    Rules {
+        lateness: Vec::new(),
+        failed_exits: Vec::new(),
+        stops: Vec::new(),
+        judges_times: true,
+    }
+    .judge(records)
 }
 
 /// Guards against an oracle that lets a broken history pass.
@@ -83,18 +101,45 @@
 
 #[test]
 fn a_machine_that_ran_late_gives_that_much_more_time() {
-    let late = Late { at_us: 800 * MILLISECOND, by_us: 900 * MILLISECOND };
-    let rules =
-        Rules { lateness: vec![late], failed_exits: Vec::new(), stops: Vec::new(), judges_times: true };
-    let all = [asked("send"), host(10, "state.held"), host(1_500, "state.released")];
+    let late = Late {
+        at_us: 800 * MILLISECOND,
+        by_us: 900 * MILLISECOND,
+    };
+    let rules = Rules {
+        lateness: vec![late],
+        failed_exits: Vec::new(),
+        stops: Vec::new(),
+        judges_times: true,
+    };
+    let all = [
+        asked("send"),
+        host(10, "state.held"),
+        host(1_500, "state.released"),
+    ];
     assert!(rules.judge(&all).is_kept());
 }
 
 /// Guards against a verdict of the machine's load: without times, only what never happened is broken.
 #[test]
 fn without_times_a_late_release_is_not_judged_and_a_missing_one_is() {
-    let rules =
-        Rules { lateness: Vec::new(), failed_exits: Vec::new(), stops: Vec::new(), judges_times: false };
-    assert!(rules.judge(&[asked("send"), host(10, "state.held"), host(5_000, "state.released")]).is_kept());
-    assert!(!rules.judge(&[asked("send"), host(10, "state.held"), answered(5_000, 502)]).is_kept());
+    let rules = Rules {
+        lateness: Vec::new(),
+        failed_exits: Vec::new(),
+        stops: Vec::new(),
+        judges_times: false,
+    };
+    assert!(
+        rules
+            .judge(&[
+                asked("send"),
+                host(10, "state.held"),
+                host(5_000, "state.released")
+            ])
+            .is_kept()
+    );
+    assert!(
+        !rules
+            .judge(&[asked("send"), host(10, "state.held"), answered(5_000, 502)])
+            .is_kept()
+    );
 }
--- a/lab/src/soak/lateness.rs
+++ b/lab/src/soak/lateness.rs
@@ -39,7 +39,10 @@
                 std::thread::sleep(EVERY);
                 let by = due.elapsed();
                 if by > USUAL {
-                    all.push(Late { at_us: unix_micros(), by_us: by.as_micros() as u64 });
+                    all.push(Late {
+                        at_us: unix_micros(),
+                        by_us: by.as_micros() as u64,
+                    });
                 }
             }
             all
--- a/lab/src/soak/load.rs
+++ b/lab/src/soak/load.rs
@@ -24,7 +24,8 @@
         let stop = Arc::new(AtomicBool::new(false));
         let threads = (0..CLIENTS).map(|number| {
             let (client, stop) = (client.clone(), stop.clone());
-            let mut random = ChaCha8Rng::seed_from_u64(seed.wrapping_mul(1_000).wrapping_add(number));
+            let mut random =
+                ChaCha8Rng::seed_from_u64(seed.wrapping_mul(1_000).wrapping_add(number));
             std::thread::spawn(move || {
                 let mut count = 0;
                 while !stop.load(Ordering::Relaxed) {
@@ -48,9 +49,20 @@
 }
 
 fn ask_once(client: &Client, id: &str, random: &mut ChaCha8Rng) {
-    let plan = Plan { name: id.to_owned(), words: random.random_range(5..60), calls: 0 };
+    let plan = Plan {
+        name: id.to_owned(),
+        words: random.random_range(5..60),
+        calls: 0,
+    };
     let class = if random.random() { "send" } else { "explain" };
     let deadline = Duration::from_millis(random.random_range(900..3_000));
     let at = random.random_range(0..client.conductors.len());
-    client.platform(at, &Ask { plan, class: class.to_owned(), deadline });
+    client.platform(
+        at,
+        &Ask {
+            plan,
+            class: class.to_owned(),
+            deadline,
+        },
+    );
 }
--- a/lab/src/soak/mod.rs
+++ b/lab/src/soak/mod.rs
@@ -61,7 +61,11 @@
 
 impl fmt::Display for Round {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "seed {}: {} faults, {}", self.seed, self.faults, self.outcome)
+        write!(
+            f,
+            "seed {}: {} faults, {}",
+            self.seed, self.faults, self.outcome
+        )
     }
 }
 
@@ -88,7 +92,10 @@
 
 /// What a conductor is started with so that these system calls of it fail.
 pub fn environment(system_calls: &str) -> Vec<(&'static str, OsString)> {
-    vec![("LD_PRELOAD", fault_shim().into()), ("FAULT_SHIM", system_calls.into())]
+    vec![
+        ("LD_PRELOAD", fault_shim().into()),
+        ("FAULT_SHIM", system_calls.into()),
+    ]
 }
 
 /// Plays one round.
@@ -120,17 +127,27 @@
         fleet.history.save(&kept)?;
         log::warn!("seed {seed}: the history is in {}", kept.display());
     }
-    Ok(Round { seed, outcome, faults })
+    Ok(Round {
+        seed,
+        outcome,
+        faults,
+    })
 }
 
 /// Ends all conductors in order, beside each other; the names of those that did not end well.
 fn end_all(fleet: &Fleet) -> Result<Vec<String>, FleetError> {
     std::thread::scope(|scope| {
-        let ends: Vec<_> =
-            fleet.conductors.iter().map(|(name, c)| (name, scope.spawn(|| c.terminate()))).collect();
+        let ends: Vec<_> = fleet
+            .conductors
+            .iter()
+            .map(|(name, c)| (name, scope.spawn(|| c.terminate())))
+            .collect();
         let mut failed = Vec::new();
         for (name, end) in ends {
-            let status = end.join().expect("it only waits").map_err(StartError::Silent)?;
+            let status = end
+                .join()
+                .expect("it only waits")
+                .map_err(StartError::Silent)?;
             if status.is_some_and(|status| !status.success()) {
                 failed.push(name.clone());
             }
--- a/lab/src/soak/schedule.rs
+++ b/lab/src/soak/schedule.rs
@@ -108,7 +108,10 @@
     match random.random_range(0..12) {
         0..=3 => Fault::Silence(draw_silent(random, &hosts)),
         4 => Fault::SilentWay(any_of(random, &conductors), any_of(random, &hosts)),
-        5 => Fault::Slow(any_of(random, &hosts), Duration::from_millis(random.random_range(20..300))),
+        5 => Fault::Slow(
+            any_of(random, &hosts),
+            Duration::from_millis(random.random_range(20..300)),
+        ),
         6 => Fault::HostDies(any_of(random, &hosts)),
         7 => Fault::Drain(any_of(random, &hosts)),
         8 => Fault::Terminate(any_of(random, &conductors)),
@@ -125,20 +128,34 @@
     let mut some: Vec<String> = match random.random_range(0..3) {
         0 => return vec![any_of(random, hosts)],
         1 => hosts.to_vec(),
-        _ => hosts.iter().filter(|h| h.starts_with(role)).cloned().collect(),
+        _ => hosts
+            .iter()
+            .filter(|h| h.starts_with(role))
+            .cloned()
+            .collect(),
     };
     some.shuffle(random);
-    some.truncate(if some.len() == hosts.len() { hosts.len() / 3 } else { some.len() * 4 / 5 });
+    some.truncate(if some.len() == hosts.len() {
+        hosts.len() / 3
+    } else {
+        some.len() * 4 / 5
+    });
     some
 }
 
 fn begin(fault: &Fault, fleet: &Fleet, wall_clock: &WallClock) -> Result<(), FleetError> {
-    fleet.history.note("lab", "soak.begin", json!({ "fault": format!("{fault:?}") }));
+    fleet.history.note(
+        "lab",
+        "soak.begin",
+        json!({ "fault": format!("{fault:?}") }),
+    );
     match fault {
         Fault::Silence(hosts) => hosts.iter().for_each(|host| fleet.network.cut("*", host)),
         Fault::SilentWay(conductor, host) => fleet.network.cut_one_way(conductor, host),
         Fault::Slow(host, delay) => {
-            fleet.network.set_both("*", host, |f| (f.delay, f.jitter) = (*delay, *delay / 2));
+            fleet
+                .network
+                .set_both("*", host, |f| (f.delay, f.jitter) = (*delay, *delay / 2));
         }
         Fault::HostDies(host) => fleet.hosts[host].kill(),
         Fault::Drain(host) => fleet.discovery.set_health(host, "draining"),
@@ -151,15 +168,25 @@
 }
 
 fn end(fault: &Fault, fleet: &Fleet, wall_clock: &WallClock) -> Result<(), FleetError> {
-    fleet.history.note("lab", "soak.end", json!({ "fault": format!("{fault:?}") }));
+    fleet
+        .history
+        .note("lab", "soak.end", json!({ "fault": format!("{fault:?}") }));
     match fault {
         Fault::Silence(hosts) => {
-            hosts.iter().for_each(|host| fleet.network.set_both("*", host, |f| *f = Faults::default()));
+            hosts.iter().for_each(|host| {
+                fleet
+                    .network
+                    .set_both("*", host, |f| *f = Faults::default())
+            });
         }
         Fault::SilentWay(conductor, host) => {
-            fleet.network.set_both(conductor, host, |f| *f = Faults::default());
+            fleet
+                .network
+                .set_both(conductor, host, |f| *f = Faults::default());
         }
-        Fault::Slow(host, _) => fleet.network.set_both("*", host, |f| *f = Faults::default()),
+        Fault::Slow(host, _) => fleet
+            .network
+            .set_both("*", host, |f| *f = Faults::default()),
         Fault::HostDies(host) => {
             if !fleet.hosts[host].is_running() {
                 fleet.hosts[host].restart()?;
--- a/lab/src/steps.rs
+++ b/lab/src/steps.rs
@@ -80,7 +80,12 @@
 
     /// Whether a record is this step of the request `name`.
     pub fn is(self, record: &Record, name: &str) -> bool {
-        let call = || record.text("call").rsplit_once('/').is_some_and(|(request, _)| request == name);
+        let call = || {
+            record
+                .text("call")
+                .rsplit_once('/')
+                .is_some_and(|(request, _)| request == name)
+        };
         record.event == self.event() && (record.text("name") == name || call())
     }
 }
@@ -114,6 +119,8 @@
 
 impl std::fmt::Display for Hits {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        Step::ALL.iter().try_for_each(|step| write!(f, "{step:?} {}, ", self.of(*step)))
+        Step::ALL
+            .iter()
+            .try_for_each(|step| write!(f, "{step:?} {}, ", self.of(*step)))
     }
 }
--- a/lab/src/tools.rs
+++ b/lab/src/tools.rs
@@ -45,8 +45,16 @@
     ///
     /// # Errors
     /// The address is taken.
-    pub fn start(listen: SocketAddr, keeps_keys: bool, history: History) -> std::io::Result<ToolSide> {
-        let shared = Arc::new(Shared { history, keeps_keys, runs: Default::default() });
+    pub fn start(
+        listen: SocketAddr,
+        keeps_keys: bool,
+        history: History,
+    ) -> std::io::Result<ToolSide> {
+        let shared = Arc::new(Shared {
+            history,
+            keeps_keys,
+            runs: Default::default(),
+        });
         let served = shared.clone();
         let peer = Peer::start_at(listen, move |message, conn| answer(&served, message, conn))?;
         Ok(ToolSide { peer, shared })
@@ -96,10 +104,16 @@
     if shared.keeps_keys {
         // A repeat waits for the run it repeats.
         let running = |r: &mut Runs| r.runs.contains_key(id) && !r.kept.contains_key(key);
-        runs = shared.runs.1.wait_while(runs, running).unwrap_or_else(PoisonError::into_inner);
+        runs = shared
+            .runs
+            .1
+            .wait_while(runs, running)
+            .unwrap_or_else(PoisonError::into_inner);
         if let Some(answer) = runs.kept.get(key).cloned() {
             drop(runs);
-            shared.history.note("tool", "tool.repeated", json!({ "call": id }));
+            shared
+                .history
+                .note("tool", "tool.repeated", json!({ "call": id }));
             conn.answer("200 OK", "", &answer);
             return true;
         }
@@ -110,15 +124,34 @@
         *count
     };
     drop(runs);
-    let from = conn.0.peer_addr().map(|a| a.to_string()).unwrap_or_default();
-    shared.history.note("tool", "tool.ran", json!({ "call": id, "execution": execution, "from": from }));
-    drop(shared.runs.1.wait_while(shared.lock(), |r| r.held).unwrap_or_else(PoisonError::into_inner));
-    let answer = json!({ "jsonrpc": "2.0", "id": id, "result": { "said": said(id, execution) } }).to_string();
+    let from = conn
+        .0
+        .peer_addr()
+        .map(|a| a.to_string())
+        .unwrap_or_default();
+    shared.history.note(
+        "tool",
+        "tool.ran",
+        json!({ "call": id, "execution": execution, "from": from }),
+    );
+    drop(
+        shared
+            .runs
+            .1
+            .wait_while(shared.lock(), |r| r.held)
+            .unwrap_or_else(PoisonError::into_inner),
+    );
+    let answer = json!({ "jsonrpc": "2.0", "id": id, "result": { "said": said(id, execution) } })
+        .to_string();
     if shared.keeps_keys {
         shared.lock().kept.insert(key.to_owned(), answer.clone());
         shared.runs.1.notify_all();
     }
-    shared.history.note("tool", "tool.answered", json!({ "call": id, "execution": execution }));
+    shared.history.note(
+        "tool",
+        "tool.answered",
+        json!({ "call": id, "execution": execution }),
+    );
     conn.answer("200 OK", "", &answer);
     true
 }
--- a/lab/tests/checker.rs
+++ b/lab/tests/checker.rs
@@ -6,8 +6,10 @@
 use whinhaven_lab::history::{parse, read};
 
 fn text(name: &str) -> String {
-    let path =
-        Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/histories").join(name).with_extension("jsonl");
+    let path = Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/histories")
+        .join(name)
+        .with_extension("jsonl");
     std::fs::read_to_string(path).unwrap()
 }
 
@@ -21,18 +23,50 @@
 #[case(4, "takeover", 1)]
 #[case(5, "policy", 6)]
 #[case(7, "bounds", 6)]
-fn a_good_history_is_passed_and_was_looked_at(#[case] promise: u8, #[case] name: &str, #[case] checked: u64) {
+fn a_good_history_is_passed_and_was_looked_at(
+    #[case] promise: u8,
+    #[case] name: &str,
+    #[case] checked: u64,
+) {
     let report = report(&text(name));
     assert!(report.is_kept(), "{report}");
-    assert_eq!((report.verdict(promise).checked, report.verdict(promise).open), (checked, 0), "{report}");
+    assert_eq!(
+        (
+            report.verdict(promise).checked,
+            report.verdict(promise).open
+        ),
+        (checked, 0),
+        "{report}"
+    );
 }
 
 /// Each case spoils a good history: a part of the record of that number and of those behind it is replaced, or the
 /// record is left out.
 #[rstest]
-#[case::a_member_is_never_seen(1, "view", 8, "", "", "no agreement in 1000000 us: c1 does not see c2")]
-#[case::a_dead_one_stays_alive(1, "view", 18, "dead", "alive", "c1 sees c3 alive, and it is not running")]
-#[case::a_live_one_stays_dead(1, "view", 25, "\"to\": \"alive\"", "\"to\": \"dead\"", "c1 sees c3 dead")]
+#[case::a_member_is_never_seen(
+    1,
+    "view",
+    8,
+    "",
+    "",
+    "no agreement in 1000000 us: c1 does not see c2"
+)]
+#[case::a_dead_one_stays_alive(
+    1,
+    "view",
+    18,
+    "dead",
+    "alive",
+    "c1 sees c3 alive, and it is not running"
+)]
+#[case::a_live_one_stays_dead(
+    1,
+    "view",
+    25,
+    "\"to\": \"alive\"",
+    "\"to\": \"dead\"",
+    "c1 sees c3 dead"
+)]
 #[case::an_old_life_is_seen(
     1,
     "view",
@@ -41,7 +75,14 @@
     "\"peer_incarnation\": 13",
     "in its life 13"
 )]
-#[case::agreement_comes_late(1, "view", 25, "\"at_us\": 3006000", "\"at_us\": 5000000", "no agreement")]
+#[case::agreement_comes_late(
+    1,
+    "view",
+    25,
+    "\"at_us\": 3006000",
+    "\"at_us\": 5000000",
+    "no agreement"
+)]
 #[case::a_live_one_is_taken_for_dead_later(
     1,
     "view",
@@ -67,7 +108,14 @@
     "\"token\": 5",
     "token 5 was granted to c1@11 and to c2@12"
 )]
-#[case::tokens_fall(2, "lease", 17, "\"token\": 7", "\"token\": 4", "after c2@12 had under 6")]
+#[case::tokens_fall(
+    2,
+    "lease",
+    17,
+    "\"token\": 7",
+    "\"token\": 4",
+    "after c2@12 had under 6"
+)]
 #[case::an_act_without_a_grant(2, "lease", 8, "", "", "never granted to it")]
 #[case::an_act_after_the_release(
     2,
@@ -77,7 +125,14 @@
     "\"source\": \"c2\", \"event\": \"lease.act\", \"incarnation\": 12, \"lease\": \"duty\", \"token\": 6",
     "after it had ended"
 )]
-#[case::an_act_of_the_dead(2, "lease", 2, "life.gained", "life.lost", "c2@12 acted though it may not act")]
+#[case::an_act_of_the_dead(
+    2,
+    "lease",
+    2,
+    "life.gained",
+    "life.lost",
+    "c2@12 acted though it may not act"
+)]
 #[case::an_act_of_one_whose_life_was_ended(
     2,
     "lease",
@@ -127,7 +182,14 @@
     "sent again after it had run"
 )]
 #[case::a_state_that_stays(4, "takeover", 10, "", "", "order-2: its state was held")]
-#[case::no_answer(4, "takeover", 14, "client.final", "client.gave_up", "order-1 has no final answer")]
+#[case::no_answer(
+    4,
+    "takeover",
+    14,
+    "client.final",
+    "client.gave_up",
+    "order-1 has no final answer"
+)]
 #[case::begun_under_the_old_after_the_new(
     5,
     "policy",
@@ -136,7 +198,14 @@
     "\"at_us\": 1010500",
     "c3 began a request under epoch 1 after c1 had begun one under 2"
 )]
-#[case::begun_without_the_epoch(5, "policy", 11, "", "", "c2@12 began a request under epoch 2 and holds 1")]
+#[case::begun_without_the_epoch(
+    5,
+    "policy",
+    11,
+    "",
+    "",
+    "c2@12 began a request under epoch 2 and holds 1"
+)]
 #[case::begun_in_a_new_life_under_the_old(
     5,
     "policy",
@@ -146,7 +215,14 @@
     "c3@23 began a request under epoch 2 and holds 1"
 )]
 #[case::two_contents_of_one_epoch(5, "policy", 11, "bb", "cc", "epoch 2 is bb at c1 and cc at c2")]
-#[case::an_epoch_falls(5, "policy", 15, "\"epoch\": 2", "\"epoch\": 1", "c3@23 went from epoch 1 to 1")]
+#[case::an_epoch_falls(
+    5,
+    "policy",
+    15,
+    "\"epoch\": 2",
+    "\"epoch\": 1",
+    "c3@23 went from epoch 1 to 1"
+)]
 #[case::a_stranger_is_let_in(
     7,
     "bounds",
@@ -172,11 +248,16 @@
     if part.is_empty() {
         lines[order].clear();
     } else {
-        lines[order..].iter_mut().for_each(|line| *line = line.replace(part, spoilt));
+        lines[order..]
+            .iter_mut()
+            .for_each(|line| *line = line.replace(part, spoilt));
     }
     let report = report(&lines.join("\n"));
     let violations = &report.verdict(promise).violations;
-    assert!(violations.iter().any(|v| v.what.contains(wanted)), "{wanted:?} is not in\n{report}");
+    assert!(
+        violations.iter().any(|v| v.what.contains(wanted)),
+        "{wanted:?} is not in\n{report}"
+    );
     assert!(report.unread.is_empty(), "{report}");
 }
 
@@ -193,6 +274,11 @@
 fn the_recorded_double_run_of_conductors_that_share_nothing_is_caught() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/histories/double_run.jsonl");
     let report = check(&read(&path).unwrap(), &Limits::default());
-    let what: Vec<&str> = report.verdict(4).violations.iter().map(|v| v.what.as_str()).collect();
+    let what: Vec<&str> = report
+        .verdict(4)
+        .violations
+        .iter()
+        .map(|v| v.what.as_str())
+        .collect();
     assert_eq!(what, ["tool call order-2/0 ran 2 times"], "{report}");
 }
--- a/lab/tests/group/mod.rs
+++ b/lab/tests/group/mod.rs
@@ -60,7 +60,13 @@
     }
 
     /// State-machine safety: nobody applies something else at the same index.
-    pub fn applies(&mut self, index: Index, term: Term, digest: u64, in_term: Term) -> Result<(), Wrong> {
+    pub fn applies(
+        &mut self,
+        index: Index,
+        term: Term,
+        digest: u64,
+        in_term: Term,
+    ) -> Result<(), Wrong> {
         let first = self.applied.entry(index).or_insert((term, digest, in_term));
         first.2 = first.2.min(in_term);
         if (first.0, first.1) != (term, digest) {
@@ -71,7 +77,11 @@
 }
 
 fn term_at(group: &Group, index: Index) -> Option<Term> {
-    group.entries().iter().find(|e| e.index == index).map(|e| e.term)
+    group
+        .entries()
+        .iter()
+        .find(|e| e.index == index)
+        .map(|e| e.term)
 }
 
 /// Log matching: logs with an entry of the same index and term are the same up to it.
--- a/lab/tests/hosts.rs
+++ b/lab/tests/hosts.rs
@@ -15,7 +15,10 @@
 
 impl Hosts {
     fn new() -> Hosts {
-        Hosts { history: History::new(), states: Arc::default() }
+        Hosts {
+            history: History::new(),
+            states: Arc::default(),
+        }
     }
 
     fn start(&self, role: HostRole, change: impl Fn(&mut HostSettings)) -> Host {
@@ -25,26 +28,45 @@
     }
 
     fn wait(&self, event: &str) -> Record {
-        self.history.wait_for(0, STUCK, |r| r.event == event).unwrap()
+        self.history
+            .wait_for(0, STUCK, |r| r.event == event)
+            .unwrap()
     }
 }
 
 fn send(host: &Host, method: &str, path: &str, id: &str, body: &str) -> TcpStream {
     let mut stream = TcpStream::connect(host.address()).unwrap();
-    let head =
-        format!("{method} {path} HTTP/1.1\r\nx-request-id: {id}\r\ncontent-length: {}\r\n\r\n", body.len());
+    let head = format!(
+        "{method} {path} HTTP/1.1\r\nx-request-id: {id}\r\ncontent-length: {}\r\n\r\n",
+        body.len()
+    );
     stream.write_all((head + body).as_bytes()).unwrap();
     stream
 }
 
 fn ask(host: &Host, id: &str, body: &str) -> Message {
-    Message::read(&mut BufReader::new(send(host, "POST", "/v1/chat/completions", id, body)))
-        .unwrap_or_default()
+    Message::read(&mut BufReader::new(send(
+        host,
+        "POST",
+        "/v1/chat/completions",
+        id,
+        body,
+    )))
+    .unwrap_or_default()
 }
 
 fn release(host: &Host, id: &str) {
-    let stream = send(host, "DELETE", &format!("/internal/reservations/{id}"), "", "");
-    assert_eq!(Message::read(&mut BufReader::new(stream)).unwrap().status(), 204);
+    let stream = send(
+        host,
+        "DELETE",
+        &format!("/internal/reservations/{id}"),
+        "",
+        "",
+    );
+    assert_eq!(
+        Message::read(&mut BufReader::new(stream)).unwrap().status(),
+        204
+    );
 }
 
 #[test]
@@ -52,15 +74,30 @@
     let hosts = Hosts::new();
     let reader = hosts.start(HostRole::Reader, |_| {});
     let writer = hosts.start(HostRole::Writer, |_| {});
-    let plan = Plan { name: "n".into(), words: 4, calls: 0 };
+    let plan = Plan {
+        name: "n".into(),
+        words: 4,
+        calls: 0,
+    };
     let body = format!(r#"{{"messages":[{{"content":"{}"}}]}}"#, plan.prompt());
     let turned_away = ask(&writer, "a", &body);
-    assert_eq!((turned_away.status(), turned_away.header("x-not-run")), (410, Some("1")));
+    assert_eq!(
+        (turned_away.status(), turned_away.header("x-not-run")),
+        (410, Some("1"))
+    );
     assert_eq!(ask(&reader, "a", &body).status(), 202);
     assert_eq!(hosts.states.held(), ["a"]);
     let answer = ask(&writer, "a", &body);
-    let whole = (0..4).all(|w| answer.text().contains(&format!(r#""content":"{}""#, plan.word(w))));
-    assert!(answer.whole && whole && answer.text().ends_with("data: [DONE]\n\n"), "{}", answer.text());
+    let whole = (0..4).all(|w| {
+        answer
+            .text()
+            .contains(&format!(r#""content":"{}""#, plan.word(w)))
+    });
+    assert!(
+        answer.whole && whole && answer.text().ends_with("data: [DONE]\n\n"),
+        "{}",
+        answer.text()
+    );
     assert_eq!(ask(&writer, "a", &body).status(), 410);
     // Whoever is asked lets go, and a state whose reader died is gone.
     ask(&reader, "b", &body);
@@ -77,14 +114,31 @@
 fn a_read_whose_conductor_left_is_held_all_the_same_and_a_release_meanwhile_takes_what_it_leaves() {
     let hosts = Hosts::new();
     let reader = hosts.start(HostRole::Reader, |s| s.tokens_per_s = 100.0);
-    drop(send(&reader, "POST", "/v1/chat/completions", "left", &"x".repeat(80)));
+    drop(send(
+        &reader,
+        "POST",
+        "/v1/chat/completions",
+        "left",
+        &"x".repeat(80),
+    ));
     hosts.wait("state.held");
     assert_eq!(hosts.states.held(), ["left"]);
-    let reading = send(&reader, "POST", "/v1/chat/completions", "freed", &"x".repeat(80));
+    let reading = send(
+        &reader,
+        "POST",
+        "/v1/chat/completions",
+        "freed",
+        &"x".repeat(80),
+    );
     let begun = |r: &Record| r.event == "read.begun" && r.text("id") == "freed";
     hosts.history.wait_for(0, STUCK, begun).unwrap();
     release(&reader, "freed");
-    assert_eq!(Message::read(&mut BufReader::new(reading)).unwrap().status(), 202);
+    assert_eq!(
+        Message::read(&mut BufReader::new(reading))
+            .unwrap()
+            .status(),
+        202
+    );
     assert_eq!(hosts.states.held(), ["left"]);
 }
 
--- a/lab/tests/model_group.rs
+++ b/lab/tests/model_group.rs
@@ -17,7 +17,8 @@
 use std::sync::Arc;
 use std::time::Instant;
 use whinhaven::fleet::group::{
-    Action, Body, Event, Group, HardState, Message, Payload, Restored, Role, Settings, VoterId, Voters, Write,
+    Action, Body, Event, Group, HardState, Message, Payload, Restored, Role, Settings, VoterId,
+    Voters, Write,
 };
 use whinhaven::fleet::{Index, Term};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -148,7 +149,14 @@
         self.nodes.iter().for_each(|n| hasher.write_u64(n.digest));
         self.sent.keys().for_each(|k| hasher.write_u64(*k));
         (&self.ledger, &self.wrong).hash(hasher);
-        let left = [self.proposals, self.crashes, self.empties, self.changes, self.compactions, self.beats];
+        let left = [
+            self.proposals,
+            self.crashes,
+            self.empties,
+            self.changes,
+            self.compactions,
+            self.beats,
+        ];
         hasher.write(&left);
     }
 }
@@ -191,7 +199,17 @@
 
 fn start(i: usize, store: u64, disk: &Restored, most_entries: usize) -> Group {
     let voters = (0..3).map(name).collect();
-    Group::new(VoterId { name: name(i), store }, &voters, settings(most_entries), 0, disk.clone(), 0)
+    Group::new(
+        VoterId {
+            name: name(i),
+            store,
+        },
+        &voters,
+        settings(most_entries),
+        0,
+        disk.clone(),
+        0,
+    )
 }
 
 impl State {
@@ -235,10 +253,23 @@
             What::Stand => {
                 let voted = |j: usize| {
                     let vote_term = Term(node.group.term().0 + 1);
-                    let body = Body::Voted { pre: true, vote_term, granted: true };
+                    let body = Body::Voted {
+                        pre: true,
+                        vote_term,
+                        granted: true,
+                    };
                     let (store, term) = (state.nodes[j].store, node.group.term());
-                    let message = Message { store, to_store: node.store, founded: true, term, body };
-                    Event::Message { from: name(j), message }
+                    let message = Message {
+                        store,
+                        to_store: node.store,
+                        founded: true,
+                        term,
+                        body,
+                    };
+                    Event::Message {
+                        from: name(j),
+                        message,
+                    }
                 };
                 let others = (0..3).filter(|j| *j != i).map(voted);
                 [Event::Tick].into_iter().chain(others).collect()
@@ -246,32 +277,56 @@
             What::Deliver(sent) => {
                 let (from, _, mut message) = (**sent).clone();
                 match &mut message.body {
-                    Body::Vote { last, last_term, .. } if self.flaw == Flaw::AnyLogWins => {
+                    Body::Vote {
+                        last, last_term, ..
+                    } if self.flaw == Flaw::AnyLogWins => {
                         (*last, *last_term) = (Index(99), Term(99));
                     }
-                    Body::Append { before, before_term, .. } if self.flaw == Flaw::AnyEntryBefore => {
+                    Body::Append {
+                        before,
+                        before_term,
+                        ..
+                    } if self.flaw == Flaw::AnyEntryBefore => {
                         let have = node.group.entries().iter().find(|e| e.index == *before);
                         *before_term = have.map_or(*before_term, |e| e.term);
                     }
                     Body::Pledge { granted } if self.flaw == Flaw::PledgesAnew => *granted = true,
                     _ => {}
                 }
-                vec![Event::Message { from: name(from), message }]
+                vec![Event::Message {
+                    from: name(from),
+                    message,
+                }]
             }
-            What::Propose => vec![Event::Propose { payload: vec![state.proposals] }],
+            What::Propose => vec![Event::Propose {
+                payload: vec![state.proposals],
+            }],
             What::Change => {
-                let wanted = if state.changes == self.changes { vec![0, 1] } else { vec![0, 1, 2] };
+                let wanted = if state.changes == self.changes {
+                    vec![0, 1]
+                } else {
+                    vec![0, 1, 2]
+                };
                 vec![Event::ChangeVoters(wanted.into_iter().map(name).collect())]
             }
             What::Compact => {
                 let (index, term, digest) = node.app;
-                let data = [index.0, term.0, digest].iter().flat_map(|n| n.to_le_bytes()).collect();
+                let data = [index.0, term.0, digest]
+                    .iter()
+                    .flat_map(|n| n.to_le_bytes())
+                    .collect();
                 vec![Event::Compact { index, data }]
             }
         }
     }
 
-    fn carry_out(&self, state: &mut State, i: usize, actions: Vec<Action>, lost: Option<usize>) -> bool {
+    fn carry_out(
+        &self,
+        state: &mut State,
+        i: usize,
+        actions: Vec<Action>,
+        lost: Option<usize>,
+    ) -> bool {
         let mut writes = 0;
         for action in actions {
             match action {
@@ -282,8 +337,13 @@
                     writes += 1;
                     match write {
                         Write::Hard(hard) if self.flaw == Flaw::VotesUnwritten => {
-                            let hard = HardState { voted: None, ..hard };
-                            Arc::make_mut(&mut state.nodes[i]).disk.write(Write::Hard(hard));
+                            let hard = HardState {
+                                voted: None,
+                                ..hard
+                            };
+                            Arc::make_mut(&mut state.nodes[i])
+                                .disk
+                                .write(Write::Hard(hard));
                         }
                         Write::Entries { .. } if self.flaw == Flaw::EntriesUnwritten => {}
                         write => Arc::make_mut(&mut state.nodes[i]).disk.write(write),
@@ -291,7 +351,9 @@
                 }
                 Action::Send { to, message } => {
                     let skipped = match &message.body {
-                        Body::Pull { .. } | Body::Pulled { .. } | Body::PulledPart(_) => !self.pulls,
+                        Body::Pull { .. } | Body::Pulled { .. } | Body::PulledPart(_) => {
+                            !self.pulls
+                        }
                         Body::Vote { pre, .. } | Body::Voted { pre, .. } => *pre && !self.pre_votes,
                         _ => false,
                     };
@@ -304,13 +366,15 @@
                     }
                 }
                 Action::Apply(entry) => {
-                    let digest = xxh3_64_with_seed(format!("{entry:?}").as_bytes(), state.nodes[i].app.2);
+                    let digest =
+                        xxh3_64_with_seed(format!("{entry:?}").as_bytes(), state.nodes[i].app.2);
                     Arc::make_mut(&mut state.nodes[i]).app = (entry.index, entry.term, digest);
                     self.applied(state, i);
                 }
                 Action::Restore(snapshot) => {
-                    let n =
-                        |k: usize| u64::from_le_bytes(snapshot.data[k * 8..k * 8 + 8].try_into().unwrap());
+                    let n = |k: usize| {
+                        u64::from_le_bytes(snapshot.data[k * 8..k * 8 + 8].try_into().unwrap())
+                    };
                     Arc::make_mut(&mut state.nodes[i]).app = (Index(n(0)), Term(n(1)), n(2));
                     self.applied(state, i);
                 }
@@ -343,11 +407,17 @@
         let mut digest = 0;
         for entry in node.group.entries() {
             digest = xxh3_64_with_seed(format!("{entry:?}").as_bytes(), digest);
-            let copies = state.nodes.iter().filter(|n| n.disk.entries.contains(entry)).count();
+            let copies = state
+                .nodes
+                .iter()
+                .filter(|n| n.disk.entries.contains(entry))
+                .count();
             if copies < 2 {
                 break;
             }
-            let checked = state.ledger.applies(entry.index, entry.term, digest, node.group.term());
+            let checked = state
+                .ledger
+                .applies(entry.index, entry.term, digest, node.group.term());
             state.wrong = state.wrong.take().or(checked.err());
         }
     }
@@ -391,24 +461,51 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<State> {
-        let voters: BTreeSet<VoterId> =
-            (0..3).map(|i| VoterId { name: name(i), store: i as u64 + 1 }).collect();
+        let voters: BTreeSet<VoterId> = (0..3)
+            .map(|i| VoterId {
+                name: name(i),
+                store: i as u64 + 1,
+            })
+            .collect();
         let wanted = (0..3).map(name).collect();
-        let founded = Voters { wanted, now: voters.clone(), founders: voters };
+        let founded = Voters {
+            wanted,
+            now: voters.clone(),
+            founders: voters,
+        };
         let nodes = (0..3)
             .map(|i| {
                 let others = (0..3).filter(|j| *j != i);
                 let pledges: BTreeMap<_, _> = others.map(|j| (name(j), j as u64 + 1)).collect();
-                let hard = HardState { founded: Some(founded.clone()), pledges, ..HardState::default() };
+                let hard = HardState {
+                    founded: Some(founded.clone()),
+                    pledges,
+                    ..HardState::default()
+                };
                 let hard = match (self.founding, self.half) {
                     (false, _) => hard,
-                    (true, true) => HardState { founded: hard.founded.filter(|_| i < 2), ..hard },
+                    (true, true) => HardState {
+                        founded: hard.founded.filter(|_| i < 2),
+                        ..hard
+                    },
                     (true, false) => HardState::default(),
                 };
-                let disk = Restored { hard, ..Restored::default() };
+                let disk = Restored {
+                    hard,
+                    ..Restored::default()
+                };
                 let store = i as u64 + 1;
-                let (group, app) = (start(i, store, &disk, self.most_entries), (Index(0), Term(0), 0));
-                let mut node = Node { digest: 0, store, group, disk, app };
+                let (group, app) = (
+                    start(i, store, &disk, self.most_entries),
+                    (Index(0), Term(0), 0),
+                );
+                let mut node = Node {
+                    digest: 0,
+                    store,
+                    group,
+                    disk,
+                    app,
+                };
                 node.sum();
                 Arc::new(node)
             })
@@ -433,7 +530,9 @@
             // The second member's vote made the first one lead; all else it sent got lost.
             self.act(&mut state, 0, What::Stand, None);
             while state.nodes[0].group.role() != Role::Leader {
-                let Some((_, sent)) = state.sent.pop_first() else { break };
+                let Some((_, sent)) = state.sent.pop_first() else {
+                    break;
+                };
                 if sent.0 + sent.1 == 1 {
                     let to = sent.1;
                     self.act(&mut state, to, What::Deliver(sent), None);
@@ -443,7 +542,9 @@
         }
         if self.founding {
             // All have asked each other for pledges; when that is heard is open.
-            (0..3).filter(|i| !self.half || *i == 2).for_each(|i| self.act(&mut state, i, What::Ask, None));
+            (0..3)
+                .filter(|i| !self.half || *i == 2)
+                .for_each(|i| self.act(&mut state, i, What::Ask, None));
         }
         state.led = true;
         vec![state]
@@ -473,13 +574,23 @@
             let empties = state.empties > 0 && self.loser.is_none_or(|l| l == i);
             steps.extend(empties.then_some(Step::Empty(i)));
         }
-        whats.extend(state.sent.values().map(|m| (m.1, What::Deliver(Arc::clone(m)))));
+        whats.extend(
+            state
+                .sent
+                .values()
+                .map(|m| (m.1, What::Deliver(Arc::clone(m)))),
+        );
         for (i, what) in whats {
             if state.crashes > 0 {
                 let mut actions = Vec::new();
                 let mut group = state.nodes[i].group.clone();
-                self.events(state, i, &what).into_iter().for_each(|e| group.handle(0, e, &mut actions));
-                let writes = actions.iter().filter(|a| matches!(a, Action::Persist(_))).count();
+                self.events(state, i, &what)
+                    .into_iter()
+                    .for_each(|e| group.handle(0, e, &mut actions));
+                let writes = actions
+                    .iter()
+                    .filter(|a| matches!(a, Action::Persist(_)))
+                    .count();
                 steps.extend((0..writes).map(|lost| Step::At(i, what.clone(), Some(lost))));
             }
             steps.push(Step::At(i, what, None));
@@ -512,27 +623,36 @@
     fn properties(&self) -> Vec<Property<Self>> {
         fn data(state: &State) -> bool {
             let data = |e: &whinhaven::fleet::group::Entry| matches!(e.payload, Payload::Data(_));
-            state
-                .nodes
-                .iter()
-                .any(|n| n.group.entries().iter().any(|e| data(e) && e.index <= n.group.commit()))
+            state.nodes.iter().any(|n| {
+                n.group
+                    .entries()
+                    .iter()
+                    .any(|e| data(e) && e.index <= n.group.commit())
+            })
         }
         let mut all = vec![
-            Property::<Self>::always("election safety", |_, s| !matches!(s.wrong, Some(Wrong::Election(..)))),
+            Property::<Self>::always("election safety", |_, s| {
+                !matches!(s.wrong, Some(Wrong::Election(..)))
+            }),
             Property::<Self>::always("leader completeness", |_, s| {
                 !matches!(s.wrong, Some(Wrong::Completeness(..)))
             }),
             Property::<Self>::always("state machine safety", |_, s| {
                 !matches!(s.wrong, Some(Wrong::StateMachine(_)))
             }),
-            Property::<Self>::always("log matching", |_, s| !matches!(s.wrong, Some(Wrong::Logs(_)))),
+            Property::<Self>::always("log matching", |_, s| {
+                !matches!(s.wrong, Some(Wrong::Logs(_)))
+            }),
             // On a majority of the disks, of which `empties` may be lost since.
             Property::<Self>::always("committed is kept", |m, s| {
                 let lost = usize::from(m.empties - s.empties) + usize::from(m.changes > 0);
                 s.ledger.applied.iter().all(|(index, (term, ..))| {
                     let has = |n: &&Arc<Node>| {
                         n.disk.snapshot.as_ref().is_some_and(|p| p.index >= *index)
-                            || n.disk.entries.iter().any(|e| (e.index, e.term) == (*index, *term))
+                            || n.disk
+                                .entries
+                                .iter()
+                                .any(|e| (e.index, e.term) == (*index, *term))
                     };
                     s.nodes.iter().filter(has).count() + lost >= 2
                 })
@@ -545,12 +665,19 @@
             }));
         }
         if self.changes > 1 {
-            all.push(Property::<Self>::sometimes("an emptied voter votes again", |_, s| {
-                s.nodes.iter().any(|n| n.store > 10 && n.group.role() == Role::Follower)
-            }));
+            all.push(Property::<Self>::sometimes(
+                "an emptied voter votes again",
+                |_, s| {
+                    s.nodes
+                        .iter()
+                        .any(|n| n.store > 10 && n.group.role() == Role::Follower)
+                },
+            ));
         }
         if self.proposals > 0 {
-            all.push(Property::<Self>::sometimes("an entry commits", |_, s| data(s)));
+            all.push(Property::<Self>::sometimes("an entry commits", |_, s| {
+                data(s)
+            }));
         }
         all
     }
@@ -559,8 +686,14 @@
 /// Checks a scenario, up to a number of states; says how far it came.
 fn check(what: &str, scenario: Scenario, most: usize, when: HasDiscoveries) -> Vec<&'static str> {
     let began = Instant::now();
-    let threads = std::thread::available_parallelism().map_or(1, |n| n.get()).min(3);
-    let checker = scenario.checker().threads(threads).target_state_count(most).finish_when(when);
+    let threads = std::thread::available_parallelism()
+        .map_or(1, |n| n.get())
+        .min(3);
+    let checker = scenario
+        .checker()
+        .threads(threads)
+        .target_state_count(most)
+        .finish_when(when);
     let checker = checker.spawn_bfs().join();
     let mut found: Vec<&str> = checker.discoveries().into_keys().collect();
     found.sort_unstable();
@@ -584,12 +717,23 @@
 }
 
 /// These shall be found.
-const LIVE: [&str; 4] =
-    ["a leader is elected", "an entry commits", "an emptied voter votes again", "one founds"];
+const LIVE: [&str; 4] = [
+    "a leader is elected",
+    "an entry commits",
+    "an emptied voter votes again",
+    "one founds",
+];
 
 /// What the paper's figure 8 needs: c1 and c2, which do not hear each other, lead by turns.
 fn old_terms() -> Scenario {
-    Scenario { terms: 4, stand: &[1, 0, 1], turns: true, cut: true, most_entries: 1, ..Scenario::default() }
+    Scenario {
+        terms: 4,
+        stand: &[1, 0, 1],
+        turns: true,
+        cut: true,
+        most_entries: 1,
+        ..Scenario::default()
+    }
 }
 
 fn founding() -> Scenario {
@@ -606,7 +750,12 @@
 
 /// The second voter loses its disk after it has founded, the third has not founded yet.
 fn half_founded() -> Scenario {
-    Scenario { half: true, loser: Some(1), stand: &[2], ..founding() }
+    Scenario {
+        half: true,
+        loser: Some(1),
+        stand: &[2],
+        ..founding()
+    }
 }
 
 /// The third voter loses its disk, is taken out, pulls, and is put in again.
@@ -624,7 +773,10 @@
 
 fn holds(what: &str, seen: &str, scenario: Scenario, most: usize) {
     let found = check(what, scenario, most, HasDiscoveries::AnyFailures);
-    assert!(found.iter().all(|f| LIVE.contains(f)) && found.contains(&seen), "{found:?}");
+    assert!(
+        found.iter().all(|f| LIVE.contains(f)) && found.contains(&seen),
+        "{found:?}"
+    );
 }
 
 #[rstest]
@@ -640,7 +792,12 @@
 })]
 #[case::founding("founding, a disk emptied", "one founds", 15_000, Scenario { stand: &[0], ..founding() })]
 #[case::half("a founder is emptied", "a leader is elected", 100_000, half_founded())]
-#[case::changes("an emptied voter is replaced", "a leader is elected", 15_000, replaced())]
+#[case::changes(
+    "an emptied voter is replaced",
+    "a leader is elected",
+    15_000,
+    replaced()
+)]
 fn small_bounds_hold(
     #[case] what: &str,
     #[case] seen: &str,
@@ -681,7 +838,9 @@
 })]
 #[ignore = "larger bounds, by hand"]
 fn larger_bounds_hold(#[case] what: &str, #[case] seen: &str, #[case] scenario: Scenario) {
-    let most = std::env::var("GROUP_STATES").ok().and_then(|n| n.parse().ok());
+    let most = std::env::var("GROUP_STATES")
+        .ok()
+        .and_then(|n| n.parse().ok());
     holds(what, seen, scenario, most.unwrap_or(10_000_000));
 }
 
--- a/lab/tests/model_lease.rs
+++ b/lab/tests/model_lease.rs
@@ -10,7 +10,9 @@
 use std::hash::{Hash, Hasher};
 use std::sync::Arc;
 use std::time::Instant;
-use whinhaven::fleet::lease::{self, Guard, Holder, LeaseChange, RenewalPath, Settings, Standing, Watch};
+use whinhaven::fleet::lease::{
+    self, Guard, Holder, LeaseChange, RenewalPath, Settings, Standing, Watch,
+};
 use whinhaven::fleet::renewal::Renewal;
 use whinhaven::fleet::state::{Command, Effect, FleetState, Outbox, Proposal, Retry};
 use whinhaven::fleet::{Incarnation, Index, LeaseName, MemberName, Token, Who};
@@ -140,7 +142,14 @@
 
     fn tell(&self, world: &mut World, member: usize, event: lease::Event) {
         let now = self.clock(member, world.time);
-        let Member { holder, outbox, watch, state, said, .. } = Arc::make_mut(&mut world.members[member]);
+        let Member {
+            holder,
+            outbox,
+            watch,
+            state,
+            said,
+            ..
+        } = Arc::make_mut(&mut world.members[member]);
         let mut out = Vec::new();
         if let Some(holder) = holder {
             holder.handle(now, event, state.0.leases(), &mut out);
@@ -162,10 +171,14 @@
                 lease::Action::Propose(proposal) => sent.push(proposal),
                 lease::Action::Renew { renewal, .. } => {
                     // An earlier one is lost on its way.
-                    world.renewals.retain(|other| other.holder != renewal.holder);
+                    world
+                        .renewals
+                        .retain(|other| other.holder != renewal.holder);
                     world.renewals.push(renewal);
                 }
-                lease::Action::Changed(LeaseChange { name, to, .. }) if name == self.lease => *said = to,
+                lease::Action::Changed(LeaseChange { name, to, .. }) if name == self.lease => {
+                    *said = to
+                }
                 lease::Action::Changed(_) => {}
             }
         }
@@ -188,9 +201,15 @@
         let proposal = world.flight.remove(flying);
         world.log.push(proposal.clone());
         let mut effects = Vec::new();
-        Arc::make_mut(&mut world.truth.0).apply(Index(world.log.len() as u64), proposal, &mut effects);
+        Arc::make_mut(&mut world.truth.0).apply(
+            Index(world.log.len() as u64),
+            proposal,
+            &mut effects,
+        );
         for effect in effects {
-            let Effect::Lease(change) = effect else { continue };
+            let Effect::Lease(change) = effect else {
+                continue;
+            };
             let granted = matches!(change.what, lease::What::Granted | lease::What::Offered);
             if granted && change.name == self.lease {
                 // An offer that is taken up keeps its token; any other grant has a higher one.
@@ -207,14 +226,18 @@
     /// A renewal comes to the leader: it counts the lease anew, unless it has asked the log to end it.
     fn renew(&self, world: &mut World, renewal: usize) {
         let renewal = world.renewals.remove(renewal);
-        let Some(leader) = self.people.iter().position(|person| person.watches) else { return };
+        let Some(leader) = self.people.iter().position(|person| person.watches) else {
+            return;
+        };
         let now = self.clock(leader, world.time);
         let ends = |proposal: &Proposal| matches!(&proposal.command, Command::Lease(lease::Command::Expire { name, .. }) if *name == renewal.name);
         let unseen = &world.log[world.members[leader].applied..];
         let is_ending = world.flight.iter().chain(unseen).any(ends) && !self.is_careless;
         let this = Arc::make_mut(&mut world.members[leader]);
         let table = this.state.0.leases();
-        let grant = table.grant(&renewal.name).filter(|grant| grant.taken && grant.token == renewal.token);
+        let grant = table
+            .grant(&renewal.name)
+            .filter(|grant| grant.taken && grant.token == renewal.token);
         if grant.is_some() && !is_ending {
             this.watch.changed(now, &renewal.name, table);
             world.answers.push(renewal);
@@ -253,7 +276,10 @@
     }
 
     fn may_act(&self, world: &World, member: usize) -> Option<Token> {
-        world.members[member].holder.as_ref()?.may_act(&self.lease, self.clock(member, world.time))
+        world.members[member]
+            .holder
+            .as_ref()?
+            .may_act(&self.lease, self.clock(member, world.time))
     }
 
     fn acts_under(&self, world: &World, token: Token) -> bool {
@@ -269,7 +295,10 @@
 
 fn who(person: &Person) -> Who {
     let name = MemberName::try_from(person.name).expect("a name");
-    Who { name, incarnation: Incarnation(person.incarnation) }
+    Who {
+        name,
+        incarnation: Incarnation(person.incarnation),
+    }
 }
 
 impl Model for Setup {
@@ -278,12 +307,21 @@
 
     fn init_states(&self) -> Vec<World> {
         let member = |person: &Person| {
-            let holder = person.holds.then(|| Holder::new(who(person), self.settings.clone(), 8, 1));
+            let holder = person
+                .holds
+                .then(|| Holder::new(who(person), self.settings.clone(), 8, 1));
             let outbox = Outbox::new(who(person), self.settings.retry.clone(), 1);
             let mut watch = Watch::new(self.settings.clone());
             watch.lead(0, person.watches, FleetState::new().leases());
             let state = Derived(Arc::new(FleetState::new()));
-            Arc::new(Member { holder, outbox, watch, state, applied: 0, said: Standing::Out })
+            Arc::new(Member {
+                holder,
+                outbox,
+                watch,
+                state,
+                applied: 0,
+                said: Standing::Out,
+            })
         };
         let mut world = World {
             time: 0,
@@ -318,7 +356,12 @@
                 self.apply(&mut world, member);
             }
         }
-        for (member, _) in self.people.iter().enumerate().filter(|(_, person)| person.wants) {
+        for (member, _) in self
+            .people
+            .iter()
+            .enumerate()
+            .filter(|(_, person)| person.wants)
+        {
             self.tell(&mut world, member, lease::Event::Want(self.lease.clone()));
         }
         vec![world]
@@ -385,7 +428,9 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         let mut properties = vec![
-            Property::always("at most one acts", |setup: &Setup, world: &World| setup.actors(world) <= 1),
+            Property::always("at most one acts", |setup: &Setup, world: &World| {
+                setup.actors(world) <= 1
+            }),
             Property::always("tokens rise", |_, world: &World| !world.fell),
             Property::sometimes("another holder acts", |setup: &Setup, world: &World| {
                 world.first < world.highest
@@ -394,7 +439,9 @@
             }),
         ];
         if self.settings.renewal == RenewalPath::Leader {
-            properties.push(Property::sometimes(RENEWED, |_, world: &World| world.renewed));
+            properties.push(Property::sometimes(RENEWED, |_, world: &World| {
+                world.renewed
+            }));
         }
         if self.acts {
             let late = "an act checked in time lands after the next holder's, and is refused";
@@ -405,7 +452,10 @@
 }
 
 fn settings(margin_ms: u64) -> Settings {
-    let retry = Retry { first_ms: NEVER_MS, most_ms: NEVER_MS };
+    let retry = Retry {
+        first_ms: NEVER_MS,
+        most_ms: NEVER_MS,
+    };
     // Three units, off by a third at most: a holder acts for two of its own, the leader waits for four of its own.
     Settings {
         granted_for_ms: 3_000,
@@ -418,12 +468,24 @@
 }
 
 fn person(name: &'static str, incarnation: u64, clock: u64) -> Person {
-    Person { name, incarnation, clock, wants: false, holds: true, watches: false, leaves: false }
+    Person {
+        name,
+        incarnation,
+        clock,
+        wants: false,
+        holds: true,
+        watches: false,
+        leaves: false,
+    }
 }
 
 /// Two lives of one member, the earlier of them a zombie perhaps, and a leader: the life lease by itself.
 fn lives(slowest: u64, fastest: u64) -> Setup {
-    let leader = Person { holds: false, watches: true, ..person("c", 1, fastest) };
+    let leader = Person {
+        holds: false,
+        watches: true,
+        ..person("c", 1, fastest)
+    };
     let people = vec![person("a", 1, slowest), person("a", 2, 1_000_000), leader];
     let lease = LeaseName::try_from("life/a").expect("a name");
     let (settings, start) = (settings(0), Start::Seen);
@@ -442,9 +504,20 @@
 
 /// Two members that want one lease, and a leader; their life leases are good at the start.
 fn duty(slowest: u64, fastest: u64) -> Setup {
-    let leader = Person { holds: false, watches: true, ..person("c", 1, fastest) };
-    let wants = |person| Person { wants: true, ..person };
-    let people = vec![wants(person("a", 1, slowest)), wants(person("b", 1, slowest)), leader];
+    let leader = Person {
+        holds: false,
+        watches: true,
+        ..person("c", 1, fastest)
+    };
+    let wants = |person| Person {
+        wants: true,
+        ..person
+    };
+    let people = vec![
+        wants(person("a", 1, slowest)),
+        wants(person("b", 1, slowest)),
+        leader,
+    ];
     let lease = LeaseName::try_from("duty").expect("a name");
     let (settings, start) = (settings(0), Start::Living);
     Setup {
@@ -474,8 +547,17 @@
 /// Explores all of it within the bounds, and says how much that was.
 fn explore(title: &str, setup: Setup) -> impl Checker<Setup> {
     let begun = Instant::now();
-    let checker = setup.checker().threads(3).finish_when(HasDiscoveries::AnyFailures).spawn_bfs().join();
-    let (states, unique, took) = (checker.state_count(), checker.unique_state_count(), begun.elapsed());
+    let checker = setup
+        .checker()
+        .threads(3)
+        .finish_when(HasDiscoveries::AnyFailures)
+        .spawn_bfs()
+        .join();
+    let (states, unique, took) = (
+        checker.state_count(),
+        checker.unique_state_count(),
+        begun.elapsed(),
+    );
     println!("{title}: {states} states, {unique} of them different, {took:.1?}");
     checker
 }
@@ -489,18 +571,34 @@
 /// Beyond the bound two may act at once, and the checker says how.
 fn breaks(title: &str, setup: Setup) {
     let begun = Instant::now();
-    let checker = setup.checker().threads(3).finish_when(HasDiscoveries::AnyFailures).spawn_dfs().join();
+    let checker = setup
+        .checker()
+        .threads(3)
+        .finish_when(HasDiscoveries::AnyFailures)
+        .spawn_dfs()
+        .join();
     let (unique, took) = (checker.unique_state_count(), begun.elapsed());
     println!("{title}: found after {unique} different states, {took:.1?}");
-    let path = checker.discovery("at most one acts").expect("an overlap is found");
+    let path = checker
+        .discovery("at most one acts")
+        .expect("an overlap is found");
     let last = path.last_state().clone();
-    assert_eq!(checker.model().actors(&last), 2, "{title}: {:?}", path.into_actions());
+    assert_eq!(
+        checker.model().actors(&last),
+        2,
+        "{title}: {:?}",
+        path.into_actions()
+    );
 }
 
 #[test]
 #[ignore = "minutes, in a release build"]
 fn renewals_at_the_leader_never_let_two_act_with_clocks_at_the_bound() {
-    let setup = Setup { horizon: 3, most_log: 5, ..renewed(SLOW, FAST, false) };
+    let setup = Setup {
+        horizon: 3,
+        most_log: 5,
+        ..renewed(SLOW, FAST, false)
+    };
     let checker = explore("renewals at the leader", setup);
     checker.assert_no_discovery("at most one acts");
     checker.assert_no_discovery("tokens rise");
@@ -509,7 +607,10 @@
 
 #[test]
 fn renewals_at_the_leader_let_two_act_one_millionth_beyond_the_bound() {
-    breaks("renewals at the leader, beyond the bound", renewed(SLOW - 1, FAST, false));
+    breaks(
+        "renewals at the leader, beyond the bound",
+        renewed(SLOW - 1, FAST, false),
+    );
 }
 
 /// A leader that renews what it has asked the log to end: the checker has to see it.
@@ -535,21 +636,32 @@
 
 #[test]
 fn a_millionth_beyond_the_bound_is_found_unsafe() {
-    breaks("two lives, the holder's clock too slow", lives(SLOW - 1, FAST));
+    breaks(
+        "two lives, the holder's clock too slow",
+        lives(SLOW - 1, FAST),
+    );
     breaks("a duty, the holders' clocks too slow", duty(SLOW - 1, FAST));
 }
 
 /// A zombie: the holder looks at its clock in time, stands still, and its act arrives after the next holder's.
 #[test]
 fn an_act_that_was_checked_in_time_and_lands_late_is_refused_by_its_token() {
-    let setup = Setup { acts: true, ..lives(SLOW, FAST) };
+    let setup = Setup {
+        acts: true,
+        ..lives(SLOW, FAST)
+    };
     let mut world = setup.init_states().remove(0);
     let mut go = |steps: &[Step]| {
         for step in steps {
             let mut possible = Vec::new();
             setup.actions(&world, &mut possible);
-            assert!(possible.contains(step), "{step:?} is not among {possible:?}");
-            world = setup.next_state(&world, step.clone()).expect("a next state");
+            assert!(
+                possible.contains(step),
+                "{step:?} is not among {possible:?}"
+            );
+            world = setup
+                .next_state(&world, step.clone())
+                .expect("a next state");
         }
         world.clone()
     };
@@ -558,8 +670,19 @@
     use Step::*;
     let before = go(&[Apply(0), Act(0), Time, Time, Time, Wake(2)]);
     let (expire, first) = (before.flight.len() - 1, before.acts[0]);
-    assert_eq!(setup.actors(&before), 0, "the stopped holder's time is over by its own clock, unasked");
-    go(&[Commit(expire), Apply(1), Commit(0), Apply(1), Act(1), Land(1)]);
+    assert_eq!(
+        setup.actors(&before),
+        0,
+        "the stopped holder's time is over by its own clock, unasked"
+    );
+    go(&[
+        Commit(expire),
+        Apply(1),
+        Commit(0),
+        Apply(1),
+        Act(1),
+        Land(1),
+    ]);
     let after = go(&[Land(0)]);
     assert!(after.landed > first && after.refused && !after.fell);
 }
@@ -567,12 +690,31 @@
 #[test]
 #[ignore = "minutes, in a release build"]
 fn every_order_of_longer_runs() {
-    let more =
-        |setup: Setup, horizon, most_log, most_flight| Setup { horizon, most_log, most_flight, ..setup };
-    holds("two lives, everybody hears late", Setup { start: Start::Asked, ..lives(SLOW, FAST) });
-    holds("two lives, two requests in flight", more(lives(SLOW, FAST), 4, 4, 2));
+    let more = |setup: Setup, horizon, most_log, most_flight| Setup {
+        horizon,
+        most_log,
+        most_flight,
+        ..setup
+    };
+    holds(
+        "two lives, everybody hears late",
+        Setup {
+            start: Start::Asked,
+            ..lives(SLOW, FAST)
+        },
+    );
+    holds(
+        "two lives, two requests in flight",
+        more(lives(SLOW, FAST), 4, 4, 2),
+    );
     holds("two lives, longer", more(lives(SLOW, FAST), 4, 5, 1));
-    holds("two lives, acts under way", Setup { acts: true, ..lives(SLOW, FAST) });
+    holds(
+        "two lives, acts under way",
+        Setup {
+            acts: true,
+            ..lives(SLOW, FAST)
+        },
+    );
     // Too short for the next holder's turn: that is in the simulation.
     let checker = explore("a duty of two members", duty(SLOW, FAST));
     checker.assert_no_discovery("at most one acts");
--- a/lab/tests/model_policy.rs
+++ b/lab/tests/model_policy.rs
@@ -84,7 +84,10 @@
 
 fn who(member: usize, life: u64) -> Who {
     let name = MemberName::try_from(["c1", "c2", "c3"][member]).unwrap();
-    Who { name, incarnation: Incarnation(life) }
+    Who {
+        name,
+        incarnation: Incarnation(life),
+    }
 }
 
 impl World {
@@ -118,7 +121,13 @@
             Notice::Staged { proposal, .. } => {
                 member.staged = Some((proposal, false));
                 if member.acts {
-                    world.say(m, Command::Vote { proposal, refusal: None });
+                    world.say(
+                        m,
+                        Command::Vote {
+                            proposal,
+                            refusal: None,
+                        },
+                    );
                     if self.flaw == Flaw::ClosesEarly {
                         world.say(m, Command::Closed { proposal });
                     }
@@ -150,7 +159,13 @@
         let living: BTreeSet<Who> = (0..MEMBERS).map(|m| who(m, 1)).collect();
         let mut table = Table::default();
         table.apply(&who(0, 1), &living, propose(0, 0), &mut Vec::new());
-        let member = Member { life: 1, acts: true, epoch: 1, staged: None, inbox: Vec::new() };
+        let member = Member {
+            life: 1,
+            acts: true,
+            epoch: 1,
+            staged: None,
+            inbox: Vec::new(),
+        };
         vec![World {
             table,
             living,
@@ -168,13 +183,18 @@
         let idle = world.table.open().is_none() && world.said.is_empty();
         for (m, member) in world.members.iter().enumerate() {
             // At most two at once: the second is told which is under way.
-            if world.proposed < self.proposals && member.acts && m < 2 && (idle || world.proposed == 1) {
+            if world.proposed < self.proposals
+                && member.acts
+                && m < 2
+                && (idle || world.proposed == 1)
+            {
                 actions.push(Doing::Propose(m));
             }
             if !member.inbox.is_empty() {
                 actions.push(Doing::Hear(m));
             }
-            let open = self.flaw == Flaw::BeginsClosing || !matches!(member.staged, Some((_, true)));
+            let open =
+                self.flaw == Flaw::BeginsClosing || !matches!(member.staged, Some((_, true)));
             if member.acts && open && member.epoch != world.begun {
                 actions.push(Doing::Begin(m));
             }
@@ -241,18 +261,36 @@
                 let life = world.members[m].life + 1;
                 let staged = world.table.open().map(|open| (open.proposal, open.closing));
                 let epoch = world.table.epoch();
-                world.members[m] = Member { life, acts: true, epoch, staged, inbox: Vec::new() };
+                world.members[m] = Member {
+                    life,
+                    acts: true,
+                    epoch,
+                    staged,
+                    inbox: Vec::new(),
+                };
                 world.living.insert(who(m, life));
                 match staged {
                     Some((proposal, true)) => world.say(m, Command::Closed { proposal }),
-                    Some((proposal, false)) => world.say(m, Command::Vote { proposal, refusal: None }),
+                    Some((proposal, false)) => world.say(
+                        m,
+                        Command::Vote {
+                            proposal,
+                            refusal: None,
+                        },
+                    ),
                     None => {}
                 }
             }
             Doing::Abort => {
                 world.aborts += 1;
                 let proposal = world.table.open()?.proposal;
-                world.apply(&who(0, 1), Command::Abort { proposal, cause: "time".into() });
+                world.apply(
+                    &who(0, 1),
+                    Command::Abort {
+                        proposal,
+                        cause: "time".into(),
+                    },
+                );
             }
         }
         Some(world)
@@ -260,16 +298,25 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("none begins under the old after one under the new", |_, w: &World| !w.fell),
-            Property::always("who acts holds no epoch that the log does not have", |_, w: &World| {
-                w.members.iter().all(|m| m.epoch <= w.table.epoch())
-            }),
+            Property::always(
+                "none begins under the old after one under the new",
+                |_, w: &World| !w.fell,
+            ),
+            Property::always(
+                "who acts holds no epoch that the log does not have",
+                |_, w: &World| w.members.iter().all(|m| m.epoch <= w.table.epoch()),
+            ),
             Property::always("a switch is everywhere", |_, w: &World| {
                 // Whoever acts and has heard all holds the epoch in force.
                 let heard = |m: &&Member| m.acts && m.inbox.is_empty();
-                w.members.iter().filter(heard).all(|m| m.epoch == w.table.epoch())
+                w.members
+                    .iter()
+                    .filter(heard)
+                    .all(|m| m.epoch == w.table.epoch())
+            }),
+            Property::sometimes("a request begins under the second epoch", |_, w: &World| {
+                w.begun == 2
             }),
-            Property::sometimes("a request begins under the second epoch", |_, w: &World| w.begun == 2),
             Property::sometimes("a proposal is in force nowhere", |_, w: &World| {
                 w.table.epoch() == 1 && w.table.past().count() == 2
             }),
@@ -279,41 +326,95 @@
 
 fn propose(mark: u64, base: u64) -> Command {
     let content = format!("content {mark}");
-    Command::Propose { mark, content, base, only_check: false, at_us: 0, difference: String::new() }
+    Command::Propose {
+        mark,
+        content,
+        base,
+        only_check: false,
+        at_us: 0,
+        difference: String::new(),
+    }
 }
 
 fn check(case: Case, until: HasDiscoveries) -> impl Checker<Case> {
-    let name = format!("{} proposals, {} ends, {:?}", case.proposals, case.ends, case.flaw);
+    let name = format!(
+        "{} proposals, {} ends, {:?}",
+        case.proposals, case.ends, case.flaw
+    );
     explore(&name, case, until)
 }
 
 #[test]
 fn one_proposal_with_a_life_that_ends_and_returns_in_every_order() {
-    check(Case { proposals: 1, ends: 1, aborts: 1, flaw: Flaw::None }, HasDiscoveries::All)
-        .assert_properties();
+    check(
+        Case {
+            proposals: 1,
+            ends: 1,
+            aborts: 1,
+            flaw: Flaw::None,
+        },
+        HasDiscoveries::All,
+    )
+    .assert_properties();
 }
 
 /// With a new life that goes, too.
 #[test]
 fn one_proposal_with_two_lives_that_end_in_every_order() {
-    check(Case { proposals: 1, ends: 2, aborts: 1, flaw: Flaw::None }, HasDiscoveries::All)
-        .assert_properties();
+    check(
+        Case {
+            proposals: 1,
+            ends: 2,
+            aborts: 1,
+            flaw: Flaw::None,
+        },
+        HasDiscoveries::All,
+    )
+    .assert_properties();
 }
 
 /// A quarter of a minute: by hand.
 #[test]
 #[ignore = "a quarter of a minute"]
 fn two_proposals_in_every_order() {
-    check(Case { proposals: 2, ends: 1, aborts: 1, flaw: Flaw::None }, HasDiscoveries::All)
-        .assert_properties();
+    check(
+        Case {
+            proposals: 2,
+            ends: 1,
+            aborts: 1,
+            flaw: Flaw::None,
+        },
+        HasDiscoveries::All,
+    )
+    .assert_properties();
 }
 
 #[rstest::rstest]
-#[case::begins_while_closing(Flaw::BeginsClosing, "none begins under the old after one under the new")]
+#[case::begins_while_closing(
+    Flaw::BeginsClosing,
+    "none begins under the old after one under the new"
+)]
 #[case::closes_early(Flaw::ClosesEarly, "none begins under the old after one under the new")]
-#[case::ends_the_acting(Flaw::EndsTheActing, "none begins under the old after one under the new")]
-#[case::goes_over_on_vote(Flaw::GoesOverOnVote, "who acts holds no epoch that the log does not have")]
+#[case::ends_the_acting(
+    Flaw::EndsTheActing,
+    "none begins under the old after one under the new"
+)]
+#[case::goes_over_on_vote(
+    Flaw::GoesOverOnVote,
+    "who acts holds no epoch that the log does not have"
+)]
 fn a_member_with_a_flaw_is_caught(#[case] flaw: Flaw, #[case] property: &'static str) {
-    let checker = check(Case { proposals: 1, ends: 1, aborts: 0, flaw }, HasDiscoveries::AnyFailures);
-    assert!(checker.discovery(property).is_some(), "{flaw:?} was not caught");
+    let checker = check(
+        Case {
+            proposals: 1,
+            ends: 1,
+            aborts: 0,
+            flaw,
+        },
+        HasDiscoveries::AnyFailures,
+    );
+    assert!(
+        checker.discovery(property).is_some(),
+        "{flaw:?} was not caught"
+    );
 }
--- a/lab/tests/model_takeover.rs
+++ b/lab/tests/model_takeover.rs
@@ -14,11 +14,17 @@
 
 /// Nothing is forgotten here, so places in the log need not differ, which keeps states few.
 const AT: Index = Index(1);
-const ROOM: Bounds = Bounds { records: 1_000, bytes: 1_000_000 };
+const ROOM: Bounds = Bounds {
+    records: 1_000,
+    bytes: 1_000_000,
+};
 
 fn who(conductor: usize) -> Who {
     let name = MemberName::try_from(["c1", "c2", "c3"][conductor]).unwrap();
-    Who { name, incarnation: Incarnation(1) }
+    Who {
+        name,
+        incarnation: Incarnation(1),
+    }
 }
 
 /// What the front of a conductor does next for a request.
@@ -128,7 +134,9 @@
             match action {
                 Action::Propose { ticket, command } => {
                     let key = format!("{command:?}");
-                    world.proposals.insert((c, ticket, key, CommandBox(command)));
+                    world
+                        .proposals
+                        .insert((c, ticket, key, CommandBox(command)));
                 }
                 Action::Verdict { ticket, verdict } => self.verdict(world, c, ticket, verdict),
                 Action::Moved { name } => {
@@ -143,36 +151,80 @@
     fn ask(&self, world: &mut World, c: usize, request: u8, command: Command) {
         // The request, its client's try and the step name the question: no number that only counts is kept, which
         // would make one state many.
-        let step = world.conductors[c].fronts.get(&request).map_or(0, |f| f.step as u64);
-        let ticket = Ticket((u64::from(world.asked[&request]) * 8 + step) * 16 + u64::from(request));
+        let step = world.conductors[c]
+            .fronts
+            .get(&request)
+            .map_or(0, |f| f.step as u64);
+        let ticket =
+            Ticket((u64::from(world.asked[&request]) * 8 + step) * 16 + u64::from(request));
         let until = world.conductors[c].now + 1;
-        self.act(world, c, Event::Ask { ticket, command, until });
+        self.act(
+            world,
+            c,
+            Event::Ask {
+                ticket,
+                command,
+                until,
+            },
+        );
     }
 
     fn tell(&self, world: &mut World, c: usize, request: u8, command: Command) {
-        let step = if matches!(command, Command::Began { .. }) { 6 } else { 7 };
-        let ticket = Ticket((u64::from(world.asked[&request]) * 8 + step) * 16 + u64::from(request));
+        let step = if matches!(command, Command::Began { .. }) {
+            6
+        } else {
+            7
+        };
+        let ticket =
+            Ticket((u64::from(world.asked[&request]) * 8 + step) * 16 + u64::from(request));
         self.act(world, c, Event::Tell { ticket, command });
     }
 
     fn next(&self, world: &mut World, c: usize, request: u8) {
-        let Some(front) = world.conductors[c].fronts.get(&request).copied() else { return };
+        let Some(front) = world.conductors[c].fronts.get(&request).copied() else {
+            return;
+        };
         let (name, generation) = (request.to_string(), front.generation);
         let resumes = world.asked[&request] > 1;
         let command = match front.step {
-            Step::Claim => Command::Claim { name, once: true, resumes, bounds: ROOM },
+            Step::Claim => Command::Claim {
+                name,
+                once: true,
+                resumes,
+                bounds: ROOM,
+            },
             Step::Send => {
                 if self.flaw == Flaw::SendsFirst {
                     *world.first_runs.entry(request).or_default() += 1;
                 }
                 let id = format!("{c}-{request}");
                 let (name, worker) = (Some((name, generation)), "w".to_owned());
-                Command::Send { id, worker, name, reads: false, most_attempts: 9, bounds: ROOM }
+                Command::Send {
+                    id,
+                    worker,
+                    name,
+                    reads: false,
+                    most_attempts: 9,
+                    bounds: ROOM,
+                }
             }
-            Step::Call => Command::Call { name, generation, ordinal: 0, arguments: 7, bounds: ROOM },
+            Step::Call => Command::Call {
+                name,
+                generation,
+                ordinal: 0,
+                arguments: 7,
+                bounds: ROOM,
+            },
             Step::Answer => {
-                let answer = Final::Done { text: Some(format!("by {c}")), last: Vec::new() };
-                Command::Answer { name, generation, answer }
+                let answer = Final::Done {
+                    text: Some(format!("by {c}")),
+                    last: Vec::new(),
+                };
+                Command::Answer {
+                    name,
+                    generation,
+                    answer,
+                }
             }
         };
         self.ask(world, c, request, command);
@@ -181,16 +233,26 @@
     /// The front's part: what it does when it hears that it may, or may not.
     fn verdict(&self, world: &mut World, c: usize, ticket: Ticket, verdict: Verdict) {
         let request = (ticket.0 % 16) as u8;
-        let Some(front) = world.conductors[c].fronts.get_mut(&request) else { return };
+        let Some(front) = world.conductors[c].fronts.get_mut(&request) else {
+            return;
+        };
         let name = request.to_string();
         let said = |world: &mut World, answer: &Final| {
-            world.heard.entry(request).or_default().insert(format!("{answer:?}"));
+            world
+                .heard
+                .entry(request)
+                .or_default()
+                .insert(format!("{answer:?}"));
             world.conductors[c].fronts.remove(&request);
         };
         match (front.step, verdict) {
             (Step::Claim, Verdict::Claimed(record)) => {
                 front.generation = record.generation;
-                front.step = if record.stage == Stage::Began { Step::Call } else { Step::Send };
+                front.step = if record.stage == Stage::Began {
+                    Step::Call
+                } else {
+                    Step::Send
+                };
                 self.next(world, c, request);
             }
             (_, Verdict::Ended(answer)) => said(world, &answer),
@@ -206,7 +268,16 @@
             (Step::Call, Verdict::Go) => {
                 front.step = Step::Answer;
                 *world.tool_runs.entry(request).or_default() += 1;
-                self.tell(world, c, request, Command::CallEnded { name, ordinal: 0, outcome: Some(vec![1]) });
+                self.tell(
+                    world,
+                    c,
+                    request,
+                    Command::CallEnded {
+                        name,
+                        ordinal: 0,
+                        outcome: Some(vec![1]),
+                    },
+                );
                 self.next(world, c, request);
             }
             (Step::Call, Verdict::Known(stage)) if stage != CallStage::Out => {
@@ -222,7 +293,10 @@
                 self.next(world, c, request);
             }
             (Step::Answer, Verdict::Go) => {
-                let answer = Final::Done { text: Some(format!("by {c}")), last: Vec::new() };
+                let answer = Final::Done {
+                    text: Some(format!("by {c}")),
+                    last: Vec::new(),
+                };
                 said(world, &answer);
             }
             // Refused, late, cut off: its client hears nothing final from here and comes again.
@@ -239,7 +313,13 @@
         let conductor = |c| {
             let mut hands = Hands::new(who(c), 8);
             hands.handle(0, Event::MayAct(true), &mut Vec::new());
-            Conductor { hands, now: 0, crashed: false, fronts: BTreeMap::new(), inbox: Vec::new() }
+            Conductor {
+                hands,
+                now: 0,
+                crashed: false,
+                fronts: BTreeMap::new(),
+                inbox: Vec::new(),
+            }
         };
         vec![World {
             table: Table::default(),
@@ -258,7 +338,8 @@
         for (request, asked) in &world.asked {
             if *asked < self.asks {
                 let free = |c: &usize| {
-                    !world.conductors[*c].crashed && !world.conductors[*c].fronts.contains_key(request)
+                    !world.conductors[*c].crashed
+                        && !world.conductors[*c].fronts.contains_key(request)
                 };
                 // Conductors that nobody has asked are alike: one of them stands for all.
                 let fresh = (0..3).find(|c| !world.involved.contains(c));
@@ -266,7 +347,12 @@
                 actions.extend(at.filter(free).map(|c| Doing::Ask(*request, c)));
             }
         }
-        actions.extend(world.proposals.iter().map(|(c, ticket, ..)| Doing::Commit(*c, *ticket)));
+        actions.extend(
+            world
+                .proposals
+                .iter()
+                .map(|(c, ticket, ..)| Doing::Commit(*c, *ticket)),
+        );
         for (c, conductor) in world.conductors.iter().enumerate() {
             if conductor.crashed {
                 if !world.ended.contains(&c) {
@@ -283,7 +369,12 @@
             let deaths = world
                 .ended
                 .iter()
-                .chain((0..3).filter(|c| world.conductors[*c].crashed).collect::<Vec<_>>().iter())
+                .chain(
+                    (0..3)
+                        .filter(|c| world.conductors[*c].crashed)
+                        .collect::<Vec<_>>()
+                        .iter(),
+                )
                 .collect::<BTreeSet<_>>()
                 .len();
             if deaths < self.deaths && world.involved.contains(&c) {
@@ -301,17 +392,30 @@
             Doing::Ask(request, c) => {
                 *world.asked.get_mut(&request)? += 1;
                 world.involved.insert(c);
-                world.conductors[c].fronts.insert(request, Front { step: Step::Claim, generation: 0 });
+                world.conductors[c].fronts.insert(
+                    request,
+                    Front {
+                        step: Step::Claim,
+                        generation: 0,
+                    },
+                );
                 self.next(&mut world, c, request);
             }
             Doing::Commit(c, ticket) => {
-                let found = world.proposals.iter().find(|p| p.0 == c && p.1 == ticket).cloned()?;
+                let found = world
+                    .proposals
+                    .iter()
+                    .find(|p| p.0 == c && p.1 == ticket)
+                    .cloned()?;
                 world.proposals.remove(&found);
                 let mut notices = Vec::new();
                 let alive = !world.ended.contains(&c);
                 let (at, CommandBox(command)) = (AT, found.3);
                 let reply = world.table.apply(at, &who(c), alive, command, &mut notices);
-                world.conductors[c].inbox.push(Event::Reply { ticket, reply: Some(reply) });
+                world.conductors[c].inbox.push(Event::Reply {
+                    ticket,
+                    reply: Some(reply),
+                });
                 deliver(&mut world, notices);
             }
             Doing::Hear(c) => {
@@ -340,15 +444,22 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("no tool runs twice", |_, w: &World| w.tool_runs.values().all(|n| *n <= 1)),
+            Property::always("no tool runs twice", |_, w: &World| {
+                w.tool_runs.values().all(|n| *n <= 1)
+            }),
             Property::always("nothing unsafe is sent twice", |_, w: &World| {
                 w.first_runs.values().all(|n| *n <= 1)
             }),
-            Property::always("one final answer", |_, w: &World| w.heard.values().all(|h| h.len() <= 1)),
-            Property::sometimes("an answer is finished by another conductor", |_, w: &World| {
-                let by_other = |a: &String| a.contains("by 1") || a.contains("by 2");
-                w.crashed(0) && w.heard.values().flatten().any(by_other)
+            Property::always("one final answer", |_, w: &World| {
+                w.heard.values().all(|h| h.len() <= 1)
             }),
+            Property::sometimes(
+                "an answer is finished by another conductor",
+                |_, w: &World| {
+                    let by_other = |a: &String| a.contains("by 1") || a.contains("by 2");
+                    w.crashed(0) && w.heard.values().flatten().any(by_other)
+                },
+            ),
             Property::sometimes("what may have run is failed", |_, w: &World| {
                 w.heard.values().flatten().any(|a| a.contains("Failed"))
             }),
@@ -365,34 +476,88 @@
 fn deliver(world: &mut World, notices: Vec<Notice>) {
     // Where nothing waits or will, a notice changes nothing.
     let idle = |c: &Conductor| c.hands.waiting() == 0 && c.inbox.is_empty() && c.fronts.is_empty();
-    for conductor in world.conductors.iter_mut().filter(|c| !c.crashed && !idle(c)) {
-        conductor.inbox.extend(notices.iter().cloned().map(Event::Notice));
+    for conductor in world
+        .conductors
+        .iter_mut()
+        .filter(|c| !c.crashed && !idle(c))
+    {
+        conductor
+            .inbox
+            .extend(notices.iter().cloned().map(Event::Notice));
     }
 }
 
 fn check(case: Case, until: HasDiscoveries) -> impl Checker<Case> {
-    let name = format!("{} requests, {} deaths, {:?}", case.requests, case.deaths, case.flaw);
+    let name = format!(
+        "{} requests, {} deaths, {:?}",
+        case.requests, case.deaths, case.flaw
+    );
     explore(&name, case, until)
 }
 
 #[test]
 fn one_request_and_a_death_in_every_order() {
-    check(Case { requests: 1, deaths: 1, asks: 2, time_outs: 0, flaw: Flaw::None }, HasDiscoveries::All)
-        .assert_properties();
+    check(
+        Case {
+            requests: 1,
+            deaths: 1,
+            asks: 2,
+            time_outs: 0,
+            flaw: Flaw::None,
+        },
+        HasDiscoveries::All,
+    )
+    .assert_properties();
 }
 
 /// Minutes: by hand, in a release build.
 #[test]
 #[ignore = "minutes; run it with --release"]
 fn two_deaths_two_requests_and_late_answers_in_every_order() {
-    check(Case { requests: 1, deaths: 2, asks: 2, time_outs: 0, flaw: Flaw::None }, HasDiscoveries::All)
-        .assert_properties();
-    check(Case { requests: 1, deaths: 2, asks: 2, time_outs: 1, flaw: Flaw::None }, HasDiscoveries::All)
-        .assert_properties();
-    check(Case { requests: 2, deaths: 2, asks: 2, time_outs: 0, flaw: Flaw::None }, HasDiscoveries::All)
-        .assert_properties();
-    check(Case { requests: 1, deaths: 2, asks: 3, time_outs: 2, flaw: Flaw::None }, HasDiscoveries::All)
-        .assert_properties();
+    check(
+        Case {
+            requests: 1,
+            deaths: 2,
+            asks: 2,
+            time_outs: 0,
+            flaw: Flaw::None,
+        },
+        HasDiscoveries::All,
+    )
+    .assert_properties();
+    check(
+        Case {
+            requests: 1,
+            deaths: 2,
+            asks: 2,
+            time_outs: 1,
+            flaw: Flaw::None,
+        },
+        HasDiscoveries::All,
+    )
+    .assert_properties();
+    check(
+        Case {
+            requests: 2,
+            deaths: 2,
+            asks: 2,
+            time_outs: 0,
+            flaw: Flaw::None,
+        },
+        HasDiscoveries::All,
+    )
+    .assert_properties();
+    check(
+        Case {
+            requests: 1,
+            deaths: 2,
+            asks: 3,
+            time_outs: 2,
+            flaw: Flaw::None,
+        },
+        HasDiscoveries::All,
+    )
+    .assert_properties();
 }
 
 #[rstest::rstest]
@@ -401,7 +566,18 @@
 #[case::sends_first(Flaw::SendsFirst, "nothing unsafe is sent twice")]
 fn a_front_with_a_flaw_is_caught(#[case] flaw: Flaw, #[case] property: &'static str) {
     let time_outs = u64::from(flaw == Flaw::CallsOnHope);
-    let checker =
-        check(Case { requests: 1, deaths: 1, asks: 2, time_outs, flaw }, HasDiscoveries::AnyFailures);
-    assert!(checker.discovery(property).is_some(), "{flaw:?} was not caught");
+    let checker = check(
+        Case {
+            requests: 1,
+            deaths: 1,
+            asks: 2,
+            time_outs,
+            flaw,
+        },
+        HasDiscoveries::AnyFailures,
+    );
+    assert!(
+        checker.discovery(property).is_some(),
+        "{flaw:?} was not caught"
+    );
 }
--- a/lab/tests/model_view.rs
+++ b/lab/tests/model_view.rs
@@ -67,20 +67,32 @@
 impl Fleet {
     fn event(&self, state: &mut State, at: usize, mut event: Event) {
         let now = state.now;
-        let Some(view) = state.views[at].as_mut() else { return };
+        let Some(view) = state.views[at].as_mut() else {
+            return;
+        };
         if let (true, Event::Message { message, .. }) = (self.deaf, &mut event) {
             message.news.retain(|news| news.member != name(at));
         }
         let stands = |view: &View| -> BTreeMap<MemberName, (Incarnation, u32)> {
-            view.peers().map(|peer| (peer.name.clone(), (peer.incarnation, peer.refutation))).collect()
+            view.peers()
+                .map(|peer| (peer.name.clone(), (peer.incarnation, peer.refutation)))
+                .collect()
         };
         let before = stands(view);
         let mut actions = Vec::new();
         view.handle(now, event, &mut actions);
         let after = stands(view);
-        state.broke |= before.iter().any(|(name, stand)| after.get(name).is_none_or(|now| now < stand));
+        state.broke |= before
+            .iter()
+            .any(|(name, stand)| after.get(name).is_none_or(|now| now < stand));
         for action in actions {
-            if let Action::Send { to, message, reliable, .. } = action {
+            if let Action::Send {
+                to,
+                message,
+                reliable,
+                ..
+            } = action
+            {
                 let message = postcard::to_allocvec(&message).expect("encodes");
                 state.broke |= !reliable && message.len() > settings().most_bytes;
                 *state.network.entry((at, node(&to), message)).or_default() += 1;
@@ -90,16 +102,30 @@
 
     fn arrives(&self, state: &mut State, from: usize, to: usize, message: &[u8]) {
         let message: Message = postcard::from_bytes(message).expect("decodes");
-        self.event(state, to, Event::Message { from: name(from), message });
+        self.event(
+            state,
+            to,
+            Event::Message {
+                from: name(from),
+                message,
+            },
+        );
     }
 
     fn start(&self, state: &mut State, at: usize) {
         state.lives[at] += 1;
         let site = SiteName::try_from("here").expect("a plain name");
         let incarnation = Incarnation(state.lives[at]);
-        let me = Me { name: name(at), site, address: address(at), incarnation };
+        let me = Me {
+            name: name(at),
+            site,
+            address: address(at),
+            incarnation,
+        };
         state.views[at] = Some(View::new(me, settings(), at as u64 + 7 * state.lives[at]));
-        let seeds = (0..self.members).map(|node| (name(node), address(node))).collect();
+        let seeds = (0..self.members)
+            .map(|node| (name(node), address(node)))
+            .collect();
         self.event(state, at, Event::Join { seeds });
     }
 
@@ -125,13 +151,19 @@
 
     fn agreed(&self, state: &State) -> bool {
         let holds = |view: &View, at: usize| {
-            let held = view.peer(&name(at)).map(|peer| (peer.status, peer.incarnation.0));
+            let held = view
+                .peer(&name(at))
+                .map(|peer| (peer.status, peer.incarnation.0));
             match state.views[at] {
                 Some(_) => held == Some((Status::Alive, state.lives[at])),
                 None => held.is_none_or(|(status, _)| status > Status::Suspect),
             }
         };
-        state.views.iter().flatten().all(|view| (0..self.members).all(|at| holds(view, at)))
+        state
+            .views
+            .iter()
+            .flatten()
+            .all(|view| (0..self.members).all(|at| holds(view, at)))
     }
 
     fn settles(&self, state: &State, loses_all: bool) -> bool {
@@ -171,10 +203,16 @@
         while !self.agreed(&state) {
             self.fair(&mut state, &BTreeSet::new());
         }
-        let links: Vec<_> = (0..n * n).map(|link| (link / n, link % n)).filter(|(a, b)| a != b).collect();
+        let links: Vec<_> = (0..n * n)
+            .map(|link| (link / n, link % n))
+            .filter(|(a, b)| a != b)
+            .collect();
         let mut states: Vec<State> = Vec::new();
         for pattern in 0..1_u32 << links.len() {
-            let cut = links.iter().enumerate().filter(|(bit, _)| pattern >> bit & 1 == 1);
+            let cut = links
+                .iter()
+                .enumerate()
+                .filter(|(bit, _)| pattern >> bit & 1 == 1);
             let cuts: BTreeSet<_> = cut.map(|(_, link)| *link).collect();
             for periods in &self.cut_periods {
                 let mut cut_off = state.clone();
@@ -240,12 +278,14 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("settles when all on its way arrives", |fleet: &Fleet, state| {
-                fleet.settles(state, false)
-            }),
-            Property::always("settles when all on its way is lost", |fleet: &Fleet, state| {
-                fleet.settles(state, true)
-            }),
+            Property::always(
+                "settles when all on its way arrives",
+                |fleet: &Fleet, state| fleet.settles(state, false),
+            ),
+            Property::always(
+                "settles when all on its way is lost",
+                |fleet: &Fleet, state| fleet.settles(state, true),
+            ),
             Property::always("nothing goes back", |_, state: &State| !state.broke),
         ]
     }
@@ -255,7 +295,12 @@
     let begun = Instant::now();
     let starts = fleet.init_states().len();
     let members = fleet.members;
-    let checker = fleet.checker().threads(2).target_max_depth(depth).spawn_bfs().join();
+    let checker = fleet
+        .checker()
+        .threads(2)
+        .target_max_depth(depth)
+        .spawn_bfs()
+        .join();
     println!(
         "{members} members, from {starts} starts, {depth} deep: {} states, {} unique, {:?}",
         checker.state_count(),
@@ -267,23 +312,45 @@
 
 #[test]
 fn three_views_settle_from_everywhere() {
-    let fleet = Fleet { members: 3, cut_periods: vec![6], crashes: 1, duplicates: 1, deaf: false };
+    let fleet = Fleet {
+        members: 3,
+        cut_periods: vec![6],
+        crashes: 1,
+        duplicates: 1,
+        deaf: false,
+    };
     check(fleet, 5).assert_properties();
 }
 
 /// The search would see it: members that never hear what is held of them stay dead to the others.
 #[test]
 fn a_view_that_never_refutes_is_caught() {
-    let fleet = Fleet { members: 3, cut_periods: vec![6], crashes: 0, duplicates: 0, deaf: true };
+    let fleet = Fleet {
+        members: 3,
+        cut_periods: vec![6],
+        crashes: 0,
+        duplicates: 0,
+        deaf: true,
+    };
     let checker = check(fleet, 2);
-    assert!(checker.discovery("settles when all on its way is lost").is_some());
+    assert!(
+        checker
+            .discovery("settles when all on its way is lost")
+            .is_some()
+    );
 }
 
 /// By hand, in a release build: `cargo test --release -p whinhaven-lab --test model_view -- --ignored --nocapture`.
 #[test]
 #[ignore = "minutes"]
 fn three_views_settle_from_further_away() {
-    let fleet = Fleet { members: 3, cut_periods: vec![2, 4, 6, 8], crashes: 1, duplicates: 1, deaf: false };
+    let fleet = Fleet {
+        members: 3,
+        cut_periods: vec![2, 4, 6, 8],
+        crashes: 1,
+        duplicates: 1,
+        deaf: false,
+    };
     check(fleet, 6).assert_properties();
 }
 
@@ -291,6 +358,12 @@
 #[test]
 #[ignore = "minutes"]
 fn four_views_settle() {
-    let fleet = Fleet { members: 4, cut_periods: vec![8], crashes: 1, duplicates: 0, deaf: false };
+    let fleet = Fleet {
+        members: 4,
+        cut_periods: vec![8],
+        crashes: 1,
+        duplicates: 0,
+        deaf: false,
+    };
     check(fleet, 3).assert_properties();
 }
--- a/lab/tests/network.rs
+++ b/lab/tests/network.rs
@@ -20,10 +20,22 @@
     let tcp = TcpListener::bind("127.0.0.1:0").unwrap();
     let to = UdpSocket::bind(tcp.local_addr().unwrap()).unwrap();
     let network = Network::new(seed, History::new()).unwrap();
-    let at = network.link("a", "b", "127.0.0.1:0".parse().unwrap(), tcp.local_addr().unwrap()).unwrap();
+    let at = network
+        .link(
+            "a",
+            "b",
+            "127.0.0.1:0".parse().unwrap(),
+            tcp.local_addr().unwrap(),
+        )
+        .unwrap();
     let from = UdpSocket::bind("127.0.0.1:0").unwrap();
     to.set_read_timeout(Some(STUCK)).unwrap();
-    Link { network, udp: (from, to), tcp, at }
+    Link {
+        network,
+        udp: (from, to),
+        tcp,
+        at,
+    }
 }
 
 impl Link {
@@ -35,7 +47,12 @@
                 std::thread::yield_now();
             }
         }
-        self.network.set("a", "b", |f| *f = Faults { delay: Duration::from_millis(60), ..Faults::default() });
+        self.network.set("a", "b", |f| {
+            *f = Faults {
+                delay: Duration::from_millis(60),
+                ..Faults::default()
+            }
+        });
         self.udp.0.send_to(b"stop", self.at).unwrap();
         let mut came = Vec::new();
         loop {
@@ -50,7 +67,9 @@
 }
 
 fn numbers(came: &[Vec<u8>]) -> Vec<u32> {
-    came.iter().map(|d| u32::from_be_bytes(d.as_slice().try_into().unwrap())).collect()
+    came.iter()
+        .map(|d| u32::from_be_bytes(d.as_slice().try_into().unwrap()))
+        .collect()
 }
 
 #[rstest]
@@ -79,7 +98,11 @@
     let link = link(7);
     link.network.set("a", "b", |f| f.garble = 1.0);
     for (n, came) in link.send(20).iter().enumerate() {
-        let wrong: u32 = came.iter().zip((n as u32).to_be_bytes()).map(|(a, b)| (a ^ b).count_ones()).sum();
+        let wrong: u32 = came
+            .iter()
+            .zip((n as u32).to_be_bytes())
+            .map(|(a, b)| (a ^ b).count_ones())
+            .sum();
         assert_eq!(wrong, 1);
     }
 }
@@ -87,10 +110,14 @@
 #[test]
 fn forged_and_replayed_datagrams_come_beside_the_real_ones() {
     let link = link(7);
-    link.network.set("a", "b", |f| (f.forge, f.replay) = (1.0, 1.0));
+    link.network
+        .set("a", "b", |f| (f.forge, f.replay) = (1.0, 1.0));
     let came = link.send(20);
     let real = |n: &u32| came.contains(&n.to_be_bytes().to_vec());
-    assert!((0..20).filter(real).count() == 20 && came.len() == 59, "{came:?}");
+    assert!(
+        (0..20).filter(real).count() == 20 && came.len() == 59,
+        "{came:?}"
+    );
 }
 
 /// Guards against runs that can't be told again: what is lost follows from the seed.
--- a/lab/tests/processes_ground.rs
+++ b/lab/tests/processes_ground.rs
@@ -45,13 +45,26 @@
 
     /// With other times of the view, the group and the leases.
     fn start_in_time(conductors: usize, voters: usize, seed: u64, more: String) -> Ground {
-        Ground::start_of(FleetSettings { conductors, voters, seed, more, ..FleetSettings::default() })
+        Ground::start_of(FleetSettings {
+            conductors,
+            voters,
+            seed,
+            more,
+            ..FleetSettings::default()
+        })
     }
 
     /// With leases that are renewed at the leader, through relays.
     fn start_with_relays(conductors: usize, voters: usize, relays: usize, seed: u64) -> Ground {
         let more = QUICK.replace("[fleet.lease]\n", "[fleet.lease]\nrenewal = \"leader\"\n");
-        let of = FleetSettings { conductors, voters, relays, seed, more, ..FleetSettings::default() };
+        let of = FleetSettings {
+            conductors,
+            voters,
+            relays,
+            seed,
+            more,
+            ..FleetSettings::default()
+        };
         Ground::start_of(of)
     }
 
@@ -65,14 +78,23 @@
         };
         let fleet = Fleet::start(settings).unwrap();
         let names = fleet.names();
-        let ground = Ground { fleet, names, voters };
+        let ground = Ground {
+            fleet,
+            names,
+            voters,
+        };
         ground.settled(&[]);
         ground
     }
 
     /// Waits until all but the `gone` agree and one of them has acted.
     fn settled(&self, gone: &[&str]) {
-        let alive: Vec<&str> = self.names.iter().map(String::as_str).filter(|n| !gone.contains(n)).collect();
+        let alive: Vec<&str> = self
+            .names
+            .iter()
+            .map(String::as_str)
+            .filter(|n| !gone.contains(n))
+            .collect();
         let before = self.fleet.history.len();
         self.fleet.quiet(&alive, STUCK * 2);
         self.fleet.wait_for_views(&alive).unwrap();
@@ -82,9 +104,17 @@
 
     /// Whoever has a part now: `leader`, `holder`, `voter` (of neither part) or `plain` (no voter, of neither part).
     fn who(&self, part: &str) -> String {
-        let (leader, holder) = (self.fleet.leader().unwrap(), self.fleet.holder(DUTY).unwrap());
+        let (leader, holder) = (
+            self.fleet.leader().unwrap(),
+            self.fleet.holder(DUTY).unwrap(),
+        );
         let (voters, plain) = self.names.split_at(self.voters);
-        let free = |names: &[String]| names.iter().find(|n| **n != leader && **n != holder).cloned();
+        let free = |names: &[String]| {
+            names
+                .iter()
+                .find(|n| **n != leader && **n != holder)
+                .cloned()
+        };
         match part {
             "leader" => leader,
             "holder" => holder,
@@ -105,7 +135,8 @@
         let report = check(&records, &Limits::default());
         let judged = report.verdict(1).checked > 0 && report.verdict(2).checked > 0;
         if !report.is_kept() || !judged {
-            let kept = std::env::temp_dir().join(format!("whinhaven-broken-{}.jsonl", std::process::id()));
+            let kept =
+                std::env::temp_dir().join(format!("whinhaven-broken-{}.jsonl", std::process::id()));
             self.fleet.history.save(&kept).unwrap();
             panic!("{report}history: {}", kept.display());
         }
@@ -194,11 +225,18 @@
     let ground = Ground::start(5, 5, 4);
     let holder = ground.who("holder");
     let other = ground.names.iter().find(|n| **n != holder).unwrap().clone();
-    let rest: Vec<&str> =
-        ground.names.iter().map(String::as_str).filter(|n| **n != holder && **n != *other).collect();
+    let rest: Vec<&str> = ground
+        .names
+        .iter()
+        .map(String::as_str)
+        .filter(|n| **n != holder && **n != *other)
+        .collect();
     ground.fleet.split(&[&[&holder, &other], &rest]);
     let acts = |r: &Record| r.event == "lease.act" && rest.contains(&r.source.as_str());
-    ground.fleet.wait_for(ground.fleet.history.len(), acts).unwrap();
+    ground
+        .fleet
+        .wait_for(ground.fleet.history.len(), acts)
+        .unwrap();
     ground.fleet.network.heal();
     ground.settled(&[]);
     ground.end();
@@ -211,7 +249,11 @@
     let ground = Ground::start(3, 3, 5);
     let leader = ground.who("leader");
     for other in ground.names.iter().filter(|n| **n != leader) {
-        let (from, to) = if inwards { (other, &leader) } else { (&leader, other) };
+        let (from, to) = if inwards {
+            (other, &leader)
+        } else {
+            (&leader, other)
+        };
         ground.fleet.network.cut_one_way(from, to);
     }
     ground.another_acts(&leader);
@@ -223,9 +265,15 @@
 #[test]
 fn with_three_of_ten_messages_lost_there_is_one_holder_and_afterwards_one_view() {
     let ground = Ground::start(3, 3, 6);
-    ground.fleet.history.note("lab", "fault.links", serde_json::json!({ "loss": 0.3 }));
-    for (a, b) in
-        ground.names.iter().flat_map(|a| ground.names.iter().map(move |b| (a, b))).filter(|(a, b)| a != b)
+    ground
+        .fleet
+        .history
+        .note("lab", "fault.links", serde_json::json!({ "loss": 0.3 }));
+    for (a, b) in ground
+        .names
+        .iter()
+        .flat_map(|a| ground.names.iter().map(move |b| (a, b)))
+        .filter(|(a, b)| a != b)
     {
         ground.fleet.network.set(a, b, |f| f.loss = 0.3);
     }
@@ -256,23 +304,39 @@
 fn forgers_and_strangers_change_nothing() {
     let mut ground = Ground::start_in_time(3, 3, 8, PATIENT.to_owned());
     let names = ground.names.clone();
-    ground.fleet.history.note("lab", "lab.forging", serde_json::json!({}));
+    ground
+        .fleet
+        .history
+        .note("lab", "lab.forging", serde_json::json!({}));
     let before = ground.fleet.history.len();
     ground.fleet.stranger("c9").unwrap();
-    for (a, b) in names.iter().flat_map(|a| names.iter().map(move |b| (a, b))).filter(|(a, b)| a != b) {
-        ground.fleet.network.set(a, b, |f| (f.forge, f.replay) = (1.0, 1.0));
+    for (a, b) in names
+        .iter()
+        .flat_map(|a| names.iter().map(move |b| (a, b)))
+        .filter(|(a, b)| a != b)
+    {
+        ground
+            .fleet
+            .network
+            .set(a, b, |f| (f.forge, f.replay) = (1.0, 1.0));
         let mut noise = std::net::TcpStream::connect(ground.fleet.peer_link(a, b)).unwrap();
         let _ = std::io::Write::write_all(&mut noise, &[0x5a; 4096]);
     }
     for name in &names {
-        ground.fleet.wait_for(before, |r| r.is(name, "fleet.refused")).unwrap();
+        ground
+            .fleet
+            .wait_for(before, |r| r.is(name, "fleet.refused"))
+            .unwrap();
         // Their own work goes on while the stranger knocks at their doors.
         while ground.fleet.network.carried("c9", name)[0] < 4 {
             ground.another_acts("c9");
         }
     }
     ground.fleet.note_memory();
-    ground.fleet.history.note("lab", "lab.forged", serde_json::json!({}));
+    ground
+        .fleet
+        .history
+        .note("lab", "lab.forged", serde_json::json!({}));
     let report = check(&ground.fleet.history.records(), &Limits::default());
     assert!(report.verdict(7).checked >= 9, "{report}");
     ground.end();
@@ -286,10 +350,22 @@
     both[0].another_acts("");
     let mut records = both[0].fleet.history.records();
     let others = both[1].fleet.history.records().into_iter();
-    records.extend(others.map(|r| Record { source: r.source.replace("c1", "c2"), ..r }));
+    records.extend(others.map(|r| Record {
+        source: r.source.replace("c1", "c2"),
+        ..r
+    }));
     let report = check(&records, &Limits::default());
-    let caught = |what: &str| report.verdict(2).violations.iter().any(|v| v.what.contains(what));
-    assert!(caught("two holders at a time") && caught("was granted to c1@"), "{report}");
+    let caught = |what: &str| {
+        report
+            .verdict(2)
+            .violations
+            .iter()
+            .any(|v| v.what.contains(what))
+    };
+    assert!(
+        caught("two holders at a time") && caught("was granted to c1@"),
+        "{report}"
+    );
 }
 
 /// Guards against a log cut short under members that lag behind: with entries that come fast and snapshots every few of
@@ -297,9 +373,15 @@
 #[test]
 fn members_that_lag_behind_a_snapshot_catch_up() {
     let ground = Ground::start_with(5, 3, 11, "snapshot_after = 16\n");
-    ground.fleet.history.note("lab", "fault.links", serde_json::json!({ "loss": 0.3 }));
-    for (a, b) in
-        ground.names.iter().flat_map(|a| ground.names.iter().map(move |b| (a, b))).filter(|(a, b)| a != b)
+    ground
+        .fleet
+        .history
+        .note("lab", "fault.links", serde_json::json!({ "loss": 0.3 }));
+    for (a, b) in ground
+        .names
+        .iter()
+        .flat_map(|a| ground.names.iter().map(move |b| (a, b)))
+        .filter(|(a, b)| a != b)
     {
         ground.fleet.network.set(a, b, |f| f.loss = 0.3);
     }
@@ -309,11 +391,17 @@
         ground.another_acts(&plain);
         ground.settled(&[&plain]);
         for other in &ground.names[..4] {
-            ground.fleet.network.set_both(&plain, other, |f| f.cut = false);
+            ground
+                .fleet
+                .network
+                .set_both(&plain, other, |f| f.cut = false);
         }
         ground.settled(&[]);
     }
-    let stopped = ground.fleet.history.count(|r| r.event == "fleet.stop" && r.text("cause") == "store");
+    let stopped = ground
+        .fleet
+        .history
+        .count(|r| r.event == "fleet.stop" && r.text("cause") == "store");
     assert_eq!(stopped, 0);
     ground.end();
 }
@@ -322,7 +410,8 @@
 /// --test processes_ground rounds`, from the seed `WHINHAVEN_SEED` on.
 #[test]
 fn rounds_of_faults_by_seed() {
-    let number = |name: &str, default| std::env::var(name).map_or(default, |v| v.parse::<u64>().unwrap());
+    let number =
+        |name: &str, default| std::env::var(name).map_or(default, |v| v.parse::<u64>().unwrap());
     let first = number("WHINHAVEN_SEED", 1);
     for seed in first..first + number("WHINHAVEN_ROUNDS", 1) {
         round(seed);
@@ -331,16 +420,25 @@
 
 fn round(seed: u64) {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
-    let (conductors, voters) = *[(3, 3), (5, 3), (5, 5), (9, 5)].choose(&mut random).unwrap();
+    let (conductors, voters) = *[(3, 3), (5, 3), (5, 5), (9, 5)]
+        .choose(&mut random)
+        .unwrap();
     println!("round {seed}: {conductors} conductors, {voters} voters");
     // Snapshots all the time, now and then, or hardly ever.
     let snapshots = *[8, 64, 1024].choose(&mut random).unwrap();
-    let ground = Ground::start_with(conductors, voters, seed, &format!("snapshot_after = {snapshots}\n"));
+    let ground = Ground::start_with(
+        conductors,
+        voters,
+        seed,
+        &format!("snapshot_after = {snapshots}\n"),
+    );
     let fleet = &ground.fleet;
     for _ in 0..random.random_range(1..4) {
         let mut struck: Vec<(String, u32)> = Vec::new();
         for _ in 0..random.random_range(1..3) {
-            let part = *["leader", "holder", "voter", "plain"].choose(&mut random).unwrap();
+            let part = *["leader", "holder", "voter", "plain"]
+                .choose(&mut random)
+                .unwrap();
             let victim = if part == "plain" && voters == conductors {
                 ground.names.choose(&mut random).unwrap().clone()
             } else {
@@ -416,7 +514,14 @@
 fn a_fleet_goes_on_though_calls_between_its_conductors_fail(#[case] faults: String) {
     let (conductors, voters, more) = (3, 3, QUICK.to_owned());
     let environment = environment(&faults);
-    let of = FleetSettings { conductors, voters, seed: 23, more, environment, ..FleetSettings::default() };
+    let of = FleetSettings {
+        conductors,
+        voters,
+        seed: 23,
+        more,
+        environment,
+        ..FleetSettings::default()
+    };
     let ground = Ground::start_of(of);
     let victim = ground.who("holder");
     ground.fleet.conductor(&victim).kill();
@@ -439,17 +544,33 @@
         let folder = Folder::temporary().unwrap();
         let control = folder.path().join("faults");
         std::fs::write(&control, "").unwrap();
-        let environment =
-            vec![("LD_PRELOAD", fault_shim().into()), ("FAULT_SHIM_FILES", control.clone().into())];
+        let environment = vec![
+            ("LD_PRELOAD", fault_shim().into()),
+            ("FAULT_SHIM_FILES", control.clone().into()),
+        ];
         let (conductors, voters, more) = (3, 3, QUICK.to_owned());
-        let of = FleetSettings { conductors, voters, seed, more, environment, ..FleetSettings::default() };
-        FolderFaults { ground: Ground::start_of(of), control, _folder: folder }
+        let of = FleetSettings {
+            conductors,
+            voters,
+            seed,
+            more,
+            environment,
+            ..FleetSettings::default()
+        };
+        FolderFaults {
+            ground: Ground::start_of(of),
+            control,
+            _folder: folder,
+        }
     }
 
     /// From now on these calls on a conductor's folder fail, and no others.
     fn set(&self, victim: &str, faults: &[&str]) {
         let store = self.ground.fleet.store(victim);
-        let lines: String = faults.iter().map(|fault| format!("{fault}:{}\n", store.display())).collect();
+        let lines: String = faults
+            .iter()
+            .map(|fault| format!("{fault}:{}\n", store.display()))
+            .collect();
         // In one step: the conductors read the file at each of their calls.
         let whole = self.control.with_extension("new");
         std::fs::write(&whole, lines).unwrap();
@@ -468,14 +589,18 @@
 #[case::full("leader", &["pwrite64:28"])]
 #[case::writes_and_cuts("holder", &["pwrite64:5", "ftruncate64:5"])]
 #[case::all("voter", &["pwrite64:5", "ftruncate64:5", "fdatasync:5", "fsync:5", "rename:5"])]
-fn a_conductor_whose_folder_fails_for_a_while_takes_part_again(#[case] part: &str, #[case] faults: &[&str]) {
+fn a_conductor_whose_folder_fails_for_a_while_takes_part_again(
+    #[case] part: &str,
+    #[case] faults: &[&str],
+) {
     let folder = FolderFaults::start(21);
     let ground = &folder.ground;
     let victim = ground.who(part);
     let before = ground.fleet.history.len();
     // Each renewal of a lease is written.
     folder.set(&victim, faults);
-    let failed = |r: &Record| r.event == "fleet.stop" && r.source == victim && r.text("cause") == "store";
+    let failed =
+        |r: &Record| r.event == "fleet.stop" && r.source == victim && r.text("cause") == "store";
     ground.fleet.wait_for(before, failed).unwrap();
     ground.another_acts(&victim);
     ground.settled(&[&victim]);
@@ -494,7 +619,10 @@
     let victim = ground.who(part);
     let before = ground.fleet.history.len();
     folder.set(&victim, &["pwrite64:kill"]);
-    ground.fleet.wait_for(before, |r| r.event == "lab.exited" && r.source == victim).unwrap();
+    ground
+        .fleet
+        .wait_for(before, |r| r.event == "lab.exited" && r.source == victim)
+        .unwrap();
     folder.clear();
     ground.another_acts(&victim);
     ground.settled(&[&victim]);
--- a/lab/tests/processes_policy.rs
+++ b/lab/tests/processes_policy.rs
@@ -22,7 +22,12 @@
 const STEPS: [&str; 3] = ["policy.proposed", "policy.closing", "policy.epoch"];
 
 fn start(seed: u64) -> Fleet {
-    let settings = FleetSettings { voters: 3, seed, more: QUICK.to_owned(), ..FleetSettings::default() };
+    let settings = FleetSettings {
+        voters: 3,
+        seed,
+        more: QUICK.to_owned(),
+        ..FleetSettings::default()
+    };
     let fleet = Fleet::start(settings).unwrap();
     settled(&fleet);
     fleet
@@ -31,7 +36,9 @@
 /// Waits until all see each other and hold the same epoch.
 fn settled(fleet: &Fleet) {
     let names = fleet.names();
-    fleet.wait_for_views(&names.iter().map(String::as_str).collect::<Vec<_>>()).unwrap();
+    fleet
+        .wait_for_views(&names.iter().map(String::as_str).collect::<Vec<_>>())
+        .unwrap();
     let agreed = fleet.history.wait_until(STUCK, |records| {
         let last = |name: &String| {
             let of = |event: &str| records.iter().rposition(|r| r.is(name, event));
@@ -40,11 +47,14 @@
             Some((epoch.number("epoch")?, epoch.text("digest").to_owned()))
         };
         let held: Option<Vec<_>> = names.iter().map(last).collect();
-        held.filter(|held| held.windows(2).all(|two| two[0] == two[1])).map(|_| ())
+        held.filter(|held| held.windows(2).all(|two| two[0] == two[1]))
+            .map(|_| ())
     });
     if agreed.is_none() {
         let of_note = |r: &&Record| {
-            ["fleet", "life", "fault", "policy"].iter().any(|part| r.event.starts_with(part))
+            ["fleet", "life", "fault", "policy"]
+                .iter()
+                .any(|part| r.event.starts_with(part))
                 && r.event != "policy.begin"
         };
         let records = fleet.history.records();
@@ -53,7 +63,10 @@
             .filter(of_note)
             .map(|r| format!("{} {} {:?}", r.source, r.event, r.fields))
             .collect();
-        panic!("no agreement: {}", last[last.len().saturating_sub(60)..].join("\n"));
+        panic!(
+            "no agreement: {}",
+            last[last.len().saturating_sub(60)..].join("\n")
+        );
     }
 }
 
@@ -63,9 +76,21 @@
     assert!(SETTINGS.contains(part));
     std::fs::write(&new, SETTINGS.replace(part, changed)).unwrap();
     let mut command = Command::new(program());
-    let done = command.args(["policy", "propose"]).arg(&new).arg(fleet.file(by)).output().unwrap();
-    let Output { status, stdout, stderr } = done;
-    (status.success(), String::from_utf8_lossy(&[stdout, stderr].concat()).into_owned())
+    let done = command
+        .args(["policy", "propose"])
+        .arg(&new)
+        .arg(fleet.file(by))
+        .output()
+        .unwrap();
+    let Output {
+        status,
+        stdout,
+        stderr,
+    } = done;
+    (
+        status.success(),
+        String::from_utf8_lossy(&[stdout, stderr].concat()).into_owned(),
+    )
 }
 
 fn worth(fleet: &Fleet, by: &str, worth: u64) -> (bool, String) {
@@ -81,7 +106,8 @@
     assert_eq!(counts.wrong.load(Ordering::Relaxed), 0, "{counts:?}");
     let report = check(&fleet.history.records(), &Limits::default());
     if !report.is_kept() || report.verdict(5).checked == 0 {
-        let kept = std::env::temp_dir().join(format!("whinhaven-broken-{}.jsonl", std::process::id()));
+        let kept =
+            std::env::temp_dir().join(format!("whinhaven-broken-{}.jsonl", std::process::id()));
         fleet.history.save(&kept).unwrap();
         panic!("{report}history: {}", kept.display());
     }
@@ -95,13 +121,26 @@
     let load = Load::start(&fleet.client(), 6, 40.0, 1);
     fleet.wait_for(0, |r| begun(r, 1)).unwrap();
     let (done, said) = worth(&fleet, "c2", 3);
-    assert!(done && said.contains("epoch 2 in force at 3 of 3"), "{said}");
+    assert!(
+        done && said.contains("epoch 2 in force at 3 of 3"),
+        "{said}"
+    );
     assert!(said.contains("classes[1].value: 2.0 -> 3.5"), "{said}");
     for name in fleet.names() {
-        fleet.wait_for(0, |r| r.source == name && begun(r, 2)).unwrap();
+        fleet
+            .wait_for(0, |r| r.source == name && begun(r, 2))
+            .unwrap();
     }
-    let (done, said) = propose(&fleet, "c1", "cold_from = 0.3", "cold_from = 0.3\nnewer = 1");
-    assert!(!done && said.contains("refuses: rules.newer: this conductor knows no such field"), "{said}");
+    let (done, said) = propose(
+        &fleet,
+        "c1",
+        "cold_from = 0.3",
+        "cold_from = 0.3\nnewer = 1",
+    );
+    assert!(
+        !done && said.contains("refuses: rules.newer: this conductor knows no such field"),
+        "{said}"
+    );
     let refused = fleet.history.count(|r| r.event == "client.refused");
     assert_eq!(refused, 0, "requests refused");
     end(fleet, load);
@@ -115,16 +154,26 @@
     fleet.wait_for(0, |r| begun(r, 1)).unwrap();
     fleet.conductor("c3").kill();
     let (done, said) = worth(&fleet, "c1", 3);
-    assert!(done && said.contains("epoch 2 in force at 2 of 2"), "{said}");
+    assert!(
+        done && said.contains("epoch 2 in force at 2 of 2"),
+        "{said}"
+    );
     fleet.restart("c3", false).unwrap();
     settled(&fleet);
-    fleet.wait_for(0, |r| r.source == "c3" && begun(r, 2)).unwrap();
+    fleet
+        .wait_for(0, |r| r.source == "c3" && begun(r, 2))
+        .unwrap();
     fleet.isolate("c2");
     let (done, said) = worth(&fleet, "c1", 4);
-    assert!(done && said.contains("epoch 3 in force at 2 of 2"), "{said}");
+    assert!(
+        done && said.contains("epoch 3 in force at 2 of 2"),
+        "{said}"
+    );
     fleet.network.heal();
     settled(&fleet);
-    fleet.wait_for(0, |r| r.source == "c2" && begun(r, 3)).unwrap();
+    fleet
+        .wait_for(0, |r| r.source == "c2" && begun(r, 3))
+        .unwrap();
     end(fleet, load);
 }
 
@@ -132,7 +181,12 @@
 /// `WHINHAVEN_SEED` for others.
 #[test]
 fn rounds_by_seed() {
-    let number = |name: &str, or: u64| std::env::var(name).ok().and_then(|n| n.parse().ok()).unwrap_or(or);
+    let number = |name: &str, or: u64| {
+        std::env::var(name)
+            .ok()
+            .and_then(|n| n.parse().ok())
+            .unwrap_or(or)
+    };
     let (rounds, seed) = (number("WHINHAVEN_ROUNDS", 6), number("WHINHAVEN_SEED", 1));
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let fleet = start(seed);
@@ -142,7 +196,11 @@
         let step = STEPS[(round % 3) as usize];
         let names = fleet.names();
         let leader = fleet.leader().unwrap();
-        let victim = if random.random() { leader } else { names[random.random_range(0..3usize)].clone() };
+        let victim = if random.random() {
+            leader
+        } else {
+            names[random.random_range(0..3usize)].clone()
+        };
         let by = names[random.random_range(0..3usize)].clone();
         let (from, kills) = (fleet.history.len(), random.random_bool(0.6));
         let conductor = fleet.conductor(&victim);
@@ -156,11 +214,16 @@
             (true, false) => stop(),
             (false, _) => {}
         };
-        fleet.history.once(move |r| r.order > from as u64 && r.is(&struck, step), fault);
+        fleet
+            .history
+            .once(move |r| r.order > from as u64 && r.is(&struck, step), fault);
         let (done, said) = worth(&fleet, &by, 10 + round);
         hits += u64::from(!armed.swap(false, Ordering::Relaxed));
         in_force += u64::from(done);
-        assert!(done || said.contains("nowhere: "), "seed {seed} round {round} {step} at {victim}: {said}");
+        assert!(
+            done || said.contains("nowhere: "),
+            "seed {seed} round {round} {step} at {victim}: {said}"
+        );
         if kills {
             fleet.restart(&victim, false).unwrap();
         } else {
--- a/lab/tests/processes_sites.rs
+++ b/lab/tests/processes_sites.rs
@@ -29,8 +29,10 @@
         );
     }
     for (a, b) in [("s1", "s2"), ("s2", "s3"), ("s1", "s3")] {
-        let _ =
-            writeln!(text, "[[sites.links]]\nbetween = [{a:?}, {b:?}]\ntokens_per_s = 90000\ndelay_ms = 1.0");
+        let _ = writeln!(
+            text,
+            "[[sites.links]]\nbetween = [{a:?}, {b:?}]\ntokens_per_s = 90000\ndelay_ms = 1.0"
+        );
     }
     for class in ["explain", "send"] {
         let _ = writeln!(
@@ -44,8 +46,13 @@
 
 /// The epoch from which on `member` knows that the site stands like this.
 fn agreed(fleet: &Fleet, after: usize, member: &str, to: &str) -> u64 {
-    let wanted = |r: &Record| r.is(member, "site.epoch") && r.text("site") == "s3" && r.text("to") == to;
-    fleet.wait_for(after, wanted).unwrap().number("epoch").unwrap()
+    let wanted =
+        |r: &Record| r.is(member, "site.epoch") && r.text("site") == "s3" && r.text("to") == to;
+    fleet
+        .wait_for(after, wanted)
+        .unwrap()
+        .number("epoch")
+        .unwrap()
 }
 
 /// A site is killed whole: all survivors step by the same numbers, work goes on, and the site comes back by steps.
@@ -62,17 +69,26 @@
     };
     let fleet = Fleet::start(settings).unwrap();
     let names = fleet.names();
-    fleet.wait_for_views(&names.iter().map(String::as_str).collect::<Vec<_>>()).unwrap();
+    fleet
+        .wait_for_views(&names.iter().map(String::as_str).collect::<Vec<_>>())
+        .unwrap();
     for name in &names {
         fleet.wait_for(0, |r| r.is(name, "site.settled")).unwrap();
     }
-    assert_eq!(fleet.history.count(|r| r.event == "site.epoch"), 0, "nothing is lost yet");
+    assert_eq!(
+        fleet.history.count(|r| r.event == "site.epoch"),
+        0,
+        "nothing is lost yet"
+    );
 
     let before = fleet.history.len();
     let gone = fleet.site_names("s3");
     gone.iter().for_each(|name| fleet.kill(name).unwrap());
     let survivors: Vec<&String> = names.iter().filter(|n| !gone.contains(n)).collect();
-    let epochs: Vec<u64> = survivors.iter().map(|name| agreed(&fleet, before, name, "lost")).collect();
+    let epochs: Vec<u64> = survivors
+        .iter()
+        .map(|name| agreed(&fleet, before, name, "lost"))
+        .collect();
     assert!(epochs.iter().all(|e| *e == epochs[0]), "{epochs:?}");
     let ended = fleet.client().ask(&Ask::send("order-1", 6, 1), 0);
     assert!(matches!(ended.answer, Some(Final::Text(_))), "{ended:?}");
@@ -84,7 +100,10 @@
             None => drop(fleet.restart(name, false).unwrap()),
         }
     }
-    let epochs: Vec<u64> = survivors.iter().map(|name| agreed(&fleet, back, name, "sound")).collect();
+    let epochs: Vec<u64> = survivors
+        .iter()
+        .map(|name| agreed(&fleet, back, name, "sound"))
+        .collect();
     assert!(epochs.iter().all(|e| *e == epochs[0]), "{epochs:?}");
     for name in survivors {
         let steps: Vec<u64> = fleet
@@ -97,5 +116,8 @@
         assert!(steps.len() > 1 && steps.is_sorted(), "{name}: {steps:?}");
     }
     let runs = fleet.tool.runs();
-    assert!(runs.get("order-1/0") == Some(&1) && runs.values().all(|n| *n == 1), "{runs:?}");
+    assert!(
+        runs.get("order-1/0") == Some(&1) && runs.values().all(|n| *n == 1),
+        "{runs:?}"
+    );
 }
--- a/lab/tests/processes_takeover.rs
+++ b/lab/tests/processes_takeover.rs
@@ -30,7 +30,13 @@
 /// `takeover`: fields of its table.
 fn start_more(conductors: usize, voters: usize, seed: u64, takeover: &str) -> Fleet {
     let more = format!("{QUICK}{takeover}");
-    let settings = FleetSettings { conductors, voters, seed, more, ..FleetSettings::default() };
+    let settings = FleetSettings {
+        conductors,
+        voters,
+        seed,
+        more,
+        ..FleetSettings::default()
+    };
     let fleet = Fleet::start(settings).unwrap();
     settled(&fleet);
     fleet
@@ -59,7 +65,10 @@
 
 /// A number from the environment.
 fn number(name: &str, or: u64) -> u64 {
-    std::env::var(name).ok().and_then(|n| n.parse().ok()).unwrap_or(or)
+    std::env::var(name)
+        .ok()
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(or)
 }
 
 /// The main job: killed with a tool call out, its client goes on elsewhere, and the tool has run once.
@@ -70,7 +79,10 @@
     strike(&fleet.history, Step::ToolRan, "order-1", kill);
     let ask = Ask::send("order-1", 12, 2);
     let ended = fleet.client().ask(&ask, 0);
-    assert!(matches!(ended.answer, Some(Final::Text(_))) && ended.tries > 1, "{ended:?}");
+    assert!(
+        matches!(ended.answer, Some(Final::Text(_))) && ended.tries > 1,
+        "{ended:?}"
+    );
     assert_eq!(fleet.tool.runs().get("order-1/0"), Some(&1));
     // The same final answer wherever it asks.
     for at in [1, 2] {
@@ -88,7 +100,12 @@
     let mut hits = Hits::default();
     for (i, step) in Step::ALL.into_iter().enumerate() {
         let (name, victim) = (format!("order-{step:?}"), format!("c{}", i % 3 + 1));
-        strike(&fleet.history, step, &name, fleet.conductor(&victim).killer());
+        strike(
+            &fleet.history,
+            step,
+            &name,
+            fleet.conductor(&victim).killer(),
+        );
         let ended = client.ask(&Ask::send(&name, 6, 1), i);
         assert!(ended.answer.is_some(), "{step:?}: {ended:?}");
         if fleet.conductor(&victim).id().is_none() {
@@ -98,7 +115,11 @@
         }
     }
     assert_eq!(hits.missed(), [], "{hits}");
-    assert!(fleet.tool.runs().values().all(|n| *n == 1), "{:?}", fleet.tool.runs());
+    assert!(
+        fleet.tool.runs().values().all(|n| *n == 1),
+        "{:?}",
+        fleet.tool.runs()
+    );
     end(fleet);
 }
 
@@ -110,7 +131,9 @@
     strike(&fleet.history, Step::ToolRan, "order-1", stop);
     let ended = fleet.client().ask(&Ask::send("order-1", 12, 2), 0);
     assert!(ended.answer.is_some(), "{ended:?}");
-    fleet.wait_for(0, |r| r.event == "life.ended" && r.text("peer") == "c1").unwrap();
+    fleet
+        .wait_for(0, |r| r.event == "life.ended" && r.text("peer") == "c1")
+        .unwrap();
     fleet.conductor("c1").cont();
     settled(&fleet);
     end(fleet);
@@ -163,8 +186,11 @@
             })
         }
         Fault::KillAdopter => {
-            let mut killers: BTreeMap<String, _> =
-                fleet.conductors.values().map(|c| (c.name.clone(), c.killer())).collect();
+            let mut killers: BTreeMap<String, _> = fleet
+                .conductors
+                .values()
+                .map(|c| (c.name.clone(), c.killer()))
+                .collect();
             let (history, dead) = (fleet.history.clone(), victim.to_owned());
             Box::new(move || {
                 let adopted = move |r: &Record| r.event == "work.adopted" && r.text("peer") == dead;
@@ -178,7 +204,9 @@
             })
         }
         Fault::CutPeers => Box::new(fleet.cutter(victim, fleet.names(), false)),
-        Fault::CutHosts => Box::new(fleet.cutter(victim, fleet.hosts.keys().cloned().collect(), true)),
+        Fault::CutHosts => {
+            Box::new(fleet.cutter(victim, fleet.hosts.keys().cloned().collect(), true))
+        }
         Fault::CutTool => Box::new(fleet.cutter(victim, vec!["tool".to_owned()], false)),
     }
 }
@@ -202,7 +230,10 @@
         // A step may come when the client has its answer already, and would then strike the round after.
         let armed = Arc::new(Mutex::new(true));
         let later = Arc::new(Mutex::new(true));
-        let (still, act) = (armed.clone(), strike_of(&fleet, fault, &victim, &other, later.clone()));
+        let (still, act) = (
+            armed.clone(),
+            strike_of(&fleet, fault, &victim, &other, later.clone()),
+        );
         let begun = fleet.history.len();
         strike(&fleet.history, step, &name, move || {
             let mut armed = still.lock().unwrap();
@@ -214,7 +245,11 @@
             .into_iter()
             .enumerate()
             .map(|(i, at)| {
-                let name = if i == 0 { name.clone() } else { format!("{name}-{i}") };
+                let name = if i == 0 {
+                    name.clone()
+                } else {
+                    format!("{name}-{i}")
+                };
                 (at, Ask::send(&name, 8, random.random_range(0..3)))
             })
             .collect();
@@ -224,8 +259,9 @@
             let threads: Vec<_> = asks.iter().map(|(at, ask)| one((*at, ask))).collect();
             threads.into_iter().map(|t| t.join().unwrap()).collect()
         });
-        let what =
-            format!("seed {seed} round {round}: {fault:?} at {step:?} of {victim}, {other}: {ended:?}");
+        let what = format!(
+            "seed {seed} round {round}: {fault:?} at {step:?} of {victim}, {other}: {ended:?}"
+        );
         let struck = !std::mem::replace(&mut *armed.lock().unwrap(), false);
         // A whole answer, or an error that is final; never a part, a word twice or a gap.
         let whole = |((_, ask), ended): (&(usize, Ask), &Ended)| match &ended.answer {
@@ -241,8 +277,16 @@
             *faults.entry(fault).or_default() += 1;
         }
         // What it had out is on record, so that somebody adopts it. It has nothing out if its life was not granted yet.
-        let had = fleet.history.since(begun).iter().any(|r| r.is(&victim, "work.claimed"));
-        if struck && had && fault == Fault::KillAdopter && (Step::ReadBegun..=Step::Call).contains(&step) {
+        let had = fleet
+            .history
+            .since(begun)
+            .iter()
+            .any(|r| r.is(&victim, "work.claimed"));
+        if struck
+            && had
+            && fault == Fault::KillAdopter
+            && (Step::ReadBegun..=Step::Call).contains(&step)
+        {
             let adopted = |r: &Record| r.event == "work.adopted" && r.text("peer") == victim;
             if fleet.wait_for(begun, adopted).is_err() {
                 keep(&fleet, &format!("{what}: not adopted"));
@@ -254,7 +298,10 @@
             fleet.network.heal();
         }
         if fleet.wait_for_release().is_err() {
-            keep(&fleet, &format!("{what}, still held: {:?}", fleet.states.held()));
+            keep(
+                &fleet,
+                &format!("{what}, still held: {:?}", fleet.states.held()),
+            );
         }
         *later.lock().unwrap() = false;
         let since = fleet.history.since(begun);
@@ -301,8 +348,11 @@
     let mut lost = 0;
     for i in 0..kills {
         let ((step, held), name) = (POINTS[i % POINTS.len()], format!("kill-{i}"));
-        let mut killers: BTreeMap<String, _> =
-            fleet.hosts.iter().map(|(name, host)| (format!("host/{name}"), host.killer())).collect();
+        let mut killers: BTreeMap<String, _> = fleet
+            .hosts
+            .iter()
+            .map(|(name, host)| (format!("host/{name}"), host.killer()))
+            .collect();
         let (history, asked) = (fleet.history.clone(), name.clone());
         let from = history.len();
         strike(&fleet.history, step, &name, move || {
@@ -318,11 +368,14 @@
             // Back before its conductors look at it again: the relay before a dead host takes a send, as the host's
             // own machine would not, and then nobody knows whether it ran.
             let killed = fleet.wait_for(from, |r| r.event == "host.killed").unwrap();
-            fleet.hosts[killed.source.trim_start_matches("host/")].restart().unwrap();
+            fleet.hosts[killed.source.trim_start_matches("host/")]
+                .restart()
+                .unwrap();
             if held {
                 // The second run, or the end.
                 let goes_on = |r: &&Record| {
-                    ["run.begun", "client.final"].contains(&r.event.as_str()) && r.text("name") == name
+                    ["run.begun", "client.final"].contains(&r.event.as_str())
+                        && r.text("name") == name
                 };
                 let runs = |all: &[Record]| all.iter().filter(goes_on).nth(1).map(|_| ());
                 fleet.history.wait_until(STUCK, runs).unwrap();
@@ -330,18 +383,33 @@
             }
             asking.join().unwrap()
         });
-        let right = Final::Text(Plan { name: name.clone(), words: 4, calls: 1 }.answer());
-        let begun = fleet.history.count(|r| r.event == "run.begun" && r.text("name") == name);
+        let right = Final::Text(
+            Plan {
+                name: name.clone(),
+                words: 4,
+                calls: 1,
+            }
+            .answer(),
+        );
+        let begun = fleet
+            .history
+            .count(|r| r.event == "run.begun" && r.text("name") == name);
         match ended.answer {
             Some(answer) if answer == right && ended.tries > 1 && begun > 1 => {}
             // It met the dead one's relay all the same.
             Some(Final::Error(-32001)) if begun == 1 => lost += 1,
-            _ => keep(&fleet, &format!("kill {i} at {step:?}, held {held}: {ended:?}")),
+            _ => keep(
+                &fleet,
+                &format!("kill {i} at {step:?}, held {held}: {ended:?}"),
+            ),
         }
     }
     let died = fleet.history.count(|r| r.event == "host.killed");
     let runs = fleet.tool.runs();
-    println!("{died} writers killed, {} calls, {lost} sends lost at a dead writer", runs.len());
+    println!(
+        "{died} writers killed, {} calls, {lost} sends lost at a dead writer",
+        runs.len()
+    );
     assert_eq!(died, kills);
     assert!(lost * 4 <= kills, "{lost} of {kills} sends lost");
     assert!(runs.values().all(|n| *n == 1), "{runs:?}");
@@ -353,11 +421,20 @@
 fn what_could_not_be_let_go_is_let_go_once_hosts_are_heard_again() {
     let fleet = start(3, 6);
     let hosts = fleet.hosts.keys().cloned().collect();
-    strike(&fleet.history, Step::ReadBegun, "order-1", fleet.cutter("c1", hosts, true));
+    strike(
+        &fleet.history,
+        Step::ReadBegun,
+        "order-1",
+        fleet.cutter("c1", hosts, true),
+    );
     let mut client = fleet.client();
     client.silence = Duration::from_secs(3);
     assert!(client.ask(&Ask::send("order-1", 4, 1), 0).answer.is_some());
-    fleet.wait_for(0, |r| r.text("line").contains("no model host took the release")).unwrap();
+    fleet
+        .wait_for(0, |r| {
+            r.text("line").contains("no model host took the release")
+        })
+        .unwrap();
     assert!(!fleet.states.held().is_empty());
     fleet.network.heal();
     fleet.wait_for_release().unwrap();
@@ -373,20 +450,36 @@
     let ask = Ask::send("order-1", 12, 2);
     let (ended, status) = std::thread::scope(|scope| {
         let asking = scope.spawn(|| client.ask(&ask, 0));
-        fleet.wait_for(0, |r| Step::ToolRan.is(r, "order-1")).unwrap();
+        fleet
+            .wait_for(0, |r| Step::ToolRan.is(r, "order-1"))
+            .unwrap();
         let stopping = scope.spawn(|| fleet.conductor("c1").terminate());
         // The tool answers when the request has gone on elsewhere.
-        fleet.wait_for(0, |r| r.event == "client.broke" && r.text("at") == "c1").unwrap();
-        let again =
-            |r: &Record| r.event == "client.sent" && r.text("name") == "order-1" && r.text("at") != "c1";
+        fleet
+            .wait_for(0, |r| r.event == "client.broke" && r.text("at") == "c1")
+            .unwrap();
+        let again = |r: &Record| {
+            r.event == "client.sent" && r.text("name") == "order-1" && r.text("at") != "c1"
+        };
         fleet.wait_for(0, again).unwrap();
         fleet.tool.release();
         (asking.join().unwrap(), stopping.join().unwrap().unwrap())
     });
-    assert_eq!(ended.answer, Some(Final::Text(ask.plan.answer())), "{ended:?}");
+    assert_eq!(
+        ended.answer,
+        Some(Final::Text(ask.plan.answer())),
+        "{ended:?}"
+    );
     assert!(status.is_some_and(|s| s.success()), "{status:?}");
-    assert!(fleet.tool.runs().values().all(|n| *n == 1), "{:?}", fleet.tool.runs());
-    assert_eq!(client.ask_again(&ask, 2), Tried::Final(Final::Text(ask.plan.answer())));
+    assert!(
+        fleet.tool.runs().values().all(|n| *n == 1),
+        "{:?}",
+        fleet.tool.runs()
+    );
+    assert_eq!(
+        client.ask_again(&ask, 2),
+        Tried::Final(Final::Text(ask.plan.answer()))
+    );
     fleet.wait_for_release().unwrap();
     end(fleet);
 }
--- a/lab/tests/sim_group.rs
+++ b/lab/tests/sim_group.rs
@@ -33,7 +33,11 @@
 
     fn load(data: &[u8]) -> App {
         let n = |i: usize| u64::from_le_bytes(data[i * 8..i * 8 + 8].try_into().unwrap());
-        App { index: Index(n(0)), term: Term(n(1)), digest: n(2) }
+        App {
+            index: Index(n(0)),
+            term: Term(n(1)),
+            digest: n(2),
+        }
     }
 }
 
@@ -59,8 +63,17 @@
 }
 
 enum Step {
-    Out { who: usize, life: u64, action: Action, applied: Option<(Index, Term, u64)> },
-    Deliver { to: usize, from: usize, message: Message },
+    Out {
+        who: usize,
+        life: u64,
+        action: Action,
+        applied: Option<(Index, Term, u64)>,
+    },
+    Deliver {
+        to: usize,
+        from: usize,
+        message: Message,
+    },
 }
 
 /// What is broken on purpose.
@@ -97,7 +110,9 @@
         Payload::Voters(voters) => Some(voters),
         _ => None,
     });
-    logged.or(disk.snapshot.as_ref().map(|s| &s.voters)).or(disk.hard.founded.as_ref())
+    logged
+        .or(disk.snapshot.as_ref().map(|s| &s.voters))
+        .or(disk.hard.founded.as_ref())
 }
 
 type Checked = Result<(), String>;
@@ -116,7 +131,10 @@
                 busy: 0,
                 paused: 0,
                 wake: None,
-                clock: (rng.random_range(0..1_000_000_000), rng.random_range(-20_000..20_000)),
+                clock: (
+                    rng.random_range(0..1_000_000_000),
+                    rng.random_range(-20_000..20_000),
+                ),
             })
             .collect();
         let mut sim = Sim {
@@ -154,12 +172,22 @@
         if m.group.is_some() {
             return;
         }
-        let me = VoterId { name: m.name.clone(), store: m.store };
+        let me = VoterId {
+            name: m.name.clone(),
+            store: m.store,
+        };
         let now = m.local(self.t);
         let seed = self.rng.random();
         m.app = App::default();
         m.busy = self.t;
-        m.group = Some(Group::new(me, &self.first, settings, seed, m.disk.clone(), now));
+        m.group = Some(Group::new(
+            me,
+            &self.first,
+            settings,
+            seed,
+            m.disk.clone(),
+            now,
+        ));
         m.wake = Some(self.t);
     }
 
@@ -172,11 +200,18 @@
     /// Whether some configuration that is in somebody's log would have lost more voters' disks than it bears, were
     /// `also` lost too.
     fn bad(&self, also: usize) -> bool {
-        let early = if self.config.is_none() { self.emptied } else { 0 };
+        let early = if self.config.is_none() {
+            self.emptied
+        } else {
+            0
+        };
         // On the way from five voters to three the group bears one loss only, and nobody knows how far it is.
         let most = if self.changes { 1 } else { usize::MAX };
         let logs = self.members.iter().filter_map(|m| last_voters(&m.disk));
-        let heads = self.members.iter().filter_map(|m| m.group.as_ref()?.voters());
+        let heads = self
+            .members
+            .iter()
+            .filter_map(|m| m.group.as_ref()?.voters());
         let bad = |v: &Voters| {
             let kept = |id: &&VoterId| {
                 self.members.iter().enumerate().any(|(i, m)| {
@@ -188,7 +223,10 @@
             lost + early > most.min((v.now.len() - 1) / 2)
         };
         early + 1 > (self.first.len() - 1) / 2
-            || logs.chain(heads).chain(self.config.as_ref().map(|c| &c.1)).any(bad)
+            || logs
+                .chain(heads)
+                .chain(self.config.as_ref().map(|c| &c.1))
+                .any(bad)
     }
 
     fn empty(&mut self, i: usize) {
@@ -220,7 +258,9 @@
         let mut event = Some(event);
         while let Some(next) = event.take() {
             let m = &mut self.members[i];
-            let Some(group) = &mut m.group else { return Ok(()) };
+            let Some(group) = &mut m.group else {
+                return Ok(());
+            };
             group.handle(now, next, &mut out);
             self.ledger.leads(group)?;
             for action in out.drain(..) {
@@ -250,22 +290,34 @@
                 }
                 m.busy = m.busy.max(t);
                 self.seq += 1;
-                let step = Step::Out { who: i, life: m.life, action, applied };
+                let step = Step::Out {
+                    who: i,
+                    life: m.life,
+                    action,
+                    applied,
+                };
                 self.queue.insert((m.busy, self.seq), step);
             }
             if group.wants_snapshot() {
-                event = Some(Event::Compact { index: group.applied(), data: m.app.save() });
+                event = Some(Event::Compact {
+                    index: group.applied(),
+                    data: m.app.save(),
+                });
             }
         }
         let m = &mut self.members[i];
         let at = m.group.as_ref().and_then(|g| g.timeout());
-        m.wake = at.map(|at| t + at.saturating_sub(now) * 1_000_000 / (1_000_000 + m.clock.1) as u64 + 1);
+        m.wake = at
+            .map(|at| t + at.saturating_sub(now) * 1_000_000 / (1_000_000 + m.clock.1) as u64 + 1);
         Ok(())
     }
 
     fn out(&mut self, who: usize, action: Action, applied: Option<(Index, Term, u64)>) -> Checked {
         if let Some((index, term, digest)) = applied {
-            let in_term = self.members[who].group.as_ref().map_or(Term(0), |g| g.term());
+            let in_term = self.members[who]
+                .group
+                .as_ref()
+                .map_or(Term(0), |g| g.term());
             self.ledger.applies(index, term, digest, in_term)?;
         }
         match action {
@@ -278,13 +330,28 @@
                 }
             }
             Action::Send { to, message } => {
-                let to = self.members.iter().position(|m| m.name == to).ok_or("sent to nobody")?;
+                let to = self
+                    .members
+                    .iter()
+                    .position(|m| m.name == to)
+                    .ok_or("sent to nobody")?;
                 let copies = if self.rng.random_bool(0.02) { 2 } else { 1 };
                 for _ in 0..copies {
                     if !self.cuts.contains(&(who, to)) && !self.rng.random_bool(self.loss) {
-                        let slow = if self.rng.random_bool(0.02) { 400_000 } else { 3_000 };
+                        let slow = if self.rng.random_bool(0.02) {
+                            400_000
+                        } else {
+                            3_000
+                        };
                         let at = self.t + self.rng.random_range(100..slow);
-                        self.push(at, Step::Deliver { to, from: who, message: message.clone() });
+                        self.push(
+                            at,
+                            Step::Deliver {
+                                to,
+                                from: who,
+                                message: message.clone(),
+                            },
+                        );
                     }
                 }
             }
@@ -297,9 +364,17 @@
     fn run(&mut self, until: u64, done: impl Fn(&Sim) -> bool) -> Checked {
         loop {
             let step = self.queue.keys().next().map(|(at, _)| *at);
-            let wake =
-                self.members.iter().enumerate().filter_map(|(i, m)| Some((m.wake?.max(m.paused), i))).min();
-            let next = step.into_iter().chain(wake.map(|w| w.0)).min().unwrap_or(u64::MAX);
+            let wake = self
+                .members
+                .iter()
+                .enumerate()
+                .filter_map(|(i, m)| Some((m.wake?.max(m.paused), i)))
+                .min();
+            let next = step
+                .into_iter()
+                .chain(wake.map(|w| w.0))
+                .min()
+                .unwrap_or(u64::MAX);
             if next > until || done(self) {
                 self.t = self.t.max(until.min(next));
                 return Ok(());
@@ -311,7 +386,9 @@
                 self.handle(i, Event::Tick)?;
                 continue;
             }
-            let Some((_, step)) = self.queue.pop_first() else { continue };
+            let Some((_, step)) = self.queue.pop_first() else {
+                continue;
+            };
             let who = match &step {
                 Step::Out { who, .. } => *who,
                 Step::Deliver { to, .. } => *to,
@@ -319,7 +396,12 @@
             let paused = self.members[who].paused;
             match step {
                 step if paused > self.t => self.push(paused, step),
-                Step::Out { who, life, action, applied } => {
+                Step::Out {
+                    who,
+                    life,
+                    action,
+                    applied,
+                } => {
                     if self.members[who].life == life {
                         self.out(who, action, applied)?;
                     }
@@ -341,8 +423,9 @@
             2 => self.cuts.extend((0..n).flat_map(|o| [(a, o), (o, a)])),
             3 => {
                 let side: Vec<bool> = (0..n).map(|_| self.rng.random_bool(0.5)).collect();
-                let apart =
-                    (0..n).flat_map(|a| (0..n).map(move |b| (a, b))).filter(|&(a, b)| side[a] != side[b]);
+                let apart = (0..n)
+                    .flat_map(|a| (0..n).map(move |b| (a, b)))
+                    .filter(|&(a, b)| side[a] != side[b]);
                 self.cuts.extend(apart);
             }
             4 | 5 => self.cuts.clear(),
@@ -384,15 +467,26 @@
                 self.propose()?;
             }
             if changes && self.rng.random_bool(0.15) && !self.bad(0) {
-                let leader = (0..self.members.len())
-                    .find(|i| self.members[*i].group.as_ref().is_some_and(|g| g.role() == Role::Leader));
+                let leader = (0..self.members.len()).find(|i| {
+                    self.members[*i]
+                        .group
+                        .as_ref()
+                        .is_some_and(|g| g.role() == Role::Leader)
+                });
                 let from = self.rng.random_range(0..self.members.len() - 3);
                 if let Some(leader) = leader {
-                    self.handle(leader, Event::ChangeVoters((from..from + 3).map(name).collect()))?;
+                    self.handle(
+                        leader,
+                        Event::ChangeVoters((from..from + 3).map(name).collect()),
+                    )?;
                 }
             } else if self.rng.random_bool(0.1)
-                && let Some(leader) = (0..self.members.len())
-                    .find(|i| self.members[*i].group.as_ref().is_some_and(|g| g.role() == Role::Leader))
+                && let Some(leader) = (0..self.members.len()).find(|i| {
+                    self.members[*i]
+                        .group
+                        .as_ref()
+                        .is_some_and(|g| g.role() == Role::Leader)
+                })
             {
                 self.handle(leader, Event::HandOver)?;
             }
@@ -422,11 +516,27 @@
                 let members: Vec<String> = (self.members.iter())
                     .map(|m| {
                         let g = m.group.as_ref().unwrap();
-                        let at = (g.role(), g.term().0, g.last().0, g.commit().0, g.applied().0, m.store);
-                        format!("{} {at:?} leader {:?} {:?}", m.name, g.leader(), g.voters().map(|v| &v.now))
+                        let at = (
+                            g.role(),
+                            g.term().0,
+                            g.last().0,
+                            g.commit().0,
+                            g.applied().0,
+                            m.store,
+                        );
+                        format!(
+                            "{} {at:?} leader {:?} {:?}",
+                            m.name,
+                            g.leader(),
+                            g.voters().map(|v| &v.now)
+                        )
                     })
                     .collect();
-                return Err(format!("not settled: {:?}\n{}", self.config, members.join("\n")));
+                return Err(format!(
+                    "not settled: {:?}\n{}",
+                    self.config,
+                    members.join("\n")
+                ));
             }
             self.run(self.t + 100_000, settled)?;
             self.propose()?;
@@ -435,10 +545,16 @@
     }
 
     fn logs(&self) -> Checked {
-        let logs: Vec<_> =
-            self.members.iter().filter_map(|m| m.group.as_ref()).map(|g| g.entries()).collect();
+        let logs: Vec<_> = self
+            .members
+            .iter()
+            .filter_map(|m| m.group.as_ref())
+            .map(|g| g.entries())
+            .collect();
         for (i, a) in logs.iter().enumerate() {
-            logs[i + 1..].iter().try_for_each(|b| logs_match(a, b).map_err(String::from))?;
+            logs[i + 1..]
+                .iter()
+                .try_for_each(|b| logs_match(a, b).map_err(String::from))?;
         }
         Ok(())
     }
@@ -495,8 +611,18 @@
     let voters: BTreeSet<MemberName> = [name(0)].into();
     let mut groups: Vec<Group> = (0..2)
         .map(|i| {
-            let me = VoterId { name: name(i), store: i as u64 + 1 };
-            Group::new(me, &voters, Settings::default(), 1, Restored::default(), 5_000_000)
+            let me = VoterId {
+                name: name(i),
+                store: i as u64 + 1,
+            };
+            Group::new(
+                me,
+                &voters,
+                Settings::default(),
+                1,
+                Restored::default(),
+                5_000_000,
+            )
         })
         .collect();
     let mut now = 5_000_000;
@@ -515,12 +641,24 @@
             actions.extend(out.into_iter().map(|a| (i, a)));
         }
         while let Some((from, action)) = actions.pop() {
-            let Action::Send { to, message } = action else { continue };
+            let Action::Send { to, message } = action else {
+                continue;
+            };
             let at = usize::from(to == name(1));
             let mut out = Vec::new();
-            groups[at].handle(now, Event::Message { from: name(from), message }, &mut out);
+            groups[at].handle(
+                now,
+                Event::Message {
+                    from: name(from),
+                    message,
+                },
+                &mut out,
+            );
             actions.extend(out.into_iter().map(|a| (at, a)));
         }
     }
-    assert_eq!((groups[0].role(), groups[0].leader()), (Role::Leader, Some(&name(0))));
+    assert_eq!(
+        (groups[0].role(), groups[0].leader()),
+        (Role::Leader, Some(&name(0)))
+    );
 }
