--- a/lab/tests/sim_lease.rs
+++ b/lab/tests/sim_lease.rs
@@ -81,18 +81,37 @@
         let place = |n: usize, rng: &mut ChaCha8Rng| {
             let address = SocketAddr::from(([127, 0, 0, 1], 7001 + n as u16));
             let site = SiteName::try_from("here").expect("a name");
-            let me = view::Me { name: name(n), site, address, incarnation: Incarnation(0) };
+            let me = view::Me {
+                name: name(n),
+                site,
+                address,
+                incarnation: Incarnation(0),
+            };
             // Clocks at the very ends of what is allowed are the hardest.
-            let rate = if rng.random_bool(0.5) { 1_000_000 - drift } else { 1_000_000 + drift };
+            let rate = if rng.random_bool(0.5) {
+                1_000_000 - drift
+            } else {
+                1_000_000 + drift
+            };
             let offset = rng.random_range(0..1_000_000 * SECOND);
-            Place { name: name(n), me, offset, rate, disk: group::Restored::default(), body: None, lives: 0 }
+            Place {
+                name: name(n),
+                me,
+                offset,
+                rate,
+                disk: group::Restored::default(),
+                body: None,
+                lives: 0,
+            }
         };
         let mut sim = Sim {
             now: 0,
             settings,
             places: (0..members).map(|n| place(n, &mut rng)).collect(),
             voters: (0..voters).map(name).collect(),
-            wants: (0..leases).map(|n| lease_name(&format!("duty-{n}"))).collect(),
+            wants: (0..leases)
+                .map(|n| lease_name(&format!("duty-{n}")))
+                .collect(),
             rng,
             flight: BTreeMap::new(),
             sent: 0,
@@ -124,7 +143,9 @@
     fn truly(&self, n: usize, local: Micros) -> Micros {
         let place = &self.places[n];
         let since = local.saturating_sub(place.offset) as u128;
-        (since * 1_000_000).div_ceil(place.rate as u128).min(u64::MAX as u128) as u64
+        (since * 1_000_000)
+            .div_ceil(place.rate as u128)
+            .min(u64::MAX as u128) as u64
     }
 
     fn start(&mut self, n: usize) {
@@ -142,8 +163,19 @@
         };
         let node = Node::new(start, self.settings.clone(), clock);
         let (rights, held_back) = (Rights::default(), VecDeque::new());
-        place.body = Some(Body { node, rights, stopped: false, held_back, leaves: false, dies_after: None });
-        let seeds = self.places.iter().map(|place| (place.name.clone(), place.me.address)).collect();
+        place.body = Some(Body {
+            node,
+            rights,
+            stopped: false,
+            held_back,
+            leaves: false,
+            dies_after: None,
+        });
+        let seeds = self
+            .places
+            .iter()
+            .map(|place| (place.name.clone(), place.me.address))
+            .collect();
         self.tell(n, Event::Join { seeds });
         for want in self.wants.clone() {
             self.tell(n, Event::Want(want));
@@ -152,7 +184,9 @@
 
     fn tell(&mut self, n: usize, event: Event) {
         let clock = self.clock(n);
-        let Some(body) = self.places[n].body.as_mut() else { return };
+        let Some(body) = self.places[n].body.as_mut() else {
+            return;
+        };
         let mut out = Vec::new();
         body.node.handle(clock, event, &mut out);
         let dies_after = body.dies_after.filter(|_| !out.is_empty());
@@ -167,9 +201,12 @@
     fn carry_out(&mut self, n: usize, action: Action) {
         match action {
             Action::Send { to, message, .. } => {
-                let Some(to) = self.places.iter().position(|place| place.name == to) else { return };
+                let Some(to) = self.places.iter().position(|place| place.name == to) else {
+                    return;
+                };
                 // What goes over the wire is bytes.
-                let message = Message::decode(&message.encode()).expect("a message reads as it was written");
+                let message =
+                    Message::decode(&message.encode()).expect("a message reads as it was written");
                 let lost = self.rng.random_bool(self.loss) || self.cut.contains(&(n, to));
                 let arrives = self.now + self.rng.random_range(200..3 * MS);
                 self.sent += 1;
@@ -183,14 +220,21 @@
                     body.rights.change(&change);
                 }
             }
-            Action::Effect { effect: Effect::Lease(change), .. } => {
+            Action::Effect {
+                effect: Effect::Lease(change),
+                ..
+            } => {
                 let key = (change.name.clone(), change.token);
                 match change.what {
                     What::Granted => {
-                        let last = self.granted.get(&change.name).map_or(Token(0), |(token, _)| *token);
+                        let last = self
+                            .granted
+                            .get(&change.name)
+                            .map_or(Token(0), |(token, _)| *token);
                         self.grants += u64::from(change.token > last);
                         if change.token > last {
-                            self.granted.insert(change.name, (change.token, change.holder));
+                            self.granted
+                                .insert(change.name, (change.token, change.holder));
                         }
                     }
                     What::Released | What::Expired | What::LifeEnded => {
@@ -211,16 +255,30 @@
     /// Who could act now, stopped ones included: continued, they might.
     fn look(&mut self) {
         self.looked = self.now;
-        let lives = self.places.iter().filter_map(|place| lease::life(&place.name));
-        for name in self.wants.clone().into_iter().chain(lives.collect::<Vec<_>>()) {
+        let lives = self
+            .places
+            .iter()
+            .filter_map(|place| lease::life(&place.name));
+        for name in self
+            .wants
+            .clone()
+            .into_iter()
+            .chain(lives.collect::<Vec<_>>())
+        {
             let may = |n: usize| {
                 let body = self.places[n].body.as_ref()?;
                 let token = body.rights.may_act(body.node.who(), &name, self.clock(n))?;
                 Some((token, body.node.who().clone()))
             };
             let actors: Vec<(Token, Who)> = (0..self.places.len()).filter_map(may).collect();
-            assert!(actors.len() <= 1, "at {} two may act under {name}: {actors:?}", self.now);
-            let Some((token, who)) = actors.into_iter().next() else { continue };
+            assert!(
+                actors.len() <= 1,
+                "at {} two may act under {name}: {actors:?}",
+                self.now
+            );
+            let Some((token, who)) = actors.into_iter().next() else {
+                continue;
+            };
             assert!(
                 !self.over.contains(&(name.clone(), token)),
                 "at {} {who} acts under {name} after its end",
@@ -249,8 +307,11 @@
             let timer = (0..self.places.len()).filter_map(due).min();
             let arrival = self.flight.first_key_value().map(|((at, _), _)| *at);
             let look = self.looked + LOOK;
-            let next =
-                [Some(look), timer.map(|(at, _)| at), arrival].into_iter().flatten().min().unwrap_or(look);
+            let next = [Some(look), timer.map(|(at, _)| at), arrival]
+                .into_iter()
+                .flatten()
+                .min()
+                .unwrap_or(look);
             if next > until {
                 self.now = until;
                 return false;
@@ -259,13 +320,21 @@
             if look <= self.now {
                 self.look();
             } else if arrival.is_some_and(|at| at <= self.now) {
-                let Some((_, (from, to, message))) = self.flight.pop_first() else { continue };
+                let Some((_, (from, to, message))) = self.flight.pop_first() else {
+                    continue;
+                };
                 let sender = self.places[from].name.clone();
                 match self.places[to].body.as_mut() {
                     Some(body) if body.stopped && body.held_back.len() < 1000 => {
                         body.held_back.push_back((sender, message));
                     }
-                    Some(body) if !body.stopped => self.tell(to, Event::Message { from: sender, message }),
+                    Some(body) if !body.stopped => self.tell(
+                        to,
+                        Event::Message {
+                            from: sender,
+                            message,
+                        },
+                    ),
                     _ => {}
                 }
             } else if let Some((_, n)) = timer {
@@ -284,7 +353,9 @@
     }
 
     fn carry_on(&mut self, n: usize) {
-        let Some(body) = self.places[n].body.as_mut() else { return };
+        let Some(body) = self.places[n].body.as_mut() else {
+            return;
+        };
         body.stopped = false;
         for (from, message) in std::mem::take(&mut body.held_back) {
             self.tell(n, Event::Message { from, message });
@@ -314,7 +385,9 @@
         for n in 0..self.places.len() {
             self.carry_on(n);
             // Whoever was told to leave, or was about to die, has had its time.
-            self.places[n].body.take_if(|body| body.leaves || body.dies_after.is_some());
+            self.places[n]
+                .body
+                .take_if(|body| body.leaves || body.dies_after.is_some());
             if self.places[n].body.is_none() {
                 self.start(n);
             }
@@ -325,13 +398,22 @@
     fn actor(&self, name: &LeaseName) -> Option<usize> {
         (0..self.places.len()).find(|n| {
             let body = self.places[*n].body.as_ref();
-            body.is_some_and(|body| body.rights.may_act(body.node.who(), name, self.clock(*n)).is_some())
+            body.is_some_and(|body| {
+                body.rights
+                    .may_act(body.node.who(), name, self.clock(*n))
+                    .is_some()
+            })
         })
     }
 
     fn all_act(&self) -> bool {
-        let lives = self.places.iter().filter_map(|place| lease::life(&place.name));
-        lives.chain(self.wants.iter().cloned()).all(|name| self.actor(&name).is_some())
+        let lives = self
+            .places
+            .iter()
+            .filter_map(|place| lease::life(&place.name));
+        lives
+            .chain(self.wants.iter().cloned())
+            .all(|name| self.actor(&name).is_some())
     }
 
     fn fault(&mut self) {
@@ -372,7 +454,10 @@
 /// One seed: a quiet start, half a minute of faults, and peace, after which all must act again.
 fn story(seed: u64, members: usize, voters: usize, renewal: RenewalPath) -> (u64, u64) {
     let mut sim = Sim::new(seed, members, voters, 2, settings(renewal));
-    assert!(sim.run(30 * SECOND, |sim| sim.all_act()), "seed {seed}: not all act at the start");
+    assert!(
+        sim.run(30 * SECOND, |sim| sim.all_act()),
+        "seed {seed}: not all act at the start"
+    );
     let end = sim.now + 30 * SECOND;
     while sim.now < end {
         sim.fault();
@@ -384,7 +469,10 @@
     let until = sim.now + 60 * SECOND;
     if !sim.run(until, |sim| sim.all_act()) {
         for n in 0..members {
-            let status = sim.places[n].body.as_ref().map(|body| body.node.status(sim.clock(n)));
+            let status = sim.places[n]
+                .body
+                .as_ref()
+                .map(|body| body.node.status(sim.clock(n)));
             println!("{n}: {status:#?}");
         }
         panic!("seed {seed}: not all act after the faults");
@@ -409,8 +497,14 @@
 #[rstest]
 #[ignore = "a thousand seeds, by hand"]
 fn many_seeds(#[values(RenewalPath::Log, RenewalPath::Leader)] renewal: RenewalPath) {
-    let seeds = std::env::var("SEEDS").ok().and_then(|text| text.parse().ok()).unwrap_or(1_000);
-    let first = std::env::var("FIRST").ok().and_then(|text| text.parse().ok()).unwrap_or(100);
+    let seeds = std::env::var("SEEDS")
+        .ok()
+        .and_then(|text| text.parse().ok())
+        .unwrap_or(1_000);
+    let first = std::env::var("FIRST")
+        .ok()
+        .and_then(|text| text.parse().ok())
+        .unwrap_or(100);
     let (mut grants, mut acts) = (0, 0);
     for seed in first..first + seeds {
         let (members, voters) = if seed % 2 == 0 { (5, 3) } else { (9, 5) };
@@ -438,7 +532,10 @@
     let duty = lease_name("duty-0");
     let ready = |seed, members, voters| {
         let mut sim = Sim::new(seed, members, voters, 1, Settings::default());
-        assert!(sim.run(60 * SECOND, |sim| sim.all_act()), "seed {seed}: not all act");
+        assert!(
+            sim.run(60 * SECOND, |sim| sim.all_act()),
+            "seed {seed}: not all act"
+        );
         // Faults come at any moment between two renewals.
         let more = sim.rng.random_range(10 * SECOND..13 * SECOND);
         let until = sim.now + more;
@@ -459,15 +556,24 @@
                 }
                 if fault == "cut" {
                     assert!(sim.run(from + 60 * SECOND, |sim| sim.actor(&duty) != Some(holder)));
-                    times.entry("cut, until the holder stops").or_default().push(sim.now - from);
+                    times
+                        .entry("cut, until the holder stops")
+                        .or_default()
+                        .push(sim.now - from);
                 }
                 let other = |sim: &Sim| sim.actor(&duty).is_some_and(|actor| actor != holder);
-                assert!(sim.run(from + 60 * SECOND, other), "seed {seed}: nobody else after {fault}");
+                assert!(
+                    sim.run(from + 60 * SECOND, other),
+                    "seed {seed}: nobody else after {fault}"
+                );
                 times.entry(fault).or_default().push(sim.now - from);
             }
         }
         for (fault, times) in times {
-            spread(&format!("{members} members, {voters} voters, new holder after {fault}"), times);
+            spread(
+                &format!("{members} members, {voters} voters, new holder after {fault}"),
+                times,
+            );
         }
         let (mut sim, _) = ready(1000, members, voters);
         let (begun, sent, wall) = (sim.now, sim.sent, std::time::Instant::now());
--- a/lab/tests/sim_sites.rs
+++ b/lab/tests/sim_sites.rs
@@ -15,12 +15,19 @@
     let words: Vec<_> = plan.standings().into_iter().map(|(_, what)| what).collect();
     assert_eq!(words, ["lost", "returning", "sound"]);
     let steps = plan.agreed.iter().filter_map(|(_, effect)| match effect {
-        Effect::Standing { to: Standing::Returning { step, held, .. }, .. } => Some((*step, *held)),
+        Effect::Standing {
+            to: Standing::Returning { step, held, .. },
+            ..
+        } => Some((*step, *held)),
         _ => None,
     });
     let mut last = (0, 0);
     for (step, held) in steps {
-        assert!(held >= last.1 && step <= last.0 + 1, "{last:?} to {:?}", (step, held));
+        assert!(
+            held >= last.1 && step <= last.0 + 1,
+            "{last:?} to {:?}",
+            (step, held)
+        );
         last = (step, held);
     }
     let near = run(&day, Rule::Near).unwrap();
@@ -31,12 +38,19 @@
 /// A site that is lost again while it returns is lost at once, and held down for twice as long.
 #[test]
 fn a_site_that_is_lost_again_while_it_returns_waits_longer() {
-    let day = Day { flaps: vec![50], end: 140, ..Day::small(4) };
+    let day = Day {
+        flaps: vec![50],
+        end: 140,
+        ..Day::small(4)
+    };
     let plan = run(&day, Rule::Plan).unwrap();
     assert_eq!(plan.fell, [0; 3]);
     let all = plan.standings();
     let words: Vec<_> = all.iter().map(|(_, what)| *what).collect();
     assert_eq!(words, ["lost", "returning", "lost", "returning", "sound"]);
     let (first, second) = (all[1].0 - day.back_at as f64, all[3].0 - 55.0);
-    assert!(second - first > 4.0, "{first} and {second} s after it was back");
+    assert!(
+        second - first > 4.0,
+        "{first} and {second} s after it was back"
+    );
 }
--- a/lab/tests/sim_view.rs
+++ b/lab/tests/sim_view.rs
@@ -3,13 +3,18 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rstest::rstest;
-use whinhaven::fleet::view::{Action, Claim, Event, Kind, Me, Message, News, Record, Settings, Status, View};
+use whinhaven::fleet::view::{
+    Action, Claim, Event, Kind, Me, Message, News, Record, Settings, Status, View,
+};
 use whinhaven::fleet::{Incarnation, SiteName};
 use whinhaven_lab::sim::views::{Broken, Fleet, Plan, address, name, promise};
 
 /// Seeds from an environment variable by hand (`VIEW_SEEDS=1000`), a few in the usual run.
 fn seeds(usual: u64) -> u64 {
-    std::env::var("VIEW_SEEDS").ok().and_then(|seeds| seeds.parse().ok()).unwrap_or(usual)
+    std::env::var("VIEW_SEEDS")
+        .ok()
+        .and_then(|seeds| seeds.parse().ok())
+        .unwrap_or(usual)
 }
 
 #[rstest]
@@ -25,7 +30,11 @@
         }
     }
     took.sort();
-    println!("{members} members: agreed after median {} us, worst {:?}", took[took.len() / 2], took.last());
+    println!(
+        "{members} members: agreed after median {} us, worst {:?}",
+        took[took.len() / 2],
+        took.last()
+    );
 }
 
 #[rstest]
@@ -55,9 +64,20 @@
         let mut fleet = Fleet::new(plan);
         (0..6).for_each(|node| fleet.start(node));
         fleet.run_periods(200);
-        for (at, by, change) in fleet.world.take_notes().into_iter().filter(|(_, by, _)| *by != 5) {
-            assert!(change.to <= Status::Suspect, "seed {seed}: {by} at {at}: {change:?}");
-            assert!(change.incarnation.0 == 1, "seed {seed}: {by} at {at}: {change:?}");
+        for (at, by, change) in fleet
+            .world
+            .take_notes()
+            .into_iter()
+            .filter(|(_, by, _)| *by != 5)
+        {
+            assert!(
+                change.to <= Status::Suspect,
+                "seed {seed}: {by} at {at}: {change:?}"
+            );
+            assert!(
+                change.incarnation.0 == 1,
+                "seed {seed}: {by} at {at}: {change:?}"
+            );
         }
         let member = fleet.world.machine(0).expect("it runs");
         assert_eq!(member.view.peers().count(), 6, "seed {seed}");
@@ -69,7 +89,15 @@
 fn probes_cost_the_same_at_any_size() {
     let probes = |members| {
         let mut fleet = Fleet::settled(Plan::new(members, 1), 200).expect("settles");
-        let count = |fleet: &Fleet| fleet.world.machine(1).expect("it runs").view.counts().probes;
+        let count = |fleet: &Fleet| {
+            fleet
+                .world
+                .machine(1)
+                .expect("it runs")
+                .view
+                .counts()
+                .probes
+        };
         let before = count(&fleet);
         fleet.run_periods(40);
         count(&fleet) - before
@@ -82,9 +110,18 @@
 fn any_message_is_borne() {
     for seed in 0..seeds(30) {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let settings = Settings { most_members: 16, most_bytes: 512, ..Settings::default() };
+        let settings = Settings {
+            most_members: 16,
+            most_bytes: 512,
+            ..Settings::default()
+        };
         let site = SiteName::try_from("s".repeat(64)).expect("a name");
-        let me = Me { name: name(0), site: site.clone(), address: address(0), incarnation: Incarnation(5) };
+        let me = Me {
+            name: name(0),
+            site: site.clone(),
+            address: address(0),
+            incarnation: Incarnation(5),
+        };
         let mut view = View::new(me, settings, seed);
         let mut now: u64 = 0;
         for _ in 0..2000 {
@@ -93,23 +130,49 @@
             let probe = number() as u32;
             let mut node = || name(rng.random_range(0..40));
             let (from, target, by) = (node(), node(), node());
-            let sender = Record { site: site.clone(), address: address(1), incarnation, refutation };
-            let alive = Claim::Alive { site: site.clone(), address: address(2) };
-            let claim =
-                [alive, Claim::Suspect { by }, Claim::Dead, Claim::Left][rng.random_range(0..4)].clone();
-            let news = vec![News { member: target.clone(), incarnation, refutation, claim }; 3];
+            let sender = Record {
+                site: site.clone(),
+                address: address(1),
+                incarnation,
+                refutation,
+            };
+            let alive = Claim::Alive {
+                site: site.clone(),
+                address: address(2),
+            };
+            let claim = [alive, Claim::Suspect { by }, Claim::Dead, Claim::Left]
+                [rng.random_range(0..4)]
+            .clone();
+            let news = vec![
+                News {
+                    member: target.clone(),
+                    incarnation,
+                    refutation,
+                    claim
+                };
+                3
+            ];
             let kind = match rng.random_range(0..6) {
                 0 => Kind::Ping { probe },
-                1 => Kind::PingRequest { probe, target, address: address(3) },
+                1 => Kind::PingRequest {
+                    probe,
+                    target,
+                    address: address(3),
+                },
                 2 => Kind::Ack { probe },
                 3 => Kind::Nack { probe },
-                4 => Kind::Sync { table: news.clone(), answer: true },
+                4 => Kind::Sync {
+                    table: news.clone(),
+                    answer: true,
+                },
                 _ => Kind::Leave,
             };
             let message = Message { sender, kind, news };
             let event = match rng.random_range(0..20) {
                 0 => Event::Reached(from),
-                1 => Event::Join { seeds: vec![(from, address(4))] },
+                1 => Event::Join {
+                    seeds: vec![(from, address(4))],
+                },
                 2..8 => Event::Tick,
                 _ => Event::Message { from, message },
             };
@@ -117,13 +180,21 @@
             let mut actions = Vec::new();
             view.handle(now, event, &mut actions);
             for action in actions {
-                if let Action::Send { message, reliable: false, .. } = action {
+                if let Action::Send {
+                    message,
+                    reliable: false,
+                    ..
+                } = action
+                {
                     let bytes = postcard::to_allocvec(&message).expect("encodes").len();
                     assert!(bytes <= 512, "seed {seed}: {bytes} bytes");
                 }
             }
             assert!(view.peers().count() <= 16, "seed {seed}");
-            assert_eq!((view.me().status, view.me().incarnation), (Status::Alive, Incarnation(5)));
+            assert_eq!(
+                (view.me().status, view.me().incarnation),
+                (Status::Alive, Incarnation(5))
+            );
         }
     }
 }
@@ -147,10 +218,15 @@
     assert!((0..4).all(|by| held(&fleet, by, 4) == Some(Status::Dead)));
     fleet.world.take_notes();
     fleet.world.resume(4);
-    fleet.until_agreed(20).expect("it is alive again in its life");
+    fleet
+        .until_agreed(20)
+        .expect("it is alive again in its life");
     fleet.run_periods(40);
     let notes = fleet.world.take_notes();
-    let ended: Vec<_> = notes.iter().filter(|(_, _, change)| change.to > Status::Suspect).collect();
+    let ended: Vec<_> = notes
+        .iter()
+        .filter(|(_, _, change)| change.to > Status::Suspect)
+        .collect();
     assert!(ended.is_empty(), "{ended:?}");
 }
 
@@ -178,5 +254,7 @@
     fleet.start(members - 1);
     fleet.until_agreed(rounds).expect("the new life is known");
     fleet.world.crash(members - 1);
-    fleet.until_agreed(2 * suspicion + rounds).expect("the crash is known");
+    fleet
+        .until_agreed(2 * suspicion + rounds)
+        .expect("the crash is known");
 }
--- a/lab/tests/soak.rs
+++ b/lab/tests/soak.rs
@@ -16,7 +16,9 @@
         seconds: SECONDS,
         without_times: true,
         // ECONNABORTED and EADDRNOTAVAIL, interrupted and short reads and writes, now and then.
-        system_calls: Some("accept4:103:7,connect:99:9,recv:4:11,writev:short:5,epoll_wait:4:13".to_owned()),
+        system_calls: Some(
+            "accept4:103:7,connect:99:9,recv:4:11,writev:short:5,epoll_wait:4:13".to_owned(),
+        ),
     };
     for seed in seeds {
         let round = play(&args, seed).expect("the fleet starts and comes back");
--- a/lab/tests/system_calls.rs
+++ b/lab/tests/system_calls.rs
@@ -16,7 +16,12 @@
 const AT_THE_END: usize = 80;
 
 fn fleet(environment: Vec<(&'static str, std::ffi::OsString)>) -> Fleet {
-    Fleet::start(FleetSettings { conductors: 1, environment, ..FleetSettings::default() }).unwrap()
+    Fleet::start(FleetSettings {
+        conductors: 1,
+        environment,
+        ..FleetSettings::default()
+    })
+    .unwrap()
 }
 
 /// Asks one after the other, each on a new connection; how many got a whole answer.
@@ -24,7 +29,10 @@
     let client = fleet.client();
     let served = (0..REQUESTS).filter(|number| {
         let class = if number % 2 == 0 { "send" } else { "explain" };
-        let ask = Ask { class: class.to_owned(), ..Ask::send(&format!("{prefix}-{number}"), 5, 0) };
+        let ask = Ask {
+            class: class.to_owned(),
+            ..Ask::send(&format!("{prefix}-{number}"), 5, 0)
+        };
         let (status, text) = client.platform(0, &ask);
         status == 200 && text.is_some_and(|text| ask.plan.accepts(&text))
     });
@@ -35,13 +43,31 @@
 fn end(fleet: &Fleet) -> impl Fn(&str) -> u64 {
     let status = fleet.conductor("c1").terminate().unwrap();
     let records = fleet.history.records();
-    let said: Vec<&str> = records.iter().rev().take(12).map(|record| record.text("line")).collect();
-    assert!(status.is_some_and(|status| status.success()), "no orderly end: {status:?}, {said:#?}");
+    let said: Vec<&str> = records
+        .iter()
+        .rev()
+        .take(12)
+        .map(|record| record.text("line"))
+        .collect();
+    assert!(
+        status.is_some_and(|status| status.success()),
+        "no orderly end: {status:?}, {said:#?}"
+    );
     let is_last = |record: &&Record| record.text("line").contains("stopped; counters:");
-    let line = records.iter().rev().find(is_last).expect("the counters").text("line").to_owned();
+    let line = records
+        .iter()
+        .rev()
+        .find(is_last)
+        .expect("the counters")
+        .text("line")
+        .to_owned();
     move |name| {
-        let found = line.split(' ').find_map(|part| part.strip_prefix(name)?.strip_prefix('='));
-        found.and_then(|number| number.parse().ok()).unwrap_or_else(|| panic!("no counter {name}"))
+        let found = line
+            .split(' ')
+            .find_map(|part| part.strip_prefix(name)?.strip_prefix('='));
+        found
+            .and_then(|number| number.parse().ok())
+            .unwrap_or_else(|| panic!("no counter {name}"))
     }
 }
 
@@ -76,11 +102,16 @@
 fn what_waits_at_the_end_is_answered_though_accepts_fail(#[case] number: i32) {
     let fleet = fleet(environment(&format!("accept4:{number}:2")));
     let records = fleet.history.records();
-    let served = records.iter().find_map(|r| r.text("line").split_once(" serves on ")).expect("an address");
+    let served = records
+        .iter()
+        .find_map(|r| r.text("line").split_once(" serves on "))
+        .expect("an address");
     let address = served.1.split(',').next().unwrap().to_owned();
     let before = fleet.history.len();
     fleet.conductor("c1").begin_to_terminate();
-    fleet.wait_for(before, |record| record.text("line").contains("stopping:")).unwrap();
+    fleet
+        .wait_for(before, |record| record.text("line").contains("stopping:"))
+        .unwrap();
     // More than it accepts before its listener goes, where each failed accept is followed by a pause.
     let asked: Vec<TcpStream> = (0..AT_THE_END).map(|_| ask_for_health(&address)).collect();
     for mut client in asked {
@@ -96,7 +127,9 @@
 fn ask_for_health(address: &str) -> TcpStream {
     let mut client = TcpStream::connect(address).unwrap();
     client.set_read_timeout(Some(STUCK)).unwrap();
-    client.write_all(b"GET /healthz HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n").unwrap();
+    client
+        .write_all(b"GET /healthz HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n")
+        .unwrap();
     client
 }
 
@@ -112,7 +145,13 @@
     assert_eq!(ask(&fleet, "a"), REQUESTS);
     let counter = end(&fleet);
     assert!(counter("connects_repeated") > 0);
-    assert_eq!((counter("ended_no_connection"), counter("connects_failed_locally")), (0, 0));
+    assert_eq!(
+        (
+            counter("ended_no_connection"),
+            counter("connects_failed_locally")
+        ),
+        (0, 0)
+    );
 }
 
 /// The rule watched: a host that can't be reached costs a try, not a request.
@@ -137,7 +176,13 @@
     let fleet = fleet(environment(&faults));
     assert_eq!(ask(&fleet, "a"), REQUESTS);
     let counter = end(&fleet);
-    let broken = ["ended_lost", "ended_no_connection", "streams_broken", "clients_left", "bad_requests"];
+    let broken = [
+        "ended_lost",
+        "ended_no_connection",
+        "streams_broken",
+        "clients_left",
+        "bad_requests",
+    ];
     assert_eq!(broken.map(&counter), [0; 5]);
 }
 
@@ -147,18 +192,29 @@
 #[case::interrupted(format!("recv:{}:3", libc::EINTR))]
 fn lists_are_followed_though_reads_are_cut_short(#[case] faults: String) {
     let (conductors, environment) = (1, environment(&faults));
-    let of = FleetSettings { conductors, environment, discovery: true, ..FleetSettings::default() };
+    let of = FleetSettings {
+        conductors,
+        environment,
+        discovery: true,
+        ..FleetSettings::default()
+    };
     let fleet = Fleet::start(of).unwrap();
     let changes = [("draining", "is Draining"), ("ready", "is Ready")].repeat(8);
     let begun = fleet.history.len();
     for (health, told) in &changes {
         let before = fleet.history.len();
         fleet.discovery.set_health("writer-1", health);
-        let is_told = |r: &Record| r.text("line").contains(told) || r.text("message").contains(told);
+        let is_told =
+            |r: &Record| r.text("line").contains(told) || r.text("message").contains(told);
         fleet.wait_for(before, is_told).unwrap();
     }
     // What is left unread until more comes is read at the next empty line.
-    let beats = fleet.history.since(begun).iter().filter(|r| r.event == "list.beat").count();
+    let beats = fleet
+        .history
+        .since(begun)
+        .iter()
+        .filter(|r| r.event == "list.beat")
+        .count();
     assert!(beats < changes.len() / 4, "{beats} empty lines");
     assert_eq!(end(&fleet)("watches_lost"), 0);
 }
@@ -172,20 +228,41 @@
 #[case::pipe("writev", libc::EPIPE, 37)]
 #[case::timed_out_in_a_write("writev", libc::ETIMEDOUT, 37)]
 #[case::no_buffers("writev", libc::ENOBUFS, 37)]
-fn rules_are_kept_though_connections_break(#[case] call: &str, #[case] number: i32, #[case] every: u32) {
+fn rules_are_kept_though_connections_break(
+    #[case] call: &str,
+    #[case] number: i32,
+    #[case] every: u32,
+) {
     let fleet = fleet(environment(&format!("{call}:{number}:{every}")));
     assert!(ask(&fleet, "a") > REQUESTS / 2);
     let counter = end(&fleet);
     assert_eq!((counter("violations"), counter("panics")), (0, 0));
-    let struck = ["ended_lost", "ended_dropped", "streams_broken", "clients_left", "ended_no_connection"];
-    assert!(struck.map(&counter).iter().sum::<u64>() > 0, "a fault struck");
+    let struck = [
+        "ended_lost",
+        "ended_dropped",
+        "streams_broken",
+        "clients_left",
+        "ended_no_connection",
+    ];
+    assert!(
+        struck.map(&counter).iter().sum::<u64>() > 0,
+        "a fault struck"
+    );
 }
 
 /// A conductor whose wall clock can be stepped.
 fn fleet_with_clock(settings: FleetSettings) -> (Fleet, WallClock) {
     let clock = WallClock::new().unwrap();
     let environment = vec![("LD_PRELOAD", fault_shim().into()), clock.variable()];
-    (Fleet::start(FleetSettings { conductors: 1, environment, ..settings }).unwrap(), clock)
+    (
+        Fleet::start(FleetSettings {
+            conductors: 1,
+            environment,
+            ..settings
+        })
+        .unwrap(),
+        clock,
+    )
 }
 
 /// The rule watched: deadlines, waits and graces are spans of the monotonic clock.
@@ -201,7 +278,14 @@
     assert_eq!(ask(&fleet, "restarted"), REQUESTS);
     fleet.conductor("c1").begin_to_terminate();
     let counter = end(&fleet);
-    assert_eq!((counter("violations"), counter("panics"), counter("answered_refused")), (0, 0, 0));
+    assert_eq!(
+        (
+            counter("violations"),
+            counter("panics"),
+            counter("answered_refused")
+        ),
+        (0, 0, 0)
+    );
     assert!(fleet.wait_for_release().is_ok());
 }
 
@@ -210,13 +294,20 @@
 fn a_step_of_the_wall_clock_after_sigterm_cuts_no_answer_off(#[values(HOUR, -HOUR)] step: i64) {
     let (fleet, clock) = fleet_with_clock(FleetSettings::default());
     let client = fleet.client();
-    let slow = Ask { class: "send".to_owned(), ..Ask::send("slow", 40, 0) };
+    let slow = Ask {
+        class: "send".to_owned(),
+        ..Ask::send("slow", 40, 0)
+    };
     std::thread::scope(|scope| {
         let before = fleet.history.len();
         let asked = scope.spawn(|| client.platform(0, &slow));
-        fleet.wait_for(before, |record| record.event == "run.first").unwrap();
+        fleet
+            .wait_for(before, |record| record.event == "run.first")
+            .unwrap();
         fleet.conductor("c1").begin_to_terminate();
-        fleet.wait_for(before, |record| record.text("line").contains("stopping:")).unwrap();
+        fleet
+            .wait_for(before, |record| record.text("line").contains("stopping:"))
+            .unwrap();
         clock.step(step).unwrap();
         let (status, text) = asked.join().unwrap();
         assert!(status == 200 && text.is_some_and(|text| slow.plan.accepts(&text)));
@@ -228,7 +319,10 @@
 /// The rule watched: nothing new goes to a host that drains, whatever the wall clock does meanwhile.
 #[rstest]
 fn a_step_of_the_wall_clock_sends_nothing_to_a_draining_host(#[values(HOUR, -HOUR)] step: i64) {
-    let settings = FleetSettings { discovery: true, ..FleetSettings::default() };
+    let settings = FleetSettings {
+        discovery: true,
+        ..FleetSettings::default()
+    };
     let (fleet, clock) = fleet_with_clock(settings);
     assert_eq!(ask(&fleet, "before"), REQUESTS);
     let drained = fleet.history.len();
@@ -248,13 +342,20 @@
 /// The rule watched: a process that starts with its clock an hour off serves, and tells the operators.
 #[rstest]
 fn a_process_that_starts_with_its_wall_clock_off_serves(#[values(HOUR, -HOUR)] step: i64) {
-    let settings = FleetSettings { discovery: true, ..FleetSettings::default() };
+    let settings = FleetSettings {
+        discovery: true,
+        ..FleetSettings::default()
+    };
     let (fleet, clock) = fleet_with_clock(settings);
     clock.step(step).unwrap();
     let before = fleet.history.len();
     fleet.conductor("c1").terminate().unwrap();
     fleet.conductor("c1").start().unwrap();
-    fleet.wait_for(before, |record| record.text("line").contains("ahead of discovery's")).unwrap();
+    fleet
+        .wait_for(before, |record| {
+            record.text("line").contains("ahead of discovery's")
+        })
+        .unwrap();
     assert_eq!(ask(&fleet, "a"), REQUESTS);
     assert_eq!(end(&fleet)("violations"), 0);
 }
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -135,7 +135,11 @@
         }
         // Clap's text has the fault first, then usage and hints in paragraphs of their own.
         let text = error.render().to_string();
-        let fault: Vec<&str> = text.lines().map(str::trim).take_while(|l| !l.is_empty()).collect();
+        let fault: Vec<&str> = text
+            .lines()
+            .map(str::trim)
+            .take_while(|l| !l.is_empty())
+            .collect();
         let fault = fault.join(" ");
         let fault = fault.strip_prefix("error: ").unwrap_or(&fault);
         format!("{fault}; whinhaven --help lists the commands")
--- a/src/config.rs
+++ b/src/config.rs
@@ -35,7 +35,10 @@
 
 impl Default for Limits {
     fn default() -> Self {
-        Limits { memory_mb: 192, sockets: 1024 }
+        Limits {
+            memory_mb: 192,
+            sockets: 1024,
+        }
     }
 }
 
@@ -170,8 +173,12 @@
     ///
     /// # Errors
     /// Names the field at fault.
-    pub fn from_json(text: &str, env: impl Fn(&str) -> Option<String>) -> Result<Self, ConfigError> {
-        let mut value: Value = serde_json::from_str(text).map_err(|e| ConfigError(e.to_string()))?;
+    pub fn from_json(
+        text: &str,
+        env: impl Fn(&str) -> Option<String>,
+    ) -> Result<Self, ConfigError> {
+        let mut value: Value =
+            serde_json::from_str(text).map_err(|e| ConfigError(e.to_string()))?;
         // Conductors on the platform share nothing, whatever it says.
         if let Some(fields) = value.as_object_mut() {
             fields.remove("fleet");
@@ -180,7 +187,13 @@
             fields.remove("policy");
             fields.remove("sites");
         }
-        Self::from_document(Document { table: value, is_terminated: true }, env)
+        Self::from_document(
+            Document {
+                table: value,
+                is_terminated: true,
+            },
+            env,
+        )
     }
 
     /// Reads an operator's file: the same shape, written as TOML.
@@ -189,10 +202,18 @@
     /// Names the field at fault.
     pub fn from_toml(text: &str) -> Result<Self, ConfigError> {
         let value = toml::from_str(text).map_err(|e| {
-            let line = e.span().map_or(0, |s| text[..s.start.min(text.len())].lines().count().max(1));
+            let line = e.span().map_or(0, |s| {
+                text[..s.start.min(text.len())].lines().count().max(1)
+            });
             ConfigError(format!("line {line}: {}", e.message().replace('\n', " ")))
         })?;
-        Self::from_document(Document { table: value, is_terminated: text.ends_with('\n') }, |_| None)
+        Self::from_document(
+            Document {
+                table: value,
+                is_terminated: text.ends_with('\n'),
+            },
+            |_| None,
+        )
     }
 
     /// The fields in which another configuration differs and that count at a start only.
@@ -203,51 +224,81 @@
             ("listen", a.listen != b.listen),
             ("ops", a.ops != b.ops),
             ("limits", a.limits != b.limits),
-            ("settings.permissions.idle_close_us", a.idle_close != b.idle_close),
+            (
+                "settings.permissions.idle_close_us",
+                a.idle_close != b.idle_close,
+            ),
             ("tools", a.tools != b.tools),
             ("fleet", a.fleet != b.fleet),
             ("sites", a.sites != b.sites),
         ];
         let fixed = replacement::fixed_differences(&a.settings, &b.settings);
-        all.into_iter().chain(fixed).filter(|(_, differs)| *differs).map(|(name, _)| name).collect()
+        all.into_iter()
+            .chain(fixed)
+            .filter(|(_, differs)| *differs)
+            .map(|(name, _)| name)
+            .collect()
     }
 
-    fn from_document(document: Document, env: impl Fn(&str) -> Option<String>) -> Result<Self, ConfigError> {
+    fn from_document(
+        document: Document,
+        env: impl Fn(&str) -> Option<String>,
+    ) -> Result<Self, ConfigError> {
         let raw = Raw::deserialize(&document.table).map_err(|e| ConfigError(e.to_string()))?;
         let address = |given: Option<SocketAddr>, name: &str| match (given, env(name)) {
             (Some(address), _) => Ok(Some(address)),
-            (None, Some(text)) => {
-                text.parse().map(Some).map_err(|_| ConfigError(format!("{name}: not an address: {text:?}")))
-            }
+            (None, Some(text)) => text
+                .parse()
+                .map(Some)
+                .map_err(|_| ConfigError(format!("{name}: not an address: {text:?}"))),
             (None, None) => Ok(None),
         };
-        let listen =
-            address(raw.listen, "NODE_LISTEN")?.ok_or_else(|| ConfigError("listen is missing".into()))?;
+        let listen = address(raw.listen, "NODE_LISTEN")?
+            .ok_or_else(|| ConfigError("listen is missing".into()))?;
         let discovery = address(raw.discovery, "NODE_DISCOVERY")?;
         let ops = address(raw.ops, "NODE_OPS")?;
         let mut pairs = Vec::new();
         flatten("", &raw.settings, &mut pairs);
-        let settings =
-            read_settings(pairs.iter().map(|(k, v)| (k.as_str(), v.as_str()))).map_err(ConfigError)?;
+        let settings = read_settings(pairs.iter().map(|(k, v)| (k.as_str(), v.as_str())))
+            .map_err(ConfigError)?;
         let idle = pairs.iter().find(|(k, _)| k == "permissions.idle_close_us");
-        let idle = idle.and_then(|(_, v)| v.parse::<f64>().ok()).filter(|v| *v > 0.0 && v.is_finite());
+        let idle = idle
+            .and_then(|(_, v)| v.parse::<f64>().ok())
+            .filter(|v| *v > 0.0 && v.is_finite());
         let seed = match &raw.seed {
             Value::String(hex) => u64::from_str_radix(hex, 16)
                 .map_err(|_| ConfigError(format!("seed: not a hexadecimal number: {hex:?}")))?,
             other => other.as_u64().unwrap_or(0),
         };
         if raw.limits.memory_mb < 32 {
-            return Err(ConfigError("limits.memory_mb: at least 32 are needed".into()));
+            return Err(ConfigError(
+                "limits.memory_mb: at least 32 are needed".into(),
+            ));
         }
-        let name = if raw.name.is_empty() { env("NODE_NAME").unwrap_or_default() } else { raw.name };
-        let fleet = FleetConfig::read(&name, raw.fleet, raw.store, raw.takeover, raw.policy, &raw.limits)?;
+        let name = if raw.name.is_empty() {
+            env("NODE_NAME").unwrap_or_default()
+        } else {
+            raw.name
+        };
+        let fleet = FleetConfig::read(
+            &name,
+            raw.fleet,
+            raw.store,
+            raw.takeover,
+            raw.policy,
+            &raw.limits,
+        )?;
         if fleet.as_ref().is_some_and(|f| f.policy.is_some()) {
             let read = policy_content::take(&raw.settings)
                 .and_then(|(content, _)| policy_content::read(&content, &raw.settings));
             read.map_err(|e| ConfigError(format!("settings: {e}")))?;
         }
         let recorded = fleet.as_ref().is_some_and(|f| f.takeover.is_some());
-        if let Some(tools) = raw.tools.as_ref().filter(|t| recorded && t.max_result_bytes > MOST_RECORDED) {
+        if let Some(tools) = raw
+            .tools
+            .as_ref()
+            .filter(|t| recorded && t.max_result_bytes > MOST_RECORDED)
+        {
             let what = format!(
                 "{} is above {MOST_RECORDED}, the most that [takeover] can record",
                 tools.max_result_bytes
@@ -256,11 +307,15 @@
         }
         let sites = match (&fleet, raw.sites) {
             (Some(fleet), Some(tables)) => {
-                let tables =
-                    serde_json::from_value(tables).map_err(|e| ConfigError(format!("sites: {e}")))?;
-                let sites = Sites::new(tables, &settings).map_err(|e| ConfigError(e.to_string()))?;
+                let tables = serde_json::from_value(tables)
+                    .map_err(|e| ConfigError(format!("sites: {e}")))?;
+                let sites =
+                    Sites::new(tables, &settings).map_err(|e| ConfigError(e.to_string()))?;
                 if sites.site(fleet.site.as_str()).is_none() {
-                    let what = format!("fleet.site: {} is not among [[sites.site]]", fleet.site.as_str());
+                    let what = format!(
+                        "fleet.site: {} is not among [[sites.site]]",
+                        fleet.site.as_str()
+                    );
                     return Err(ConfigError(what));
                 }
                 Some(sites)
@@ -299,7 +354,13 @@
 /// Writes nested JSON as the paths and values of the simulator's first message, for its one reader: a list of
 /// objects as `.count` and numbered items, a list of plain values joined by commas.
 fn flatten(path: &str, value: &Value, out: &mut Vec<(String, String)>) {
-    let join = |key: &str| if path.is_empty() { key.to_owned() } else { format!("{path}.{key}") };
+    let join = |key: &str| {
+        if path.is_empty() {
+            key.to_owned()
+        } else {
+            format!("{path}.{key}")
+        }
+    };
     let plain = |v: &Value| match v {
         Value::String(s) => s.replace([' ', ','], "_"),
         Value::Null => String::new(),
@@ -310,10 +371,16 @@
         Value::Object(fields) => fields.iter().for_each(|(k, v)| flatten(&join(k), v, out)),
         Value::Array(items) if items.iter().any(Value::is_object) => {
             out.push((join("count"), items.len().to_string()));
-            items.iter().enumerate().for_each(|(i, v)| flatten(&join(&i.to_string()), v, out));
+            items
+                .iter()
+                .enumerate()
+                .for_each(|(i, v)| flatten(&join(&i.to_string()), v, out));
         }
         Value::Array(items) => {
-            out.push((path.to_owned(), items.iter().map(plain).collect::<Vec<_>>().join(",")));
+            out.push((
+                path.to_owned(),
+                items.iter().map(plain).collect::<Vec<_>>().join(","),
+            ));
         }
         plain_value => out.push((path.to_owned(), plain(plain_value))),
     }
--- a/src/config/replacement.rs
+++ b/src/config/replacement.rs
@@ -39,14 +39,18 @@
             return Err(ConfigError("cut short: its last line has no end".into()));
         }
         if let Some(key) = missing_key(&self.document.table, &new.document.table, "") {
-            return Err(ConfigError(format!("{key} is missing, which the configuration in force has")));
+            return Err(ConfigError(format!(
+                "{key} is missing, which the configuration in force has"
+            )));
         }
         check_values(&new.document.table["settings"])
     }
 
     /// Whether the settings in force come by the fleet's policy.
     fn has_fleet_policy(&self) -> bool {
-        self.fleet.as_ref().is_some_and(|fleet| fleet.policy.is_some())
+        self.fleet
+            .as_ref()
+            .is_some_and(|fleet| fleet.policy.is_some())
     }
 
     /// Takes over what a checked replacement may change while the process runs; what is to be done about its
@@ -76,15 +80,24 @@
         ("settings.self_index", a.index != b.index),
         ("settings.replicas_of_me", a.routers != b.routers),
         ("settings.my_zone", a.zone != b.zone),
-        ("settings.registry_mode", a.list_on_request != b.list_on_request),
+        (
+            "settings.registry_mode",
+            a.list_on_request != b.list_on_request,
+        ),
         ("settings.skus", names(a) != names(b)),
         ("settings.family_info.role_by_kind", roles(a) != roles(b)),
         ("settings.family_info.kv_tokens", memories(a) != memories(b)),
         ("settings.family_info.release_us", a.release != b.release),
-        ("settings.family_info.self_prefill", a.writers_read != b.writers_read),
+        (
+            "settings.family_info.self_prefill",
+            a.writers_read != b.writers_read,
+        ),
         ("settings.load_report", a.reports != b.reports),
         ("settings.tick_us", a.tick != b.tick),
-        ("settings.permissions.connect_timeout_us", a.connect_timeout != b.connect_timeout),
+        (
+            "settings.permissions.connect_timeout_us",
+            a.connect_timeout != b.connect_timeout,
+        ),
     ]
 }
 
@@ -111,7 +124,11 @@
         (Value::Object(held), Value::Object(new)) => {
             let present = held.iter().filter(|(_, value)| !value.is_null());
             present.into_iter().find_map(|(key, value)| {
-                let path = if path.is_empty() { key.clone() } else { format!("{path}.{key}") };
+                let path = if path.is_empty() {
+                    key.clone()
+                } else {
+                    format!("{path}.{key}")
+                };
                 match new.get(key) {
                     None | Some(Value::Null) => Some(path),
                     Some(new) => missing_key(value, new, &path),
@@ -137,8 +154,11 @@
             alike = held.clone();
         }
         let first = alike.first()?;
-        let has = |table: &Map<String, Value>, key: &str| table.get(key).is_some_and(|v| !v.is_null());
-        let mut shared = first.keys().filter(|key| alike.iter().all(|table| has(table, key)));
+        let has =
+            |table: &Map<String, Value>, key: &str| table.get(key).is_some_and(|v| !v.is_null());
+        let mut shared = first
+            .keys()
+            .filter(|key| alike.iter().all(|table| has(table, key)));
         let missing = shared.find(|key| !item.as_object().is_some_and(|table| has(table, key)));
         missing.map(|key| format!("{path}[{i}].{key}"))
     })
@@ -152,9 +172,17 @@
     };
     let attempts = &settings["permissions"]["max_attempts"];
     check(attempts, "settings.permissions.max_attempts".to_owned())?;
-    for (i, class) in settings["classes"].as_array().into_iter().flatten().enumerate() {
+    for (i, class) in settings["classes"]
+        .as_array()
+        .into_iter()
+        .flatten()
+        .enumerate()
+    {
         if class["name"].as_str().is_none_or(str::is_empty) {
-            return Err(ConfigError(format!("settings.classes[{i}].name: {} is no name", class["name"])));
+            return Err(ConfigError(format!(
+                "settings.classes[{i}].name: {} is no name",
+                class["name"]
+            )));
         }
         for key in ["objective_us", "give_up_us"] {
             check(&class[key], format!("settings.classes[{i}].{key}"))?;
@@ -176,10 +204,16 @@
             Some(_) => {}
         }
     }
-    let dropped = from.classes.iter().filter(|old| to.classes.iter().all(|class| class.name != old.name));
+    let dropped = from
+        .classes
+        .iter()
+        .filter(|old| to.classes.iter().all(|class| class.name != old.name));
     changes.extend(dropped.map(|class| format!("class {} dropped", class.name)));
     if from.max_attempts != to.max_attempts {
-        changes.push(format!("max_attempts {} -> {}", from.max_attempts, to.max_attempts));
+        changes.push(format!(
+            "max_attempts {} -> {}",
+            from.max_attempts, to.max_attempts
+        ));
     }
     if changes.is_empty() {
         changes.push("other fields changed".to_owned());
--- a/src/config/replacement/tests.rs
+++ b/src/config/replacement/tests.rs
@@ -60,10 +60,15 @@
 /// The pointers to all fields of tables, those in lists included.
 fn fields(value: &Value, path: &str) -> Vec<String> {
     let children: Vec<(String, &Value)> = match value {
-        Value::Object(table) => table.iter().map(|(key, value)| (format!("{path}/{key}"), value)).collect(),
+        Value::Object(table) => table
+            .iter()
+            .map(|(key, value)| (format!("{path}/{key}"), value))
+            .collect(),
         Value::Array(items) => {
             let numbered = items.iter().enumerate();
-            return numbered.flat_map(|(i, item)| fields(item, &format!("{path}/{i}"))).collect();
+            return numbered
+                .flat_map(|(i, item)| fields(item, &format!("{path}/{i}")))
+                .collect();
         }
         _ => Vec::new(),
     };
@@ -75,7 +80,13 @@
 
 fn remove(table: &mut Value, pointer: &str) {
     let (parent, key) = pointer.rsplit_once('/').unwrap();
-    table.pointer_mut(parent).unwrap().as_object_mut().unwrap().remove(key).unwrap();
+    table
+        .pointer_mut(parent)
+        .unwrap()
+        .as_object_mut()
+        .unwrap()
+        .remove(key)
+        .unwrap();
 }
 
 #[test]
@@ -83,13 +94,20 @@
     let text = changed(|table| {
         classes(table)[0]["effect"] = json!("non_idempotent");
         classes(table).remove(1);
-        let new = json!({"name": "plan", "effect": "read_like", "objective_us": 1, "give_up_us": 0.5});
+        let new =
+            json!({"name": "plan", "effect": "read_like", "objective_us": 1, "give_up_us": 0.5});
         classes(table).push(new);
         table["settings"]["permissions"]["max_attempts"] = json!(2);
     });
     let (mut held, before) = (held(), held().settings);
-    let SettingsChange::New(settings) = held.replace_with(load(&text).unwrap()) else { panic!("no change") };
-    let effects: Vec<_> = settings.classes.iter().map(|c| (c.name.as_str(), c.effect)).collect();
+    let SettingsChange::New(settings) = held.replace_with(load(&text).unwrap()) else {
+        panic!("no change")
+    };
+    let effects: Vec<_> = settings
+        .classes
+        .iter()
+        .map(|c| (c.name.as_str(), c.effect))
+        .collect();
     assert_eq!(effects[0], ("explain", Effect::Unsafe));
     assert_eq!(effects[2], ("plan", Effect::Safe));
     assert_eq!((effects.len(), settings.max_attempts), (3, 2));
@@ -142,10 +160,25 @@
 #[case("objective_us", "/settings/classes/1/objective_us")]
 #[case("give_up_us", "/settings/classes/2/give_up_us")]
 fn deadlines_and_attempts_are_numbers_above_0(#[case] key: &str, #[case] pointer: &str) {
-    let with = |value: Value| load(&changed(|table| *table.pointer_mut(pointer).unwrap() = value));
+    let with = |value: Value| {
+        load(&changed(|table| {
+            *table.pointer_mut(pointer).unwrap() = value
+        }))
+    };
     assert!(with(json!(1)).is_ok());
-    for wrong in [json!(0), json!(-1), json!("5"), json!(""), json!("x"), json!(true), json!([]), json!({})] {
-        let fault = with(wrong.clone()).expect_err(&wrong.to_string()).to_string();
+    for wrong in [
+        json!(0),
+        json!(-1),
+        json!("5"),
+        json!(""),
+        json!("x"),
+        json!(true),
+        json!([]),
+        json!({}),
+    ] {
+        let fault = with(wrong.clone())
+            .expect_err(&wrong.to_string())
+            .to_string();
         assert!(fault.contains(key), "{wrong}: {fault}");
     }
 }
@@ -171,12 +204,25 @@
         table["listen"] = json!("127.0.0.1:8001");
     });
     let (mut held, new) = (held(), load(&text).unwrap());
-    let named = ["listen", "settings.skus", "settings.family_info.role_by_kind"];
+    let named = [
+        "listen",
+        "settings.skus",
+        "settings.family_info.role_by_kind",
+    ];
     let differences = held.differences(&new);
-    assert!(named.iter().all(|name| differences.contains(name)), "{differences:?}");
+    assert!(
+        named.iter().all(|name| differences.contains(name)),
+        "{differences:?}"
+    );
     assert!(differences.contains(&"settings.permissions.connect_timeout_us"));
     let before = held.settings.clone();
-    assert_eq!(held.replace_with(new), SettingsChange::New(Box::new(Settings { max_attempts: 3, ..before })));
+    assert_eq!(
+        held.replace_with(new),
+        SettingsChange::New(Box::new(Settings {
+            max_attempts: 3,
+            ..before
+        }))
+    );
 }
 
 /// Guards against two masters of one conductor's settings.
@@ -184,7 +230,11 @@
 fn settings_of_a_fleet_with_a_policy_are_left_to_it() {
     let file = include_str!("../../../deploy/fleet/c1.toml");
     let mut held = Config::from_toml(file).unwrap();
-    assert!(held.fleet.as_ref().is_some_and(|fleet| fleet.policy.is_some()));
+    assert!(
+        held.fleet
+            .as_ref()
+            .is_some_and(|fleet| fleet.policy.is_some())
+    );
     let mut new = held.clone();
     assert_eq!(held.replace_with(new.clone()), SettingsChange::None);
     new.settings.max_attempts += 1;
@@ -200,7 +250,12 @@
     let held = Config::from_toml(&text).unwrap();
     assert!(held.check_replacement(&held).is_ok());
     let cut = Config::from_toml(&text[..text.len() - 2]).unwrap();
-    assert!(held.check_replacement(&cut).unwrap_err().to_string().contains("cut short"));
+    assert!(
+        held.check_replacement(&cut)
+            .unwrap_err()
+            .to_string()
+            .contains("cut short")
+    );
 }
 
 proptest! {
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -37,7 +37,10 @@
 impl Clock {
     /// Starts the clock.
     pub fn start() -> Self {
-        Clock { origin: Instant::now(), at_origin: AT_START }
+        Clock {
+            origin: Instant::now(),
+            at_origin: AT_START,
+        }
     }
 
     /// Now.
@@ -203,7 +206,14 @@
     /// A handle and what the core reads. The queue has no bound of its own: the requests in hand have one.
     pub fn channel(clock: Clock) -> (Self, mpsc::UnboundedReceiver<Input>) {
         let (inputs, queue) = mpsc::unbounded_channel();
-        (CoreHandle { inputs, next: Rc::new(Cell::new(1)), clock }, queue)
+        (
+            CoreHandle {
+                inputs,
+                next: Rc::new(Cell::new(1)),
+                clock,
+            },
+            queue,
+        )
     }
 
     /// Tells the core.
@@ -224,7 +234,12 @@
             let _ = inputs.send(Input::Left(request));
         };
         let (server, answer) = open(Rc::new(left));
-        self.tell(Input::Ask { ask, call: Rc::new(call), answer, gone });
+        self.tell(Input::Ask {
+            ask,
+            call: Rc::new(call),
+            answer,
+            gone,
+        });
         server
     }
 }
@@ -306,7 +321,9 @@
     /// Runs until every handle is gone.
     pub async fn run(mut self, mut queue: mpsc::UnboundedReceiver<Input>) {
         loop {
-            let timer = self.clock.reach(self.due.peek().map(|Reverse((at, _))| *at));
+            let timer = self
+                .clock
+                .reach(self.due.peek().map(|Reverse((at, _))| *at));
             tokio::select! {
                 biased;
                 input = queue.recv() => match input {
@@ -336,9 +353,16 @@
 
     fn input(&mut self, input: Input) {
         match input {
-            Input::Ask { ask, call, answer, gone } => self.ask(ask, call, answer, gone),
+            Input::Ask {
+                ask,
+                call,
+                answer,
+                gone,
+            } => self.ask(ask, call, answer, gone),
             Input::Left(request) => {
-                let Some(open) = self.open.get_mut(&request) else { return };
+                let Some(open) = self.open.get_mut(&request) else {
+                    return;
+                };
                 self.counters.clients_left.up();
                 // Nobody is there to hear it; the handle's own failure goes nowhere.
                 open.answer = None;
@@ -348,8 +372,18 @@
                 self.handle(Event::Left { request });
                 self.forget(request);
             }
-            Input::First { request, attempt, feed } => self.first(request, attempt, feed),
-            Input::Ended { request, attempt, outcome, kept, report } => {
+            Input::First {
+                request,
+                attempt,
+                feed,
+            } => self.first(request, attempt, feed),
+            Input::Ended {
+                request,
+                attempt,
+                outcome,
+                kept,
+                report,
+            } => {
                 self.ended(request, attempt, outcome, kept, report);
             }
             Input::Settings(settings) => {
@@ -363,7 +397,12 @@
             Input::SlowStart { allowed } => self.handle(Event::SlowStart { allowed }),
             Input::CountAvoided(reply) => {
                 let now = self.clock.now();
-                let avoided = self.policy.workers.values().filter(|w| w.is_avoided(now)).count();
+                let avoided = self
+                    .policy
+                    .workers
+                    .values()
+                    .filter(|w| w.is_avoided(now))
+                    .count();
                 let _ = reply.send(avoided);
             }
         }
@@ -388,7 +427,10 @@
             monitor,
         };
         self.open.insert(request, open);
-        self.due.push(Reverse((deadline + self.settings.answer_slack, Due::Guard(request))));
+        self.due.push(Reverse((
+            deadline + self.settings.answer_slack,
+            Due::Guard(request),
+        )));
         // Guards stand until their deadline, minutes away if the client says so, though most requests end long
         // before: those are cleared out once they are the most.
         if self.due.len() > 2 * self.open.len() + MOST_DUE {
@@ -401,20 +443,34 @@
     }
 
     fn first(&mut self, request: RequestId, attempt: AttemptIndex, feed: Feed) {
-        let Some(open) = self.open.get_mut(&request) else { return };
-        let Some(slot) = open.attempts.get_mut(attempt.0 as usize) else { return };
+        let Some(open) = self.open.get_mut(&request) else {
+            return;
+        };
+        let Some(slot) = open.attempts.get_mut(attempt.0 as usize) else {
+            return;
+        };
         // An answer already given stands: the feed is dropped, and with it the attempt.
-        let Some(answer) = open.answer.take() else { return };
+        let Some(answer) = open.answer.take() else {
+            return;
+        };
         slot.streaming = true;
         let elapsed = self.clock.now().saturating_sub(slot.sent);
-        log::debug!("request {}: attempt {} streams after {elapsed} us", open.call.id, attempt.0);
+        log::debug!(
+            "request {}: attempt {} streams after {elapsed} us",
+            open.call.id,
+            attempt.0
+        );
         self.counters.answered_stream.up();
         open.monitor.streams();
         if let Some(releasing) = open.releasing.take() {
             releasing.stop();
         }
         answer.stream(feed);
-        self.handle(Event::Started { request, attempt, elapsed });
+        self.handle(Event::Started {
+            request,
+            attempt,
+            elapsed,
+        });
     }
 
     fn ended(
@@ -425,8 +481,14 @@
         kept: u64,
         report: Option<Report>,
     ) {
-        let Some(open) = self.open.get_mut(&request) else { return };
-        let Some(slot) = open.attempts.get_mut(attempt.0 as usize).filter(|s| s.outcome.is_none()) else {
+        let Some(open) = self.open.get_mut(&request) else {
+            return;
+        };
+        let Some(slot) = open
+            .attempts
+            .get_mut(attempt.0 as usize)
+            .filter(|s| s.outcome.is_none())
+        else {
             return;
         };
         slot.outcome = Some(outcome);
@@ -438,7 +500,8 @@
             attempt.0
         );
         let settled = open.answer.is_none();
-        open.monitor.ended(attempt.0 as usize, outcome, self.clock.now());
+        open.monitor
+            .ended(attempt.0 as usize, outcome, self.clock.now());
         open.release_history.attempt_ended(outcome);
         let c = &self.counters;
         let count = match outcome {
@@ -453,16 +516,31 @@
             Outcome::NotSent => &c.ended_not_sent,
         };
         count.up();
-        self.handle(Event::Ended(Ended { request, attempt, outcome, elapsed, settled, kept, report }));
+        self.handle(Event::Ended(Ended {
+            request,
+            attempt,
+            outcome,
+            elapsed,
+            settled,
+            kept,
+            report,
+        }));
         self.forget(request);
     }
 
     /// Guards against a module that has lost a request (after a panic, say): the client gets an answer all the
     /// same, a refusal only if nothing can have run.
     fn guard(&mut self, request: RequestId) {
-        let Some(open) = self.open.get_mut(&request) else { return };
-        let Some(answer) = open.answer.take() else { return };
-        log::warn!("request {}: no decision by its deadline, ended by the driver", open.call.id);
+        let Some(open) = self.open.get_mut(&request) else {
+            return;
+        };
+        let Some(answer) = open.answer.take() else {
+            return;
+        };
+        log::warn!(
+            "request {}: no decision by its deadline, ended by the driver",
+            open.call.id
+        );
         let harmless = open.monitor.check_refusal().is_ok();
         if harmless {
             self.counters.answered_refused.up();
@@ -478,7 +556,11 @@
     }
 
     fn forget(&mut self, request: RequestId) {
-        if self.open.get(&request).is_some_and(|o| o.answer.is_none() && !o.out()) {
+        if self
+            .open
+            .get(&request)
+            .is_some_and(|o| o.answer.is_none() && !o.out())
+        {
             self.open.remove(&request);
         }
     }
@@ -505,23 +587,43 @@
 
     fn act(&mut self, action: Action) {
         match action {
-            Action::Send { request, worker, timeout, permit } => self.send(request, worker, timeout, permit),
-            Action::SendRefused { request, worker, refusal } => {
+            Action::Send {
+                request,
+                worker,
+                timeout,
+                permit,
+            } => self.send(request, worker, timeout, permit),
+            Action::SendRefused {
+                request,
+                worker,
+                refusal,
+            } => {
                 let id = self.open.get(&request).map_or("", |open| &open.call.id);
                 self.counters.sends_refused.up();
                 log::info!("request {id}: not sent to {}: {refusal}", worker.0);
             }
-            Action::Refuse { request, reason, retry_after } => self.refuse(request, reason, retry_after),
+            Action::Refuse {
+                request,
+                reason,
+                retry_after,
+            } => self.refuse(request, reason, retry_after),
             Action::Fail { request, reason } => {
-                let Some(open) = self.open.get_mut(&request) else { return };
-                let Some(answer) = open.answer.take() else { return };
+                let Some(open) = self.open.get_mut(&request) else {
+                    return;
+                };
+                let Some(answer) = open.answer.take() else {
+                    return;
+                };
                 log::debug!("request {}: failed: {reason:?}", open.call.id);
                 self.counters.answered_failed.up();
                 answer.fail();
                 self.ended.push(request);
             }
             Action::Drop { request, attempt } => {
-                let slot = self.open.get_mut(&request).and_then(|o| o.attempts.get_mut(attempt.0 as usize));
+                let slot = self
+                    .open
+                    .get_mut(&request)
+                    .and_then(|o| o.attempts.get_mut(attempt.0 as usize));
                 if let Some(slot) = slot.filter(|s| !s.streaming) {
                     slot.cancel = None;
                 }
@@ -533,8 +635,12 @@
     }
 
     fn refuse(&mut self, request: RequestId, reason: EndReason, retry_after: Option<Micros>) {
-        let Some(open) = self.open.get_mut(&request) else { return };
-        let Some(answer) = open.answer.take() else { return };
+        let Some(open) = self.open.get_mut(&request) else {
+            return;
+        };
+        let Some(answer) = open.answer.take() else {
+            return;
+        };
         log::debug!("request {}: refused: {reason:?}", open.call.id);
         if let Err(violation) = open.monitor.check_refusal() {
             report(&self.counters, &open.call.id, violation);
@@ -544,33 +650,70 @@
         self.ended.push(request);
     }
 
-    fn send(&mut self, request: RequestId, worker: WorkerId, timeout: Option<Micros>, permit: SendPermit) {
+    fn send(
+        &mut self,
+        request: RequestId,
+        worker: WorkerId,
+        timeout: Option<Micros>,
+        permit: SendPermit,
+    ) {
         let now = self.clock.now();
-        let Some(open) = self.open.get_mut(&request).filter(|o| o.answer.is_some()) else { return };
+        let Some(open) = self.open.get_mut(&request).filter(|o| o.answer.is_some()) else {
+            return;
+        };
         if let Err(violation) = open.monitor.sent(permit.reads()) {
             report(&self.counters, &open.call.id, violation);
         }
         let until = timeout.map_or(open.deadline, |t| open.deadline.min(now.saturating_add(t)));
         let attempt = AttemptIndex(open.attempts.len() as u32);
         let (cancel, cancelled) = oneshot::channel();
-        open.attempts.push(Slot { sent: now, cancel: Some(cancel), outcome: None, streaming: false });
-        let (call, gone, most_attempts) = (open.call.clone(), open.gone.clone(), open.most_attempts);
+        open.attempts.push(Slot {
+            sent: now,
+            cancel: Some(cancel),
+            outcome: None,
+            streaming: false,
+        });
+        let (call, gone, most_attempts) =
+            (open.call.clone(), open.gone.clone(), open.most_attempts);
         let left = until.saturating_sub(now);
-        log::debug!("request {}: attempt {} to {}, {left} us", call.id, attempt.0, worker.0);
-        let after = open.releasing.clone().filter(|r| permit.reads() && r.is_going());
-        let attempt =
-            Attempt { request, attempt, worker, call, most_attempts, until, permit, after, cancelled, gone };
+        log::debug!(
+            "request {}: attempt {} to {}, {left} us",
+            call.id,
+            attempt.0,
+            worker.0
+        );
+        let after = open
+            .releasing
+            .clone()
+            .filter(|r| permit.reads() && r.is_going());
+        let attempt = Attempt {
+            request,
+            attempt,
+            worker,
+            call,
+            most_attempts,
+            until,
+            permit,
+            after,
+            cancelled,
+            gone,
+        };
         self.outbound.send(attempt);
     }
 
     fn release(&mut self, request: RequestId, reason: ReleaseReason) {
-        let Some(open) = self.open.get_mut(&request) else { return };
+        let Some(open) = self.open.get_mut(&request) else {
+            return;
+        };
         open.monitor.released();
         let is_under_way = open.releasing.as_ref().is_some_and(|last| last.is_going());
         let permit = match open.release_history.permit(reason, is_under_way) {
             Ok(permit) => permit,
             Err(refusal) => {
-                return log::debug!("request {}: no release for {reason:?}: {refusal}", open.call.id);
+                return log::debug!(
+                    "request {}: no release for {reason:?}: {refusal}",
+                    open.call.id
+                );
             }
         };
         if let Some(last) = &open.releasing {
@@ -581,11 +724,15 @@
         match reason {
             ReleaseReason::UnansweredSend => {
                 self.counters.releases_behind_sends.up();
-                log::info!("request {}: release ordered, its send is not answered yet", open.call.id);
+                log::info!(
+                    "request {}: release ordered, its send is not answered yet",
+                    open.call.id
+                );
             }
             _ => log::debug!("request {}: release ordered: {reason:?}", open.call.id),
         }
-        self.outbound.release(open.call.clone(), permit, releasing.clone());
+        self.outbound
+            .release(open.call.clone(), permit, releasing.clone());
         open.releasing = Some(releasing);
     }
 
@@ -604,7 +751,10 @@
 fn report(counters: &Counters, id: &str, violation: Violation) {
     counters.violations.up();
     log::error!("request {id}: rule broken: {violation}");
-    debug_assert!(violation.may_come_of_a_hold_up(), "request {id}: {violation}");
+    debug_assert!(
+        violation.may_come_of_a_hold_up(),
+        "request {id}: {violation}"
+    );
 }
 
 #[cfg(test)]
--- a/src/core/monitor.rs
+++ b/src/core/monitor.rs
@@ -41,7 +41,10 @@
 
 impl Attempt {
     fn may_have_run(&self) -> bool {
-        !self.reads && !self.outcome.is_some_and(Outcome::rules_out_a_run_at_a_writer)
+        !self.reads
+            && !self
+                .outcome
+                .is_some_and(Outcome::rules_out_a_run_at_a_writer)
     }
 }
 
@@ -58,7 +61,12 @@
 impl Monitor {
     /// The account of a request of a class with this effect.
     pub fn new(effect: Effect) -> Self {
-        Monitor { effect, attempts: Vec::new(), exposed_since: None, is_released: false }
+        Monitor {
+            effect,
+            attempts: Vec::new(),
+            exposed_since: None,
+            is_released: false,
+        }
     }
 
     /// An attempt is about to be sent.
@@ -68,7 +76,10 @@
     pub fn sent(&mut self, reads: bool) -> Result<(), Violation> {
         let is_repeat = self.attempts.iter().any(|a| a.may_have_run());
         let is_out = self.attempts.iter().any(|a| a.outcome.is_none());
-        self.attempts.push(Attempt { reads, outcome: None });
+        self.attempts.push(Attempt {
+            reads,
+            outcome: None,
+        });
         self.is_released = false;
         if is_out {
             return Err(Violation::SecondCopy);
@@ -81,7 +92,9 @@
 
     /// An attempt has ended.
     pub fn ended(&mut self, index: usize, outcome: Outcome, now: Micros) {
-        let Some(attempt) = self.attempts.get_mut(index) else { return };
+        let Some(attempt) = self.attempts.get_mut(index) else {
+            return;
+        };
         attempt.outcome = Some(outcome);
         let reads = attempt.reads;
         let was_released = std::mem::take(&mut self.is_released);
--- a/src/core/monitor/tests.rs
+++ b/src/core/monitor/tests.rs
@@ -19,8 +19,16 @@
 }
 
 #[rstest]
-#[case::unknown(Outcome::NoAnswer, Err(Violation::UnsafeRepeat), Err(Violation::UnsafeRefusal))]
-#[case::says_that_it_read(Outcome::Read, Err(Violation::UnsafeRepeat), Err(Violation::UnsafeRefusal))]
+#[case::unknown(
+    Outcome::NoAnswer,
+    Err(Violation::UnsafeRepeat),
+    Err(Violation::UnsafeRefusal)
+)]
+#[case::says_that_it_read(
+    Outcome::Read,
+    Err(Violation::UnsafeRepeat),
+    Err(Violation::UnsafeRefusal)
+)]
 #[case::never_ran(Outcome::TurnedAway, Ok(()), Ok(()))]
 fn what_may_have_run_is_neither_sent_again_nor_refused(
     #[case] outcome: Outcome,
@@ -62,5 +70,8 @@
     monitor.released();
     assert_eq!(monitor.check_held(10 * LATE, LIMIT), Ok(()));
     monitor.ended(1, Outcome::NoAnswer, 10 * LATE);
-    assert_eq!(monitor.check_held(11 * LATE, LIMIT), Err(Violation::HeldTooLong));
+    assert_eq!(
+        monitor.check_held(11 * LATE, LIMIT),
+        Err(Violation::HeldTooLong)
+    );
 }
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -14,7 +14,13 @@
 async fn requests_that_have_ended_leave_no_guards_behind() {
     let clock = Clock::start();
     let (handle, mut queue) = CoreHandle::channel(clock);
-    let mut core = Core::new(Settings::default(), 1, clock, Rc::new(Nowhere), Rc::default());
+    let mut core = Core::new(
+        Settings::default(),
+        1,
+        clock,
+        Rc::new(Nowhere),
+        Rc::default(),
+    );
     for _ in 0..5 * MOST_DUE {
         let ask = Ask {
             request: RequestId(0),
@@ -63,10 +69,19 @@
 async fn attempts_carry_the_number_that_their_request_began_under() {
     let clock = Clock::start();
     let (handle, mut queue) = CoreHandle::channel(clock);
-    let class = Class { name: "chat".into(), aim: 1_000_000, give_up: 8_000_000, ..Class::default() };
+    let class = Class {
+        name: "chat".into(),
+        aim: 1_000_000,
+        give_up: 8_000_000,
+        ..Class::default()
+    };
     let settings = |max_attempts| Settings {
         routers: 1,
-        kinds: vec![Kind { name: "k".into(), role: Role::Mixed, memory_tokens: None }],
+        kinds: vec![Kind {
+            name: "k".into(),
+            role: Role::Mixed,
+            memory_tokens: None,
+        }],
         classes: vec![class.clone()],
         max_attempts,
         release: 500_000,
@@ -83,7 +98,10 @@
         weight: 1.0,
         started: None,
     });
-    core.input(Input::List { kind: ListKind::Full, entries: entries.collect() });
+    core.input(Input::List {
+        kind: ListKind::Full,
+        entries: entries.collect(),
+    });
     let ask = || {
         let ask = Ask {
             request: RequestId(0),
@@ -98,16 +116,42 @@
             tenant: None,
         };
         let (id, target, body) = (String::new(), String::new(), Bytes::new());
-        handle.ask(ask, Call { id, target, headers: hyper::HeaderMap::new(), body, keeps: None, name: None })
+        handle.ask(
+            ask,
+            Call {
+                id,
+                target,
+                headers: hyper::HeaderMap::new(),
+                body,
+                keeps: None,
+                name: None,
+            },
+        )
     };
     let _open = ask();
     core.input(queue.try_recv().unwrap());
     core.input(Input::Settings(Box::new(settings(2))));
-    let (request, attempt) = sent.0.borrow().first().map(|a| (a.request, a.attempt)).unwrap();
+    let (request, attempt) = sent
+        .0
+        .borrow()
+        .first()
+        .map(|a| (a.request, a.attempt))
+        .unwrap();
     let outcome = Outcome::NoConnection;
-    core.input(Input::Ended { request, attempt, outcome, kept: 0, report: None });
+    core.input(Input::Ended {
+        request,
+        attempt,
+        outcome,
+        kept: 0,
+        report: None,
+    });
     let _new = ask();
     core.input(queue.try_recv().unwrap());
-    let sent: Vec<_> = sent.0.borrow().iter().map(|a| (a.request.0, a.most_attempts)).collect();
+    let sent: Vec<_> = sent
+        .0
+        .borrow()
+        .iter()
+        .map(|a| (a.request.0, a.most_attempts))
+        .collect();
     assert_eq!(sent, [(1, 6), (1, 6), (2, 2)]);
 }
--- a/src/exchange.rs
+++ b/src/exchange.rs
@@ -17,7 +17,11 @@
 
 /// Whether an id may stand in a path and a header as it is.
 pub fn is_plain_id(id: &str) -> bool {
-    !id.is_empty() && id.len() <= 64 && id.bytes().all(|b| b.is_ascii_alphanumeric() || b"-_.".contains(&b))
+    !id.is_empty()
+        && id.len() <= 64
+        && id
+            .bytes()
+            .all(|b| b.is_ascii_alphanumeric() || b"-_.".contains(&b))
 }
 
 /// A request as it is passed on to model hosts, unchanged.
@@ -118,8 +122,20 @@
     let (tx, frames) = mpsc::channel(FRAMES);
     let (replies, back) = mpsc::channel(1);
     let paused = Rc::new(Cell::new(false));
-    let source = FeedSource { frames: tx, replies: back, paused: paused.clone() };
-    (source, Feed { content_type, frames, replies, paused })
+    let source = FeedSource {
+        frames: tx,
+        replies: back,
+        paused: paused.clone(),
+    };
+    (
+        source,
+        Feed {
+            content_type,
+            frames,
+            replies,
+            paused,
+        },
+    )
 }
 
 /// Gives the final answer. Every way of giving one consumes it.
@@ -194,7 +210,13 @@
 /// Opens an exchange; `left` is called if the client leaves early.
 pub fn open(left: Rc<dyn Fn()>) -> (ServerSide, AnswerHandle) {
     let (tx, answer) = oneshot::channel();
-    (ServerSide { answer, presence: Presence(Some(left)) }, AnswerHandle(Some(tx)))
+    (
+        ServerSide {
+            answer,
+            presence: Presence(Some(left)),
+        },
+        AnswerHandle(Some(tx)),
+    )
 }
 
 #[cfg(test)]
--- a/src/fleet/config.rs
+++ b/src/fleet/config.rs
@@ -154,7 +154,11 @@
         limits: &Limits,
     ) -> Result<Option<Self>, ConfigError> {
         let Some(fleet) = fleet else {
-            let useless = |name| Err(ConfigError(format!("{name}: of no use without a [fleet] table")));
+            let useless = |name| {
+                Err(ConfigError(format!(
+                    "{name}: of no use without a [fleet] table"
+                )))
+            };
             return match (store, takeover, policy) {
                 (Some(_), ..) => useless("store"),
                 (_, Some(_), _) => useless("takeover"),
@@ -164,13 +168,16 @@
         };
         let takeover = takeover.map(TakeoverConfig::read).transpose()?;
         let policy = policy.map(PolicyConfig::read).transpose()?;
-        let (mut fleet, mut store) =
-            (Table::new("fleet", fleet)?, Table::new("store", store.unwrap_or_default())?);
+        let (mut fleet, mut store) = (
+            Table::new("fleet", fleet)?,
+            Table::new("store", store.unwrap_or_default())?,
+        );
         let own = match fleet.optional::<String>("name")? {
             Some(name) => name,
             None => name.to_owned(),
         };
-        let name = MemberName::try_from(own).map_err(|e| ConfigError(format!("fleet.name: {e}")))?;
+        let name =
+            MemberName::try_from(own).map_err(|e| ConfigError(format!("fleet.name: {e}")))?;
         let mut settings = node::Settings::default();
         settings.group.most_payload_bytes = PAYLOAD;
         settings.group.most_bytes_per_message = PAYLOAD;
@@ -208,23 +215,39 @@
         };
         fleet.end()?;
         store.end()?;
-        config.check(limits).map_err(|(field, what)| ConfigError(format!("{field}: {what}")))?;
+        config
+            .check(limits)
+            .map_err(|(field, what)| ConfigError(format!("{field}: {what}")))?;
         Ok(Some(config))
     }
 
     fn check(&self, limits: &Limits) -> Result<(), (&'static str, String)> {
         if ![1, 3, 5].contains(&self.voters.len()) {
-            return Err(("fleet.voters", format!("1, 3 or 5 are needed, not {}", self.voters.len())));
+            return Err((
+                "fleet.voters",
+                format!("1, 3 or 5 are needed, not {}", self.voters.len()),
+            ));
         }
-        if let Some(voter) = self.voters.iter().find(|v| **v != self.name && !self.peers.contains_key(v)) {
-            return Err(("fleet.voters", format!("{voter} has no address in fleet.peers")));
+        if let Some(voter) = self
+            .voters
+            .iter()
+            .find(|v| **v != self.name && !self.peers.contains_key(v))
+        {
+            return Err((
+                "fleet.voters",
+                format!("{voter} has no address in fleet.peers"),
+            ));
         }
         self.check_relays().map_err(|what| ("fleet.relays", what))?;
-        if self.name.as_str() == ADMINISTRATOR || self.name.as_str().len() > lease::MOST_MEMBER_NAME {
+        if self.name.as_str() == ADMINISTRATOR || self.name.as_str().len() > lease::MOST_MEMBER_NAME
+        {
             let most = lease::MOST_MEMBER_NAME;
             return Err((
                 "fleet.name",
-                format!("{} can't be one: at most {most} bytes, not {ADMINISTRATOR}", self.name),
+                format!(
+                    "{} can't be one: at most {most} bytes, not {ADMINISTRATOR}",
+                    self.name
+                ),
             ));
         }
         if let Err(error) = self.settings.view.check() {
@@ -239,8 +262,10 @@
         }
         let group_payload = group.most_payload_bytes;
         if self.policy.is_some() && group_payload < MOST_CONTENT + AROUND {
-            let what =
-                format!("{group_payload} are too few for a [policy]: {} are needed", MOST_CONTENT + AROUND);
+            let what = format!(
+                "{group_payload} are too few for a [policy]: {} are needed",
+                MOST_CONTENT + AROUND
+            );
             return Err(("fleet.group.most_payload_bytes", what));
         }
         let lease = &self.settings.lease;
@@ -249,7 +274,10 @@
             return Err(("fleet.lease.granted_for_ms", what.into()));
         }
         if lease.granted_for_ms > self.settings.bounds.most_granted_for_ms {
-            return Err(("fleet.lease.granted_for_ms", "is above fleet.bounds.most_granted_for_ms".into()));
+            return Err((
+                "fleet.lease.granted_for_ms",
+                "is above fleet.bounds.most_granted_for_ms".into(),
+            ));
         }
         if self.peer.port() == 0 || self.peer.ip().is_unspecified() {
             return Err(("fleet.peer", format!("others can't reach {}", self.peer)));
@@ -257,36 +285,56 @@
         if let Some(own) = self.peers.get(&self.name).filter(|own| **own != self.peer) {
             return Err((
                 "fleet.peers",
-                format!("{} is this conductor, at {}, not {own}", self.name, self.peer),
+                format!(
+                    "{} is this conductor, at {}, not {own}",
+                    self.name, self.peer
+                ),
             ));
         }
         let mut seen = BTreeMap::new();
         for (name, address) in self.peers.iter().filter(|(name, _)| **name != self.name) {
             if *address == self.peer {
-                return Err(("fleet.peers", format!("{name} has this conductor's own address {address}")));
+                return Err((
+                    "fleet.peers",
+                    format!("{name} has this conductor's own address {address}"),
+                ));
             }
             if let Some(other) = seen.insert(address, name) {
-                return Err(("fleet.peers", format!("{other} and {name} have the same address {address}")));
+                return Err((
+                    "fleet.peers",
+                    format!("{other} and {name} have the same address {address}"),
+                ));
             }
         }
         let members = self.peers.len() + usize::from(!self.peers.contains_key(&self.name));
         if self.most_members < members {
-            return Err(("fleet.most_members", format!("{} members are named", members)));
+            return Err((
+                "fleet.most_members",
+                format!("{} members are named", members),
+            ));
         }
         if self.sockets() > limits.sockets / SOCKETS_PART {
             let most = (limits.sockets / SOCKETS_PART).saturating_sub(OWN_SOCKETS) / 2;
-            return Err(("fleet.most_members", format!("limits.sockets have room for {most} members")));
+            return Err((
+                "fleet.most_members",
+                format!("limits.sockets have room for {most} members"),
+            ));
         }
         let frame = self.most_frame_bytes();
         if self.most_queue_bytes < frame {
-            return Err(("fleet.most_queue_bytes", format!("the longest message has {frame}")));
+            return Err((
+                "fleet.most_queue_bytes",
+                format!("the longest message has {frame}"),
+            ));
         }
         // Each peer has a queue on its way out and a frame on its way in.
         let memory = limits.memory_mb * 1024 * 1024 / MEMORY_PART;
         if self.most_members * (self.most_queue_bytes + frame) > memory {
             let most = (memory / self.most_members).saturating_sub(frame);
-            let what =
-                format!("limits.memory_mb have room for {most} for each of {} members", self.most_members);
+            let what = format!(
+                "limits.memory_mb have room for {most} for each of {} members",
+                self.most_members
+            );
             return Err(("fleet.most_queue_bytes", what));
         }
         Ok(())
@@ -337,7 +385,10 @@
     fn new(name: &'static str, value: Value) -> Result<Self, ConfigError> {
         match value {
             Value::Object(fields) => Ok(Table { name, fields }),
-            Value::Null => Ok(Table { name, fields: Map::new() }),
+            Value::Null => Ok(Table {
+                name,
+                fields: Map::new(),
+            }),
             _ => Err(ConfigError(format!("{name}: not a table"))),
         }
     }
@@ -347,12 +398,17 @@
     }
 
     fn optional<T: DeserializeOwned>(&mut self, field: &str) -> Result<Option<T>, ConfigError> {
-        let Some(value) = self.fields.remove(field) else { return Ok(None) };
-        serde_json::from_value(value).map(Some).map_err(|e| self.wrong(field, e))
+        let Some(value) = self.fields.remove(field) else {
+            return Ok(None);
+        };
+        serde_json::from_value(value)
+            .map(Some)
+            .map_err(|e| self.wrong(field, e))
     }
 
     fn required<T: DeserializeOwned>(&mut self, field: &str) -> Result<T, ConfigError> {
-        self.optional(field)?.ok_or_else(|| self.wrong(field, "is missing"))
+        self.optional(field)?
+            .ok_or_else(|| self.wrong(field, "is missing"))
     }
 
     fn bounded<T: TryFrom<u64>>(
@@ -363,7 +419,9 @@
         most: u64,
     ) -> Result<T, ConfigError> {
         let number = self.optional::<u64>(field)?.unwrap_or(default);
-        let fits = Some(number).filter(|n| (least..=most).contains(n)).and_then(|n| T::try_from(n).ok());
+        let fits = Some(number)
+            .filter(|n| (least..=most).contains(n))
+            .and_then(|n| T::try_from(n).ok());
         fits.ok_or_else(|| self.wrong(field, format!("{number} is not in {least} to {most}")))
     }
 
@@ -373,12 +431,16 @@
         field: &str,
         settings: T,
     ) -> Result<T, ConfigError> {
-        let Some(given) = self.optional::<Map<String, Value>>(field)? else { return Ok(settings) };
+        let Some(given) = self.optional::<Map<String, Value>>(field)? else {
+            return Ok(settings);
+        };
         let mut whole = serde_json::to_value(&settings).map_err(|e| self.wrong(field, e))?;
         let mut settings = settings;
         for (name, value) in given {
             let path = format!("{field}.{name}");
-            let place = whole.get_mut(&name).ok_or_else(|| self.wrong(&path, "there is no such field"))?;
+            let place = whole
+                .get_mut(&name)
+                .ok_or_else(|| self.wrong(&path, "there is no such field"))?;
             *place = value;
             // One at a time: the error is this field's.
             settings = serde_json::from_value(whole.clone()).map_err(|e| self.wrong(&path, e))?;
--- a/src/fleet/group.rs
+++ b/src/fleet/group.rs
@@ -599,7 +599,8 @@
 
     /// Whether this member votes and may lead: named by the configuration and, if named as a founder, one.
     fn is_voter(&self) -> bool {
-        self.voters().is_some_and(|v| v.counts(&self.me, self.hard.founded.is_some()))
+        self.voters()
+            .is_some_and(|v| v.counts(&self.me, self.hard.founded.is_some()))
     }
 
     fn draw(&mut self, below: u64) -> u64 {
@@ -619,7 +620,13 @@
 
     fn send(&self, to: MemberName, to_store: u64, body: Body, out: &mut Vec<Action>) {
         let (founded, term) = (self.hard.founded.is_some(), self.hard.term);
-        let message = Message { store: self.me.store, to_store, founded, term, body };
+        let message = Message {
+            store: self.me.store,
+            to_store,
+            founded,
+            term,
+            body,
+        };
         out.push(Action::Send { to, message });
     }
 
@@ -649,7 +656,13 @@
     }
 
     fn message(&mut self, now: Micros, from: MemberName, message: Message, out: &mut Vec<Action>) {
-        let Message { store, to_store, founded, term, body } = message;
+        let Message {
+            store,
+            to_store,
+            founded,
+            term,
+            body,
+        } = message;
         if from == self.me.name || (to_store != 0 && to_store != self.me.store) {
             return;
         }
@@ -657,13 +670,23 @@
         match body {
             Body::Ask { voters } => self.pledge(from, voters, out),
             Body::Pledge { granted } => self.on_pledge(now, from, granted, out),
-            Body::Vote { pre, last, last_term, forced } => {
-                self.on_vote(now, from, term, (pre, forced), (last_term, last), out)
-            }
-            Body::Voted { pre, vote_term, granted } => {
-                self.on_voted(now, from, founded, term, (pre, vote_term, granted), out)
-            }
-            Body::Append { before, before_term, entries, commit } => {
+            Body::Vote {
+                pre,
+                last,
+                last_term,
+                forced,
+            } => self.on_vote(now, from, term, (pre, forced), (last_term, last), out),
+            Body::Voted {
+                pre,
+                vote_term,
+                granted,
+            } => self.on_voted(now, from, founded, term, (pre, vote_term, granted), out),
+            Body::Append {
+                before,
+                before_term,
+                entries,
+                commit,
+            } => {
                 if self.hear_leader(now, &from, term, out) {
                     self.on_append(&from, before, before_term, entries, commit, out);
                 }
@@ -675,9 +698,11 @@
             }
             Body::Appended(outcome) => self.on_appended(now, from, founded, term, outcome, out),
             Body::Pull { next, taking } => self.on_pull(now, from, founded, next, taking, out),
-            Body::Pulled { entries, commit, leader } => {
-                self.on_pulled(now, from, term, entries, commit, leader, out)
-            }
+            Body::Pulled {
+                entries,
+                commit,
+                leader,
+            } => self.on_pulled(now, from, term, entries, commit, leader, out),
             Body::PulledPart(part) => self.on_pulled_part(now, from, part, out),
             Body::Propose(proposed) => self.propose(now, proposed, false, out),
             Body::Stand => {
@@ -717,7 +742,9 @@
     fn settle(&mut self, now: Micros, out: &mut Vec<Action>) {
         self.reshape(now, out);
         while self.applied < self.commit {
-            let Some(entry) = self.log.get(Index(self.applied.0 + 1)) else { break };
+            let Some(entry) = self.log.get(Index(self.applied.0 + 1)) else {
+                break;
+            };
             self.applied = entry.index;
             out.push(Action::Apply(entry.clone()));
         }
--- a/src/fleet/group/follow.rs
+++ b/src/fleet/group/follow.rs
@@ -1,8 +1,8 @@
 //! What a follower does with the leader's entries and snapshots, and a learner with a voter's.
 
 use super::{
-    Action, Body, Doing, Entry, Group, Index, MemberName, Micros, Outcome, Part, Payload, Snapshot, Term,
-    VoterId, Write,
+    Action, Body, Doing, Entry, Group, Index, MemberName, Micros, Outcome, Part, Payload, Snapshot,
+    Term, VoterId, Write,
 };
 use std::collections::BTreeSet;
 
@@ -27,7 +27,12 @@
         out: &mut Vec<Action>,
     ) -> bool {
         if term < self.hard.term {
-            self.send(from.name.clone(), from.store, Body::Appended(Outcome::Stale), out);
+            self.send(
+                from.name.clone(),
+                from.store,
+                Body::Appended(Outcome::Stale),
+                out,
+            );
             return false;
         }
         if term == self.hard.term && matches!(self.doing, Doing::Lead(_)) {
@@ -57,7 +62,11 @@
                 Some(_) => self.log.first_of_term(before).max(Index(self.commit.0 + 1)),
                 None => Index(self.log.last().0 + 1),
             };
-            Outcome::Conflict { before, term: have, first }
+            Outcome::Conflict {
+                before,
+                term: have,
+                first,
+            }
         } else {
             let matched = self.put(before, entries, out);
             self.commit = self.commit.max(commit.min(matched));
@@ -72,7 +81,10 @@
         entries.truncate(usize::try_from(room).unwrap_or(usize::MAX));
         let matched = Index(before.0 + entries.len() as u64);
         let have = |e: &Entry| e.index <= self.commit || self.log.term_at(e.index) == Some(e.term);
-        let new = entries.iter().position(|e| !have(e)).unwrap_or(entries.len());
+        let new = entries
+            .iter()
+            .position(|e| !have(e))
+            .unwrap_or(entries.len());
         entries.drain(..new);
         if let Some(first) = entries.first().map(|e| e.index) {
             self.log.put(&entries);
@@ -94,13 +106,23 @@
         }
         let index = part.index;
         let same = |i: &Incoming| {
-            i.from == *from && (i.head.index, i.head.term, i.head.total) == (index, part.term, part.total)
+            i.from == *from
+                && (i.head.index, i.head.term, i.head.total) == (index, part.term, part.total)
         };
         if !self.incoming.as_ref().is_some_and(same) {
-            let head = Part { data: Vec::new(), ..part.clone() };
-            self.incoming = Some(Incoming { from: from.clone(), head, data: Vec::new() });
+            let head = Part {
+                data: Vec::new(),
+                ..part.clone()
+            };
+            self.incoming = Some(Incoming {
+                from: from.clone(),
+                head,
+                data: Vec::new(),
+            });
         }
-        let Some(incoming) = &mut self.incoming else { return Outcome::Taking { index, offset: 0 } };
+        let Some(incoming) = &mut self.incoming else {
+            return Outcome::Taking { index, offset: 0 };
+        };
         let (have, total) = (incoming.data.len() as u64, part.total);
         let fits = total <= self.settings.most_snapshot_bytes as u64 && !part.voters.now.is_empty();
         if fits && part.offset == have && part.data.len() as u64 <= total - have {
@@ -113,7 +135,15 @@
         let Some(Incoming { head, data, .. }) = self.incoming.take() else {
             return Outcome::Taking { index, offset };
         };
-        self.restore(Snapshot { index, term: head.term, voters: head.voters, data }, out);
+        self.restore(
+            Snapshot {
+                index,
+                term: head.term,
+                voters: head.voters,
+                data,
+            },
+            out,
+        );
         Outcome::Matched(index)
     }
 
@@ -124,7 +154,10 @@
         let tail = self.log.last() > index;
         if !self.log.restore(snapshot.clone()) && tail {
             let first = Index(index.0 + 1);
-            out.push(Action::Persist(Write::Entries { first, entries: Vec::new() }));
+            out.push(Action::Persist(Write::Entries {
+                first,
+                entries: Vec::new(),
+            }));
         }
         out.push(Action::Persist(Write::Snapshot(snapshot.clone())));
         self.commit = index;
@@ -154,7 +187,10 @@
             self.away_since = now;
         }
         let next = Index(self.commit.0 + 1);
-        let taking = self.incoming.as_ref().map(|i| (i.head.index, i.data.len() as u64));
+        let taking = self
+            .incoming
+            .as_ref()
+            .map(|i| (i.head.index, i.data.len() as u64));
         if let Some(source) = self.pull_from() {
             self.send(source, 0, Body::Pull { next, taking }, out);
         }
@@ -164,7 +200,10 @@
     /// voter for others.
     fn pull_from(&self) -> Option<MemberName> {
         // Its configuration may be old, with all voters of it gone: the first ones may still know more.
-        let names = self.voters().into_iter().flat_map(|v| v.now.iter().map(|v| &v.name).chain(&v.wanted));
+        let names = self
+            .voters()
+            .into_iter()
+            .flat_map(|v| v.now.iter().map(|v| &v.name).chain(&v.wanted));
         let names: BTreeSet<&MemberName> = names.chain(&self.first).collect();
         match &self.leader {
             Some(leader) if self.shall_vote() => Some(leader.clone()),
@@ -179,7 +218,9 @@
     }
 
     pub(super) fn shall_vote(&self) -> bool {
-        self.voters().map_or(&self.first, |v| &v.wanted).contains(&self.me.name)
+        self.voters()
+            .map_or(&self.first, |v| &v.wanted)
+            .contains(&self.me.name)
     }
 
     /// Whether this member may take in what it pulled: a candidate's log must stay as it was when it asked for votes.
@@ -212,13 +253,18 @@
             if leader.is_some() || (news && !self.shall_vote()) {
                 self.source_heard = now;
             }
-            if leader.is_some() && leader.as_ref() != Some(&self.me.name) && term >= self.hard.term {
+            if leader.is_some() && leader.as_ref() != Some(&self.me.name) && term >= self.hard.term
+            {
                 self.raise(term, out);
                 self.leader = leader;
             }
         }
-        let Some(first) = entries.first().map(|e| e.index) else { return };
-        let Some(before) = first.0.checked_sub(1).map(Index) else { return };
+        let Some(first) = entries.first().map(|e| e.index) else {
+            return;
+        };
+        let Some(before) = first.0.checked_sub(1).map(Index) else {
+            return;
+        };
         let top = entries.iter().map(|e| e.term).max().unwrap_or_default();
         if before > self.commit || !follows(before, Term(0), &entries, top) {
             return;
@@ -227,11 +273,25 @@
         let matched = self.put(before, entries, out);
         self.commit = self.commit.max(commit.min(matched));
         if !self.is_voter() {
-            self.send(from.name, from.store, Body::Pull { next: Index(matched.0 + 1), taking: None }, out);
+            self.send(
+                from.name,
+                from.store,
+                Body::Pull {
+                    next: Index(matched.0 + 1),
+                    taking: None,
+                },
+                out,
+            );
         }
     }
 
-    pub(super) fn on_pulled_part(&mut self, now: Micros, from: VoterId, part: Part, out: &mut Vec<Action>) {
+    pub(super) fn on_pulled_part(
+        &mut self,
+        now: Micros,
+        from: VoterId,
+        part: Part,
+        out: &mut Vec<Action>,
+    ) {
         if !self.pulls() {
             return;
         }
--- a/src/fleet/group/lead.rs
+++ b/src/fleet/group/lead.rs
@@ -2,8 +2,8 @@
 //! for learners.
 
 use super::{
-    Action, Body, Doing, Entry, Group, Index, MOST_VOTERS, MemberName, Micros, Outcome, Part, Payload,
-    Proposed, Refusal, Role, Term, VoterId, Voters, Write,
+    Action, Body, Doing, Entry, Group, Index, MOST_VOTERS, MemberName, Micros, Outcome, Part,
+    Payload, Proposed, Refusal, Role, Term, VoterId, Voters, Write,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -52,7 +52,15 @@
 impl Progress {
     fn new(next: Index, now: Micros) -> Progress {
         let matched = Index(0);
-        Progress { matched, next, probing: true, sent: false, answered: false, heard: now, taking: None }
+        Progress {
+            matched,
+            next,
+            probing: true,
+            sent: false,
+            answered: false,
+            heard: now,
+            taking: None,
+        }
     }
 
     /// Begins anew from what is known to match.
@@ -67,10 +75,20 @@
     /// This member has won its election.
     pub(super) fn lead(&mut self, now: Micros, out: &mut Vec<Action>) {
         let next = Index(self.log.last().0 + 1);
-        let voters = self.others().into_iter().map(|v| (v, Progress::new(next, now))).collect();
+        let voters = self
+            .others()
+            .into_iter()
+            .map(|v| (v, Progress::new(next, now)))
+            .collect();
         let (successor, hand_over_until) = (None, 0);
-        self.doing =
-            Doing::Lead(Lead { beat_at: now, since: now, first: next, voters, successor, hand_over_until });
+        self.doing = Doing::Lead(Lead {
+            beat_at: now,
+            since: now,
+            first: next,
+            voters,
+            successor,
+            hand_over_until,
+        });
         self.leader = Some(self.me.name.clone());
         self.incoming = None;
         let payload = match (self.log.voters(), &self.hard.founded) {
@@ -88,7 +106,8 @@
 
     /// Whether a majority was heard from lately.
     pub(super) fn in_touch(&self, lead: &Lead, now: Micros) -> bool {
-        self.voters().is_some_and(|v| self.in_touch_with(lead, v, now) >= v.majority())
+        self.voters()
+            .is_some_and(|v| self.in_touch_with(lead, v, now) >= v.majority())
     }
 
     fn in_touch_with(&self, lead: &Lead, voters: &Voters, now: Micros) -> usize {
@@ -96,7 +115,10 @@
         let heard = |v: &&VoterId| match lead.voters.get(v) {
             Some(progress) => lately(progress.heard),
             // About to be made a voter.
-            None => self.learners.get(&v.name).is_some_and(|l| l.store == v.store && lately(l.heard)),
+            None => self
+                .learners
+                .get(&v.name)
+                .is_some_and(|l| l.store == v.store && lately(l.heard)),
         };
         let heard = |v: &&VoterId| **v == self.me || heard(v);
         voters.now.iter().filter(heard).count()
@@ -104,18 +126,23 @@
 
     /// Heartbeat: steps down if a majority is gone, else lets all voters hear of it.
     pub(super) fn beat(&mut self, now: Micros, out: &mut Vec<Action>) {
-        let Doing::Lead(lead) = &self.doing else { return };
+        let Doing::Lead(lead) = &self.doing else {
+            return;
+        };
         if !self.in_touch(lead, now) {
             return self.follow(now, self.hard.term, None, out);
         }
-        let Doing::Lead(lead) = &mut self.doing else { return };
+        let Doing::Lead(lead) = &mut self.doing else {
+            return;
+        };
         lead.beat_at = now.saturating_add(self.settings.heartbeat_us);
         if now > lead.hand_over_until {
             lead.successor = None;
         }
         for progress in lead.voters.values_mut() {
-            let owes =
-                progress.matched.0 + 1 < progress.next.0 || progress.probing || progress.taking.is_some();
+            let owes = progress.matched.0 + 1 < progress.next.0
+                || progress.probing
+                || progress.taking.is_some();
             if owes && !std::mem::take(&mut progress.answered) {
                 progress.probe();
             }
@@ -131,9 +158,16 @@
     /// Appends an entry of its own, and sends it.
     fn add(&mut self, now: Micros, payload: Payload, out: &mut Vec<Action>) {
         let index = Index(self.log.last().0 + 1);
-        let entries = vec![Entry { term: self.hard.term, index, payload }];
+        let entries = vec![Entry {
+            term: self.hard.term,
+            index,
+            payload,
+        }];
         self.log.put(&entries);
-        out.push(Action::Persist(Write::Entries { first: index, entries }));
+        out.push(Action::Persist(Write::Entries {
+            first: index,
+            entries,
+        }));
         self.match_voters(now, index);
         for voter in self.others() {
             self.feed(&voter, out);
@@ -144,10 +178,14 @@
     /// Keeps track of the voters of the latest configuration, and of no others.
     fn match_voters(&mut self, now: Micros, next: Index) {
         let others = self.others();
-        let Doing::Lead(lead) = &mut self.doing else { return };
+        let Doing::Lead(lead) = &mut self.doing else {
+            return;
+        };
         lead.voters.retain(|v, _| others.contains(v));
         for voter in others {
-            lead.voters.entry(voter).or_insert_with(|| Progress::new(next, now));
+            lead.voters
+                .entry(voter)
+                .or_insert_with(|| Progress::new(next, now));
         }
     }
 
@@ -155,8 +193,12 @@
     fn feed(&mut self, voter: &VoterId, out: &mut Vec<Action>) -> bool {
         let mut any = false;
         loop {
-            let Doing::Lead(lead) = &self.doing else { return any };
-            let Some(progress) = lead.voters.get(voter) else { return any };
+            let Doing::Lead(lead) = &self.doing else {
+                return any;
+            };
+            let Some(progress) = lead.voters.get(voter) else {
+                return any;
+            };
             if progress.next <= self.log.base() || progress.taking.is_some() {
                 return self.feed_part(voter, out) || any;
             }
@@ -169,13 +211,21 @@
             if held || progress.next > self.log.last() {
                 return any;
             }
-            let (most, most_bytes) =
-                (self.settings.most_entries_per_message, self.settings.most_bytes_per_message);
-            let entries = self.log.slice(progress.next, self.log.last(), most, most_bytes);
+            let (most, most_bytes) = (
+                self.settings.most_entries_per_message,
+                self.settings.most_bytes_per_message,
+            );
+            let entries = self
+                .log
+                .slice(progress.next, self.log.last(), most, most_bytes);
             self.append(voter, &entries, out);
             any = true;
-            let Doing::Lead(lead) = &mut self.doing else { return any };
-            let Some(progress) = lead.voters.get_mut(voter) else { return any };
+            let Doing::Lead(lead) = &mut self.doing else {
+                return any;
+            };
+            let Some(progress) = lead.voters.get_mut(voter) else {
+                return any;
+            };
             if progress.probing {
                 progress.sent = true;
                 return any;
@@ -185,23 +235,38 @@
     }
 
     fn append(&self, voter: &VoterId, entries: &[Entry], out: &mut Vec<Action>) {
-        let Doing::Lead(lead) = &self.doing else { return };
-        let Some(progress) = lead.voters.get(voter) else { return };
+        let Doing::Lead(lead) = &self.doing else {
+            return;
+        };
+        let Some(progress) = lead.voters.get(voter) else {
+            return;
+        };
         let before = Index(progress.next.0 - 1);
-        let Some(before_term) = self.log.term_at(before) else { return };
+        let Some(before_term) = self.log.term_at(before) else {
+            return;
+        };
         let (entries, commit) = (entries.to_vec(), self.commit);
         self.send(
             voter.name.clone(),
             voter.store,
-            Body::Append { before, before_term, entries, commit },
+            Body::Append {
+                before,
+                before_term,
+                entries,
+                commit,
+            },
             out,
         );
     }
 
     fn feed_part(&mut self, voter: &VoterId, out: &mut Vec<Action>) -> bool {
         let index = self.log.base();
-        let Doing::Lead(lead) = &mut self.doing else { return false };
-        let Some(progress) = lead.voters.get_mut(voter) else { return false };
+        let Doing::Lead(lead) = &mut self.doing else {
+            return false;
+        };
+        let Some(progress) = lead.voters.get_mut(voter) else {
+            return false;
+        };
         if progress.taking.is_none_or(|(i, _)| i != index) {
             progress.taking = Some((index, 0));
             progress.sent = false;
@@ -220,11 +285,22 @@
     /// A piece of the snapshot.
     fn part(&self, offset: u64) -> Option<Part> {
         let s = self.log.snapshot()?;
-        let from = usize::try_from(offset).unwrap_or(usize::MAX).min(s.data.len());
-        let to = from.saturating_add(self.settings.most_bytes_per_message.max(1)).min(s.data.len());
+        let from = usize::try_from(offset)
+            .unwrap_or(usize::MAX)
+            .min(s.data.len());
+        let to = from
+            .saturating_add(self.settings.most_bytes_per_message.max(1))
+            .min(s.data.len());
         let (offset, data) = (from as u64, s.data[from..to].to_vec());
         let total = s.data.len() as u64;
-        Some(Part { index: s.index, term: s.term, voters: s.voters.clone(), total, offset, data })
+        Some(Part {
+            index: s.index,
+            term: s.term,
+            voters: s.voters.clone(),
+            total,
+            offset,
+            data,
+        })
     }
 
     pub(super) fn on_appended(
@@ -243,8 +319,16 @@
             return self.follow(now, term, None, out);
         }
         let last = self.log.last();
-        let Doing::Lead(lead) = &mut self.doing else { return };
-        let Some(progress) = lead.voters.get_mut(&from).filter(|_| term == self.hard.term) else { return };
+        let Doing::Lead(lead) = &mut self.doing else {
+            return;
+        };
+        let Some(progress) = lead
+            .voters
+            .get_mut(&from)
+            .filter(|_| term == self.hard.term)
+        else {
+            return;
+        };
         progress.heard = now;
         match outcome {
             Outcome::Stale => {}
@@ -257,7 +341,11 @@
                 progress.taking = None;
             }
             Outcome::Matched(_) => {}
-            Outcome::Conflict { before, term, first } => {
+            Outcome::Conflict {
+                before,
+                term,
+                first,
+            } => {
                 if before > progress.matched && before < progress.next {
                     let ours = term.map_or(before, |t| self.log.last_up_to(t, before));
                     let alike = term.is_some() && self.log.term_at(ours) == term;
@@ -286,7 +374,9 @@
 
     /// Commits what a majority has, if it is of this leader's own term; older entries are committed along with it.
     fn advance(&mut self, now: Micros, out: &mut Vec<Action>) {
-        let Doing::Lead(lead) = &self.doing else { return };
+        let Doing::Lead(lead) = &self.doing else {
+            return;
+        };
         let Some(voters) = self.voters() else { return };
         let has = |v: &VoterId| match *v == self.me {
             true => self.log.last(),
@@ -294,7 +384,9 @@
         };
         let mut matched: Vec<Index> = voters.now.iter().map(has).collect();
         matched.sort_unstable();
-        let Some(&index) = matched.get(matched.len() - voters.majority()) else { return };
+        let Some(&index) = matched.get(matched.len() - voters.majority()) else {
+            return;
+        };
         if index <= self.commit || self.log.term_at(index) != Some(self.hard.term) {
             return;
         }
@@ -308,9 +400,17 @@
         }
     }
 
-    pub(super) fn propose_here(&mut self, now: Micros, proposed: Proposed, own: bool, out: &mut Vec<Action>) {
+    pub(super) fn propose_here(
+        &mut self,
+        now: Micros,
+        proposed: Proposed,
+        own: bool,
+        out: &mut Vec<Action>,
+    ) {
         let settled = self.log.voters_at().is_some_and(|at| at <= self.commit);
-        let Doing::Lead(lead) = &self.doing else { return };
+        let Doing::Lead(lead) = &self.doing else {
+            return;
+        };
         let (own_term, handing) = (self.commit >= lead.first, lead.successor.is_some());
         let uncommitted = self.log.last().0 - self.commit.0;
         let kept = self.log.last().0 - self.log.base().0;
@@ -318,11 +418,16 @@
             _ if handing => Err(Refusal::NoLeader),
             _ if uncommitted >= self.settings.most_uncommitted => Err(Refusal::Full),
             _ if kept >= self.settings.most_entries as u64 => Err(Refusal::Full),
-            Proposed::Data(data) if data.len() > self.settings.most_payload_bytes => Err(Refusal::TooLarge),
+            Proposed::Data(data) if data.len() > self.settings.most_payload_bytes => {
+                Err(Refusal::TooLarge)
+            }
             Proposed::Data(data) => Ok(Payload::Data(data)),
             Proposed::Voters(wanted) => match self.voters() {
                 Some(v) if settled && own_term && (1..=MOST_VOTERS).contains(&wanted.len()) => {
-                    Ok(Payload::Voters(Voters { wanted, ..v.clone() }))
+                    Ok(Payload::Voters(Voters {
+                        wanted,
+                        ..v.clone()
+                    }))
                 }
                 _ => Err(Refusal::Voters),
             },
@@ -336,13 +441,17 @@
 
     /// One step from the voters there are to those wanted, when the last step is committed.
     pub(super) fn reshape(&mut self, now: Micros, out: &mut Vec<Action>) {
-        let Doing::Lead(lead) = &self.doing else { return };
+        let Doing::Lead(lead) = &self.doing else {
+            return;
+        };
         let settled = self.log.voters_at().is_some_and(|at| at <= self.commit);
         if !settled || self.commit < lead.first || lead.successor.is_some() {
             return;
         }
         let Some(voters) = self.voters() else { return };
-        let Some(next) = self.next_voters(lead, voters, now) else { return };
+        let Some(next) = self.next_voters(lead, voters, now) else {
+            return;
+        };
         // Never to voters of whom a majority is away.
         if self.in_touch_with(lead, &next, now) >= next.majority() {
             self.add(now, Payload::Voters(next), out);
@@ -360,11 +469,20 @@
         let patient = now.saturating_sub(lead.since) > self.settings.election_us.saturating_mul(2);
         let lag = self.settings.most_entries_per_message as u64;
         let ready = |l: &Learner| lately(l.heard) && l.next.0.saturating_add(lag) > self.commit.0;
-        for (name, learner) in self.learners.iter().filter(|(n, l)| voters.wanted.contains(*n) && ready(l)) {
-            let id = VoterId { name: name.clone(), store: learner.store };
+        for (name, learner) in self
+            .learners
+            .iter()
+            .filter(|(n, l)| voters.wanted.contains(*n) && ready(l))
+        {
+            let id = VoterId {
+                name: name.clone(),
+                store: learner.store,
+            };
             match voters.of(name) {
                 // Its disk was emptied: first without the old store, then with the new one.
-                Some(old) if *old != id && !lead.voters.get(old).is_some_and(|p| lately(p.heard)) => {
+                Some(old)
+                    if *old != id && !lead.voters.get(old).is_some_and(|p| lately(p.heard)) =>
+                {
                     return without(old);
                 }
                 // Named as a founder, but its store was made after another of its name was pledged to.
@@ -388,10 +506,18 @@
 
     /// Planned stop of a leader: the voter that has most leads next, once it has all.
     pub(super) fn hand_over(&mut self, now: Micros, out: &mut Vec<Action>) {
-        let Doing::Lead(lead) = &mut self.doing else { return };
+        let Doing::Lead(lead) = &mut self.doing else {
+            return;
+        };
         let lately = |p: &Progress| now.saturating_sub(p.heard) <= self.settings.election_us;
-        let best = lead.voters.iter().filter(|(_, p)| lately(p)).max_by_key(|(_, p)| p.matched);
-        let Some(best) = best.map(|(v, _)| v.clone()) else { return };
+        let best = lead
+            .voters
+            .iter()
+            .filter(|(_, p)| lately(p))
+            .max_by_key(|(_, p)| p.matched);
+        let Some(best) = best.map(|(v, _)| v.clone()) else {
+            return;
+        };
         lead.successor = Some(best.clone());
         lead.hand_over_until = now.saturating_add(self.settings.election_us);
         self.crown(&best, out);
@@ -399,9 +525,14 @@
 
     /// Asks the successor to stand when it has all of the leader's log.
     fn crown(&self, voter: &VoterId, out: &mut Vec<Action>) {
-        let Doing::Lead(lead) = &self.doing else { return };
+        let Doing::Lead(lead) = &self.doing else {
+            return;
+        };
         if lead.successor.as_ref() == Some(voter)
-            && lead.voters.get(voter).is_some_and(|p| p.matched == self.log.last())
+            && lead
+                .voters
+                .get(voter)
+                .is_some_and(|p| p.matched == self.log.last())
         {
             self.send(voter.name.clone(), voter.store, Body::Stand, out);
         }
@@ -416,13 +547,27 @@
         taking: Option<(Index, u64)>,
         out: &mut Vec<Action>,
     ) {
-        let learner = Learner { store: from.store, founded, next, heard: now, waiting: true };
+        let learner = Learner {
+            store: from.store,
+            founded,
+            next,
+            heard: now,
+            waiting: true,
+        };
         if next <= self.log.base() {
-            let offset = taking.filter(|(i, _)| *i == self.log.base()).map_or(0, |(_, o)| o);
+            let offset = taking
+                .filter(|(i, _)| *i == self.log.base())
+                .map_or(0, |(_, o)| o);
             if let Some(part) = self.part(offset) {
                 self.send(from.name.clone(), from.store, Body::PulledPart(part), out);
             }
-            self.remember(from.name, Learner { waiting: false, ..learner });
+            self.remember(
+                from.name,
+                Learner {
+                    waiting: false,
+                    ..learner
+                },
+            );
         } else {
             let known = self.learners.get(&from.name);
             let waiting = next > self.commit;
@@ -441,12 +586,23 @@
     }
 
     fn give(&self, now: Micros, to: &MemberName, learner: &Learner, out: &mut Vec<Action>) {
-        let (most, most_bytes) =
-            (self.settings.most_entries_per_message, self.settings.most_bytes_per_message);
+        let (most, most_bytes) = (
+            self.settings.most_entries_per_message,
+            self.settings.most_bytes_per_message,
+        );
         let entries = self.log.slice(learner.next, self.commit, most, most_bytes);
         let knows = self.role() != Role::Learner || self.vouches_for_leader(now);
         let (commit, leader) = (self.commit, self.leader.clone().filter(|_| knows));
-        self.send(to.clone(), learner.store, Body::Pulled { entries, commit, leader }, out);
+        self.send(
+            to.clone(),
+            learner.store,
+            Body::Pulled {
+                entries,
+                commit,
+                leader,
+            },
+            out,
+        );
     }
 
     /// Whether this learner's word on the leader goes on: it pulls from voters itself, which were heard lately, and is
@@ -461,7 +617,8 @@
     pub(super) fn serve_learners(&mut self, now: Micros, out: &mut Vec<Action>) {
         let election = self.settings.election_us;
         let commit = self.commit;
-        self.learners.retain(|_, l| now.saturating_sub(l.heard) <= election.saturating_mul(4));
+        self.learners
+            .retain(|_, l| now.saturating_sub(l.heard) <= election.saturating_mul(4));
         let mut owed: BTreeSet<MemberName> = BTreeSet::new();
         for (name, learner) in &mut self.learners {
             if learner.waiting && learner.next <= commit && learner.next > self.log.base() {
--- a/src/fleet/group/log.rs
+++ b/src/fleet/group/log.rs
@@ -13,7 +13,11 @@
 impl Log {
     /// Entries that do not follow the snapshot or one another are left out, with all after them.
     pub fn new(snapshot: Option<Snapshot>, entries: Vec<Entry>) -> Log {
-        let mut log = Log { snapshot, entries: Vec::new(), voters: None };
+        let mut log = Log {
+            snapshot,
+            entries: Vec::new(),
+            voters: None,
+        };
         let base = log.base();
         for entry in entries.into_iter().filter(|e| e.index > base) {
             if entry.index.0 != log.last().0 + 1 {
@@ -83,7 +87,8 @@
     /// Drops all entries from `from` on.
     pub fn cut(&mut self, from: Index) {
         let keep = from.0.saturating_sub(self.base().0 + 1);
-        self.entries.truncate(usize::try_from(keep).unwrap_or(usize::MAX));
+        self.entries
+            .truncate(usize::try_from(keep).unwrap_or(usize::MAX));
         if self.voters.as_ref().is_some_and(|(i, _)| *i >= from) {
             self.find_voters();
         }
@@ -130,9 +135,16 @@
         let term = self.get(index)?.term;
         let up_to = (index.0 - self.base().0) as usize;
         let voters = self.entries[..up_to].iter().rev().find_map(voters_of);
-        let voters = voters.or(self.snapshot.as_ref().map(|s| s.voters.clone())).unwrap_or_default();
+        let voters = voters
+            .or(self.snapshot.as_ref().map(|s| s.voters.clone()))
+            .unwrap_or_default();
         self.entries.drain(..up_to);
-        self.snapshot = Some(Snapshot { index, term, voters, data });
+        self.snapshot = Some(Snapshot {
+            index,
+            term,
+            voters,
+            data,
+        });
         self.find_voters();
         self.snapshot.clone()
     }
@@ -151,7 +163,11 @@
     }
 
     fn find_voters(&mut self) {
-        let found = self.entries.iter().rev().find_map(|e| Some((e.index, voters_of(e)?)));
+        let found = self
+            .entries
+            .iter()
+            .rev()
+            .find_map(|e| Some((e.index, voters_of(e)?)));
         self.voters = found.or(self.snapshot.as_ref().map(|s| (s.index, s.voters.clone())));
     }
 }
--- a/src/fleet/hands.rs
+++ b/src/fleet/hands.rs
@@ -122,7 +122,10 @@
             self.stirred = true;
         } else {
             self.wait = Wait::Reply;
-            out.push(Action::Propose { ticket, command: self.command.clone() });
+            out.push(Action::Propose {
+                ticket,
+                command: self.command.clone(),
+            });
         }
     }
 }
@@ -145,7 +148,14 @@
 impl Hands {
     /// A machine for one life of a member, with at most `most` questions open and as many given up.
     pub fn new(me: Who, most: usize) -> Self {
-        Hands { me, may_act: false, most, open: BTreeMap::new(), late: BTreeMap::new(), next_own: OWN }
+        Hands {
+            me,
+            may_act: false,
+            most,
+            open: BTreeMap::new(),
+            late: BTreeMap::new(),
+            next_own: OWN,
+        }
     }
 
     /// Questions that have no verdict yet.
@@ -164,7 +174,11 @@
         self.give_up(now, out);
         match event {
             Event::Tick => {}
-            Event::Ask { ticket, command, until } => {
+            Event::Ask {
+                ticket,
+                command,
+                until,
+            } => {
                 let verdict = if !self.may_act {
                     Some(Verdict::Cut)
                 } else if now >= until {
@@ -190,22 +204,47 @@
             Event::MayAct(may) => {
                 self.may_act = may;
                 if !may {
-                    let asked: Vec<Ticket> =
-                        self.open.iter().filter(|(_, q)| q.until.is_some()).map(|(t, _)| *t).collect();
-                    asked.into_iter().for_each(|t| self.end(t, Verdict::Cut, out));
+                    let asked: Vec<Ticket> = self
+                        .open
+                        .iter()
+                        .filter(|(_, q)| q.until.is_some())
+                        .map(|(t, _)| *t)
+                        .collect();
+                    asked
+                        .into_iter()
+                        .for_each(|t| self.end(t, Verdict::Cut, out));
                 }
             }
         }
     }
 
-    fn put(&mut self, ticket: Ticket, command: Command, until: Option<Micros>, out: &mut Vec<Action>) {
-        out.push(Action::Propose { ticket, command: command.clone() });
-        self.open.insert(ticket, Question { command, until, wait: Wait::Reply, stirred: false });
+    fn put(
+        &mut self,
+        ticket: Ticket,
+        command: Command,
+        until: Option<Micros>,
+        out: &mut Vec<Action>,
+    ) {
+        out.push(Action::Propose {
+            ticket,
+            command: command.clone(),
+        });
+        self.open.insert(
+            ticket,
+            Question {
+                command,
+                until,
+                wait: Wait::Reply,
+                stirred: false,
+            },
+        );
     }
 
     /// Gives a verdict; if the group's answer may still come, what it then grants is given back.
     fn end(&mut self, ticket: Ticket, verdict: Verdict, out: &mut Vec<Action>) {
-        let Some(question) = self.open.remove(&ticket) else { return };
+        let Some(question) = self.open.remove(&ticket) else {
+            return;
+        };
         if question.wait == Wait::Reply && matches!(verdict, Verdict::Late | Verdict::Cut) {
             if self.late.len() >= self.most {
                 self.late.pop_first();
@@ -216,8 +255,12 @@
     }
 
     fn give_up(&mut self, now: Micros, out: &mut Vec<Action>) {
-        let over: Vec<Ticket> =
-            self.open.iter().filter(|(_, q)| q.until.is_some_and(|u| u <= now)).map(|(t, _)| *t).collect();
+        let over: Vec<Ticket> = self
+            .open
+            .iter()
+            .filter(|(_, q)| q.until.is_some_and(|u| u <= now))
+            .map(|(t, _)| *t)
+            .collect();
         for ticket in over {
             let verdict = match self.open.get(&ticket).map(|q| &q.wait) {
                 Some(Wait::Open(owner)) => Verdict::InHand(owner.clone()),
@@ -232,7 +275,9 @@
         if let Some(command) = self.late.remove(&ticket) {
             return self.came_late(command, reply, out);
         }
-        let Some(question) = self.open.get_mut(&ticket) else { return };
+        let Some(question) = self.open.get_mut(&ticket) else {
+            return;
+        };
         if question.wait != Wait::Reply {
             return;
         }
@@ -241,7 +286,10 @@
             if reply.is_some() {
                 self.open.remove(&ticket);
             } else {
-                out.push(Action::Propose { ticket, command: question.command.clone() });
+                out.push(Action::Propose {
+                    ticket,
+                    command: question.command.clone(),
+                });
             }
             return;
         }
@@ -249,7 +297,9 @@
             Some(Reply::Claimed(record)) => Verdict::Claimed(record),
             Some(Reply::Ended(answer)) => Verdict::Ended(answer),
             Some(Reply::Done | Reply::Go | Reply::Adopted(_)) => Verdict::Go,
-            Some(Reply::Known(CallStage::Out)) => return Self::wait(question, ticket, Wait::Outcome, out),
+            Some(Reply::Known(CallStage::Out)) => {
+                return Self::wait(question, ticket, Wait::Outcome, out);
+            }
             Some(Reply::Known(stage)) => Verdict::Known(stage),
             Some(Reply::Refused(Refusal::InHand(owner))) => {
                 return Self::wait(question, ticket, Wait::Open(owner), out);
@@ -262,7 +312,10 @@
 
     fn wait(question: &mut Question, ticket: Ticket, wait: Wait, out: &mut Vec<Action>) {
         if std::mem::take(&mut question.stirred) {
-            out.push(Action::Propose { ticket, command: question.command.clone() });
+            out.push(Action::Propose {
+                ticket,
+                command: question.command.clone(),
+            });
         } else {
             question.wait = wait;
         }
@@ -271,13 +324,17 @@
     /// The group has granted what nobody waits for any more.
     fn came_late(&mut self, command: Command, reply: Option<Reply>, out: &mut Vec<Action>) {
         let back = match (command, reply) {
-            (Command::Claim { name, .. }, Some(Reply::Claimed(record))) => {
-                Command::LetGo { name, generation: record.generation, harmless: false }
-            }
+            (Command::Claim { name, .. }, Some(Reply::Claimed(record))) => Command::LetGo {
+                name,
+                generation: record.generation,
+                harmless: false,
+            },
             // It was let out and never went: whoever asks for it next may make it.
-            (Command::Call { name, ordinal, .. }, Some(Reply::Go)) => {
-                Command::CallEnded { name, ordinal, outcome: None }
-            }
+            (Command::Call { name, ordinal, .. }, Some(Reply::Go)) => Command::CallEnded {
+                name,
+                ordinal,
+                outcome: None,
+            },
             _ => return,
         };
         self.next_own += 1;
@@ -289,11 +346,17 @@
             let concerned = match (&question.command, &notice) {
                 (
                     Command::Claim { name, .. },
-                    Notice::Open { name: n } | Notice::Ended { name: n } | Notice::Moved { name: n, .. },
+                    Notice::Open { name: n }
+                    | Notice::Ended { name: n }
+                    | Notice::Moved { name: n, .. },
                 ) => name == n,
-                (Command::Call { name, ordinal, .. }, Notice::CallEnded { name: n, ordinal: o }) => {
-                    name == n && ordinal == o
-                }
+                (
+                    Command::Call { name, ordinal, .. },
+                    Notice::CallEnded {
+                        name: n,
+                        ordinal: o,
+                    },
+                ) => name == n && ordinal == o,
                 _ => false,
             };
             if concerned {
--- a/src/fleet/hands/tests.rs
+++ b/src/fleet/hands/tests.rs
@@ -3,18 +3,35 @@
 use crate::fleet::{Incarnation, MemberName};
 use rstest::rstest;
 
-const NO_BOUNDS: Bounds = Bounds { records: u64::MAX, bytes: u64::MAX };
+const NO_BOUNDS: Bounds = Bounds {
+    records: u64::MAX,
+    bytes: u64::MAX,
+};
 
 fn who(name: &str) -> Who {
-    Who { name: MemberName::try_from(name).unwrap(), incarnation: Incarnation(1) }
+    Who {
+        name: MemberName::try_from(name).unwrap(),
+        incarnation: Incarnation(1),
+    }
 }
 
 fn claim() -> Command {
-    Command::Claim { name: "r".into(), once: true, resumes: true, bounds: NO_BOUNDS }
+    Command::Claim {
+        name: "r".into(),
+        once: true,
+        resumes: true,
+        bounds: NO_BOUNDS,
+    }
 }
 
 fn call() -> Command {
-    Command::Call { name: "r".into(), generation: 1, ordinal: 0, arguments: 7, bounds: NO_BOUNDS }
+    Command::Call {
+        name: "r".into(),
+        generation: 1,
+        ordinal: 0,
+        arguments: 7,
+        bounds: NO_BOUNDS,
+    }
 }
 
 struct Side(Hands, Vec<Action>);
@@ -32,28 +49,62 @@
     }
 
     fn ask(&mut self, ticket: u64, command: Command, until: Micros) -> Vec<Action> {
-        self.tell(0, Event::Ask { ticket: Ticket(ticket), command, until })
+        self.tell(
+            0,
+            Event::Ask {
+                ticket: Ticket(ticket),
+                command,
+                until,
+            },
+        )
     }
 
     fn reply(&mut self, now: Micros, ticket: u64, reply: Reply) -> Vec<Action> {
-        self.tell(now, Event::Reply { ticket: Ticket(ticket), reply: Some(reply) })
+        self.tell(
+            now,
+            Event::Reply {
+                ticket: Ticket(ticket),
+                reply: Some(reply),
+            },
+        )
     }
 }
 
 fn verdict(ticket: u64, verdict: Verdict) -> Action {
-    Action::Verdict { ticket: Ticket(ticket), verdict }
+    Action::Verdict {
+        ticket: Ticket(ticket),
+        verdict,
+    }
 }
 
 #[test]
 fn a_call_in_flight_elsewhere_is_waited_for_and_asked_for_anew() {
     let mut side = Side::start();
-    assert_eq!(side.ask(1, call(), 100), [Action::Propose { ticket: Ticket(1), command: call() }]);
+    assert_eq!(
+        side.ask(1, call(), 100),
+        [Action::Propose {
+            ticket: Ticket(1),
+            command: call()
+        }]
+    );
     assert!(side.reply(1, 1, Reply::Known(CallStage::Out)).is_empty());
-    let other = Notice::CallEnded { name: "r".into(), ordinal: 1 };
+    let other = Notice::CallEnded {
+        name: "r".into(),
+        ordinal: 1,
+    };
     assert!(side.tell(2, Event::Notice(other)).is_empty());
-    let ended = Notice::CallEnded { name: "r".into(), ordinal: 0 };
+    let ended = Notice::CallEnded {
+        name: "r".into(),
+        ordinal: 0,
+    };
     let again = side.tell(2, Event::Notice(ended));
-    assert_eq!(again, [Action::Propose { ticket: Ticket(1), command: call() }]);
+    assert_eq!(
+        again,
+        [Action::Propose {
+            ticket: Ticket(1),
+            command: call()
+        }]
+    );
     let known = side.reply(3, 1, Reply::Known(CallStage::Unknown));
     assert_eq!(known, [verdict(1, Verdict::Known(CallStage::Unknown))]);
 }
@@ -61,13 +112,22 @@
 #[rstest]
 #[case::in_time(50, true)]
 #[case::too_late(100, false)]
-fn a_request_in_other_hands_is_waited_for_until_its_time(#[case] at: Micros, #[case] asked_again: bool) {
+fn a_request_in_other_hands_is_waited_for_until_its_time(
+    #[case] at: Micros,
+    #[case] asked_again: bool,
+) {
     let mut side = Side::start();
     side.ask(1, claim(), 100);
-    assert!(side.reply(1, 1, Reply::Refused(Refusal::InHand(who("c2")))).is_empty());
+    assert!(
+        side.reply(1, 1, Reply::Refused(Refusal::InHand(who("c2"))))
+            .is_empty()
+    );
     let actions = side.tell(at, Event::Notice(Notice::Open { name: "r".into() }));
     let wanted = if asked_again {
-        Action::Propose { ticket: Ticket(1), command: claim() }
+        Action::Propose {
+            ticket: Ticket(1),
+            command: claim(),
+        }
     } else {
         verdict(1, Verdict::InHand(who("c2")))
     };
@@ -79,9 +139,18 @@
 fn an_answer_that_a_notice_has_overtaken_is_asked_for_anew() {
     let mut side = Side::start();
     side.ask(1, claim(), 100);
-    assert!(side.tell(1, Event::Notice(Notice::Open { name: "r".into() })).is_empty());
+    assert!(
+        side.tell(1, Event::Notice(Notice::Open { name: "r".into() }))
+            .is_empty()
+    );
     let again = side.reply(2, 1, Reply::Refused(Refusal::InHand(who("c2"))));
-    assert_eq!(again, [Action::Propose { ticket: Ticket(1), command: claim() }]);
+    assert_eq!(
+        again,
+        [Action::Propose {
+            ticket: Ticket(1),
+            command: claim()
+        }]
+    );
 }
 
 /// Guards against a call that goes out when nobody waits for it, and against one that then nobody may make.
@@ -91,17 +160,31 @@
     side.ask(1, call(), 100);
     assert_eq!(side.tell(100, Event::Tick), [verdict(1, Verdict::Late)]);
     let actions = side.reply(101, 1, Reply::Go);
-    let back = Command::CallEnded { name: "r".into(), ordinal: 0, outcome: None };
-    assert!(matches!(&actions[..], [Action::Propose { command, .. }] if *command == back), "{actions:?}");
+    let back = Command::CallEnded {
+        name: "r".into(),
+        ordinal: 0,
+        outcome: None,
+    };
+    assert!(
+        matches!(&actions[..], [Action::Propose { command, .. }] if *command == back),
+        "{actions:?}"
+    );
 }
 
 #[test]
 fn without_a_life_lease_nothing_goes_out() {
     let mut side = Side::start();
     side.ask(1, call(), 100);
-    assert_eq!(side.tell(1, Event::MayAct(false)), [verdict(1, Verdict::Cut)]);
+    assert_eq!(
+        side.tell(1, Event::MayAct(false)),
+        [verdict(1, Verdict::Cut)]
+    );
     assert_eq!(side.ask(2, call(), 100), [verdict(2, Verdict::Cut)]);
-    assert!(side.reply(2, 1, Reply::Go).iter().all(|a| !matches!(a, Action::Verdict { .. })));
+    assert!(
+        side.reply(2, 1, Reply::Go)
+            .iter()
+            .all(|a| !matches!(a, Action::Verdict { .. }))
+    );
 }
 
 #[test]
@@ -118,11 +201,35 @@
     for ticket in 0..4 {
         side.ask(ticket, call(), 100);
     }
-    assert_eq!(side.ask(9, call(), 100), [verdict(9, Verdict::Refused(Refusal::Full))]);
-    let tell = Event::Tell { ticket: Ticket(10), command: claim() };
-    assert_eq!(side.tell(0, tell), [Action::Propose { ticket: Ticket(10), command: claim() }]);
-    let again = side.tell(1, Event::Reply { ticket: Ticket(10), reply: None });
-    assert_eq!(again, [Action::Propose { ticket: Ticket(10), command: claim() }]);
+    assert_eq!(
+        side.ask(9, call(), 100),
+        [verdict(9, Verdict::Refused(Refusal::Full))]
+    );
+    let tell = Event::Tell {
+        ticket: Ticket(10),
+        command: claim(),
+    };
+    assert_eq!(
+        side.tell(0, tell),
+        [Action::Propose {
+            ticket: Ticket(10),
+            command: claim()
+        }]
+    );
+    let again = side.tell(
+        1,
+        Event::Reply {
+            ticket: Ticket(10),
+            reply: None,
+        },
+    );
+    assert_eq!(
+        again,
+        [Action::Propose {
+            ticket: Ticket(10),
+            command: claim()
+        }]
+    );
     assert!(side.reply(2, 10, Reply::Done).is_empty());
     assert_eq!(side.0.waiting(), 4);
 }
--- a/src/fleet/lease.rs
+++ b/src/fleet/lease.rs
@@ -81,13 +81,15 @@
     /// How long a holder may act after it sent a request, by its own clock, in microseconds.
     pub fn hold(&self) -> Micros {
         let span = self.granted_for_ms.saturating_mul(1000);
-        span.saturating_sub(drift(span, self.drift_ppm)).saturating_sub(self.margin_ms.saturating_mul(1000))
+        span.saturating_sub(drift(span, self.drift_ppm))
+            .saturating_sub(self.margin_ms.saturating_mul(1000))
     }
 
     /// How long a leader waits after it applied a grant of `granted_for_ms`, by its own clock, in microseconds.
     pub fn wait(&self, granted_for_ms: u64) -> Micros {
         let span = granted_for_ms.saturating_mul(1000);
-        span.saturating_add(drift(span, self.drift_ppm)).saturating_add(self.margin_ms.saturating_mul(1000))
+        span.saturating_add(drift(span, self.drift_ppm))
+            .saturating_add(self.margin_ms.saturating_mul(1000))
     }
 
     /// When a holder renews, counted from the request that its right rests on, in microseconds.
@@ -98,5 +100,7 @@
 
 /// What a span may be off by, rounded up.
 fn drift(span: Micros, ppm: u32) -> Micros {
-    (span as u128 * ppm as u128).div_ceil(1_000_000).min(u64::MAX as u128) as u64
+    (span as u128 * ppm as u128)
+        .div_ceil(1_000_000)
+        .min(u64::MAX as u128) as u64
 }
--- a/src/fleet/lease/guard.rs
+++ b/src/fleet/lease/guard.rs
@@ -13,7 +13,10 @@
 impl Guard {
     /// Whether an act under this token may go ahead. At most `most` names are kept; acts under further ones may not.
     pub fn admit(&mut self, name: &LeaseName, token: Token, most: usize) -> bool {
-        let lower = self.highest.get(name).is_some_and(|highest| *highest > token);
+        let lower = self
+            .highest
+            .get(name)
+            .is_some_and(|highest| *highest > token);
         let full = !self.highest.contains_key(name) && self.highest.len() >= most;
         if lower || full {
             return false;
--- a/src/fleet/lease/holder.rs
+++ b/src/fleet/lease/holder.rs
@@ -98,7 +98,10 @@
     pub fn new(me: Who, settings: Settings, most_wants: usize, seed: u64) -> Self {
         let life = life(&me.name);
         let outbox = Outbox::new(me.clone(), settings.retry.clone(), seed);
-        let mine = life.iter().map(|name| (name.clone(), Mine::new())).collect();
+        let mine = life
+            .iter()
+            .map(|name| (name.clone(), Mine::new()))
+            .collect();
         Holder {
             me,
             settings,
@@ -142,7 +145,10 @@
 
     /// The leases that are wanted, the life lease included.
     pub fn wants(&self) -> impl Iterator<Item = &LeaseName> {
-        self.mine.iter().filter(|(_, mine)| mine.wanted).map(|(name, _)| name)
+        self.mine
+            .iter()
+            .filter(|(_, mine)| mine.wanted)
+            .map(|(name, _)| name)
     }
 
     /// Proposes a command of another part under this member's next number. The answer comes as an effect.
@@ -165,7 +171,10 @@
 
     /// The proposals that wait for an answer.
     pub fn open(&self) -> Vec<Origin> {
-        self.outbox.open().map(|seq| self.outbox.origin(seq)).collect()
+        self.outbox
+            .open()
+            .map(|seq| self.outbox.origin(seq))
+            .collect()
     }
 
     /// Takes an event at `now`, with the table as applied so far, and appends what is to be done.
@@ -173,15 +182,23 @@
         match event {
             Event::Tick => {}
             Event::Want(name) => {
-                let room = self.mine.len() < self.most_wants.max(1) || self.mine.contains_key(&name);
+                let room =
+                    self.mine.len() < self.most_wants.max(1) || self.mine.contains_key(&name);
                 let life = name.as_str().starts_with(LIFE);
                 if room && !life && !self.ended && !self.leaving {
-                    self.mine.entry(name.clone()).or_insert_with(Mine::new).wanted = true;
+                    self.mine
+                        .entry(name.clone())
+                        .or_insert_with(Mine::new)
+                        .wanted = true;
                     self.settle(now, &name, table, Cause::Wanted, out);
                 }
             }
             Event::Unwant(name) => {
-                if let Some(mine) = self.mine.get_mut(&name).filter(|_| self.life.as_ref() != Some(&name)) {
+                if let Some(mine) = self
+                    .mine
+                    .get_mut(&name)
+                    .filter(|_| self.life.as_ref() != Some(&name))
+                {
                     mine.give_up();
                     self.settle(now, &name, table, Cause::Released, out);
                 }
@@ -214,7 +231,9 @@
         }
         let gone = |mine: &Mine| !mine.wanted && mine.held.is_none() && mine.open.is_none();
         let me = &self.me;
-        self.mine.retain(|name, mine| !gone(mine) || table.waiters(name).any(|waiter| waiter.who == *me));
+        self.mine.retain(|name, mine| {
+            !gone(mine) || table.waiters(name).any(|waiter| waiter.who == *me)
+        });
         self.send(now, out);
     }
 
@@ -229,24 +248,42 @@
 
     fn until(&self, mine: &Mine) -> Micros {
         match mine.held {
-            Some((token, Some(base))) if mine.wanted && mine.given_up != Some(token) && !self.ended => {
+            Some((token, Some(base)))
+                if mine.wanted && mine.given_up != Some(token) && !self.ended =>
+            {
                 base.saturating_add(self.settings.hold())
             }
             _ => 0,
         }
     }
 
-    fn answered(&mut self, now: Micros, seq: u64, answer: Answer, table: &Table, out: &mut Vec<Action>) {
+    fn answered(
+        &mut self,
+        now: Micros,
+        seq: u64,
+        answer: Answer,
+        table: &Table,
+        out: &mut Vec<Action>,
+    ) {
         self.outbox.settle(seq);
         self.ended |= answer == Answer::Refused(state::Refusal::OldLife);
         self.look_for_end(table);
-        let asked = self.mine.iter_mut().find(|(_, mine)| mine.open == Some(seq));
+        let asked = self
+            .mine
+            .iter_mut()
+            .find(|(_, mine)| mine.open == Some(seq));
         let Some((name, mine)) = asked else { return };
         mine.open = None;
-        if matches!(answer, Answer::Lease(Outcome::Refused(_)) | Answer::Refused(state::Refusal::MostMembers))
-        {
+        if matches!(
+            answer,
+            Answer::Lease(Outcome::Refused(_)) | Answer::Refused(state::Refusal::MostMembers)
+        ) {
             mine.refusals += 1;
-            let step = self.settings.retry.first_ms.saturating_mul(1000 << mine.refusals.min(10));
+            let step = self
+                .settings
+                .retry
+                .first_ms
+                .saturating_mul(1000 << mine.refusals.min(10));
             let wait = step.clamp(2, self.settings.retry.most_ms.saturating_mul(1000).max(2));
             let key = [seq.to_le_bytes(), (mine.refusals as u64).to_le_bytes()].concat();
             mine.pause = now + wait / 2 + xxh3_64_with_seed(&key, self.seed) % (wait / 2);
@@ -259,10 +296,20 @@
 
     /// The leader has answered: the right rests on the moment at which the request was sent.
     fn renewed(&mut self, now: Micros, renewal: &Renewal, out: &mut Vec<Action>) {
-        let Some(mine) = self.mine.get_mut(&renewal.name) else { return };
-        let sent = mine.sent.iter().find(|(number, _)| *number == renewal.number).map(|(_, at)| *at);
-        let Some((token, Some(base))) = mine.held else { return };
-        let Some(sent) = sent.filter(|sent| token == renewal.token && *sent > base) else { return };
+        let Some(mine) = self.mine.get_mut(&renewal.name) else {
+            return;
+        };
+        let sent = mine
+            .sent
+            .iter()
+            .find(|(number, _)| *number == renewal.number)
+            .map(|(_, at)| *at);
+        let Some((token, Some(base))) = mine.held else {
+            return;
+        };
+        let Some(sent) = sent.filter(|sent| token == renewal.token && *sent > base) else {
+            return;
+        };
         mine.held = Some((token, Some(sent)));
         mine.sent.retain(|(number, _)| *number > renewal.number);
         mine.unanswered = 0;
@@ -279,19 +326,36 @@
     }
 
     /// Takes over what the table says of a lease.
-    fn settle(&mut self, now: Micros, name: &LeaseName, table: &Table, cause: Cause, out: &mut Vec<Action>) {
-        let Some(mine) = self.mine.get_mut(name) else { return };
+    fn settle(
+        &mut self,
+        now: Micros,
+        name: &LeaseName,
+        table: &Table,
+        cause: Cause,
+        out: &mut Vec<Action>,
+    ) {
+        let Some(mine) = self.mine.get_mut(name) else {
+            return;
+        };
         let grant = table.grant(name).filter(|grant| grant.holder == self.me);
-        let lost = mine.held.is_some_and(|(token, _)| grant.is_none_or(|grant| grant.token != token));
+        let lost = mine
+            .held
+            .is_some_and(|(token, _)| grant.is_none_or(|grant| grant.token != token));
         let before = mine.held.and_then(|(token, base)| Some((token, base?)));
         if let Some(grant) = grant {
             // The right rests on the moment at which the request was first sent, however late its commit is seen.
-            let sent = mine.sent.iter().find(|(seq, _)| *seq == grant.by).map(|(_, at)| *at);
+            let sent = mine
+                .sent
+                .iter()
+                .find(|(seq, _)| *seq == grant.by)
+                .map(|(_, at)| *at);
             let base = sent.filter(|_| grant.taken);
             if base.is_some() {
                 mine.sent.retain(|(seq, _)| *seq >= grant.by);
             }
-            let known = before.filter(|(token, _)| *token == grant.token).map(|(_, base)| base);
+            let known = before
+                .filter(|(token, _)| *token == grant.token)
+                .map(|(_, base)| base);
             mine.held = Some((grant.token, base.max(known)));
         } else {
             if lost {
@@ -319,9 +383,13 @@
     /// Sends the request that is missing between what is wanted and what the table says, if it is due.
     fn ask(&mut self, now: Micros, name: &LeaseName, table: &Table) {
         let missing = self.missing(name, table);
-        let Some(mine) = self.mine.get_mut(name) else { return };
+        let Some(mine) = self.mine.get_mut(name) else {
+            return;
+        };
         mine.next = missing.as_ref().map(|(due, _)| *due);
-        let Some((_, command)) = missing.filter(|(due, _)| *due <= now) else { return };
+        let Some((_, command)) = missing.filter(|(due, _)| *due <= now) else {
+            return;
+        };
         if let Some(seq) = mine.open.take() {
             self.outbox.settle(seq);
         }
@@ -331,8 +399,16 @@
         let seq = match command {
             Command::Renew { name, token } if mine.renews_at_leader(self.settings.renewal) => {
                 let number = self.outbox.reserve();
-                let renewal = Renewal { holder: self.me.name.clone(), name, token, number };
-                self.renewals.push(Action::Renew { renewal, unanswered: mine.unanswered });
+                let renewal = Renewal {
+                    holder: self.me.name.clone(),
+                    name,
+                    token,
+                    number,
+                };
+                self.renewals.push(Action::Renew {
+                    renewal,
+                    unanswered: mine.unanswered,
+                });
                 mine.unanswered = mine.unanswered.saturating_add(1);
                 number
             }
@@ -353,7 +429,9 @@
     /// after one that stayed without answer. A release is repeated under its own number until it is answered.
     fn missing(&self, name: &LeaseName, table: &Table) -> Option<(Micros, Command)> {
         let is_life = self.life.as_ref() == Some(name);
-        let living = table.life(&self.me.name).is_some_and(|grant| grant.taken && grant.holder == self.me);
+        let living = table
+            .life(&self.me.name)
+            .is_some_and(|grant| grant.taken && grant.holder == self.me);
         if self.ended || !(is_life || (living && !self.leaving)) {
             return None;
         }
@@ -362,18 +440,34 @@
         let given_up = |token: Token| mine.given_up == Some(token);
         let renew = self.settings.renew();
         let at_leader = mine.renews_at_leader(self.settings.renewal);
-        let patience = if at_leader { renew / TRIES_A_THIRD } else { renew };
-        let again = mine.open.and(mine.sent.back()).map(|(_, at)| at.saturating_add(patience));
+        let patience = if at_leader {
+            renew / TRIES_A_THIRD
+        } else {
+            renew
+        };
+        let again = mine
+            .open
+            .and(mine.sent.back())
+            .map(|(_, at)| at.saturating_add(patience));
         let name = name.clone();
         match mine.held {
             Some((token, base)) if mine.wanted && !given_up(token) => {
                 let third = base.map_or(0, |base| base.saturating_add(renew));
-                Some((again.unwrap_or(third).max(mine.pause), Command::Renew { name, token }))
+                Some((
+                    again.unwrap_or(third).max(mine.pause),
+                    Command::Renew { name, token },
+                ))
             }
             None if mine.wanted && waits => None,
             None if mine.wanted => {
                 let granted_for_ms = self.settings.granted_for_ms;
-                Some((again.unwrap_or(0).max(mine.pause), Command::Acquire { name, granted_for_ms }))
+                Some((
+                    again.unwrap_or(0).max(mine.pause),
+                    Command::Acquire {
+                        name,
+                        granted_for_ms,
+                    },
+                ))
             }
             held => {
                 let asked = mine.open.is_some() || (held.is_none() && !waits);
@@ -388,7 +482,9 @@
         let until = self.mine.get(name).map_or(0, |mine| self.until(mine));
         let until = if now < until { until } else { 0 };
         let life_good = self.life_token(now).is_some();
-        let Some(mine) = self.mine.get_mut(name) else { return };
+        let Some(mine) = self.mine.get_mut(name) else {
+            return;
+        };
         let to = match (token, mine.wanted && !self.ended) {
             (Some(_), _) => Standing::Acting,
             (None, true) => Standing::Waiting,
--- a/src/fleet/lease/rights.rs
+++ b/src/fleet/lease/rights.rs
@@ -71,15 +71,21 @@
     /// Carries a change out.
     pub fn change(&mut self, change: &LeaseChange) {
         match change.token {
-            Some(token) if change.until > 0 => self.good.insert(change.name.clone(), (token, change.until)),
+            Some(token) if change.until > 0 => {
+                self.good.insert(change.name.clone(), (token, change.until))
+            }
             _ => self.good.remove(&change.name),
         };
     }
 
     /// The token to act under, if `who` may act under this lease at `now`: its own clock, read just before the act.
     pub fn may_act(&self, who: &Who, name: &LeaseName, now: Micros) -> Option<Token> {
-        let good =
-            |name: &LeaseName| self.good.get(name).filter(|(_, until)| now < *until).map(|(token, _)| *token);
+        let good = |name: &LeaseName| {
+            self.good
+                .get(name)
+                .filter(|(_, until)| now < *until)
+                .map(|(token, _)| *token)
+        };
         good(&life(&who.name)?)?;
         good(name)
     }
--- a/src/fleet/lease/table.rs
+++ b/src/fleet/lease/table.rs
@@ -181,11 +181,18 @@
     ) -> Outcome {
         let who = &origin.who;
         match command {
-            Command::Acquire { name, granted_for_ms } => {
+            Command::Acquire {
+                name,
+                granted_for_ms,
+            } => {
                 if granted_for_ms == 0 || granted_for_ms > bounds.most_granted_for_ms {
                     return Outcome::Refused(Refusal::BadTime);
                 }
-                let waiter = Waiter { who: who.clone(), granted_for_ms, by: origin.seq };
+                let waiter = Waiter {
+                    who: who.clone(),
+                    granted_for_ms,
+                    by: origin.seq,
+                };
                 match self.may_hold(&name, who) {
                     Ok(()) => self.acquire(index, name, waiter, bounds, out),
                     Err(refusal) => Outcome::Refused(refusal),
@@ -199,7 +206,9 @@
                 _ => Outcome::Void,
             },
             Command::Release { name } => {
-                let Some(row) = self.rows.get_mut(&name) else { return Outcome::Void };
+                let Some(row) = self.rows.get_mut(&name) else {
+                    return Outcome::Void;
+                };
                 row.queue.retain(|waiter| waiter.who != *who);
                 if row.grant.holder != *who {
                     return Outcome::Void;
@@ -207,7 +216,11 @@
                 self.end(index, &name, What::Released, bounds, out);
                 Outcome::Ended
             }
-            Command::Expire { name, token, renewals } => match self.grant(&name) {
+            Command::Expire {
+                name,
+                token,
+                renewals,
+            } => match self.grant(&name) {
                 Some(grant) if grant.token == token && grant.renewals == renewals => {
                     self.end(index, &name, What::Expired, bounds, out);
                     Outcome::Ended
@@ -220,11 +233,15 @@
     /// A life lease is for the member itself, in a life that has not ended; all others are for the living.
     fn may_hold(&self, name: &LeaseName, who: &Who) -> Result<(), Refusal> {
         if let Some(member) = name.as_str().strip_prefix(LIFE) {
-            let later = self.grant(name).is_some_and(|grant| grant.holder.incarnation > who.incarnation);
+            let later = self
+                .grant(name)
+                .is_some_and(|grant| grant.holder.incarnation > who.incarnation);
             let own = member == who.name.as_str() && !self.ended(who) && !later;
             return if own { Ok(()) } else { Err(Refusal::NotYours) };
         }
-        let living = self.life(&who.name).is_some_and(|grant| grant.taken && grant.holder == *who);
+        let living = self
+            .life(&who.name)
+            .is_some_and(|grant| grant.taken && grant.holder == *who);
         if living { Ok(()) } else { Err(Refusal::NoLife) }
     }
 
@@ -242,7 +259,13 @@
             }
             let grant = Grant::new(index, waiter, true);
             out.push(grant.change(&name, What::Granted));
-            self.rows.insert(name, Row { grant, queue: VecDeque::new() });
+            self.rows.insert(
+                name,
+                Row {
+                    grant,
+                    queue: VecDeque::new(),
+                },
+            );
             return Outcome::Held(Token(index.0));
         };
         if row.grant.holder == waiter.who {
@@ -250,7 +273,9 @@
             return Outcome::Held(row.grant.token);
         }
         // Of one member, only its latest life waits.
-        row.queue.retain(|w| w.who.name != waiter.who.name || w.who.incarnation >= waiter.who.incarnation);
+        row.queue.retain(|w| {
+            w.who.name != waiter.who.name || w.who.incarnation >= waiter.who.incarnation
+        });
         let full = row.queue.len() >= bounds.most_waiters as usize;
         match row.queue.iter_mut().find(|w| w.who.name == waiter.who.name) {
             Some(other) if other.who == waiter.who => *other = waiter,
@@ -263,15 +288,27 @@
 
     /// Ends a grant. With a life, all that its member holds or waits for ends in the same entry: it acted on those
     /// only while its life lease was good.
-    fn end(&mut self, index: Index, name: &LeaseName, what: What, bounds: &Bounds, out: &mut Vec<Change>) {
-        let Some(row) = self.rows.get(name) else { return };
+    fn end(
+        &mut self,
+        index: Index,
+        name: &LeaseName,
+        what: What,
+        bounds: &Bounds,
+        out: &mut Vec<Change>,
+    ) {
+        let Some(row) = self.rows.get(name) else {
+            return;
+        };
         let holder = row.grant.holder.clone();
         if name.as_str().starts_with(LIFE) {
             self.remember_end(&holder, bounds);
             for row in self.rows.values_mut() {
                 row.queue.retain(|waiter| waiter.who != holder);
             }
-            let held = self.rows.iter().filter(|(n, row)| *n != name && row.grant.holder == holder);
+            let held = self
+                .rows
+                .iter()
+                .filter(|(n, row)| *n != name && row.grant.holder == holder);
             for other in held.map(|(n, _)| n.clone()).collect::<Vec<_>>() {
                 self.pass_on(index, &other, What::LifeEnded, out);
             }
@@ -281,7 +318,9 @@
 
     /// The next in line whose life the log counts gets the lease, as an offer.
     fn pass_on(&mut self, index: Index, name: &LeaseName, what: What, out: &mut Vec<Change>) {
-        let Some(mut row) = self.rows.remove(name) else { return };
+        let Some(mut row) = self.rows.remove(name) else {
+            return;
+        };
         out.push(row.grant.change(name, what));
         while let Some(waiter) = row.queue.pop_front() {
             if self.may_hold(name, &waiter.who).is_ok() {
@@ -294,11 +333,19 @@
     }
 
     fn remember_end(&mut self, who: &Who, bounds: &Bounds) {
-        let last = self.ended.entry(who.name.clone()).or_insert(who.incarnation);
+        let last = self
+            .ended
+            .entry(who.name.clone())
+            .or_insert(who.incarnation);
         *last = who.incarnation.max(*last);
         while self.ended.len() > bounds.most_members.max(1) as usize {
-            let oldest = self.ended.iter().min_by_key(|(_, incarnation)| **incarnation);
-            let Some(name) = oldest.map(|(name, _)| name.clone()) else { return };
+            let oldest = self
+                .ended
+                .iter()
+                .min_by_key(|(_, incarnation)| **incarnation);
+            let Some(name) = oldest.map(|(name, _)| name.clone()) else {
+                return;
+            };
             let incarnation = self.ended.remove(&name).unwrap_or_default();
             self.forgotten = self.forgotten.max(incarnation);
         }
@@ -307,12 +354,27 @@
 
 impl Grant {
     fn new(index: Index, waiter: Waiter, taken: bool) -> Self {
-        let Waiter { who, granted_for_ms, by } = waiter;
-        Grant { holder: who, token: Token(index.0), granted_for_ms, renewals: 0, taken, by }
+        let Waiter {
+            who,
+            granted_for_ms,
+            by,
+        } = waiter;
+        Grant {
+            holder: who,
+            token: Token(index.0),
+            granted_for_ms,
+            renewals: 0,
+            taken,
+            by,
+        }
     }
 
     fn renew(&mut self, name: &LeaseName, by: u64) -> Change {
-        let what = if self.taken { What::Renewed } else { What::Granted };
+        let what = if self.taken {
+            What::Renewed
+        } else {
+            What::Granted
+        };
         self.taken = true;
         self.renewals += 1;
         self.by = by;
@@ -320,6 +382,11 @@
     }
 
     fn change(&self, name: &LeaseName, what: What) -> Change {
-        Change { name: name.clone(), token: self.token, holder: self.holder.clone(), what }
+        Change {
+            name: name.clone(),
+            token: self.token,
+            holder: self.holder.clone(),
+            what,
+        }
     }
 }
--- a/src/fleet/lease/watch.rs
+++ b/src/fleet/lease/watch.rs
@@ -27,7 +27,12 @@
 impl Watch {
     /// Watches nothing until it leads.
     pub fn new(settings: Settings) -> Self {
-        Watch { settings, leading: false, counts: BTreeMap::new(), due: BTreeSet::new() }
+        Watch {
+            settings,
+            leading: false,
+            counts: BTreeMap::new(),
+            due: BTreeSet::new(),
+        }
     }
 
     /// This member leads or stopped leading, or the table was replaced: everything is counted anew.
@@ -57,11 +62,17 @@
         let again = now.saturating_add(self.settings.retry.most_ms.max(1).saturating_mul(1000));
         while let Some((_, name)) = self.due.first().filter(|(due, _)| *due <= now).cloned() {
             self.due.pop_first();
-            let Some(count) = self.counts.get_mut(&name) else { continue };
+            let Some(count) = self.counts.get_mut(&name) else {
+                continue;
+            };
             count.due = again;
             let (token, renewals) = (count.token, count.renewals);
             self.due.insert((again, name.clone()));
-            out.push(Command::Expire { name, token, renewals });
+            out.push(Command::Expire {
+                name,
+                token,
+                renewals,
+            });
         }
     }
 
@@ -78,6 +89,13 @@
         };
         let due = now.saturating_add(wait);
         self.due.insert((due, name.clone()));
-        self.counts.insert(name.clone(), Count { token: grant.token, renewals: grant.renewals, due });
+        self.counts.insert(
+            name.clone(),
+            Count {
+                token: grant.token,
+                renewals: grant.renewals,
+                due,
+            },
+        );
     }
 }
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -95,7 +95,9 @@
 
 /// One life of a member: rises with each of its starts. Microseconds since 1970 at the start, or one more than the
 /// last one on its disk, whichever is larger.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct Incarnation(pub u64);
 
 /// A member in one of its lives.
@@ -114,13 +116,19 @@
 }
 
 /// Rises with every grant of a lease of the same name; carried by every act under it.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct Token(pub u64);
 
 /// A term of the group.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct Term(pub u64);
 
 /// A place in the group's log; the first entry's is 1.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct Index(pub u64);
--- a/src/fleet/net/admin.rs
+++ b/src/fleet/net/admin.rs
@@ -1,6 +1,8 @@
 //! What an administrator asks a conductor of its fleet, and how.
 
-use super::seal::{Bounds, Inbound, Keys, Opener, Session, StreamSealer, frame_length, length_prefix};
+use super::seal::{
+    Bounds, Inbound, Keys, Opener, Session, StreamSealer, frame_length, length_prefix,
+};
 use super::{ADMIN, bounds, draw, within};
 use crate::fleet::config::FleetConfig;
 use crate::fleet::group::VoterId;
@@ -79,8 +81,14 @@
         let mut all = serde_json::to_value(&self.status).unwrap_or_default();
         if let Some(fields) = all.as_object_mut() {
             fields.insert("role".into(), self.role.as_str().into());
-            fields.insert("voters".into(), serde_json::to_value(&self.voters).unwrap_or_default());
-            fields.insert("wanted".into(), serde_json::to_value(&self.wanted).unwrap_or_default());
+            fields.insert(
+                "voters".into(),
+                serde_json::to_value(&self.voters).unwrap_or_default(),
+            );
+            fields.insert(
+                "wanted".into(),
+                serde_json::to_value(&self.wanted).unwrap_or_default(),
+            );
         }
         all
     }
@@ -106,7 +114,10 @@
         Keys::read(&config.key_file).map_err(|e| format!("{}: {e}", config.key_file.display()))?;
     let bounds = bounds(config);
     let own = (&config.name, &config.peer);
-    let peers = config.peers.iter().filter(|(name, _)| **name != config.name);
+    let peers = config
+        .peers
+        .iter()
+        .filter(|(name, _)| **name != config.name);
     let mut failures = String::new();
     for (name, address) in std::iter::once(own).chain(peers) {
         let asked = ask_one(name, *address, &keys, &bounds, request.clone());
@@ -132,24 +143,40 @@
     let mut session = [0; 16];
     stream.read_exact(&mut session).await?;
     let own = MemberName::try_from(ADMINISTRATOR).map_err(io::Error::other)?;
-    let me = Who { name: own.clone(), incarnation: Incarnation(1) };
+    let me = Who {
+        name: own.clone(),
+        incarnation: Incarnation(1),
+    };
     let mut sealer = StreamSealer::new(me, name.clone(), keys.clone(), bounds, Session(session));
     let answer = draw()?;
-    let frame = sealer.seal(ADMIN, &encode(&Asked { session: answer, request })).map_err(io::Error::other)?;
+    let frame = sealer
+        .seal(
+            ADMIN,
+            &encode(&Asked {
+                session: answer,
+                request,
+            }),
+        )
+        .map_err(io::Error::other)?;
     stream.write_all(&length_prefix(&frame)).await?;
     stream.write_all(&frame).await?;
     let mut prefix = [0; 4];
-    stream.read_exact(&mut prefix).await.map_err(|error| match error.kind() {
-        io::ErrorKind::UnexpectedEof | io::ErrorKind::ConnectionReset => {
-            io::Error::other("closed without an answer: not the same key, or another member")
-        }
-        _ => error,
-    })?;
+    stream
+        .read_exact(&mut prefix)
+        .await
+        .map_err(|error| match error.kind() {
+            io::ErrorKind::UnexpectedEof | io::ErrorKind::ConnectionReset => {
+                io::Error::other("closed without an answer: not the same key, or another member")
+            }
+            _ => error,
+        })?;
     let mut frame = vec![0; frame_length(prefix, bounds).map_err(io::Error::other)?];
     stream.read_exact(&mut frame).await?;
     let mut opener = Opener::new(own, keys.clone(), bounds.clone());
     let mut inbound = Inbound::new(Session(answer));
-    let opened = opener.stream(0, &mut inbound, &frame).map_err(io::Error::other)?;
+    let opened = opener
+        .stream(0, &mut inbound, &frame)
+        .map_err(io::Error::other)?;
     if opened.from.name != *name {
         return Err(io::Error::other("another member answered"));
     }
@@ -158,20 +185,47 @@
 
 /// A status as tables for people.
 pub fn table(report: &Report) -> String {
-    let Report { status, role, voters, wanted } = report;
-    let Status { me, site, life, leader, term, commit, applied, epoch, .. } = status;
+    let Report {
+        status,
+        role,
+        voters,
+        wanted,
+    } = report;
+    let Status {
+        me,
+        site,
+        life,
+        leader,
+        term,
+        commit,
+        applied,
+        epoch,
+        ..
+    } = status;
     let leader = leader.as_ref().map_or("nobody", MemberName::as_str);
     let mut text = format!(
         "as {me} at site {site} sees it, {role}, life {life}\nleader {leader}, term {}, commit {}, applied {}, epoch {epoch}\n\n",
         term.0, commit.0, applied.0
     );
-    let group = |name: &MemberName| match (voters.iter().any(|v| v.name == *name), wanted.contains(name)) {
+    let group = |name: &MemberName| match (
+        voters.iter().any(|v| v.name == *name),
+        wanted.contains(name),
+    ) {
         (true, true) => "voter",
         (true, false) => "to go",
         (false, true) => "to vote",
         (false, false) => "learner",
     };
-    let header = ["member", "site", "incarnation", "status", "group", "address"].map(str::to_owned).to_vec();
+    let header = [
+        "member",
+        "site",
+        "incarnation",
+        "status",
+        "group",
+        "address",
+    ]
+    .map(str::to_owned)
+    .to_vec();
     let members = status.members.iter().map(|m| {
         vec![
             m.name.to_string(),
@@ -183,10 +237,22 @@
         ]
     });
     text += &columns(std::iter::once(header).chain(members).collect());
-    let header = ["lease", "holder", "token", "renewals", "waiting"].map(str::to_owned).to_vec();
+    let header = ["lease", "holder", "token", "renewals", "waiting"]
+        .map(str::to_owned)
+        .to_vec();
     let leases = status.leases.iter().map(|l| {
-        let holder = if l.taken { l.holder.to_string() } else { format!("{} (offered)", l.holder) };
-        vec![l.name.to_string(), holder, l.token.0.to_string(), l.renewals.to_string(), l.waiters.to_string()]
+        let holder = if l.taken {
+            l.holder.to_string()
+        } else {
+            format!("{} (offered)", l.holder)
+        };
+        vec![
+            l.name.to_string(),
+            holder,
+            l.token.0.to_string(),
+            l.renewals.to_string(),
+            l.waiters.to_string(),
+        ]
     });
     text.push('\n');
     text + &columns(std::iter::once(header).chain(leases).collect())
@@ -197,8 +263,11 @@
     let widths: Vec<usize> = (0..rows.first().map_or(0, Vec::len)).map(width).collect();
     let mut text = String::new();
     for row in &rows {
-        let cells: Vec<String> =
-            row.iter().zip(&widths).map(|(cell, width)| format!("{cell:width$}")).collect();
+        let cells: Vec<String> = row
+            .iter()
+            .zip(&widths)
+            .map(|(cell, width)| format!("{cell:width$}"))
+            .collect();
         text += cells.join("  ").trim_end();
         text.push('\n');
     }
--- a/src/fleet/net/disk.rs
+++ b/src/fleet/net/disk.rs
@@ -78,9 +78,16 @@
         let (store, found) = Store::open(path, settings)?;
         let kept = match &found.hard_state {
             Some(bytes) => read::<Kept>(bytes, "the hard state")?,
-            None => Kept { incarnation: Incarnation(0), hard: HardState::default() },
+            None => Kept {
+                incarnation: Incarnation(0),
+                hard: HardState::default(),
+            },
         };
-        let snapshot = found.snapshot.as_ref().map(|(_, data)| read(data, "the snapshot")).transpose()?;
+        let snapshot = found
+            .snapshot
+            .as_ref()
+            .map(|(_, data)| read(data, "the snapshot"))
+            .transpose()?;
         let entries: Result<Vec<group::Entry>, _> =
             found.records.iter().map(|r| read(r, "a record")).collect();
         let entries = entries?;
@@ -90,10 +97,25 @@
         }
         let incarnation = Incarnation(now.max(kept.incarnation.0 + 1));
         let next = found.first + entries.len() as u64;
-        let mut disk = Disk { store, incarnation, hard: kept.hard.clone(), next };
+        let mut disk = Disk {
+            store,
+            incarnation,
+            hard: kept.hard.clone(),
+            next,
+        };
         disk.write(&[])?;
-        let restored = Restored { hard: kept.hard, snapshot, entries };
-        Ok(Found { disk, store_id: found.store_id, fresh: found.fresh, restored, torn: found.torn })
+        let restored = Restored {
+            hard: kept.hard,
+            snapshot,
+            entries,
+        };
+        Ok(Found {
+            disk,
+            store_id: found.store_id,
+            fresh: found.fresh,
+            restored,
+            torn: found.torn,
+        })
     }
 
     /// The life that was made durable.
@@ -114,14 +136,16 @@
                     forms.push(Form::Hard(self.hard_bytes()));
                 }
                 // Nothing to drop there: before a snapshot that is ahead of the log.
-                Write::Entries { first, entries } if entries.is_empty() && first.0 >= self.next => {}
+                Write::Entries { first, entries } if entries.is_empty() && first.0 >= self.next => {
+                }
                 Write::Entries { first, entries } => {
                     self.next = first.0 + entries.len() as u64;
                     forms.push(Form::Append(first.0, entries.iter().map(bytes).collect()));
                 }
                 Write::Snapshot(snapshot) => {
                     self.flush(&mut forms)?;
-                    self.store.install_snapshot(snapshot.index.0, &bytes(snapshot))?;
+                    self.store
+                        .install_snapshot(snapshot.index.0, &bytes(snapshot))?;
                     self.next = self.next.max(snapshot.index.0 + 1);
                 }
             }
@@ -134,7 +158,10 @@
         let forms = std::mem::take(forms);
         let writes = forms.iter().map(|form| match form {
             Form::Hard(state) => store::Write::HardState(state),
-            Form::Append(first, records) => store::Write::Append { first: *first, records },
+            Form::Append(first, records) => store::Write::Append {
+                first: *first,
+                records,
+            },
         });
         let writes: Vec<store::Write> = writes.collect();
         if !writes.is_empty() {
@@ -144,7 +171,10 @@
     }
 
     fn hard_bytes(&self) -> Vec<u8> {
-        bytes(&Kept { incarnation: self.incarnation, hard: self.hard.clone() })
+        bytes(&Kept {
+            incarnation: self.incarnation,
+            hard: self.hard.clone(),
+        })
     }
 }
 
--- a/src/fleet/net/drive.rs
+++ b/src/fleet/net/drive.rs
@@ -104,7 +104,9 @@
 
 /// A pause that doubles with each time.
 fn doubled(times: u32) -> Duration {
-    FIRST_PAUSE.saturating_mul(1 << times.min(8)).min(LONGEST_PAUSE)
+    FIRST_PAUSE
+        .saturating_mul(1 << times.min(8))
+        .min(LONGEST_PAUSE)
 }
 
 /// The store, at hand or at the thread that writes.
@@ -148,12 +150,20 @@
             let least = match over {
                 Over::Dropped => return,
                 Over::Ended(least) => {
-                    short = if self.now() - begun < SHORT_LIFE { short + 1 } else { 0 };
+                    short = if self.now() - begun < SHORT_LIFE {
+                        short + 1
+                    } else {
+                        0
+                    };
                     if short > 1 {
                         history.note(
                             "lives end soon after their beginning: is there another process of this name?",
                         );
-                        if self.pause("between two lives", doubled(short), &mut wants).await.is_err() {
+                        if self
+                            .pause("between two lives", doubled(short), &mut wants)
+                            .await
+                            .is_err()
+                        {
                             return;
                         }
                     }
@@ -193,7 +203,9 @@
                 return None;
             }
             history.note(&format!("the store can't be opened yet: {error}"));
-            self.pause(&format!("the store failed: {error}"), doubled(tries), wants).await.ok()?;
+            self.pause(&format!("the store failed: {error}"), doubled(tries), wants)
+                .await
+                .ok()?;
             tries += 1;
         }
     }
@@ -201,7 +213,8 @@
     /// Takes no part any more, until the program ends.
     async fn give_up(&mut self, error: &DiskError, wants: &mut Vec<LeaseName>) {
         self.fleet.0.stopped.set(true);
-        self.silent(&format!("the store failed: {error}"), wants).await;
+        self.silent(&format!("the store failed: {error}"), wants)
+            .await;
     }
 
     /// Takes no part for some time.
@@ -245,8 +258,17 @@
     }
 
     async fn live(&mut self, found: Found, wants: &mut Vec<LeaseName>) -> Over {
-        let Found { disk, store_id, fresh, restored, torn } = found;
-        let who = Who { name: self.config.name.clone(), incarnation: disk.incarnation() };
+        let Found {
+            disk,
+            store_id,
+            fresh,
+            restored,
+            torn,
+        } = found;
+        let who = Who {
+            name: self.config.name.clone(),
+            incarnation: disk.incarnation(),
+        };
         let history = History(who.clone());
         if let Some(torn) = torn {
             history.note(&format!("store: {torn}"));
@@ -264,7 +286,14 @@
             incarnation: who.incarnation,
         };
         let (voters, relays) = (self.config.voters.clone(), self.config.relays.clone());
-        let start = Start { me, store: store_id, voters, restored, seed, relays };
+        let start = Start {
+            me,
+            store: store_id,
+            voters,
+            restored,
+            seed,
+            relays,
+        };
         let (keys, bounds) = (self.reception.keys.clone(), bounds(&self.config));
         let terms = Terms {
             me: who.clone(),
@@ -288,7 +317,12 @@
             who,
             history,
         };
-        let seeds = self.config.peers.iter().map(|(name, address)| (name.clone(), *address)).collect();
+        let seeds = self
+            .config
+            .peers
+            .iter()
+            .map(|(name, address)| (name.clone(), *address))
+            .collect();
         self.event(&mut life, Event::Join { seeds });
         for name in wants.iter() {
             self.event(&mut life, Event::Want(name.clone()));
@@ -313,8 +347,12 @@
                 && life.waiting.is_empty()
             {
                 let name = &life.who.name;
-                let known =
-                    life.node.state().leases().life(name).map_or(0, |grant| grant.holder.incarnation.0);
+                let known = life
+                    .node
+                    .state()
+                    .leases()
+                    .life(name)
+                    .map_or(0, |grant| grant.holder.incarnation.0);
                 return Over::Ended(known.saturating_add(1));
             }
             let next = life.node.timeout().map(|at| self.fleet.0.clock.instant(at));
@@ -399,7 +437,12 @@
         life.node.handle(now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Send { to, address, message: message @ Message::View(_), reliable } => {
+                Action::Send {
+                    to,
+                    address,
+                    message: message @ Message::View(_),
+                    reliable,
+                } => {
                     self.send(life, &to, address, &message, reliable);
                 }
                 Action::View(change) => {
@@ -424,7 +467,11 @@
             return self.reception.refused(from.ip(), Refused::Rate);
         }
         let opened = match self.reception.opener.borrow_mut().datagram(now, frame) {
-            Ok(opened) => Ok((opened.from.name, opened.kind, Message::decode(opened.payload))),
+            Ok(opened) => Ok((
+                opened.from.name,
+                opened.kind,
+                Message::decode(opened.payload),
+            )),
             Err(reason) => Err(reason),
         };
         match opened {
@@ -445,7 +492,9 @@
         message: &Message,
         reliable: bool,
     ) {
-        let Some(address) = self.config.peers.get(to).copied().or(address) else { return };
+        let Some(address) = self.config.peers.get(to).copied().or(address) else {
+            return;
+        };
         let payload = message.encode();
         if reliable || payload.len() > self.config.settings.view.most_bytes {
             return life.links.send(to, address, payload);
@@ -464,7 +513,9 @@
     /// Carries out what waits, up to a write that is not done yet.
     fn carry_out(&self, life: &mut Life) {
         while matches!(life.writing, Writing::Idle(_)) {
-            let Some(action) = life.waiting.pop_front() else { return };
+            let Some(action) = life.waiting.pop_front() else {
+                return;
+            };
             match action {
                 Action::Persist(write) => self.write(life, write),
                 other => self.act(life, other),
@@ -492,9 +543,12 @@
     fn act(&self, life: &mut Life, action: Action) {
         let shared = &self.fleet.0;
         match action {
-            Action::Send { to, address, message, reliable } => {
-                self.send(life, &to, address, &message, reliable)
-            }
+            Action::Send {
+                to,
+                address,
+                message,
+                reliable,
+            } => self.send(life, &to, address, &message, reliable),
             Action::Lease(change) => {
                 let now = self.now();
                 shared.rights.borrow_mut().change(&change);
@@ -515,14 +569,17 @@
             }
             Action::MayAct(gained) => {
                 let table = life.node.state().leases();
-                let token = table.life(&life.who.name).filter(|grant| grant.holder == life.who);
+                let token = table
+                    .life(&life.who.name)
+                    .filter(|grant| grant.holder == life.who);
                 life.history.life(token.map(|grant| grant.token), gained);
                 self.fleet.tell(&Told::MayAct(gained));
             }
             Action::LifeEnded => life.ended = true,
             Action::Effect { index, effect } => {
                 if let Effect::Lease(change) = &effect {
-                    let of_life = self::life(&change.holder.name).is_some_and(|name| name == change.name);
+                    let of_life =
+                        self::life(&change.holder.name).is_some_and(|name| name == change.name);
                     if of_life && matches!(change.what, What::Expired | What::Released) {
                         shared.counters.deaths.up();
                         life.history.death(&change.holder, index);
@@ -534,7 +591,8 @@
                 }
             }
             Action::Refused(group::Refusal::FirstVotersDiffer) => {
-                life.history.note("another first voter names other first voters: the group can't start");
+                life.history
+                    .note("another first voter names other first voters: the group can't start");
             }
             Action::Refused(refusal) => log::debug!("fleet: the group refused: {refusal:?}"),
             Action::Done { ticket, result } => {
@@ -562,7 +620,9 @@
             {
                 Some("it is too long")
             }
-            (_, policy_epoch::Command::Propose { .. } | policy_epoch::Command::Abort { .. }) => None,
+            (_, policy_epoch::Command::Propose { .. } | policy_epoch::Command::Abort { .. }) => {
+                None
+            }
             // Members speak for themselves.
             _ => Some("not for an administrator"),
         };
@@ -574,7 +634,13 @@
         life.tickets += 1;
         life.proposals.insert(life.tickets, done);
         let ticket = life.tickets;
-        self.event(life, Event::Propose { ticket, command: Command::Policy(command) });
+        self.event(
+            life,
+            Event::Propose {
+                ticket,
+                command: Command::Policy(command),
+            },
+        );
         tokio::task::spawn_local(async move {
             let reply = match decided.await {
                 Ok(Ok(Answer::Policy(reply))) => admin::Reply::Policy(reply),
@@ -599,8 +665,12 @@
                         Role::Learner => "learner",
                     }
                     .to_owned(),
-                    voters: voters.map(|v| v.now.iter().cloned().collect()).unwrap_or_default(),
-                    wanted: voters.map(|v| v.wanted.iter().cloned().collect()).unwrap_or_default(),
+                    voters: voters
+                        .map(|v| v.now.iter().cloned().collect())
+                        .unwrap_or_default(),
+                    wanted: voters
+                        .map(|v| v.wanted.iter().cloned().collect())
+                        .unwrap_or_default(),
                 }))
             }
             admin::Request::Voters(names) if names.is_empty() || names.len() > MOST_VOTERS => {
@@ -610,7 +680,11 @@
             admin::Request::Policies => {
                 let state = life.node.state();
                 let (table, living) = (state.policy().clone(), state.living());
-                admin::Reply::Policies(Box::new(admin::Policies { me: life.who.clone(), table, living }))
+                admin::Reply::Policies(Box::new(admin::Policies {
+                    me: life.who.clone(),
+                    table,
+                    living,
+                }))
             }
             admin::Request::Voters(names) => {
                 self.event(life, Event::ChangeVoters(names));
@@ -621,11 +695,23 @@
 
     /// Lets go of what belongs to members that the view has forgotten.
     fn tidy(&self, life: &mut Life) {
-        let known =
-            |name: &MemberName| life.node.view().peer(name).is_some() || self.config.peers.contains_key(name);
-        let gone: Vec<MemberName> = life.links.names().filter(|name| !known(name)).cloned().collect();
-        let senders =
-            self.reception.opener.borrow().names().filter(|name| !known(name)).cloned().collect::<Vec<_>>();
+        let known = |name: &MemberName| {
+            life.node.view().peer(name).is_some() || self.config.peers.contains_key(name)
+        };
+        let gone: Vec<MemberName> = life
+            .links
+            .names()
+            .filter(|name| !known(name))
+            .cloned()
+            .collect();
+        let senders = self
+            .reception
+            .opener
+            .borrow()
+            .names()
+            .filter(|name| !known(name))
+            .cloned()
+            .collect::<Vec<_>>();
         for name in &gone {
             life.links.forget(name);
         }
@@ -643,7 +729,9 @@
 
 /// Waits for the write that is under way.
 async fn written(writing: &mut Writing) -> Result<Box<Disk>, DiskError> {
-    let Writing::Busy(task) = writing else { return std::future::pending().await };
+    let Writing::Busy(task) = writing else {
+        return std::future::pending().await;
+    };
     match task.await {
         Ok((disk, Ok(()))) => Ok(disk),
         Ok((_, Err(error))) => Err(error),
--- a/src/fleet/net/history.rs
+++ b/src/fleet/net/history.rs
@@ -19,7 +19,10 @@
 
 /// Microseconds since 1970 by the system's clock. For the history only: all that is decided goes by the monotonic one.
 pub fn unix_us() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_micros() as u64
 }
 
 macro_rules! event {
@@ -101,8 +104,15 @@
 
     /// A belief about a member changed.
     pub fn view(&self, change: &view::Change) {
-        let (peer, life, to) = (change.member.as_str(), change.incarnation.0, change.to.as_str());
-        let (from, cause) = (change.from.map_or("unknown", view::Status::as_str), change.cause.as_str());
+        let (peer, life, to) = (
+            change.member.as_str(),
+            change.incarnation.0,
+            change.to.as_str(),
+        );
+        let (from, cause) = (
+            change.from.map_or("unknown", view::Status::as_str),
+            change.cause.as_str(),
+        );
         let by = match &change.cause {
             view::Cause::Told(by) | view::Cause::Refuted(by) => Some(by.as_str()),
             _ => None,
@@ -145,7 +155,14 @@
                     "lease {lease}: lost ({cause}), token {text}");
             }
             (_, to, cause) => {
-                let (to, cause) = (if to == Standing::Waiting { "waiting" } else { "out" }, word(cause));
+                let (to, cause) = (
+                    if to == Standing::Waiting {
+                        "waiting"
+                    } else {
+                        "out"
+                    },
+                    word(cause),
+                );
                 event!(self, debug, TARGET, "lease.standing", at at, { lease = lease, to = to, cause = cause },
                     "lease {lease}: {to} ({cause})");
             }
@@ -220,8 +237,12 @@
 
     /// This member takes a site for something else.
     pub fn site(&self, site: &str, change: &watch::Change) {
-        let [from, to] = [change.from, change.to].map(|status| format!("{status:?}").to_lowercase());
-        let (missing, cause) = (format!("{:?}", change.missing), format!("{:?}", change.cause));
+        let [from, to] =
+            [change.from, change.to].map(|status| format!("{status:?}").to_lowercase());
+        let (missing, cause) = (
+            format!("{:?}", change.missing),
+            format!("{:?}", change.cause),
+        );
         let (missing, cause) = (missing.to_lowercase(), cause.to_lowercase());
         event!(self, info, TARGET, "site.state", at unix_us(),
             { site = site, from = from.as_str(), to = to.as_str(), missing = missing.as_str(), cause = cause.as_str() },
--- a/src/fleet/net/links.rs
+++ b/src/fleet/net/links.rs
@@ -67,13 +67,18 @@
 impl Links {
     /// None yet.
     pub fn new(terms: Terms, counters: Rc<FleetCounters>) -> Self {
-        Links { terms: Rc::new(terms), counters, links: BTreeMap::new() }
+        Links {
+            terms: Rc::new(terms),
+            counters,
+            links: BTreeMap::new(),
+        }
     }
 
     /// Puts a message into the queue to a member.
     pub fn send(&mut self, to: &MemberName, address: SocketAddr, payload: Vec<u8>) {
         let most = self.terms.most_queue_bytes;
-        if payload.len() > most || (!self.links.contains_key(to) && self.links.len() >= self.terms.most_links)
+        if payload.len() > most
+            || (!self.links.contains_key(to) && self.links.len() >= self.terms.most_links)
         {
             self.counters.queue_drops.up();
             return;
@@ -81,7 +86,13 @@
         let (link, _) = self.links.entry(to.clone()).or_insert_with(|| {
             let (queue, bytes) = (RefCell::default(), Cell::new(0));
             let address = Cell::new(address);
-            let link = Rc::new(Link { to: to.clone(), address, queue, bytes, wake: Notify::new() });
+            let link = Rc::new(Link {
+                to: to.clone(),
+                address,
+                queue,
+                bytes,
+                wake: Notify::new(),
+            });
             let task = run(link.clone(), self.terms.clone(), self.counters.clone());
             (link, tokio::task::spawn_local(task))
         });
@@ -89,7 +100,9 @@
         let mut queue = link.queue.borrow_mut();
         let mut bytes = link.bytes.get() + payload.len();
         while bytes > most {
-            let Some(oldest) = queue.pop_front() else { break };
+            let Some(oldest) = queue.pop_front() else {
+                break;
+            };
             bytes -= oldest.len();
             self.counters.queue_drops.up();
         }
@@ -152,9 +165,15 @@
             Err(error) => Err(error),
         };
         let Err(error) = failed else { continue };
-        log::debug!("fleet: connection to {} at {}: {error}", link.to, link.address.get());
+        log::debug!(
+            "fleet: connection to {} at {}: {error}",
+            link.to,
+            link.address.get()
+        );
         counters.links_lost.up();
-        let wait = FIRST_WAIT.saturating_mul(1 << failures.min(8)).min(LONGEST_WAIT);
+        let wait = FIRST_WAIT
+            .saturating_mul(1 << failures.min(8))
+            .min(LONGEST_WAIT);
         failures += 1;
         draws += 1;
         // From half of it to all of it, so that a fleet does not come back in step.
