--- a/src/fleet/net/mod.rs
+++ b/src/fleet/net/mod.rs
@@ -68,7 +68,9 @@
 impl Fleet {
     /// The token to act under, if this conductor may act under a lease at this very moment: the clock is read anew.
     pub fn may_act(&self, lease: &LeaseName) -> Option<Token> {
-        let Shared { clock, who, rights, .. } = &*self.0;
+        let Shared {
+            clock, who, rights, ..
+        } = &*self.0;
         rights.borrow().may_act(&who.borrow(), lease, clock.now())
     }
 
@@ -98,7 +100,11 @@
     }
 
     fn tell(&self, told: &Told) {
-        self.0.listeners.borrow_mut().iter_mut().for_each(|listener| listener(told));
+        self.0
+            .listeners
+            .borrow_mut()
+            .iter_mut()
+            .for_each(|listener| listener(told));
     }
 
     /// Puts a command into the log, again and again until it is there, and gives the log's answer.
@@ -107,14 +113,20 @@
     /// There is no answer: too many wait, none came in time, or this life is over.
     pub async fn propose(&self, command: Command) -> Result<Answer, Lost> {
         let (answer, answered) = oneshot::channel();
-        self.0.asks.send(Ask::Propose(command, answer)).await.map_err(|_| Lost::GaveUp)?;
+        self.0
+            .asks
+            .send(Ask::Propose(command, answer))
+            .await
+            .map_err(|_| Lost::GaveUp)?;
         answered.await.unwrap_or(Err(Lost::GaveUp))
     }
 
     /// Does something under a lease if this conductor may, and tells the history.
     pub fn act(&self, lease: &LeaseName, act: impl FnOnce(Token)) {
         let at = history::unix_us();
-        let Some(token) = self.may_act(lease) else { return };
+        let Some(token) = self.may_act(lease) else {
+            return;
+        };
         act(token);
         self.0.counters.lease_acts.up();
         History(self.who()).act(at, lease, token);
@@ -149,8 +161,8 @@
 pub async fn start(config: &FleetConfig, clock: Clock, seed: u64) -> Result<Fleet, ConfigError> {
     let wrong = |field: &str, what: String| ConfigError(format!("{field}: {what}"));
     let key_file = config.key_file.display();
-    let (keys, warning) =
-        Keys::read(&config.key_file).map_err(|e| wrong("fleet.key_file", format!("{key_file}: {e}")))?;
+    let (keys, warning) = Keys::read(&config.key_file)
+        .map_err(|e| wrong("fleet.key_file", format!("{key_file}: {e}")))?;
     if let Some(warning) = warning {
         log::warn!("fleet: {key_file}: {warning}");
     }
@@ -162,7 +174,10 @@
     let found = disk::Disk::open(&path, settings, history::unix_us())
         .map_err(|e| wrong("store.path", format!("{}: {e}", path.display())))?;
     let life = life(&config.name).ok_or_else(|| wrong("fleet.name", "too long".to_owned()))?;
-    let who = Who { name: config.name.clone(), incarnation: found.disk.incarnation() };
+    let who = Who {
+        name: config.name.clone(),
+        incarnation: found.disk.incarnation(),
+    };
     let bounds = bounds(config);
     let counters = Rc::new(FleetCounters::default());
     let (inbox, came) = mpsc::channel(INBOX);
@@ -179,7 +194,11 @@
         listeners: RefCell::default(),
     }));
     let reception = Rc::new(Reception {
-        opener: RefCell::new(Opener::new(config.name.clone(), keys.clone(), bounds.clone())),
+        opener: RefCell::new(Opener::new(
+            config.name.clone(),
+            keys.clone(),
+            bounds.clone(),
+        )),
         me: RefCell::new(who),
         keys,
         bounds,
@@ -192,8 +211,15 @@
         unproven: RefCell::default(),
     });
     tokio::task::spawn_local(reception.clone().accept(listener));
-    let driver =
-        Driver { config: config.clone(), fleet: fleet.clone(), reception, socket, came, asked, seed };
+    let driver = Driver {
+        config: config.clone(),
+        fleet: fleet.clone(),
+        reception,
+        socket,
+        came,
+        asked,
+        seed,
+    };
     tokio::task::spawn_local(driver.run(found));
     Ok(fleet)
 }
@@ -226,5 +252,7 @@
 
 /// Bounds a wait.
 async fn within<T>(patience: Duration, wait: impl Future<Output = io::Result<T>>) -> io::Result<T> {
-    tokio::time::timeout(patience, wait).await.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
+    tokio::time::timeout(patience, wait)
+        .await
+        .unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
 }
--- a/src/fleet/net/policy.rs
+++ b/src/fleet/net/policy.rs
@@ -180,10 +180,19 @@
                 if self.fleet.lives() {
                     History(self.fleet.who()).policy_proposed(proposal, digest(&content));
                 }
-                self.staged.replace(Some(Staged { proposal, content, closing: false }));
+                self.staged.replace(Some(Staged {
+                    proposal,
+                    content,
+                    closing: false,
+                }));
             }
             Notice::Closing { proposal } => {
-                if let Some(staged) = self.staged.borrow_mut().as_mut().filter(|s| s.proposal == *proposal) {
+                if let Some(staged) = self
+                    .staged
+                    .borrow_mut()
+                    .as_mut()
+                    .filter(|s| s.proposal == *proposal)
+                {
                     staged.closing = true;
                     if self.fleet.lives() {
                         History(self.fleet.who()).policy_closing(*proposal);
@@ -223,7 +232,8 @@
                 self.live.replace(settings);
                 self.held.set(true);
                 history.policy_epoch(epoch, digest(content));
-                self.differences.replace(content::differences(content, &self.own_content));
+                self.differences
+                    .replace(content::differences(content, &self.own_content));
                 if self.fleet.lives() {
                     self.say_differences();
                 }
@@ -231,7 +241,9 @@
             }
             Err(fault) => {
                 self.held.set(false);
-                history.note(&format!("epoch {epoch} can't be held here, nothing new is served: {fault}"));
+                history.note(&format!(
+                    "epoch {epoch} can't be held here, nothing new is served: {fault}"
+                ));
             }
         }
     }
@@ -285,21 +297,33 @@
         let me = self.fleet.who();
         let command = {
             let staged = self.staged.borrow();
-            let Some(Staged { proposal, content, closing }) = &*staged else { return };
+            let Some(Staged {
+                proposal,
+                content,
+                closing,
+            }) = &*staged
+            else {
+                return;
+            };
             let word = Some((me, *proposal));
             if *closing {
                 if self.passing.get() > 0 || *self.closed.borrow() == word {
                     return;
                 }
                 self.closed.replace(word);
-                Command::Closed { proposal: *proposal }
+                Command::Closed {
+                    proposal: *proposal,
+                }
             } else {
                 if *self.voted.borrow() == word {
                     return;
                 }
                 self.voted.replace(word);
                 let refusal = content::read(content, &self.own).err();
-                Command::Vote { proposal: *proposal, refusal }
+                Command::Vote {
+                    proposal: *proposal,
+                    refusal,
+                }
             }
         };
         self.tell(command);
@@ -310,9 +334,11 @@
         let (gate, me) = (self.clone(), self.fleet.who());
         tokio::task::spawn_local(async move {
             let of_use = |gate: &Gate| match &command {
-                Command::Vote { proposal, .. } | Command::Closed { proposal } => {
-                    gate.staged.borrow().as_ref().is_some_and(|s| s.proposal == *proposal)
-                }
+                Command::Vote { proposal, .. } | Command::Closed { proposal } => gate
+                    .staged
+                    .borrow()
+                    .as_ref()
+                    .is_some_and(|s| s.proposal == *proposal),
                 Command::Over { epoch } => gate.epoch.get() == *epoch,
                 _ => true,
             };
@@ -353,5 +379,7 @@
 /// Names of the classes in which a request must not run twice.
 pub fn once(classes: &[Class]) -> impl Iterator<Item = &Class> {
     use crate::interface::{Effect as Of, Group};
-    classes.iter().filter(|c| !matches!(c.effect, Of::Safe | Of::Keyed(Group::All)))
+    classes
+        .iter()
+        .filter(|c| !matches!(c.effect, Of::Safe | Of::Keyed(Group::All)))
 }
--- a/src/fleet/net/reception.rs
+++ b/src/fleet/net/reception.rs
@@ -72,13 +72,17 @@
     /// Counts and tells a refusal.
     pub fn refused(&self, from: IpAddr, reason: Refused) {
         let log = History(self.me.borrow().clone());
-        self.refusals.borrow_mut().refused(self.clock.now(), from, reason, &self.counters, &log);
+        self.refusals
+            .borrow_mut()
+            .refused(self.clock.now(), from, reason, &self.counters, &log);
     }
 
     /// Counts and tells a payload that can't be read.
     pub fn unreadable(&self, from: &MemberName) {
         let log = History(self.me.borrow().clone());
-        self.refusals.borrow_mut().payload(self.clock.now(), from.as_str(), &self.counters, &log);
+        self.refusals
+            .borrow_mut()
+            .payload(self.clock.now(), from.as_str(), &self.counters, &log);
     }
 
     /// Accepts for as long as it is polled.
@@ -196,20 +200,30 @@
     ) -> io::Result<()> {
         let me = self.me.borrow().clone();
         let mut opener = Opener::new(me.name.clone(), self.keys.clone(), self.bounds.clone());
-        let opened = opener.stream(self.clock.now(), &mut inbound, frame).map_err(|reason| {
-            self.refused(from, reason);
-            io::Error::other(reason)
-        })?;
+        let opened = opener
+            .stream(self.clock.now(), &mut inbound, frame)
+            .map_err(|reason| {
+                self.refused(from, reason);
+                io::Error::other(reason)
+            })?;
         let asked = postcard::from_bytes::<Asked>(opened.payload).ok();
         let Some(Asked { session, request }) = asked else {
             self.unreadable(&opened.from.name);
             return Err(io::Error::other("a request that can't be read"));
         };
         let (answer, answered) = oneshot::channel();
-        self.inbox.send(Came::Asked(request, answer)).await.map_err(io::Error::other)?;
+        self.inbox
+            .send(Came::Asked(request, answer))
+            .await
+            .map_err(io::Error::other)?;
         let reply = within(PROVE, async { answered.await.map_err(io::Error::other) }).await?;
-        let mut sealer =
-            StreamSealer::new(me, opened.from.name, self.keys.clone(), &self.bounds, Session(session));
+        let mut sealer = StreamSealer::new(
+            me,
+            opened.from.name,
+            self.keys.clone(),
+            &self.bounds,
+            Session(session),
+        );
         let payload = admin::encode(&reply);
         let reply = sealer.seal(ADMIN, &payload).map_err(io::Error::other)?;
         stream.write_all(&length_prefix(&reply)).await?;
@@ -230,9 +244,14 @@
         if full && !reception.proven.borrow().contains_key(name) {
             return false;
         }
-        let Some(task) = reception.unproven.borrow_mut().remove(number) else { return false };
+        let Some(task) = reception.unproven.borrow_mut().remove(number) else {
+            return false;
+        };
         own.replace(Some(name.clone()));
-        let before = reception.proven.borrow_mut().insert(name.clone(), (*number, task));
+        let before = reception
+            .proven
+            .borrow_mut()
+            .insert(name.clone(), (*number, task));
         if let Some((_, before)) = before {
             before.abort();
         }
--- a/src/fleet/net/refusals.rs
+++ b/src/fleet/net/refusals.rs
@@ -46,12 +46,16 @@
 
     fn tell(&mut self, now: Micros, mut from: String, reason: &str, log: &History) {
         if !self.sources.contains_key(&from) && self.sources.len() >= MOST_SOURCES {
-            self.sources.retain(|_, source| source.untold > 0 || now - source.told < MINUTE);
+            self.sources
+                .retain(|_, source| source.untold > 0 || now - source.told < MINUTE);
             if self.sources.len() >= MOST_SOURCES {
                 "others".clone_into(&mut from);
             }
         }
-        let fresh = Source { told: now.saturating_sub(MINUTE), untold: 0 };
+        let fresh = Source {
+            told: now.saturating_sub(MINUTE),
+            untold: 0,
+        };
         let source = self.sources.entry(from.clone()).or_insert(fresh);
         source.untold += 1;
         if now.saturating_sub(source.told) >= MINUTE {
--- a/src/fleet/net/seal.rs
+++ b/src/fleet/net/seal.rs
@@ -76,11 +76,17 @@
         let plain = |line: &str| line.split('#').next().unwrap_or("").trim().to_owned();
         let hex: Vec<String> = if text.contains('=') {
             let table: toml::Table = text.parse().map_err(|_| KeyError::Form)?;
-            let keys = table.get("keys").and_then(toml::Value::as_array).ok_or(KeyError::Form)?;
+            let keys = table
+                .get("keys")
+                .and_then(toml::Value::as_array)
+                .ok_or(KeyError::Form)?;
             let keys: Option<Vec<_>> = keys.iter().map(|k| k.as_str().map(str::to_owned)).collect();
             keys.ok_or(KeyError::Form)?
         } else {
-            text.lines().map(plain).filter(|line| !line.is_empty()).collect()
+            text.lines()
+                .map(plain)
+                .filter(|line| !line.is_empty())
+                .collect()
         };
         if hex.is_empty() || hex.len() > MOST_KEYS {
             return Err(KeyError::Count(hex.len()));
@@ -103,7 +109,8 @@
         let mode = file.metadata()?.permissions().mode();
         let mut text = String::new();
         file.take(MOST_KEY_FILE).read_to_string(&mut text)?;
-        let warning = (mode & 0o004 != 0).then_some("every user of this machine can read the key file");
+        let warning =
+            (mode & 0o004 != 0).then_some("every user of this machine can read the key file");
         Ok((Keys::parse(&text)?, warning))
     }
 
@@ -116,13 +123,17 @@
     }
 
     fn sign(&self, session: &[u8], frame: &mut Vec<u8>) {
-        let mac = Self::mac(&self.0[0], session, frame).finalize().into_bytes();
+        let mac = Self::mac(&self.0[0], session, frame)
+            .finalize()
+            .into_bytes();
         frame.extend_from_slice(&mac);
     }
 
     /// Takes the same time wherever a MAC differs.
     fn vouch(&self, session: &[u8], body: &[u8], mac: &[u8]) -> bool {
-        self.0.iter().any(|key| Self::mac(key, session, body).verify_slice(mac).is_ok())
+        self.0
+            .iter()
+            .any(|key| Self::mac(key, session, body).verify_slice(mac).is_ok())
     }
 }
 
@@ -133,9 +144,17 @@
 }
 
 fn from_hex(text: &str) -> Option<Vec<u8>> {
-    let digits: Option<Vec<u8>> = text.chars().map(|c| c.to_digit(16).map(|d| d as u8)).collect();
+    let digits: Option<Vec<u8>> = text
+        .chars()
+        .map(|c| c.to_digit(16).map(|d| d as u8))
+        .collect();
     let digits = digits.filter(|d| d.len() % 2 == 0)?;
-    Some(digits.chunks(2).map(|pair| pair[0] << 4 | pair[1]).collect())
+    Some(
+        digits
+            .chunks(2)
+            .map(|pair| pair[0] << 4 | pair[1])
+            .collect(),
+    )
 }
 
 /// What is sealed or opened at the most.
@@ -281,7 +300,12 @@
 impl Sealer {
     /// Of this member in this life.
     pub fn new(me: Who, keys: Keys, bounds: &Bounds) -> Self {
-        Sealer { me, keys, most: bounds.most_datagram, next: 1 }
+        Sealer {
+            me,
+            keys,
+            most: bounds.most_datagram,
+            next: 1,
+        }
     }
 
     /// A datagram for `to`. Refused is a payload over [`Bounds::most_datagram`] only.
@@ -289,7 +313,16 @@
         if payload.len() > self.most {
             return Err(Refused::TooLong);
         }
-        let frame = seal(&self.keys, &self.me, to, DATAGRAM, &[], kind, self.next, payload);
+        let frame = seal(
+            &self.keys,
+            &self.me,
+            to,
+            DATAGRAM,
+            &[],
+            kind,
+            self.next,
+            payload,
+        );
         self.next += 1;
         Ok(frame)
     }
@@ -309,7 +342,14 @@
 impl StreamSealer {
     /// For the connection whose acceptor began with `session`.
     pub fn new(me: Who, to: MemberName, keys: Keys, bounds: &Bounds, session: Session) -> Self {
-        StreamSealer { me, to, keys, most: bounds.most_stream_frame, session, next: 1 }
+        StreamSealer {
+            me,
+            to,
+            keys,
+            most: bounds.most_stream_frame,
+            session,
+            next: 1,
+        }
     }
 
     /// The next frame, without its length. Refused is a payload over [`Bounds::most_stream_frame`] only.
@@ -317,7 +357,16 @@
         if payload.len() > self.most {
             return Err(Refused::TooLong);
         }
-        let frame = seal(&self.keys, &self.me, &self.to, STREAM, &self.session.0, kind, self.next, payload);
+        let frame = seal(
+            &self.keys,
+            &self.me,
+            &self.to,
+            STREAM,
+            &self.session.0,
+            kind,
+            self.next,
+            payload,
+        );
         self.next += 1;
         Ok(frame)
     }
@@ -355,7 +404,11 @@
 impl Inbound {
     /// A connection just accepted, on which `session` was sent.
     pub fn new(session: Session) -> Self {
-        Inbound { session, from: None, next: 1 }
+        Inbound {
+            session,
+            from: None,
+            next: 1,
+        }
     }
 
     /// Who sends, once a frame was opened.
@@ -376,13 +429,23 @@
 impl Bucket {
     /// A full one.
     pub fn new(now: Micros, per_second: u32, burst: u32) -> Self {
-        Bucket { per_second, burst, millionths: u64::from(burst) * 1_000_000, at: now }
+        Bucket {
+            per_second,
+            burst,
+            millionths: u64::from(burst) * 1_000_000,
+            at: now,
+        }
     }
 
     /// Takes one, if one is left.
     pub fn take(&mut self, now: Micros) -> bool {
-        let came = now.saturating_sub(self.at).saturating_mul(u64::from(self.per_second));
-        let held = self.millionths.saturating_add(came).min(u64::from(self.burst) * 1_000_000);
+        let came = now
+            .saturating_sub(self.at)
+            .saturating_mul(u64::from(self.per_second));
+        let held = self
+            .millionths
+            .saturating_add(came)
+            .min(u64::from(self.burst) * 1_000_000);
         let left = held.checked_sub(1_000_000);
         // A refusal changes nothing: what came meanwhile is counted the next time.
         if let Some(left) = left {
@@ -401,7 +464,10 @@
 
 impl Window {
     fn new() -> Self {
-        Window { highest: 0, taken: [0; (WINDOW / 64) as usize] }
+        Window {
+            highest: 0,
+            taken: [0; (WINDOW / 64) as usize],
+        }
     }
 
     fn place(sequence: u64) -> (usize, u64) {
@@ -456,7 +522,12 @@
 impl Opener {
     /// Of this member.
     pub fn new(me: MemberName, keys: Keys, bounds: Bounds) -> Self {
-        Opener { me, keys, bounds, senders: BTreeMap::new() }
+        Opener {
+            me,
+            keys,
+            bounds,
+            senders: BTreeMap::new(),
+        }
     }
 
     /// Opens a datagram.
@@ -481,8 +552,17 @@
         inbound: &mut Inbound,
         frame: &'a [u8],
     ) -> Result<Opened<'a>, Refused> {
-        let vouched = self.vouch(frame, STREAM, &inbound.session.0, self.bounds.most_stream_frame)?;
-        if inbound.from.as_ref().is_some_and(|from| *from != vouched.from) {
+        let vouched = self.vouch(
+            frame,
+            STREAM,
+            &inbound.session.0,
+            self.bounds.most_stream_frame,
+        )?;
+        if inbound
+            .from
+            .as_ref()
+            .is_some_and(|from| *from != vouched.from)
+        {
             return Err(Refused::OtherSender);
         }
         if vouched.sequence != inbound.next {
@@ -527,11 +607,18 @@
         if frame.len() > most_frame(most) {
             return Err(Refused::TooLong);
         }
-        let body_length = frame.len().checked_sub(MAC_BYTES).ok_or(Refused::Malformed)?;
+        let body_length = frame
+            .len()
+            .checked_sub(MAC_BYTES)
+            .ok_or(Refused::Malformed)?;
         let (body, mac) = frame.split_at(body_length);
         let (head, rest) = body.split_at_checked(FIXED).ok_or(Refused::Malformed)?;
-        let (from, rest) = rest.split_at_checked(head[3].into()).ok_or(Refused::Malformed)?;
-        let (to, payload) = rest.split_at_checked(head[4].into()).ok_or(Refused::Malformed)?;
+        let (from, rest) = rest
+            .split_at_checked(head[3].into())
+            .ok_or(Refused::Malformed)?;
+        let (to, payload) = rest
+            .split_at_checked(head[4].into())
+            .ok_or(Refused::Malformed)?;
         if head[1] != channel {
             return Err(Refused::Channel);
         }
@@ -544,14 +631,24 @@
         if !self.keys.vouch(session, body, mac) {
             return Err(Refused::Mac);
         }
-        let name = std::str::from_utf8(from).ok().and_then(|name| MemberName::try_from(name).ok());
+        let name = std::str::from_utf8(from)
+            .ok()
+            .and_then(|name| MemberName::try_from(name).ok());
         let name = name.ok_or(Refused::Malformed)?;
         if name == self.me {
             return Err(Refused::OwnName);
         }
         let integer = |at: usize| u64::from_le_bytes(head[at..at + 8].try_into().expect("8 bytes"));
-        let from = Who { name, incarnation: Incarnation(integer(5)) };
-        Ok(Vouched { from, kind: head[2], sequence: integer(13), payload })
+        let from = Who {
+            name,
+            incarnation: Incarnation(integer(5)),
+        };
+        Ok(Vouched {
+            from,
+            kind: head[2],
+            sequence: integer(13),
+            payload,
+        })
     }
 
     /// What is known of the sender, as a copy that [`Self::opened`] puts in place once all else is settled.
@@ -575,9 +672,19 @@
     }
 
     fn opened<'a>(&mut self, sender: Sender, vouched: Vouched<'a>) -> Opened<'a> {
-        let Vouched { from, kind, sequence, payload } = vouched;
+        let Vouched {
+            from,
+            kind,
+            sequence,
+            payload,
+        } = vouched;
         self.senders.insert(from.name.clone(), sender);
-        Opened { from, kind, sequence, payload }
+        Opened {
+            from,
+            kind,
+            sequence,
+            payload,
+        }
     }
 }
 
--- a/src/fleet/net/seal/tests.rs
+++ b/src/fleet/net/seal/tests.rs
@@ -9,7 +9,10 @@
 }
 
 fn who(text: &str, life: u64) -> Who {
-    Who { name: name(text), incarnation: Incarnation(life) }
+    Who {
+        name: name(text),
+        incarnation: Incarnation(life),
+    }
 }
 
 fn keys(bytes: &[u8]) -> Keys {
@@ -21,7 +24,13 @@
 }
 
 fn small() -> Bounds {
-    Bounds { most_datagram: 40, most_stream_frame: 60, most_senders: 2, per_second: 1000, burst: 3000 }
+    Bounds {
+        most_datagram: 40,
+        most_stream_frame: 60,
+        most_senders: 2,
+        per_second: 1000,
+        burst: 3000,
+    }
 }
 
 /// Whatever `opener` says of the frame, it must refuse it and stay as it is.
@@ -46,30 +55,53 @@
             refuses(&mut opener, &flipped, &format!("{round}, bit {bit}"));
         }
         for cut in 0..frame.len() {
-            refuses(&mut opener, &frame[..cut], &format!("{round}, cut at {cut}"));
-            refuses(&mut opener, &frame[cut + 1..], &format!("{round}, begun at {cut}"));
+            refuses(
+                &mut opener,
+                &frame[..cut],
+                &format!("{round}, cut at {cut}"),
+            );
+            refuses(
+                &mut opener,
+                &frame[cut + 1..],
+                &format!("{round}, begun at {cut}"),
+            );
         }
         for extra in 1..200 {
-            refuses(&mut opener, &[&frame[..], &vec![0; extra]].concat(), "longer");
+            refuses(
+                &mut opener,
+                &[&frame[..], &vec![0; extra]].concat(),
+                "longer",
+            );
         }
         let mut other_key = Sealer::new(who("c1", 7), keys(&[3]), &bounds);
         let forged = other_key.seal(&name("c2"), 9, b"news").unwrap();
         assert_eq!(refuses(&mut opener, &forged, "another key"), Refused::Mac);
         let elsewhere = sealer.seal(&name("c3"), 9, b"news").unwrap();
-        assert_eq!(refuses(&mut opener, &elsewhere, "another receiver"), Refused::Receiver);
-        let own = Sealer::new(who("c2", 1), keys(&[1]), &bounds).seal(&name("c2"), 9, b"news").unwrap();
+        assert_eq!(
+            refuses(&mut opener, &elsewhere, "another receiver"),
+            Refused::Receiver
+        );
+        let own = Sealer::new(who("c2", 1), keys(&[1]), &bounds)
+            .seal(&name("c2"), 9, b"news")
+            .unwrap();
         assert_eq!(refuses(&mut opener, &own, "own name"), Refused::OwnName);
         if round == "new sender" {
             assert_eq!(opener.senders(), 0);
             let opened = opener.datagram(5, &frame).unwrap();
-            assert_eq!((opened.from, opened.kind, opened.payload), (who("c1", 7), 9, &b"news"[..]));
+            assert_eq!(
+                (opened.from, opened.kind, opened.payload),
+                (who("c1", 7), 9, &b"news"[..])
+            );
         }
         if round == "known sender" {
             assert_eq!(refuses(&mut opener, &frame, "replay"), Refused::Replay);
         }
     }
     assert_eq!(sealer.seal(&name("c2"), 9, &[0; 41]), Err(Refused::TooLong));
-    let roomy = Bounds { most_datagram: 41, ..small() };
+    let roomy = Bounds {
+        most_datagram: 41,
+        ..small()
+    };
     let long = c1(7, &roomy).seal(&name("c2"), 9, &[0; 41]).unwrap();
     assert_eq!(refuses(&mut opener, &long, "too long"), Refused::TooLong);
 }
@@ -80,10 +112,18 @@
     let mut opener = Opener::new(name("c2"), keys(&[1]), bounds.clone());
     let (mut old, mut new) = (c1(7, &bounds), c1(8, &bounds));
     let to = name("c2");
-    let (first, late) = (old.seal(&to, 0, b"a").unwrap(), old.seal(&to, 0, b"b").unwrap());
+    let (first, late) = (
+        old.seal(&to, 0, b"a").unwrap(),
+        old.seal(&to, 0, b"b").unwrap(),
+    );
     opener.datagram(0, &first).unwrap();
-    opener.datagram(0, &new.seal(&to, 0, b"c").unwrap()).unwrap();
-    assert_eq!(refuses(&mut opener, &late, "old life"), Refused::OldIncarnation);
+    opener
+        .datagram(0, &new.seal(&to, 0, b"c").unwrap())
+        .unwrap();
+    assert_eq!(
+        refuses(&mut opener, &late, "old life"),
+        Refused::OldIncarnation
+    );
     for (sender, taken) in [("c3", true), ("c4", false), ("c5", false), ("c3", true)] {
         let mut sealer = Sealer::new(who(sender, 2), keys(&[1]), &bounds);
         sealer.next = 1 + opener.senders() as u64;
@@ -92,7 +132,9 @@
         assert!(opener.senders() <= 2);
     }
     opener.forget(&name("c3"));
-    let c4 = Sealer::new(who("c4", 2), keys(&[1]), &bounds).seal(&to, 0, b"").unwrap();
+    let c4 = Sealer::new(who("c4", 2), keys(&[1]), &bounds)
+        .seal(&to, 0, b"")
+        .unwrap();
     opener.datagram(0, &c4).unwrap();
 }
 
@@ -104,13 +146,22 @@
     let steps: [&[u8]; 5] = [&[1], &[1, 2], &[2, 1], &[2], &[2]];
     for (step, both) in steps.windows(2).enumerate() {
         for (from, at) in [(both[0], both[1]), (both[1], both[0])] {
-            let frame = Sealer::new(who("c1", 1), keys(from), &bounds).seal(&to, 0, b"x").unwrap();
+            let frame = Sealer::new(who("c1", 1), keys(from), &bounds)
+                .seal(&to, 0, b"x")
+                .unwrap();
             let mut opener = Opener::new(to.clone(), keys(at), bounds.clone());
-            assert!(opener.datagram(0, &frame).is_ok(), "step {step}: {from:?} to {at:?}");
+            assert!(
+                opener.datagram(0, &frame).is_ok(),
+                "step {step}: {from:?} to {at:?}"
+            );
         }
     }
-    let frame = Sealer::new(who("c1", 1), keys(&[1, 2]), &bounds).seal(&to, 0, b"x").unwrap();
-    let refused = Opener::new(to.clone(), keys(&[2]), bounds).datagram(0, &frame).unwrap_err();
+    let frame = Sealer::new(who("c1", 1), keys(&[1, 2]), &bounds)
+        .seal(&to, 0, b"x")
+        .unwrap();
+    let refused = Opener::new(to.clone(), keys(&[2]), bounds)
+        .datagram(0, &frame)
+        .unwrap_err();
     assert_eq!(refused, Refused::Mac);
 }
 
@@ -122,7 +173,9 @@
     let (here, there) = (Session([1; 16]), Session([2; 16]));
     let sealer = |from, session| StreamSealer::new(from, to.clone(), keys(&[1]), &bounds, session);
     let mut c1s = sealer(who("c1", 7), here);
-    let frames: Vec<_> = (0..4).map(|kind| c1s.seal(kind, &[kind; 60]).unwrap()).collect();
+    let frames: Vec<_> = (0..4)
+        .map(|kind| c1s.seal(kind, &[kind; 60]).unwrap())
+        .collect();
     assert_eq!(c1s.seal(0, &[0; 61]), Err(Refused::TooLong));
     let mut inbound = Inbound::new(here);
     let elsewhere = sealer(who("c1", 7), there).seal(0, b"x").unwrap();
@@ -144,24 +197,42 @@
     for (kind, frame) in frames.iter().enumerate().skip(1) {
         assert_eq!(frame_length(length_prefix(frame), &bounds), Ok(frame.len()));
         let opened = opener.stream(0, &mut inbound, frame).unwrap();
-        assert_eq!((opened.kind, opened.payload), (kind as u8, &[kind as u8; 60][..]));
+        assert_eq!(
+            (opened.kind, opened.payload),
+            (kind as u8, &[kind as u8; 60][..])
+        );
     }
     // A new life heard anywhere ends the old one's connections.
-    opener.datagram(0, &c1(8, &bounds).seal(&to, 0, b"x").unwrap()).unwrap();
+    opener
+        .datagram(0, &c1(8, &bounds).seal(&to, 0, b"x").unwrap())
+        .unwrap();
     let late = c1s.seal(0, b"x").unwrap();
-    assert_eq!(opener.stream(0, &mut inbound, &late).unwrap_err(), Refused::OldIncarnation);
+    assert_eq!(
+        opener.stream(0, &mut inbound, &late).unwrap_err(),
+        Refused::OldIncarnation
+    );
     assert_eq!(frame_length([255; 4], &bounds), Err(Refused::TooLong));
     assert_eq!(frame_length([1, 0, 0, 0], &bounds), Err(Refused::Malformed));
 }
 
 #[test]
 fn a_sender_gets_its_burst_and_then_its_rate_and_takes_nothing_from_others() {
-    let bounds = Bounds { per_second: 10, burst: 5, ..small() };
+    let bounds = Bounds {
+        per_second: 10,
+        burst: 5,
+        ..small()
+    };
     let to = name("c2");
     let mut opener = Opener::new(to.clone(), keys(&[1]), bounds.clone());
     let mut sealer = c1(1, &bounds);
     let mut flood = |opener: &mut Opener, now| {
-        (0..100).filter(|_| opener.datagram(now, &sealer.seal(&to, 0, b"").unwrap()).is_ok()).count()
+        (0..100)
+            .filter(|_| {
+                opener
+                    .datagram(now, &sealer.seal(&to, 0, b"").unwrap())
+                    .is_ok()
+            })
+            .count()
     };
     assert_eq!(flood(&mut opener, 0), 5);
     assert_eq!(flood(&mut opener, 99_999), 0);
@@ -171,8 +242,13 @@
     assert_eq!(flood(&mut opener, u64::MAX), 5);
     // Neither does a new life help, nor does it cost another sender anything.
     let again = c1(2, &bounds).seal(&to, 0, b"").unwrap();
-    assert_eq!(opener.datagram(u64::MAX, &again).unwrap_err(), Refused::Rate);
-    let c3 = Sealer::new(who("c3", 1), keys(&[1]), &bounds).seal(&to, 0, b"").unwrap();
+    assert_eq!(
+        opener.datagram(u64::MAX, &again).unwrap_err(),
+        Refused::Rate
+    );
+    let c3 = Sealer::new(who("c3", 1), keys(&[1]), &bounds)
+        .seal(&to, 0, b"")
+        .unwrap();
     opener.datagram(u64::MAX, &c3).unwrap();
 }
 
@@ -190,12 +266,17 @@
     #[case] text: &str,
     #[case] wanted: Result<usize, &str>,
 ) {
-    let text = text.replace('K', &"0a".repeat(32)).replace('L', &"B1".repeat(40));
+    let text = text
+        .replace('K', &"0a".repeat(32))
+        .replace('L', &"B1".repeat(40));
     match (Keys::parse(&text), wanted) {
         (Ok(keys), Ok(count)) => assert_eq!((keys.0.len(), &keys.0[0]), (count, &vec![10; 32])),
         (Err(error), Err(part)) => {
             let said = format!("{error} {error:?}");
-            assert!(said.contains(part) && !said.contains("secretsecret"), "{said}");
+            assert!(
+                said.contains(part) && !said.contains("secretsecret"),
+                "{said}"
+            );
         }
         (read, _) => panic!("{read:?}"),
     }
--- a/src/fleet/net/sites.rs
+++ b/src/fleet/net/sites.rs
@@ -78,7 +78,14 @@
     }
 
     /// Begins to listen to the fleet. `own` is the conductor's site, `seed` spreads what all say at once.
-    pub fn start(fleet: Fleet, clock: Clock, hosts: Seen, plans: Plans, own: usize, seed: u64) -> Rc<Self> {
+    pub fn start(
+        fleet: Fleet,
+        clock: Clock,
+        hosts: Seen,
+        plans: Plans,
+        own: usize,
+        seed: u64,
+    ) -> Rc<Self> {
         let tables = &plans.fleet().tables;
         let sites = Rc::new(Sites {
             clock,
@@ -125,7 +132,11 @@
 
     fn weigh_by_orders(&self, entries: &mut [Entry]) {
         let role = |kind: &str| -> Option<Role> {
-            self.hosts.kinds.iter().find(|k| k.name == *kind).map(|k| k.role)
+            self.hosts
+                .kinds
+                .iter()
+                .find(|k| k.name == *kind)
+                .map(|k| k.role)
         };
         let site = |zone: &str| self.names.iter().position(|name| name == zone);
         self.member.borrow().orders().weigh(entries, role, site);
@@ -135,7 +146,10 @@
     fn obey(&self) {
         let mut entries: Vec<Entry> = self.list.borrow().values().cloned().collect();
         self.weigh_by_orders(&mut entries);
-        self.hosts.core.tell(Input::List { kind: ListKind::Changes, entries });
+        self.hosts.core.tell(Input::List {
+            kind: ListKind::Changes,
+            entries,
+        });
     }
 
     /// Looks at which hosts discovery's list has now.
@@ -162,11 +176,18 @@
             Told::View(change) => self.seen(change),
             Told::Leading(leader) => {
                 let me = self.fleet.who().name;
-                self.handle(Event::Seen(watch::Event::Group { in_touch: leader.is_some() }));
+                self.handle(Event::Seen(watch::Event::Group {
+                    in_touch: leader.is_some(),
+                }));
                 self.handle(Event::Pacing(*leader == Some(&me)));
             }
             Told::Effect(_, Effect::Sites(effect)) => match effect {
-                epoch::Effect::Standing { epoch, site, from, to } => {
+                epoch::Effect::Standing {
+                    epoch,
+                    site,
+                    from,
+                    to,
+                } => {
                     self.history().site_epoch(*epoch, site.as_str(), *from, *to);
                 }
                 epoch::Effect::Settled { epoch } => self.history().site_settled(*epoch),
@@ -184,12 +205,21 @@
 
     /// A belief about a member changed.
     fn seen(self: &Rc<Self>, change: &view::Change) {
-        let Some(site) = self.names.iter().position(|name| name == change.site.as_str()) else { return };
+        let Some(site) = self
+            .names
+            .iter()
+            .position(|name| name == change.site.as_str())
+        else {
+            return;
+        };
         let alive = matches!(change.to, view::Status::Alive | view::Status::Suspect);
         let alive = {
             let mut conductors = self.conductors.borrow_mut();
             conductors.insert(change.member.clone(), (site, alive));
-            conductors.values().filter(|(at, alive)| *at == site && *alive).count() as u32
+            conductors
+                .values()
+                .filter(|(at, alive)| *at == site && *alive)
+                .count() as u32
         };
         let of = self.of[site].max(alive);
         self.handle(Event::Seen(watch::Event::Conductors { site, alive, of }));
@@ -198,7 +228,9 @@
     fn handle(self: &Rc<Self>, event: Event) {
         let mut actions = Vec::new();
         let now = self.clock.now();
-        self.member.borrow_mut().handle(&mut self.plans.borrow_mut(), now, event, &mut actions);
+        self.member
+            .borrow_mut()
+            .handle(&mut self.plans.borrow_mut(), now, event, &mut actions);
         for action in actions {
             match action {
                 Action::Propose(command) => {
@@ -234,16 +266,23 @@
         periods.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             periods.tick().await;
-            (0..self.names.len()).filter(|site| *site != self.own).for_each(|site| self.try_host(site));
+            (0..self.names.len())
+                .filter(|site| *site != self.own)
+                .for_each(|site| self.try_host(site));
         }
     }
 
     fn try_host(self: &Rc<Self>, site: usize) {
         let hosts = self.hosts.directory.of_zone(&self.names[site]);
-        let addresses: Vec<SocketAddr> = hosts.into_iter().filter_map(|(address, _)| address).collect();
+        let addresses: Vec<SocketAddr> = hosts
+            .into_iter()
+            .filter_map(|(address, _)| address)
+            .collect();
         let turn = self.tries.get();
         self.tries.set(turn.wrapping_add(1));
-        let Some(address) = addresses.get(turn % addresses.len().max(1)).copied() else { return };
+        let Some(address) = addresses.get(turn % addresses.len().max(1)).copied() else {
+            return;
+        };
         let (sites, patience) = (self.clone(), self.every);
         tokio::task::spawn_local(async move {
             let tried = tokio::time::timeout(patience, answers(address)).await;
--- a/src/fleet/net/work.rs
+++ b/src/fleet/net/work.rs
@@ -84,7 +84,10 @@
 
     /// Room, as this conductor's settings allow it.
     pub fn bounds(&self) -> Bounds {
-        Bounds { records: self.settings.most_records, bytes: self.settings.most_bytes }
+        Bounds {
+            records: self.settings.most_records,
+            bytes: self.settings.most_bytes,
+        }
     }
 
     /// The settings.
@@ -112,10 +115,18 @@
         let ticket = self.ticket();
         let (answer, answered) = oneshot::channel();
         self.verdicts.borrow_mut().insert(ticket, answer);
-        self.handle(Event::Ask { ticket, command, until });
+        self.handle(Event::Ask {
+            ticket,
+            command,
+            until,
+        });
         let verdict = answered.await.unwrap_or(Verdict::Cut);
         // The machine's word may be as old as the last event: the clock is read anew before anything is let out.
-        if verdict == Verdict::Go && !self.may_act() { Verdict::Cut } else { verdict }
+        if verdict == Verdict::Go && !self.may_act() {
+            Verdict::Cut
+        } else {
+            verdict
+        }
     }
 
     /// Asks, with the time that the settings give a record to be written.
@@ -131,7 +142,11 @@
     }
 
     /// Asks, with a wait of the asker's beside the time that a record takes.
-    pub async fn ask_within(self: &Rc<Self>, command: takeover::Command, patience: Duration) -> Verdict {
+    pub async fn ask_within(
+        self: &Rc<Self>,
+        command: takeover::Command,
+        patience: Duration,
+    ) -> Verdict {
         let record = Duration::from_millis(self.settings.record_within_ms);
         let until = self.clock.now() + (record + patience).as_micros() as Micros;
         self.ask(command, until).await
@@ -162,7 +177,9 @@
 
     fn handle(self: &Rc<Self>, event: Event) {
         let mut actions = Vec::new();
-        self.hands.borrow_mut().handle(self.clock.now(), event, &mut actions);
+        self.hands
+            .borrow_mut()
+            .handle(self.clock.now(), event, &mut actions);
         for action in actions {
             match action {
                 Action::Propose { ticket, command } => self.propose(ticket, command),
@@ -218,7 +235,9 @@
             Told::Effect(_, Effect::Takeover(notice)) => {
                 match notice {
                     Notice::Orphaned { dead, .. } => self.orphan(dead.clone()),
-                    Notice::Adopted { dead, .. } => self.orphaned.borrow_mut().retain(|d| d != dead),
+                    Notice::Adopted { dead, .. } => {
+                        self.orphaned.borrow_mut().retain(|d| d != dead)
+                    }
                     _ => {}
                 }
                 self.handle(Event::Notice(notice.clone()));
@@ -263,13 +282,18 @@
                 continue;
             };
             let me = self.fleet.who();
-            let drawn = xxh3_64(format!("{me} {dead}").as_bytes()) % (ADOPT_SPAN_US * members.max(1) as u64);
+            let drawn = xxh3_64(format!("{me} {dead}").as_bytes())
+                % (ADOPT_SPAN_US * members.max(1) as u64);
             tokio::time::sleep(Duration::from_micros(drawn)).await;
             if !self.orphaned.borrow().contains(&dead) {
                 continue;
             }
-            let answer =
-                self.fleet.propose(Command::Takeover(takeover::Command::Adopt { dead: dead.clone() })).await;
+            let answer = self
+                .fleet
+                .propose(Command::Takeover(takeover::Command::Adopt {
+                    dead: dead.clone(),
+                }))
+                .await;
             match answer {
                 Ok(Answer::Takeover(Reply::Adopted(sends))) => {
                     self.orphaned.borrow_mut().retain(|d| *d != dead);
@@ -284,7 +308,11 @@
         }
     }
 
-    async fn release_all(self: &Rc<Self>, sends: Vec<(String, String)>, outbound: &Rc<dyn Outbound>) {
+    async fn release_all(
+        self: &Rc<Self>,
+        sends: Vec<(String, String)>,
+        outbound: &Rc<dyn Outbound>,
+    ) {
         let mut waiting: VecDeque<_> = sends.into();
         let mut running = tokio::task::JoinSet::new();
         let mut over = Vec::new();
@@ -322,10 +350,17 @@
     /// Whether a host took it within the client side's patience.
     async fn release_once(&self, id: &str, worker: &str, outbound: &dyn Outbound) -> bool {
         let (target, body) = (String::new(), Bytes::new());
-        let call =
-            Call { id: id.into(), target, headers: hyper::HeaderMap::new(), body, keeps: None, name: None };
+        let call = Call {
+            id: id.into(),
+            target,
+            headers: hyper::HeaderMap::new(),
+            body,
+            keeps: None,
+            name: None,
+        };
         let releasing = Rc::new(Releasing::default());
-        let Ok(permit) = ReleaseHistory::default().permit(ReleaseReason::ConductorDied, false) else {
+        let Ok(permit) = ReleaseHistory::default().permit(ReleaseReason::ConductorDied, false)
+        else {
             return false;
         };
         outbound.release(Rc::new(call), permit, releasing.clone());
@@ -367,7 +402,13 @@
         reads: Box<dyn Fn(&WorkerId) -> bool>,
     ) -> Rc<Self> {
         let noted = RefCell::default();
-        let recording = Rc::new(Recording { inner, work, core, reads, noted });
+        let recording = Rc::new(Recording {
+            inner,
+            work,
+            core,
+            reads,
+            noted,
+        });
         tokio::task::spawn_local(recording.clone().sweep());
         recording
     }
@@ -405,7 +446,8 @@
                 });
             }
             for ids in over.chunks(MOST_OVER) {
-                self.work.tell(takeover::Command::Over { ids: ids.to_vec() });
+                self.work
+                    .tell(takeover::Command::Over { ids: ids.to_vec() });
             }
         }
     }
@@ -430,7 +472,10 @@
         match verdict {
             Verdict::Go => self.inner.send(attempt),
             other => {
-                log::info!("request {}: not sent, not on record: {other:?}", attempt.call.id);
+                log::info!(
+                    "request {}: not sent, not on record: {other:?}",
+                    attempt.call.id
+                );
                 self.not_sent(&attempt, Outcome::NotSent);
             }
         }
@@ -438,7 +483,13 @@
 
     fn not_sent(&self, attempt: &Attempt, outcome: Outcome) {
         let (request, attempt) = (attempt.request, attempt.attempt);
-        self.core.tell(Input::Ended { request, attempt, outcome, kept: 0, report: None });
+        self.core.tell(Input::Ended {
+            request,
+            attempt,
+            outcome,
+            kept: 0,
+            report: None,
+        });
     }
 }
 
@@ -446,8 +497,16 @@
     fn send(&self, attempt: Attempt) {
         let call = &attempt.call;
         let (worker, releasing) = (attempt.worker.clone(), None);
-        let now = Noted { call: Rc::downgrade(call), worker, releasing };
-        let noted = self.noted.borrow_mut().insert(call.id.clone(), now).is_some();
+        let now = Noted {
+            call: Rc::downgrade(call),
+            worker,
+            releasing,
+        };
+        let noted = self
+            .noted
+            .borrow_mut()
+            .insert(call.id.clone(), now)
+            .is_some();
         // One record holds for all sends under an id, unless its name has them counted.
         if noted && call.name.is_none() {
             return self.inner.send(attempt);
@@ -460,7 +519,11 @@
             most_attempts: attempt.most_attempts,
             bounds: self.work.bounds(),
         };
-        let going = Going { inner: self.inner.clone(), work: self.work.clone(), core: self.core.clone() };
+        let going = Going {
+            inner: self.inner.clone(),
+            work: self.work.clone(),
+            core: self.core.clone(),
+        };
         tokio::task::spawn_local(going.send(attempt, command));
     }
 
--- a/src/fleet/node.rs
+++ b/src/fleet/node.rs
@@ -285,10 +285,23 @@
 impl Node {
     /// A member at the start of its life. It wants its life lease at once; it looks for the others at [`Event::Join`].
     pub fn new(start: Start, settings: Settings, now: Micros) -> Node {
-        let Start { me, store, voters, restored, seed, relays } = start;
-        let who = Who { name: me.name.clone(), incarnation: me.incarnation };
+        let Start {
+            me,
+            store,
+            voters,
+            restored,
+            seed,
+            relays,
+        } = start;
+        let who = Who {
+            name: me.name.clone(),
+            incarnation: me.incarnation,
+        };
         let draw = |part: u64| xxh3_64_with_seed(&part.to_le_bytes(), seed);
-        let voter = group::VoterId { name: me.name.clone(), store };
+        let voter = group::VoterId {
+            name: me.name.clone(),
+            store,
+        };
         let most_wants = settings.node.most_wants;
         Node {
             view: View::new(me.clone(), settings.view, draw(1)),
@@ -333,15 +346,27 @@
                 self.give_up(now, out);
             }
             Event::Join { seeds } => self.look(now, view::Event::Join { seeds }, out),
-            Event::Message { from, message: Message::View(message) } => {
+            Event::Message {
+                from,
+                message: Message::View(message),
+            } => {
                 self.look(now, view::Event::Message { from, message }, out);
             }
-            Event::Message { from, message: Message::Renewal(message) } => {
+            Event::Message {
+                from,
+                message: Message::Renewal(message),
+            } => {
                 self.look(now, view::Event::Reached(from.clone()), out);
                 self.hear_renewal(now, from, message, &mut asks, out);
             }
-            Event::Message { message: Message::Group(message), .. } if ends_a_lease(&message) => {}
-            Event::Message { from, message: Message::Group(message) } => {
+            Event::Message {
+                message: Message::Group(message),
+                ..
+            } if ends_a_lease(&message) => {}
+            Event::Message {
+                from,
+                message: Message::Group(message),
+            } => {
                 self.look(now, view::Event::Reached(from.clone()), out);
                 asks.push_back(group::Event::Message { from, message });
             }
@@ -349,7 +374,10 @@
             Event::Unwant(name) => self.hold(now, lease::Event::Unwant(name), &mut asks, out),
             Event::Propose { ticket, command } => {
                 if self.tickets.len() >= self.limits.most_proposals || self.leaving {
-                    out.push(Action::Done { ticket, result: Err(Lost::Full) });
+                    out.push(Action::Done {
+                        ticket,
+                        result: Err(Lost::Full),
+                    });
                 } else {
                     let give_up = now.saturating_add(self.limits.give_up_ms.saturating_mul(1000));
                     let seq = self.propose(now, command, &mut asks);
@@ -463,9 +491,17 @@
         let mut actions = Vec::new();
         self.view.handle(now, event, &mut actions);
         out.extend(actions.into_iter().map(|action| match action {
-            view::Action::Send { to, address, message, reliable } => {
-                Action::Send { to, address: Some(address), message: Message::View(message), reliable }
-            }
+            view::Action::Send {
+                to,
+                address,
+                message,
+                reliable,
+            } => Action::Send {
+                to,
+                address: Some(address),
+                message: Message::View(message),
+                reliable,
+            },
             view::Action::Changed(change) => Action::View(change),
         }));
     }
@@ -478,7 +514,8 @@
         out: &mut Vec<Action>,
     ) {
         let mut actions = Vec::new();
-        self.holder.handle(now, event, self.state.leases(), &mut actions);
+        self.holder
+            .handle(now, event, self.state.leases(), &mut actions);
         self.held(actions, asks, out);
     }
 
@@ -491,9 +528,14 @@
         for action in actions {
             match action {
                 lease::Action::Propose(proposal) => {
-                    asks.push_back(group::Event::Propose { payload: proposal.encode() });
+                    asks.push_back(group::Event::Propose {
+                        payload: proposal.encode(),
+                    });
                 }
-                lease::Action::Renew { renewal, unanswered } => self.renewing.push((renewal, unanswered)),
+                lease::Action::Renew {
+                    renewal,
+                    unanswered,
+                } => self.renewing.push((renewal, unanswered)),
                 lease::Action::Changed(change) => out.push(Action::Lease(change)),
             }
         }
@@ -526,7 +568,9 @@
                     }
                     group::Action::Apply(entry) => self.apply(now, entry, &mut asks, out),
                     group::Action::Restore(snapshot) => self.restore(now, snapshot, &mut asks, out),
-                    group::Action::Leading(leader, term) => self.lead(now, leader, term, &mut asks, out),
+                    group::Action::Leading(leader, term) => {
+                        self.lead(now, leader, term, &mut asks, out)
+                    }
                     group::Action::Refused(refusal) => out.push(Action::Refused(refusal)),
                 }
             }
@@ -555,7 +599,10 @@
             None => self.state.skip(entry.index),
         }
         for effect in effects {
-            out.push(Action::Effect { index: entry.index, effect: effect.clone() });
+            out.push(Action::Effect {
+                index: entry.index,
+                effect: effect.clone(),
+            });
             match effect {
                 Effect::Lease(change) => {
                     self.watch.changed(now, &change.name, self.state.leases());
@@ -563,7 +610,10 @@
                 }
                 Effect::Answered { origin, answer } if origin.who == self.who => {
                     if let Some((ticket, _)) = self.tickets.remove(&origin.seq) {
-                        out.push(Action::Done { ticket, result: Ok(answer.clone()) });
+                        out.push(Action::Done {
+                            ticket,
+                            result: Ok(answer.clone()),
+                        });
                     }
                     self.expiring.retain(|_, seq| *seq != origin.seq);
                     self.hold(now, lease::Event::Answered(origin.seq, answer), asks, out);
@@ -585,17 +635,29 @@
         asks: &mut VecDeque<group::Event>,
         out: &mut Vec<Action>,
     ) {
-        let Some(state) = FleetState::decode(&snapshot.data) else { return };
+        let Some(state) = FleetState::decode(&snapshot.data) else {
+            return;
+        };
         self.state = state;
         self.state.skip(snapshot.index);
-        out.push(Action::Restored { index: snapshot.index });
+        out.push(Action::Restored {
+            index: snapshot.index,
+        });
         self.watch.lead(now, self.leading, self.state.leases());
         for origin in self.holder.open() {
             if self.state.decided(&origin) {
                 if let Some((ticket, _)) = self.tickets.remove(&origin.seq) {
-                    out.push(Action::Done { ticket, result: Err(Lost::Hidden) });
+                    out.push(Action::Done {
+                        ticket,
+                        result: Err(Lost::Hidden),
+                    });
                 }
-                self.hold(now, lease::Event::Answered(origin.seq, Answer::Done), asks, out);
+                self.hold(
+                    now,
+                    lease::Event::Answered(origin.seq, Answer::Done),
+                    asks,
+                    out,
+                );
             }
         }
         self.hold(now, lease::Event::Restored, asks, out);
@@ -640,17 +702,24 @@
         out: &mut Vec<Action>,
     ) {
         match message {
-            renewal::Message::Renew { renewals, relayed } => self.hear_renew(now, from, renewals, relayed),
+            renewal::Message::Renew { renewals, relayed } => {
+                self.hear_renew(now, from, renewals, relayed)
+            }
             renewal::Message::Renewed(renewals) => self.hear_renewed(now, renewals, asks, out),
             renewal::Message::Confirm { term, round } => {
                 if self.group.confirms(&from, term) {
                     let store = self.group.me().store;
-                    self.send_renewal(from, renewal::Message::Confirmed { term, round, store }, out);
+                    self.send_renewal(
+                        from,
+                        renewal::Message::Confirmed { term, round, store },
+                        out,
+                    );
                 }
             }
             renewal::Message::Confirmed { term, round, store } => {
                 if self.leading && term == self.group.term() {
-                    self.confirmation.confirmed(group::VoterId { name: from, store }, round);
+                    self.confirmation
+                        .confirmed(group::VoterId { name: from, store }, round);
                 }
             }
         }
@@ -677,9 +746,12 @@
     }
 
     fn is_good(&self, renewal: &Renewal) -> bool {
-        self.state.leases().grant(&renewal.name).is_some_and(|grant| {
-            grant.taken && grant.token == renewal.token && grant.holder.name == renewal.holder
-        })
+        self.state
+            .leases()
+            .grant(&renewal.name)
+            .is_some_and(|grant| {
+                grant.taken && grant.token == renewal.token && grant.holder.name == renewal.holder
+            })
     }
 
     /// Answers have come: this member takes its own, and sends the others on to their holders.
@@ -706,7 +778,10 @@
             match self.renew_through(unanswered) {
                 Some(to) if to == self.who.name => self.hear_renew(now, to, vec![renewal], true),
                 Some(to) => {
-                    let message = renewal::Message::Renew { renewals: vec![renewal], relayed: false };
+                    let message = renewal::Message::Renew {
+                        renewals: vec![renewal],
+                        relayed: false,
+                    };
                     self.send_renewal(to, message, out);
                 }
                 None => {}
@@ -725,9 +800,17 @@
 
     /// Lets the leader answer what its voters have confirmed.
     fn confirm(&mut self, now: Micros, out: &mut Vec<Action>) {
-        let Some(voters) = self.group.voters().cloned() else { return };
+        let Some(voters) = self.group.voters().cloned() else {
+            return;
+        };
         let mut outgoing = Vec::new();
-        self.confirmation.turn(now, self.group.me(), self.group.term(), &voters, &mut outgoing);
+        self.confirmation.turn(
+            now,
+            self.group.me(),
+            self.group.term(),
+            &voters,
+            &mut outgoing,
+        );
         let mut asks = VecDeque::new();
         for renewal::Outgoing { to, message } in outgoing {
             match message {
@@ -745,15 +828,29 @@
         if self.leading {
             return Some(self.who.name.clone());
         }
-        let lives =
-            |name: &&MemberName| self.view.peer(name).is_some_and(|peer| peer.status == view::Status::Alive);
-        let ways: Vec<&MemberName> = self.relays.iter().filter(lives).chain(self.group.leader()).collect();
-        ways.get(unanswered as usize % ways.len().max(1)).map(|name| (*name).clone())
+        let lives = |name: &&MemberName| {
+            self.view
+                .peer(name)
+                .is_some_and(|peer| peer.status == view::Status::Alive)
+        };
+        let ways: Vec<&MemberName> = self
+            .relays
+            .iter()
+            .filter(lives)
+            .chain(self.group.leader())
+            .collect();
+        ways.get(unanswered as usize % ways.len().max(1))
+            .map(|name| (*name).clone())
     }
 
     fn send_renewal(&self, to: MemberName, message: renewal::Message, out: &mut Vec<Action>) {
         let address = self.view.peer(&to).map(|peer| peer.address);
-        out.push(Action::Send { to, address, message: Message::Renewal(message), reliable: true });
+        out.push(Action::Send {
+            to,
+            address,
+            message: Message::Renewal(message),
+            reliable: true,
+        });
     }
 
     /// As leader, asks the log to end what has run out by this member's clock.
@@ -763,7 +860,9 @@
             self.watch.expire(now, &mut commands);
         }
         for command in commands {
-            let lease::Command::Expire { name, .. } = &command else { continue };
+            let lease::Command::Expire { name, .. } = &command else {
+                continue;
+            };
             let name = name.clone();
             let seq = self.propose(now, Command::Lease(command), asks);
             if let Some(before) = self.expiring.insert(name, seq) {
@@ -782,14 +881,22 @@
         }
         self.keep_at = now.saturating_add(KEEP);
         let remember = self.limits.remember_ms.saturating_mul(1000);
-        for command in self.keeper.due(now, remember, MOST_FORGOTTEN, self.state.work()) {
+        for command in self
+            .keeper
+            .due(now, remember, MOST_FORGOTTEN, self.state.work())
+        {
             self.propose(now, Command::Takeover(command), asks);
         }
     }
 
     /// As leader, counts the time of the proposal of a policy that is under way; a new leader counts it anew.
     fn watch_policy(&mut self, now: Micros) {
-        let open = self.state.policy().open().filter(|_| self.leading).map(|open| open.proposal);
+        let open = self
+            .state
+            .policy()
+            .open()
+            .filter(|_| self.leading)
+            .map(|open| open.proposal);
         if open != self.policy_due.map(|(proposal, _)| proposal) {
             let within = self.limits.policy_within_ms.saturating_mul(1000);
             self.policy_due = open.map(|proposal| (proposal, now.saturating_add(within)));
@@ -798,20 +905,36 @@
 
     /// As leader, ends a proposal of a policy whose time is up.
     fn end_policy(&mut self, now: Micros, asks: &mut VecDeque<group::Event>) {
-        let Some((proposal, _)) = self.policy_due.filter(|(_, at)| *at <= now) else { return };
+        let Some((proposal, _)) = self.policy_due.filter(|(_, at)| *at <= now) else {
+            return;
+        };
         let missing = self.state.policy().missing(&self.state.living());
         let names: Vec<&str> = missing.iter().map(|who| who.name.as_str()).collect();
         let cause = format!("not decided in time: no word of {}", names.join(", "));
         // Proposals are sent again by themselves; this one once more only where it was lost altogether.
-        self.policy_due = Some((proposal, now.saturating_add(self.limits.give_up_ms.saturating_mul(1000))));
-        self.propose(now, Command::Policy(policy_epoch::Command::Abort { proposal, cause }), asks);
+        self.policy_due = Some((
+            proposal,
+            now.saturating_add(self.limits.give_up_ms.saturating_mul(1000)),
+        ));
+        self.propose(
+            now,
+            Command::Policy(policy_epoch::Command::Abort { proposal, cause }),
+            asks,
+        );
     }
 
     fn give_up(&mut self, now: Micros, out: &mut Vec<Action>) {
-        while let Some(entry) = self.tickets.first_entry().filter(|entry| entry.get().1 <= now) {
+        while let Some(entry) = self
+            .tickets
+            .first_entry()
+            .filter(|entry| entry.get().1 <= now)
+        {
             let (seq, (ticket, _)) = entry.remove_entry();
             self.holder.forget(seq);
-            out.push(Action::Done { ticket, result: Err(Lost::GaveUp) });
+            out.push(Action::Done {
+                ticket,
+                result: Err(Lost::GaveUp),
+            });
         }
     }
 
@@ -831,7 +954,9 @@
 
 /// Whether it asks for the end of a lease. Only a leader may, of itself: it alone knows which renewals it has answered.
 fn ends_a_lease(message: &group::Message) -> bool {
-    let group::Body::Propose(group::Proposed::Data(payload)) = &message.body else { return false };
+    let group::Body::Propose(group::Proposed::Data(payload)) = &message.body else {
+        return false;
+    };
     let command = Proposal::decode(payload).map(|proposal| proposal.command);
     matches!(command, Some(Command::Lease(lease::Command::Expire { .. })))
 }
--- a/src/fleet/node/tests.rs
+++ b/src/fleet/node/tests.rs
@@ -17,12 +17,27 @@
     fn new(voter: &str) -> Alone {
         let site = SiteName::try_from("here").expect("a name");
         let address = SocketAddr::from((Ipv4Addr::LOCALHOST, 7001));
-        let me = view::Me { name: member("c1"), site, address, incarnation: Incarnation(1) };
+        let me = view::Me {
+            name: member("c1"),
+            site,
+            address,
+            incarnation: Incarnation(1),
+        };
         let (voters, restored) = (BTreeSet::from([member(voter)]), group::Restored::default());
-        let start = Start { me, store: 1, voters, restored, seed: 1, relays: Vec::new() };
+        let start = Start {
+            me,
+            store: 1,
+            voters,
+            restored,
+            seed: 1,
+            relays: Vec::new(),
+        };
         let mut settings = Settings::default();
         settings.lease.renewal = lease::RenewalPath::Leader;
-        let mut alone = Alone { node: Node::new(start, settings, 0), now: 0 };
+        let mut alone = Alone {
+            node: Node::new(start, settings, 0),
+            now: 0,
+        };
         alone.run_for(3 * SECOND);
         alone
     }
@@ -51,26 +66,42 @@
 
     /// Hands a renewal in as another member's; the renewals that are answered to it.
     fn renew(&mut self, renewal: Renewal, relayed: bool) -> Vec<Renewal> {
-        let message = Message::Renewal(renewal::Message::Renew { renewals: vec![renewal.clone()], relayed });
-        let mut done = self.event(Event::Message { from: member("c2"), message });
+        let message = Message::Renewal(renewal::Message::Renew {
+            renewals: vec![renewal.clone()],
+            relayed,
+        });
+        let mut done = self.event(Event::Message {
+            from: member("c2"),
+            message,
+        });
         done.extend(self.run_for(SECOND));
-        done.iter().flat_map(|action| renewed(action, "c2")).collect()
+        done.iter()
+            .flat_map(|action| renewed(action, "c2"))
+            .collect()
     }
 }
 
 fn renewed(action: &Action, by: &str) -> Vec<Renewal> {
     match action {
-        Action::Send { to, message: Message::Renewal(renewal::Message::Renewed(renewals)), .. }
-            if *to == member(by) =>
-        {
-            renewals.clone()
-        }
+        Action::Send {
+            to,
+            message: Message::Renewal(renewal::Message::Renewed(renewals)),
+            ..
+        } if *to == member(by) => renewals.clone(),
         _ => Vec::new(),
     }
 }
 
 fn sends_renewals(actions: &[Action]) -> bool {
-    actions.iter().any(|action| matches!(action, Action::Send { message: Message::Renewal(_), .. }))
+    actions.iter().any(|action| {
+        matches!(
+            action,
+            Action::Send {
+                message: Message::Renewal(_),
+                ..
+            }
+        )
+    })
 }
 
 #[test]
@@ -87,15 +118,41 @@
 fn a_leader_answers_a_renewal_of_what_is_granted_and_no_other() {
     let mut alone = Alone::new("c1");
     let name = alone.life();
-    let token = alone.node.state().leases().grant(&name).expect("its life lease").token;
-    let good = Renewal { holder: member("c1"), name, token, number: 77 };
+    let token = alone
+        .node
+        .state()
+        .leases()
+        .grant(&name)
+        .expect("its life lease")
+        .token;
+    let good = Renewal {
+        holder: member("c1"),
+        name,
+        token,
+        number: 77,
+    };
     assert_eq!(alone.renew(good.clone(), true), vec![good.clone()]);
-    let wrong_token = Renewal { token: Token(token.0 + 1), ..good.clone() };
+    let wrong_token = Renewal {
+        token: Token(token.0 + 1),
+        ..good.clone()
+    };
     assert_eq!(alone.renew(wrong_token, true), vec![]);
-    let wrong_holder = Renewal { holder: member("c3"), ..good.clone() };
+    let wrong_holder = Renewal {
+        holder: member("c3"),
+        ..good.clone()
+    };
     assert_eq!(alone.renew(wrong_holder, true), vec![]);
     let unknown = LeaseName::try_from("nothing").expect("a name");
-    assert_eq!(alone.renew(Renewal { name: unknown, ..good }, true), vec![]);
+    assert_eq!(
+        alone.renew(
+            Renewal {
+                name: unknown,
+                ..good
+            },
+            true
+        ),
+        vec![]
+    );
 }
 
 /// Where nobody leads, what a relay gathers is dropped, and what another relay has sent on is not sent on again.
@@ -103,10 +160,21 @@
 fn a_member_without_a_leader_sends_no_renewal_on() {
     let mut waits = Alone::new("c2");
     let name = waits.life();
-    let renewal = Renewal { holder: member("c3"), name, token: Token(1), number: 1 };
+    let renewal = Renewal {
+        holder: member("c3"),
+        name,
+        token: Token(1),
+        number: 1,
+    };
     for relayed in [false, true] {
-        let message = Message::Renewal(renewal::Message::Renew { renewals: vec![renewal.clone()], relayed });
-        let mut done = waits.event(Event::Message { from: member("c3"), message });
+        let message = Message::Renewal(renewal::Message::Renew {
+            renewals: vec![renewal.clone()],
+            relayed,
+        });
+        let mut done = waits.event(Event::Message {
+            from: member("c3"),
+            message,
+        });
         done.extend(waits.run_for(SECOND));
         assert!(!sends_renewals(&done), "relayed {relayed}");
     }
@@ -117,15 +185,41 @@
 fn a_leader_takes_no_end_of_a_lease_from_another() {
     let mut alone = Alone::new("c1");
     let name = alone.life();
-    let grant = alone.node.state().leases().grant(&name).expect("its life lease").clone();
-    let command = lease::Command::Expire { name, token: grant.token, renewals: grant.renewals };
-    let who = Who { name: member("c2"), incarnation: Incarnation(1) };
+    let grant = alone
+        .node
+        .state()
+        .leases()
+        .grant(&name)
+        .expect("its life lease")
+        .clone();
+    let command = lease::Command::Expire {
+        name,
+        token: grant.token,
+        renewals: grant.renewals,
+    };
+    let who = Who {
+        name: member("c2"),
+        incarnation: Incarnation(1),
+    };
     let origin = crate::fleet::state::Origin { who, seq: 1 };
-    let proposal = Proposal { origin, settled: 1, command: Command::Lease(command) };
+    let proposal = Proposal {
+        origin,
+        settled: 1,
+        command: Command::Lease(command),
+    };
     let body = group::Body::Propose(group::Proposed::Data(proposal.encode()));
     let (term, commit) = (alone.node.group().term(), alone.node.group().commit());
-    let message = group::Message { store: 2, to_store: 0, founded: true, term, body };
-    alone.event(Event::Message { from: member("c2"), message: Message::Group(message) });
+    let message = group::Message {
+        store: 2,
+        to_store: 0,
+        founded: true,
+        term,
+        body,
+    };
+    alone.event(Event::Message {
+        from: member("c2"),
+        message: Message::Group(message),
+    });
     assert_eq!(alone.node.group().commit(), commit);
     assert!(alone.node.state().leases().grant(&alone.life()).is_some());
 }
--- a/src/fleet/policy_content.rs
+++ b/src/fleet/policy_content.rs
@@ -29,8 +29,14 @@
 const FIELDS: [(&str, Kind); 27] = [
     ("over_share_worth", Kind::Number(1e9)),
     ("classes[].name", Kind::Name),
-    ("classes[].effect", Kind::Word(&["read_like", "non_idempotent", "idempotency_key"])),
-    ("classes[].dedup_scope", Kind::Word(&["all", "zone", "cell"])),
+    (
+        "classes[].effect",
+        Kind::Word(&["read_like", "non_idempotent", "idempotency_key"]),
+    ),
+    (
+        "classes[].dedup_scope",
+        Kind::Word(&["all", "zone", "cell"]),
+    ),
     ("classes[].repeat_window_us", Kind::Number(DAY_US)),
     ("classes[].objective_us", Kind::Number(DAY_US)),
     ("classes[].give_up_us", Kind::Number(DAY_US)),
@@ -39,7 +45,10 @@
     ("tenants[].name", Kind::Name),
     ("tenants[].quota_rps", Kind::Number(1e9)),
     ("family_info.token_aim_us[]", Kind::Number(DAY_US)),
-    ("family_info.aim_us_per_1000_prompt_tokens[]", Kind::Number(DAY_US)),
+    (
+        "family_info.aim_us_per_1000_prompt_tokens[]",
+        Kind::Number(DAY_US),
+    ),
     ("permissions.probes", Kind::Flag),
     ("permissions.may_tell", Kind::Flag),
     ("permissions.may_cancel", Kind::Flag),
@@ -89,9 +98,8 @@
                 (name.is_empty() || name.len() > 64 || !plain)
                     .then(|| "1 to 64 printable characters without a comma are needed".to_owned())
             }
-            (Kind::Word(words), Value::String(word)) => {
-                (!words.contains(&word.as_str())).then(|| format!("{word:?} is none of {}", words.join(", ")))
-            }
+            (Kind::Word(words), Value::String(word)) => (!words.contains(&word.as_str()))
+                .then(|| format!("{word:?} is none of {}", words.join(", "))),
             (Kind::Number(_) | Kind::Count(_), other) => Some(format!("{other} is no number")),
             (Kind::Flag, other) => Some(format!("{other} is neither true nor false")),
             (Kind::Name | Kind::Word(_), other) => Some(format!("{other} is no text")),
@@ -105,7 +113,9 @@
 /// # Errors
 /// It is no table.
 pub fn take(settings: &Value) -> Result<(String, Vec<String>), String> {
-    let Value::Object(fields) = settings else { return Err("settings: not a table".to_owned()) };
+    let Value::Object(fields) = settings else {
+        return Err("settings: not a table".to_owned());
+    };
     let mut own = Vec::new();
     let mut policy = Map::new();
     for (name, value) in fields {
@@ -137,8 +147,14 @@
 fn canonical(value: &Value) -> Value {
     match value {
         Value::Object(fields) => {
-            let sorted: BTreeMap<&String, &Value> = fields.iter().filter(|(_, v)| !v.is_null()).collect();
-            Value::Object(sorted.into_iter().map(|(k, v)| (k.clone(), canonical(v))).collect())
+            let sorted: BTreeMap<&String, &Value> =
+                fields.iter().filter(|(_, v)| !v.is_null()).collect();
+            Value::Object(
+                sorted
+                    .into_iter()
+                    .map(|(k, v)| (k.clone(), canonical(v)))
+                    .collect(),
+            )
         }
         Value::Array(items) => Value::Array(items.iter().map(canonical).collect()),
         plain => plain.clone(),
@@ -150,8 +166,11 @@
 /// # Errors
 /// One line that names the field at fault.
 pub fn read(content: &str, own: &Value) -> Result<Settings, String> {
-    let value: Value = serde_json::from_str(content).map_err(|e| format!("policy: cut short: {e}"))?;
-    let Value::Object(policy) = &value else { return Err("policy: not a table".to_owned()) };
+    let value: Value =
+        serde_json::from_str(content).map_err(|e| format!("policy: cut short: {e}"))?;
+    let Value::Object(policy) = &value else {
+        return Err("policy: not a table".to_owned());
+    };
     let fields = flatten(&value);
     for (path, value) in &fields {
         let general = general(path);
@@ -165,9 +184,15 @@
         }
     }
     for list in ["classes", "tenants"] {
-        let items = policy.get(list).and_then(Value::as_array).map_or(&[][..], Vec::as_slice);
+        let items = policy
+            .get(list)
+            .and_then(Value::as_array)
+            .map_or(&[][..], Vec::as_slice);
         if items.len() > MOST_LISTED {
-            return Err(format!("{list}: {} are more than {MOST_LISTED}", items.len()));
+            return Err(format!(
+                "{list}: {} are more than {MOST_LISTED}",
+                items.len()
+            ));
         }
         let mut seen = BTreeSet::new();
         for (i, item) in items.iter().enumerate() {
@@ -210,12 +235,20 @@
 
 /// What differs between two policies, one line a field.
 pub fn differences(from: &str, to: &str) -> Vec<String> {
-    let read = |text: &str| serde_json::from_str::<Value>(text).map(|v| flatten(&v)).unwrap_or_default();
+    let read = |text: &str| {
+        serde_json::from_str::<Value>(text)
+            .map(|v| flatten(&v))
+            .unwrap_or_default()
+    };
     let (from, to) = (read(from), read(to));
     let paths: BTreeSet<&String> = from.keys().chain(to.keys()).collect();
     let word = |value: Option<&Value>| value.map_or("none".to_owned(), Value::to_string);
-    let changed = paths.into_iter().filter(|path| from.get(*path) != to.get(*path));
-    changed.map(|path| format!("{path}: {} -> {}", word(from.get(path)), word(to.get(path)))).collect()
+    let changed = paths
+        .into_iter()
+        .filter(|path| from.get(*path) != to.get(*path));
+    changed
+        .map(|path| format!("{path}: {} -> {}", word(from.get(path)), word(to.get(path))))
+        .collect()
 }
 
 /// The fields that are no tables by their paths, as `classes[1].effect`.
@@ -224,12 +257,19 @@
         match value {
             Value::Object(fields) if !fields.is_empty() => {
                 for (name, value) in fields {
-                    let path = if path.is_empty() { name.clone() } else { format!("{path}.{name}") };
+                    let path = if path.is_empty() {
+                        name.clone()
+                    } else {
+                        format!("{path}.{name}")
+                    };
                     walk(&path, value, out);
                 }
             }
             Value::Array(items) if !items.is_empty() => {
-                items.iter().enumerate().for_each(|(i, item)| walk(&format!("{path}[{i}]"), item, out));
+                items
+                    .iter()
+                    .enumerate()
+                    .for_each(|(i, item)| walk(&format!("{path}[{i}]"), item, out));
             }
             // Nothing in it: no field.
             Value::Array(_) | Value::Object(_) => {}
--- a/src/fleet/policy_content/tests.rs
+++ b/src/fleet/policy_content/tests.rs
@@ -14,7 +14,10 @@
     other["my_zone"] = "south".into();
     other["classes"][0]["value"] = 99.0.into();
     let settings = read(&content, &other).unwrap();
-    assert_eq!((settings.zone.as_str(), settings.classes[0].worth), ("south", 3.0));
+    assert_eq!(
+        (settings.zone.as_str(), settings.classes[0].worth),
+        ("south", 3.0)
+    );
 }
 
 #[rstest]
@@ -39,13 +42,24 @@
 #[test]
 fn what_is_cut_short_missing_or_there_twice_is_refused() {
     let (content, _) = take(&own()).unwrap();
-    assert!(read(&content[..content.len() / 2], &own()).unwrap_err().starts_with("policy: cut short"));
+    assert!(
+        read(&content[..content.len() / 2], &own())
+            .unwrap_err()
+            .starts_with("policy: cut short")
+    );
     assert_eq!(read("{}", &own()).unwrap_err(), "classes: there is none");
     let twice = content.replace("\"send\"", "\"explain\"");
-    assert_eq!(read(&twice, &own()).unwrap_err(), "classes[1].name: \"explain\" is there twice");
+    assert_eq!(
+        read(&twice, &own()).unwrap_err(),
+        "classes[1].name: \"explain\" is there twice"
+    );
     let less = content.replace("\"max_attempts\":6,", "");
     assert_ne!(less, content);
-    assert!(read(&less, &own()).unwrap_err().contains("permissions.max_attempts"));
+    assert!(
+        read(&less, &own())
+            .unwrap_err()
+            .contains("permissions.max_attempts")
+    );
 }
 
 #[test]
--- a/src/fleet/policy_epoch.rs
+++ b/src/fleet/policy_epoch.rs
@@ -237,8 +237,17 @@
 
     /// Living members whose word is waited for.
     pub fn missing(&self, living: &BTreeSet<Who>) -> Vec<Who> {
-        let Some(open) = &self.open else { return Vec::new() };
-        living.difference(if open.closing { &open.closed } else { &open.votes }).cloned().collect()
+        let Some(open) = &self.open else {
+            return Vec::new();
+        };
+        living
+            .difference(if open.closing {
+                &open.closed
+            } else {
+                &open.votes
+            })
+            .cloned()
+            .collect()
     }
 
     /// Applies a command of `who`; `living` are the members whose life leases are in force.
@@ -251,15 +260,24 @@
     ) -> Reply {
         let done = match command {
             // The leader ends what takes too long, whether or not it may act.
-            Command::Abort { proposal, cause } => match self.open.take_if(|o| o.proposal == proposal) {
-                Some(open) => {
-                    self.nowhere(open, cut(cause), out);
-                    Ok(Reply::Done)
+            Command::Abort { proposal, cause } => {
+                match self.open.take_if(|o| o.proposal == proposal) {
+                    Some(open) => {
+                        self.nowhere(open, cut(cause), out);
+                        Ok(Reply::Done)
+                    }
+                    None => Err(Refusal::NotOpen),
                 }
-                None => Err(Refusal::NotOpen),
-            },
+            }
             _ if !living.contains(who) => Err(Refusal::NoLife),
-            Command::Propose { mark, content, base, only_check, at_us, difference } => {
+            Command::Propose {
+                mark,
+                content,
+                base,
+                only_check,
+                at_us,
+                difference,
+            } => {
                 let open = Open {
                     proposal: 0,
                     mark,
@@ -274,21 +292,27 @@
                 };
                 self.propose(base, open, out)
             }
-            Command::Vote { proposal, refusal } => match self.open.take_if(|o| o.proposal == proposal) {
-                Some(open) if refusal.is_some() && !open.closing => {
-                    let why = format!("{} refuses: {}", who.name, refusal.unwrap_or_default());
-                    self.nowhere(open, cut(why), out);
-                    Ok(Reply::Done)
-                }
-                Some(mut open) => {
-                    open.votes.insert(who.clone());
-                    self.open = Some(open);
-                    Ok(Reply::Done)
+            Command::Vote { proposal, refusal } => {
+                match self.open.take_if(|o| o.proposal == proposal) {
+                    Some(open) if refusal.is_some() && !open.closing => {
+                        let why = format!("{} refuses: {}", who.name, refusal.unwrap_or_default());
+                        self.nowhere(open, cut(why), out);
+                        Ok(Reply::Done)
+                    }
+                    Some(mut open) => {
+                        open.votes.insert(who.clone());
+                        self.open = Some(open);
+                        Ok(Reply::Done)
+                    }
+                    None => Err(Refusal::NotOpen),
                 }
-                None => Err(Refusal::NotOpen),
-            },
+            }
             Command::Closed { proposal } => {
-                match self.open.as_mut().filter(|o| o.proposal == proposal && o.closing) {
+                match self
+                    .open
+                    .as_mut()
+                    .filter(|o| o.proposal == proposal && o.closing)
+                {
                     Some(open) => {
                         open.closed.insert(who.clone());
                         Ok(Reply::Done)
@@ -307,19 +331,30 @@
         done.unwrap_or_else(Reply::Refused)
     }
 
-    fn propose(&mut self, base: u64, mut open: Open, out: &mut Vec<Notice>) -> Result<Reply, Refusal> {
+    fn propose(
+        &mut self,
+        base: u64,
+        mut open: Open,
+        out: &mut Vec<Notice>,
+    ) -> Result<Reply, Refusal> {
         if let Some(under_way) = &self.open {
             // Asked once more, by way of another member: it is the same.
             if under_way.mark == open.mark {
                 return Ok(Reply::Taken(under_way.proposal));
             }
-            return Err(Refusal::Busy { proposal: under_way.proposal, by: under_way.by.clone() });
+            return Err(Refusal::Busy {
+                proposal: under_way.proposal,
+                by: under_way.by.clone(),
+            });
         }
         if let Some(past) = self.past.iter().find(|p| p.mark == open.mark) {
             return Ok(Reply::Taken(past.proposal));
         }
         if base != self.epoch {
-            return Err(Refusal::Stale { base, epoch: self.epoch });
+            return Err(Refusal::Stale {
+                base,
+                epoch: self.epoch,
+            });
         }
         if open.content.is_empty() || open.content.len() > MOST_CONTENT {
             return Err(Refusal::Size);
@@ -333,7 +368,10 @@
         if self.epoch == 0 {
             self.switch(open, out);
         } else {
-            out.push(Notice::Staged { proposal: self.last, content: open.content.clone() });
+            out.push(Notice::Staged {
+                proposal: self.last,
+                content: open.content.clone(),
+            });
             self.open = Some(open);
         }
         Ok(Reply::Taken(self.last))
@@ -341,7 +379,9 @@
 
     /// Goes on as far as the living members' words allow; also to be called when a life has ended.
     pub fn settle(&mut self, living: &BTreeSet<Who>, out: &mut Vec<Notice>) {
-        let Some(mut open) = self.open.take() else { return };
+        let Some(mut open) = self.open.take() else {
+            return;
+        };
         if !living.contains(&open.by) {
             let why = format!("{}, who proposed it, is gone", open.by.name);
             return self.nowhere(open, why, out);
@@ -349,11 +389,16 @@
         if !open.closing && living.is_subset(&open.votes) {
             if open.only_check {
                 let why = "only checked: all could".to_owned();
-                out.push(Notice::Nowhere { proposal: open.proposal, why });
+                out.push(Notice::Nowhere {
+                    proposal: open.proposal,
+                    why,
+                });
                 return self.remember(open, Outcome::Checked);
             }
             open.closing = true;
-            out.push(Notice::Closing { proposal: open.proposal });
+            out.push(Notice::Closing {
+                proposal: open.proposal,
+            });
         }
         if open.closing && living.is_subset(&open.closed) {
             return self.switch(open, out);
@@ -365,7 +410,10 @@
         self.epoch += 1;
         self.content = std::mem::take(&mut open.content);
         self.over.clear();
-        out.push(Notice::InForce { epoch: self.epoch, content: self.content.clone() });
+        out.push(Notice::InForce {
+            epoch: self.epoch,
+            content: self.content.clone(),
+        });
         let (epoch, digest) = (self.epoch, digest(&self.content));
         self.remember(open, Outcome::Epoch(epoch));
         if let Some(past) = self.past.back_mut() {
@@ -374,14 +422,33 @@
     }
 
     fn nowhere(&mut self, open: Open, why: String, out: &mut Vec<Notice>) {
-        out.push(Notice::Nowhere { proposal: open.proposal, why: why.clone() });
+        out.push(Notice::Nowhere {
+            proposal: open.proposal,
+            why: why.clone(),
+        });
         self.remember(open, Outcome::Nowhere(why));
     }
 
     fn remember(&mut self, open: Open, outcome: Outcome) {
-        let Open { proposal, mark, by, at_us, content, difference, .. } = open;
+        let Open {
+            proposal,
+            mark,
+            by,
+            at_us,
+            content,
+            difference,
+            ..
+        } = open;
         let digest = digest(&content);
-        self.past.push_back(Past { proposal, mark, by, at_us, digest, difference, outcome });
+        self.past.push_back(Past {
+            proposal,
+            mark,
+            by,
+            at_us,
+            digest,
+            difference,
+            outcome,
+        });
         while self.past.len() > MOST_PAST {
             self.past.pop_front();
         }
--- a/src/fleet/policy_epoch/tests.rs
+++ b/src/fleet/policy_epoch/tests.rs
@@ -3,7 +3,10 @@
 use rstest::rstest;
 
 fn who(name: &str) -> Who {
-    Who { name: MemberName::try_from(name).unwrap(), incarnation: Incarnation(1) }
+    Who {
+        name: MemberName::try_from(name).unwrap(),
+        incarnation: Incarnation(1),
+    }
 }
 
 fn living(names: &[&str]) -> BTreeSet<Who> {
@@ -12,10 +15,20 @@
 
 fn propose(mark: u64, content: &str, base: u64) -> Command {
     let (content, difference) = (content.to_owned(), String::new());
-    Command::Propose { mark, content, base, only_check: false, at_us: 1, difference }
+    Command::Propose {
+        mark,
+        content,
+        base,
+        only_check: false,
+        at_us: 1,
+        difference,
+    }
 }
 
-const YES: Command = Command::Vote { proposal: 2, refusal: None };
+const YES: Command = Command::Vote {
+    proposal: 2,
+    refusal: None,
+};
 
 /// Epoch 1 in force and proposal 2 of c1 under way, among c1, c2 and c3.
 struct Side(Table, BTreeSet<Who>, Vec<Notice>);
@@ -45,14 +58,20 @@
 fn in_force_when_all_have_voted_and_then_all_have_stopped_beginning() {
     let mut side = Side::start();
     // A word that comes before its time counts for nothing.
-    assert_eq!(side.tell("c1", Command::Closed { proposal: 2 }), Reply::Refused(Refusal::NotOpen));
+    assert_eq!(
+        side.tell("c1", Command::Closed { proposal: 2 }),
+        Reply::Refused(Refusal::NotOpen)
+    );
     side.all(&YES);
     assert_eq!(side.2, [Notice::Closing { proposal: 2 }]);
     side.tell("c1", Command::Closed { proposal: 2 });
     side.tell("c2", Command::Closed { proposal: 2 });
     assert_eq!(side.0.epoch(), 1);
     side.tell("c3", Command::Closed { proposal: 2 });
-    let switch = Notice::InForce { epoch: 2, content: "two".into() };
+    let switch = Notice::InForce {
+        epoch: 2,
+        content: "two".into(),
+    };
     assert_eq!((side.0.epoch(), side.2.last()), (2, Some(&switch)));
     assert_eq!(side.0.past().last().unwrap().digest, digest("two"));
 }
@@ -65,7 +84,13 @@
     side.tell("c1", YES);
     side.tell(by, word);
     side.all(&YES);
-    assert_eq!(side.2, [Notice::Nowhere { proposal: 2, why: wanted.into() }]);
+    assert_eq!(
+        side.2,
+        [Notice::Nowhere {
+            proposal: 2,
+            why: wanted.into()
+        }]
+    );
     assert_eq!((side.0.epoch(), side.0.content()), (1, "one"));
 }
 
@@ -75,13 +100,20 @@
 #[case::closing(true)]
 fn the_dead_drop_out_and_a_new_life_is_waited_for(#[case] closing: bool) {
     let mut side = Side::start();
-    let word = if closing { Command::Closed { proposal: 2 } } else { YES };
+    let word = if closing {
+        Command::Closed { proposal: 2 }
+    } else {
+        YES
+    };
     if closing {
         side.all(&YES);
     }
     side.tell("c1", word.clone());
     side.tell("c3", word.clone());
-    let again = Who { incarnation: Incarnation(2), ..who("c3") };
+    let again = Who {
+        incarnation: Incarnation(2),
+        ..who("c3")
+    };
     side.1 = [who("c1"), again.clone()].into();
     side.0.settle(&side.1, &mut side.2);
     assert_eq!(side.0.missing(&side.1), std::slice::from_ref(&again));
@@ -96,14 +128,21 @@
     side.all(&YES);
     side.1 = living(&["c2", "c3"]);
     side.0.settle(&side.1, &mut side.2);
-    assert!(matches!(side.2.last(), Some(Notice::Nowhere { proposal: 2, .. })));
+    assert!(matches!(
+        side.2.last(),
+        Some(Notice::Nowhere { proposal: 2, .. })
+    ));
 }
 
 #[rstest]
 #[case::two_at_once("c2", propose(3, "three", 1), Refusal::Busy { proposal: 2, by: who("c1") })]
 #[case::no_life("c9", propose(3, "three", 1), Refusal::NoLife)]
 #[case::late_word("c2", Command::Vote { proposal: 1, refusal: None }, Refusal::NotOpen)]
-fn what_has_no_place_changes_nothing(#[case] by: &str, #[case] command: Command, #[case] wanted: Refusal) {
+fn what_has_no_place_changes_nothing(
+    #[case] by: &str,
+    #[case] command: Command,
+    #[case] wanted: Refusal,
+) {
     let mut side = Side::start();
     let before = side.0.clone();
     assert_eq!(side.tell(by, command), Reply::Refused(wanted));
@@ -117,7 +156,13 @@
 #[case::same(propose(3, "one", 1), Refusal::Same(1))]
 fn a_proposal_is_refused_whole(#[case] command: Command, #[case] wanted: Refusal) {
     let mut side = Side::start();
-    side.tell("c1", Command::Abort { proposal: 2, cause: "off".into() });
+    side.tell(
+        "c1",
+        Command::Abort {
+            proposal: 2,
+            cause: "off".into(),
+        },
+    );
     assert_eq!(side.tell("c1", command), Reply::Refused(wanted));
     assert!(side.0.open().is_none());
 }
--- a/src/fleet/renewal.rs
+++ b/src/fleet/renewal.rs
@@ -113,12 +113,23 @@
     }
 
     /// Ends the round that a majority has confirmed, and begins the next one where renewals wait.
-    pub fn turn(&mut self, now: Micros, me: &VoterId, term: Term, voters: &Voters, out: &mut Vec<Outgoing>) {
+    pub fn turn(
+        &mut self,
+        now: Micros,
+        me: &VoterId,
+        term: Term,
+        voters: &Voters,
+        out: &mut Vec<Outgoing>,
+    ) {
         loop {
             if self.round.is_none() && !self.waiting.is_empty() {
                 self.number += 1;
                 let answers = std::mem::take(&mut self.waiting);
-                self.round = Some(Round { confirmed: BTreeSet::from([me.clone()]), answers, ask_at: now });
+                self.round = Some(Round {
+                    confirmed: BTreeSet::from([me.clone()]),
+                    answers,
+                    ask_at: now,
+                });
             }
             let Some(round) = &mut self.round else { return };
             if voters.now.intersection(&round.confirmed).count() < voters.majority() {
@@ -132,12 +143,30 @@
     }
 
     /// Asks the voters that have not confirmed the open round, now and then.
-    fn ask(&mut self, now: Micros, me: &VoterId, term: Term, voters: &Voters, out: &mut Vec<Outgoing>) {
-        let Some(round) = self.round.as_mut().filter(|round| round.ask_at <= now) else { return };
+    fn ask(
+        &mut self,
+        now: Micros,
+        me: &VoterId,
+        term: Term,
+        voters: &Voters,
+        out: &mut Vec<Outgoing>,
+    ) {
+        let Some(round) = self.round.as_mut().filter(|round| round.ask_at <= now) else {
+            return;
+        };
         round.ask_at = now.saturating_add(ASK_AGAIN);
-        let missing = voters.now.iter().filter(|voter| *voter != me && !round.confirmed.contains(voter));
-        let message = Message::Confirm { term, round: self.number };
-        out.extend(missing.map(|voter| Outgoing { to: voter.name.clone(), message: message.clone() }));
+        let missing = voters
+            .now
+            .iter()
+            .filter(|voter| *voter != me && !round.confirmed.contains(voter));
+        let message = Message::Confirm {
+            term,
+            round: self.number,
+        };
+        out.extend(missing.map(|voter| Outgoing {
+            to: voter.name.clone(),
+            message: message.clone(),
+        }));
     }
 
     /// When [`Confirmation::turn`] has something to do.
@@ -152,7 +181,10 @@
     for Waiting { from, renewal } in answers {
         ways.entry(from).or_default().push(renewal);
     }
-    out.extend(ways.into_iter().map(|(to, renewals)| Outgoing { to, message: Message::Renewed(renewals) }));
+    out.extend(ways.into_iter().map(|(to, renewals)| Outgoing {
+        to,
+        message: Message::Renewed(renewals),
+    }));
 }
 
 /// A relay's side: renewals of others that go to the leader together.
@@ -175,7 +207,10 @@
         self.due.filter(|due| *due <= now)?;
         self.due = None;
         let renewals = std::mem::take(&mut self.renewals);
-        (!renewals.is_empty()).then_some(Message::Renew { renewals, relayed: true })
+        (!renewals.is_empty()).then_some(Message::Renew {
+            renewals,
+            relayed: true,
+        })
     }
 
     /// When [`Gathering::due`] has something.
--- a/src/fleet/renewal/tests.rs
+++ b/src/fleet/renewal/tests.rs
@@ -5,16 +5,27 @@
 }
 
 fn voter(name: &str) -> VoterId {
-    VoterId { name: member(name), store: 1 }
+    VoterId {
+        name: member(name),
+        store: 1,
+    }
 }
 
 fn three() -> Voters {
-    Voters { now: ["v1", "v2", "v3"].map(voter).into(), ..Voters::default() }
+    Voters {
+        now: ["v1", "v2", "v3"].map(voter).into(),
+        ..Voters::default()
+    }
 }
 
 fn renewal(holder: &str, number: u64) -> Renewal {
     let name = LeaseName::try_from(format!("life/{holder}")).expect("a name");
-    Renewal { holder: member(holder), name, token: Token(3), number }
+    Renewal {
+        holder: member(holder),
+        name,
+        token: Token(3),
+        number,
+    }
 }
 
 struct Leader {
@@ -24,12 +35,16 @@
 
 impl Leader {
     fn new() -> Leader {
-        Leader { confirmation: Confirmation::default(), voters: three() }
+        Leader {
+            confirmation: Confirmation::default(),
+            voters: three(),
+        }
     }
 
     fn turn(&mut self, now: Micros) -> Vec<Outgoing> {
         let mut out = Vec::new();
-        self.confirmation.turn(now, &voter("v1"), Term(5), &self.voters, &mut out);
+        self.confirmation
+            .turn(now, &voter("v1"), Term(5), &self.voters, &mut out);
         out
     }
 
@@ -48,7 +63,11 @@
 fn a_renewal_is_answered_once_a_majority_has_confirmed() {
     let mut leader = Leader::new();
     leader.confirmation.take(member("c1"), renewal("c1", 1));
-    let asked: Vec<String> = leader.turn(0).iter().map(|out| out.to.to_string()).collect();
+    let asked: Vec<String> = leader
+        .turn(0)
+        .iter()
+        .map(|out| out.to.to_string())
+        .collect();
     assert_eq!(asked, ["v2", "v3"]);
     leader.confirmation.confirmed(voter("v3"), 1);
     assert_eq!(leader.answered(10), [("c1".to_owned(), vec![1])]);
@@ -75,7 +94,13 @@
     let mut leader = Leader::new();
     leader.confirmation.take(member("c1"), renewal("c1", 1));
     leader.turn(0);
-    leader.confirmation.confirmed(VoterId { name: member("v2"), store: 2 }, 1);
+    leader.confirmation.confirmed(
+        VoterId {
+            name: member("v2"),
+            store: 2,
+        },
+        1,
+    );
     leader.confirmation.confirmed(voter("v9"), 1);
     assert_eq!(leader.answered(10), []);
 }
@@ -97,7 +122,10 @@
     leader.turn(0);
     leader.confirmation.clear();
     leader.confirmation.confirmed(voter("v2"), 1);
-    assert_eq!((leader.answered(10), leader.confirmation.timeout()), (vec![], None));
+    assert_eq!(
+        (leader.answered(10), leader.confirmation.timeout()),
+        (vec![], None)
+    );
 }
 
 #[test]
@@ -108,16 +136,33 @@
     }
     leader.turn(0);
     leader.confirmation.confirmed(voter("v2"), 1);
-    assert_eq!(leader.answered(1), [("c3".to_owned(), vec![4]), ("relay".to_owned(), vec![4, 4])]);
+    assert_eq!(
+        leader.answered(1),
+        [("c3".to_owned(), vec![4]), ("relay".to_owned(), vec![4, 4])]
+    );
 }
 
 #[test]
 fn a_relay_sends_on_together_what_it_gathers_and_no_more_than_its_bound() {
     let mut gathering = Gathering::default();
     gathering.take(0, vec![renewal("c1", 1)]);
-    gathering.take(GATHER / 2, (0..MOST_RENEWALS as u64).map(|number| renewal("c2", number)).collect());
+    gathering.take(
+        GATHER / 2,
+        (0..MOST_RENEWALS as u64)
+            .map(|number| renewal("c2", number))
+            .collect(),
+    );
     assert_eq!(gathering.due(GATHER - 1), None);
-    let Some(Message::Renew { renewals, relayed: true }) = gathering.due(GATHER) else { panic!("sent on") };
+    let Some(Message::Renew {
+        renewals,
+        relayed: true,
+    }) = gathering.due(GATHER)
+    else {
+        panic!("sent on")
+    };
     assert_eq!(renewals.len(), MOST_RENEWALS);
-    assert_eq!((gathering.due(2 * GATHER), gathering.timeout()), (None, None));
+    assert_eq!(
+        (gathering.due(2 * GATHER), gathering.timeout()),
+        (None, None)
+    );
 }
--- a/src/fleet/sites/command.rs
+++ b/src/fleet/sites/command.rs
@@ -97,8 +97,18 @@
         let fleet = Fleet::from_toml(&text, &settings)?;
         let mut loss = Loss::none(fleet.sites());
         for name in &self.lose {
-            let names = || fleet.tables.site.iter().map(|s| s.name.as_str()).collect::<Vec<_>>().join(", ");
-            let site = fleet.site(name).ok_or_else(|| CommandError::NoSite(name.clone(), names()))?;
+            let names = || {
+                fleet
+                    .tables
+                    .site
+                    .iter()
+                    .map(|s| s.name.as_str())
+                    .collect::<Vec<_>>()
+                    .join(", ")
+            };
+            let site = fleet
+                .site(name)
+                .ok_or_else(|| CommandError::NoSite(name.clone(), names()))?;
             loss.0[site] = match self.part {
                 Part::All => Missing::All,
                 Part::Hosts => Missing::Hosts,
@@ -122,7 +132,11 @@
 
 /// A rate with as many digits as it needs.
 fn rate(v: f64) -> String {
-    if v >= 1_000.0 { format!("{:.0}", v) } else { format!("{v:.1}") }
+    if v >= 1_000.0 {
+        format!("{:.0}", v)
+    } else {
+        format!("{v:.1}")
+    }
 }
 
 fn title(fleet: &Fleet, loss: &Loss) -> String {
@@ -137,7 +151,11 @@
         }
     };
     let parts: Vec<String> = loss.0.iter().enumerate().filter_map(part).collect();
-    if parts.is_empty() { "Nothing is lost".into() } else { format!("Loss of {}", parts.join(" and ")) }
+    if parts.is_empty() {
+        "Nothing is lost".into()
+    } else {
+        format!("Loss of {}", parts.join(" and "))
+    }
 }
 
 /// The plan for a loss in words and figures; empty if none was made.
@@ -150,11 +168,19 @@
     let mut line = |text: String| {
         let _ = writeln!(out, "{}", text.trim_end());
     };
-    line(format!("{}. Plans {:016x}.", title(fleet, &plan.loss), plans.fingerprint()));
+    line(format!(
+        "{}. Plans {:016x}.",
+        title(fleet, &plan.loss),
+        plans.fingerprint()
+    ));
     if plan.loss != *loss {
         line("Where more than one site is touched, what is touched counts as lost whole.".into());
     }
-    let kept = if plan.worth_asked > 0.0 { plan.worth_kept / plan.worth_asked } else { 1.0 };
+    let kept = if plan.worth_asked > 0.0 {
+        plan.worth_kept / plan.worth_asked
+    } else {
+        1.0
+    };
     line(format!(
         "Worth kept: {:.1} of {:.1} a second, {:.1}%. Ways cost {:.1} a second.",
         plan.worth_kept,
@@ -181,7 +207,11 @@
         let full: Vec<String> = plan.scarce().iter().map(|l| l.limit.name(fleet)).collect();
         line(format!(
             "  what is full: {}",
-            if full.is_empty() { "no way leads there".into() } else { full.join(", ") }
+            if full.is_empty() {
+                "no way leads there".into()
+            } else {
+                full.join(", ")
+            }
         ));
     }
 
@@ -194,7 +224,12 @@
         percent(fleet.tables.fill)
     ));
     for s in 0..fleet.sites() {
-        for limit in [Limit::Read(s), Limit::ReadMemory(s), Limit::Write(s), Limit::WriteMemory(s)] {
+        for limit in [
+            Limit::Read(s),
+            Limit::ReadMemory(s),
+            Limit::Write(s),
+            Limit::WriteMemory(s),
+        ] {
             let (before, after) = (usual.load(limit), plan.load(limit));
             let Some(before) = before else { continue };
             let what = limit.name(fleet);
@@ -205,7 +240,10 @@
                 if l.price < 0.5 {
                     "   full".into()
                 } else if plan.shortfalls.is_empty() {
-                    format!("   full: 1% more keeps {:.2} worth a second", l.price / 100.0)
+                    format!(
+                        "   full: 1% more keeps {:.2} worth a second",
+                        l.price / 100.0
+                    )
                 } else {
                     "   full: it holds guaranteed shares back".into()
                 }
@@ -219,7 +257,11 @@
             ));
         }
     }
-    for l in plan.loads.iter().filter(|l| matches!(l.limit, Limit::Link(..))) {
+    for l in plan
+        .loads
+        .iter()
+        .filter(|l| matches!(l.limit, Limit::Link(..)))
+    {
         let before = usual.load(l.limit).map_or(0.0, |b| b.part());
         if l.part() > 0.0005 || before > 0.0005 {
             let full = if l.price > 1e-6 { "   full" } else { "" };
@@ -233,9 +275,18 @@
         }
     }
 
-    for (site, _) in plan.loss.0.iter().enumerate().filter(|(_, m)| **m != Missing::Nothing) {
+    for (site, _) in plan
+        .loss
+        .0
+        .iter()
+        .enumerate()
+        .filter(|(_, m)| **m != Missing::Nothing)
+    {
         line(String::new());
-        line(format!("WHERE THE CLIENTS OF {} GO", fleet.site_name(site).to_uppercase()));
+        line(format!(
+            "WHERE THE CLIENTS OF {} GO",
+            fleet.site_name(site).to_uppercase()
+        ));
         let falls = plan.falls(fleet, site);
         for (c, class) in fleet.tables.classes.iter().enumerate() {
             let asks: f64 = fleet.demand[c].iter().map(|t| t[site]).sum();
@@ -278,11 +329,21 @@
     }
 
     line(String::new());
-    line("REFUSED, FIRST TO LAST                        refused   of asked   worth over price".into());
+    line(
+        "REFUSED, FIRST TO LAST                        refused   of asked   worth over price"
+            .into(),
+    );
     for (i, r) in plan.order.iter().enumerate() {
-        let whose = if r.guaranteed { "guaranteed" } else { "beyond guarantees" };
-        let ratio =
-            if r.ratio > 1e3 || !plan.shortfalls.is_empty() { "-".into() } else { format!("{:.2}", r.ratio) };
+        let whose = if r.guaranteed {
+            "guaranteed"
+        } else {
+            "beyond guarantees"
+        };
+        let ratio = if r.ratio > 1e3 || !plan.shortfalls.is_empty() {
+            "-".into()
+        } else {
+            format!("{:.2}", r.ratio)
+        };
         line(format!(
             "  {:>2}. {:<40}{:>8}{:>9}/s{:>14}",
             i + 1,
@@ -295,7 +356,9 @@
     line("  never: unsafe work in hand, and whatever else was taken before".into());
 
     if loss.0.iter().any(|m| *m != Missing::Nothing) {
-        let most = plans.most(&Loss::none(fleet.sites())).unwrap_or_else(|| usual.course.clone());
+        let most = plans
+            .most(&Loss::none(fleet.sites()))
+            .unwrap_or_else(|| usual.course.clone());
         let first = plans.between(&plan.loss, &[&most], &plan.course);
         line(String::new());
         line("UNTIL ALL CONDUCTORS HAVE AGREED".into());
@@ -304,10 +367,19 @@
             plans.worth(&plan.loss, &first)
         ));
     }
-    for (site, _) in plan.loss.0.iter().enumerate().filter(|(_, m)| m.hosts_left() < 1.0) {
+    for (site, _) in plan
+        .loss
+        .0
+        .iter()
+        .enumerate()
+        .filter(|(_, m)| m.hosts_left() < 1.0)
+    {
         let (watch, set) = (&fleet.tables.watch, &fleet.tables.ramp);
         line(String::new());
-        line(format!("THE RETURN OF {}", fleet.site_name(site).to_uppercase()));
+        line(format!(
+            "THE RETURN OF {}",
+            fleet.site_name(site).to_uppercase()
+        ));
         line(format!(
             "  first all signs are good for {:.1} s; each loss during or soon after a return doubles that, up to {:.1} s",
             watch.hold_down_ms as f64 / 1e3,
@@ -315,7 +387,12 @@
         ));
         line("  step   its hosts' part of their usual load   not before".into());
         for (k, step) in ramp::steps(fleet, site).iter().enumerate() {
-            line(format!("  {:>4}   {:>36}   {:>7.1} s", k + 1, percent(step.share), step.at_s));
+            line(format!(
+                "  {:>4}   {:>36}   {:>7.1} s",
+                k + 1,
+                percent(step.share),
+                step.at_s
+            ));
         }
         line(format!(
             "  each step is held {:.1} s, first tokens late {} and turned away {} at most; else back at once to the last one",
@@ -348,26 +425,49 @@
         (20.0, 48.0),
         12.0,
         "start",
-        &format!("worth kept {:.1} of {:.1} a second", plan.worth_kept, plan.worth_asked),
+        &format!(
+            "worth kept {:.1} of {:.1} a second",
+            plan.worth_kept, plan.worth_asked
+        ),
     );
     draw_loads(&mut svg, fleet, usual, plan, top);
     draw_ways(&mut svg, fleet, plan, (560.0, top, loads_height));
     draw_order(&mut svg, fleet, plan, top + loads_height);
-    draw_return(&mut svg, fleet, plan, (560.0, top + loads_height, order_height.max(170.0)));
+    draw_return(
+        &mut svg,
+        fleet,
+        plan,
+        (560.0, top + loads_height, order_height.max(170.0)),
+    );
     svg.finish()
 }
 
 fn draw_loads(svg: &mut Svg, fleet: &Fleet, usual: &Plan, plan: &Plan, top: f64) {
-    svg.text((20.0, top + 14.0), 13.0, "start", "Load before (light) and after (dark)");
+    svg.text(
+        (20.0, top + 14.0),
+        13.0,
+        "start",
+        "Load before (light) and after (dark)",
+    );
     let (left, width) = (190.0, 300.0);
     for s in 0..fleet.sites() {
         let y = top + 28.0 + s as f64 * 74.0;
         svg.text((20.0, y + 14.0), 13.0, "start", fleet.site_name(s));
-        let limits = [Limit::Read(s), Limit::ReadMemory(s), Limit::Write(s), Limit::WriteMemory(s)];
+        let limits = [
+            Limit::Read(s),
+            Limit::ReadMemory(s),
+            Limit::Write(s),
+            Limit::WriteMemory(s),
+        ];
         for (i, limit) in limits.into_iter().enumerate() {
             let y = y + i as f64 * 16.0;
             let name = limit.name(fleet);
-            svg.text((left - 6.0, y + 10.0), 10.0, "end", name.split(" at ").next().unwrap_or_default());
+            svg.text(
+                (left - 6.0, y + 10.0),
+                10.0,
+                "end",
+                name.split(" at ").next().unwrap_or_default(),
+            );
             let part = |p: &Plan| p.load(limit).map(|l| l.part().min(1.2));
             svg.rect((left, y), (width * part(usual).unwrap_or(0.0), 5.0), BEFORE);
             match part(plan) {
@@ -381,14 +481,25 @@
 }
 
 fn draw_ways(svg: &mut Svg, fleet: &Fleet, plan: &Plan, (left, top, height): (f64, f64, f64)) {
-    svg.text((left, top + 14.0), 13.0, "start", "Clients of what is lost: in at, read at, written at");
+    svg.text(
+        (left, top + 14.0),
+        13.0,
+        "start",
+        "Clients of what is lost: in at, read at, written at",
+    );
     let n = fleet.sites();
     let place = |column: f64, site: usize| {
-        (left + 30.0 + column * 120.0, top + 50.0 + site as f64 * (height - 70.0) / n as f64)
+        (
+            left + 30.0 + column * 120.0,
+            top + 50.0 + site as f64 * (height - 70.0) / n as f64,
+        )
     };
-    let lost: Vec<usize> = (0..n).filter(|s| plan.loss.0[*s] != Missing::Nothing).collect();
+    let lost: Vec<usize> = (0..n)
+        .filter(|s| plan.loss.0[*s] != Missing::Nothing)
+        .collect();
     // By column, from site, to site.
-    let mut sums: std::collections::BTreeMap<(u8, usize, usize), f64> = std::collections::BTreeMap::new();
+    let mut sums: std::collections::BTreeMap<(u8, usize, usize), f64> =
+        std::collections::BTreeMap::new();
     for site in &lost {
         let falls = plan.falls(fleet, *site);
         for (c, demand) in fleet.demand.iter().enumerate() {
@@ -407,9 +518,22 @@
     }
     let most = sums.values().copied().fold(1e-9, f64::max);
     for ((column, from, to), v) in sums {
-        let (a, b) = (place(f64::from(column), from), place(f64::from(column) + 1.0, to));
-        svg.band(a, b, (v / most * 22.0).max(0.6), if column == 0 { LOST } else { AFTER });
-        svg.text(((a.0 + b.0) / 2.0, (a.1 + b.1) / 2.0 - 3.0), 9.0, "middle", &format!("{}/s", rate(v)));
+        let (a, b) = (
+            place(f64::from(column), from),
+            place(f64::from(column) + 1.0, to),
+        );
+        svg.band(
+            a,
+            b,
+            (v / most * 22.0).max(0.6),
+            if column == 0 { LOST } else { AFTER },
+        );
+        svg.text(
+            ((a.0 + b.0) / 2.0, (a.1 + b.1) / 2.0 - 3.0),
+            9.0,
+            "middle",
+            &format!("{}/s", rate(v)),
+        );
     }
     for column in 0..4 {
         for s in (0..n).filter(|s| match column {
@@ -424,7 +548,12 @@
 }
 
 fn draw_order(svg: &mut Svg, fleet: &Fleet, plan: &Plan, top: f64) {
-    svg.text((20.0, top + 14.0), 13.0, "start", "Refused, first to last (of what is asked, a second)");
+    svg.text(
+        (20.0, top + 14.0),
+        13.0,
+        "start",
+        "Refused, first to last (of what is asked, a second)",
+    );
     let most = plan.order.iter().map(|r| r.asked).fold(1e-9, f64::max);
     for (i, r) in plan.order.iter().take(24).enumerate() {
         let y = top + 28.0 + i as f64 * 18.0;
@@ -433,12 +562,19 @@
         svg.text((214.0, y + 10.0), 10.0, "end", &name);
         svg.rect((220.0, y), (240.0 * r.asked / most, 12.0), BEFORE);
         svg.rect((220.0, y), (240.0 * r.refused / most, 12.0), LOST);
-        svg.text((466.0, y + 10.0), 9.0, "start", &format!("{} of {}", rate(r.refused), rate(r.asked)));
+        svg.text(
+            (466.0, y + 10.0),
+            9.0,
+            "start",
+            &format!("{} of {}", rate(r.refused), rate(r.asked)),
+        );
     }
 }
 
 fn draw_return(svg: &mut Svg, fleet: &Fleet, plan: &Plan, (left, top, height): (f64, f64, f64)) {
-    let Some(site) = (0..fleet.sites()).find(|s| plan.loss.0[*s].hosts_left() < 1.0) else { return };
+    let Some(site) = (0..fleet.sites()).find(|s| plan.loss.0[*s].hosts_left() < 1.0) else {
+        return;
+    };
     let steps = ramp::steps(fleet, site);
     let name = fleet.site_name(site);
     svg.text(
@@ -456,7 +592,11 @@
     for (i, step) in steps.iter().enumerate() {
         let until = steps.get(i + 1).map_or(whole, |s| s.at_s);
         let bars = h * step.share;
-        svg.rect((x0 + w * step.at_s / whole, y0 - bars), (w * (until - step.at_s) / whole, bars), AFTER);
+        svg.rect(
+            (x0 + w * step.at_s / whole, y0 - bars),
+            (w * (until - step.at_s) / whole, bars),
+            AFTER,
+        );
     }
     let marks = 40;
     for i in 0..marks {
@@ -467,5 +607,10 @@
         svg.line(at(i), at(i + 1), 1.5, LOST);
     }
     svg.text((x0 + w, y0 + 14.0), 9.0, "end", &format!("{whole:.0} s"));
-    svg.text((x0, y0 + 14.0), 9.0, "start", "0 s; red: what hosts that start then bear");
+    svg.text(
+        (x0, y0 + 14.0),
+        9.0,
+        "start",
+        "0 s; red: what hosts that start then bear",
+    );
 }
--- a/src/fleet/sites/describe.rs
+++ b/src/fleet/sites/describe.rs
@@ -5,8 +5,13 @@
 use std::collections::BTreeMap;
 
 /// The most sites, hosts' rows, classes, tenants and rows of demand that a file may name.
-const MOST: [(&str, usize); 5] =
-    [("site", 16), ("hosts", 256), ("classes", 32), ("tenants", 128), ("demand", 4096)];
+const MOST: [(&str, usize); 5] = [
+    ("site", 16),
+    ("hosts", 256),
+    ("classes", 32),
+    ("tenants", 128),
+    ("demand", 4096),
+];
 
 /// The longest time that hosts may take to be warm, in seconds: it bounds the steps of a return.
 const MOST_COLD_S: f64 = 1_800.0;
@@ -297,10 +302,14 @@
     /// Names the row and the field at fault.
     pub fn from_toml(text: &str, settings: &ModuleSettings) -> Result<Self, DescribeError> {
         let file: File = toml::from_str(text).map_err(|e| {
-            let line = e.span().map_or(0, |s| text[..s.start.min(text.len())].lines().count().max(1));
+            let line = e.span().map_or(0, |s| {
+                text[..s.start.min(text.len())].lines().count().max(1)
+            });
             DescribeError(format!("line {line}: {}", e.message().replace('\n', " ")))
         })?;
-        let tables = file.sites.ok_or_else(|| DescribeError("the file has no [sites] tables".into()))?;
+        let tables = file
+            .sites
+            .ok_or_else(|| DescribeError("the file has no [sites] tables".into()))?;
         Self::new(tables, settings)
     }
 
@@ -327,18 +336,30 @@
         }
         let part = |name: &str, value: f64| {
             let fits = value > 0.0 && value <= 1.0;
-            if fits { Ok(()) } else { Err(DescribeError(format!("{name}: {value} is not within 0 to 1"))) }
+            if fits {
+                Ok(())
+            } else {
+                Err(DescribeError(format!(
+                    "{name}: {value} is not within 0 to 1"
+                )))
+            }
         };
         part("fill", tables.fill)?;
         part("ramp.cold_part", tables.ramp.cold_part)?;
         let plain = |name: String, value: f64| {
             let fits = value.is_finite() && value >= 0.0;
-            if fits { Ok(value) } else { Err(DescribeError(format!("{name}: {value} can't be used"))) }
+            if fits {
+                Ok(value)
+            } else {
+                Err(DescribeError(format!("{name}: {value} can't be used")))
+            }
         };
         plain("hold_s".into(), tables.hold_s)?;
         plain("price_per_ms".into(), tables.price_per_ms)?;
         plain("price_per_1000_tokens".into(), tables.price_per_1000_tokens)?;
-        if !(1..=100).contains(&tables.ramp.steps) || !(100..=600_000).contains(&tables.ramp.step_ms) {
+        if !(1..=100).contains(&tables.ramp.steps)
+            || !(100..=600_000).contains(&tables.ramp.step_ms)
+        {
             return fault("ramp: 1 to 100 steps of 100 ms to 10 minutes are needed".into());
         }
         unique("site", tables.site.iter().map(|s| s.name.as_str()))?;
@@ -360,7 +381,13 @@
                 plain(format!("site {}: falls_to.{to}", s.name), *parts)?;
             }
         }
-        let mut capacity = vec![Capacity { cold_from: 1.0, ..Capacity::default() }; n];
+        let mut capacity = vec![
+            Capacity {
+                cold_from: 1.0,
+                ..Capacity::default()
+            };
+            n
+        ];
         let mut weights = vec![[0.0_f64; 2]; n]; // slots of readers and of writers: to average their speeds
         for h in &tables.hosts {
             let row = format!("hosts {} at {}", h.kind, h.site);
@@ -381,12 +408,23 @@
             }
             let count = f64::from(h.count);
             let slots = f64::from(h.slots);
-            let read = if reads { [count * h.tokens_per_s, count * h.memory_tokens] } else { [0.0; 2] };
-            let write =
-                if writes { [count * slots * 1e3 / h.token_ms, count * h.memory_tokens] } else { [0.0; 2] };
+            let read = if reads {
+                [count * h.tokens_per_s, count * h.memory_tokens]
+            } else {
+                [0.0; 2]
+            };
+            let write = if writes {
+                [count * slots * 1e3 / h.token_ms, count * h.memory_tokens]
+            } else {
+                [0.0; 2]
+            };
             let c = &mut capacity[at];
             if role == Role::Mixed {
-                for (sum, v) in c.mixed.iter_mut().zip([read[0], read[1], write[0], write[1]]) {
+                for (sum, v) in c
+                    .mixed
+                    .iter_mut()
+                    .zip([read[0], read[1], write[0], write[1]])
+                {
                     *sum += v;
                 }
             } else {
@@ -404,9 +442,16 @@
                 w[1] += count * slots;
                 c.token_s += count * slots * h.token_ms / 1e3;
             }
-            let from = h.cold_from.unwrap_or(if settings.cold > 0 { settings.cold_from } else { 1.0 });
+            let from = h.cold_from.unwrap_or(if settings.cold > 0 {
+                settings.cold_from
+            } else {
+                1.0
+            });
             part(&format!("{row}: cold_from"), from)?;
-            let cold_s = plain(format!("{row}: cold_s"), h.cold_s.unwrap_or(settings.cold as f64 / 1e6))?;
+            let cold_s = plain(
+                format!("{row}: cold_s"),
+                h.cold_s.unwrap_or(settings.cold as f64 / 1e6),
+            )?;
             if cold_s > MOST_COLD_S {
                 return fault(format!("{row}: cold_s: {cold_s} is over {MOST_COLD_S}"));
             }
@@ -420,14 +465,23 @@
         let mut worth = Vec::new();
         for c in &tables.classes {
             let row = format!("classes {}", c.name);
-            let set = settings.classes.iter().find(|s| s.name == c.name).map(|s| s.worth);
+            let set = settings
+                .classes
+                .iter()
+                .find(|s| s.name == c.name)
+                .map(|s| s.worth);
             let Some(w) = c.worth.or(set) else {
-                return fault(format!("{row}: worth is missing, and settings.classes has none of that name"));
+                return fault(format!(
+                    "{row}: worth is missing, and settings.classes has none of that name"
+                ));
             };
             worth.push(plain(format!("{row}: worth"), w)?);
             plain(format!("{row}: prompt_tokens"), c.prompt_tokens)?;
             plain(format!("{row}: answer_tokens"), c.answer_tokens)?;
-            for (name, v) in [("kept", c.kept), ("kept_moved", c.kept_moved.unwrap_or(0.0))] {
+            for (name, v) in [
+                ("kept", c.kept),
+                ("kept_moved", c.kept_moved.unwrap_or(0.0)),
+            ] {
                 if !(0.0..=1.0).contains(&v) {
                     return fault(format!("{row}: {name}: {v} is not within 0 to 1"));
                 }
@@ -440,16 +494,21 @@
                 return fault("tenants: a name is empty".into());
             }
             tenants.push(t.name.clone());
-            guaranteed.push(plain(format!("tenants {}: guaranteed_per_s", t.name), t.guaranteed_per_s)?);
+            guaranteed.push(plain(
+                format!("tenants {}: guaranteed_per_s", t.name),
+                t.guaranteed_per_s,
+            )?);
         }
         let mut demand = vec![vec![vec![0.0; n]; tenants.len()]; tables.classes.len()];
         for d in &tables.demand {
             let row = format!("demand of {} at {}", d.class, d.site);
             let class = tables.classes.iter().position(|c| c.name == d.class);
-            let class = class.ok_or_else(|| DescribeError(format!("{row}: there is no such class")))?;
+            let class =
+                class.ok_or_else(|| DescribeError(format!("{row}: there is no such class")))?;
             let tenant = tenants.iter().position(|t| *t == d.tenant);
-            let tenant =
-                tenant.ok_or_else(|| DescribeError(format!("{row}: there is no tenant {:?}", d.tenant)))?;
+            let tenant = tenant.ok_or_else(|| {
+                DescribeError(format!("{row}: there is no tenant {:?}", d.tenant))
+            })?;
             demand[class][tenant][site(&row, &d.site)?] += plain(format!("{row}: per_s"), d.per_s)?;
         }
         let mut links = vec![vec![None; n]; n];
@@ -464,9 +523,19 @@
             links[a][b] = Some((rate, delay));
             links[b][a] = links[a][b];
         }
-        let bytes = postcard::to_stdvec(&(&tables, &worth)).map_err(|e| DescribeError(e.to_string()))?;
+        let bytes =
+            postcard::to_stdvec(&(&tables, &worth)).map_err(|e| DescribeError(e.to_string()))?;
         let fingerprint = xxhash_rust::xxh3::xxh3_64(&bytes);
-        Ok(Fleet { tables, capacity, worth, tenants, guaranteed, demand, links, fingerprint })
+        Ok(Fleet {
+            tables,
+            capacity,
+            worth,
+            tenants,
+            guaranteed,
+            demand,
+            links,
+            fingerprint,
+        })
     }
 
     /// Number of sites.
@@ -492,7 +561,11 @@
     /// The part of its capacity that a returning site bears this many seconds after its coldest host started.
     pub fn bears(&self, site: usize, seconds: f64) -> f64 {
         let c = &self.capacity[site];
-        if seconds >= c.cold_s { 1.0 } else { c.cold_from + (1.0 - c.cold_from) * seconds / c.cold_s }
+        if seconds >= c.cold_s {
+            1.0
+        } else {
+            c.cold_from + (1.0 - c.cold_from) * seconds / c.cold_s
+        }
     }
 }
 
@@ -500,7 +573,9 @@
     let mut seen = std::collections::BTreeSet::new();
     for name in names {
         if name.is_empty() || !seen.insert(name) {
-            return Err(DescribeError(format!("{row}: the name {name:?} is empty or there twice")));
+            return Err(DescribeError(format!(
+                "{row}: the name {name:?} is empty or there twice"
+            )));
         }
     }
     Ok(())
@@ -511,9 +586,20 @@
         Some("read") => Ok(Role::Reader),
         Some("write") => Ok(Role::Writer),
         Some("mixed") => Ok(Role::Mixed),
-        Some(other) => Err(format!("hosts {}: role {other:?} is none of read, write and mixed", hosts.kind)),
-        None => settings.kinds.iter().find(|k| k.name == hosts.kind).map(|k| k.role).ok_or_else(|| {
-            format!("hosts {}: role is missing, and settings.skus has no such kind", hosts.kind)
-        }),
+        Some(other) => Err(format!(
+            "hosts {}: role {other:?} is none of read, write and mixed",
+            hosts.kind
+        )),
+        None => settings
+            .kinds
+            .iter()
+            .find(|k| k.name == hosts.kind)
+            .map(|k| k.role)
+            .ok_or_else(|| {
+                format!(
+                    "hosts {}: role is missing, and settings.skus has no such kind",
+                    hosts.kind
+                )
+            }),
     }
 }
--- a/src/fleet/sites/epoch.rs
+++ b/src/fleet/sites/epoch.rs
@@ -76,11 +76,16 @@
         let fleet = plans.fleet();
         let site = |site: usize| {
             let shares = ramp::steps(fleet, site).into_iter();
-            let shares = shares.map(|s| (s.share * f64::from(WHOLE)).floor() as u32).collect();
+            let shares = shares
+                .map(|s| (s.share * f64::from(WHOLE)).floor() as u32)
+                .collect();
             Ok((SiteName::try_from(fleet.site_name(site))?, shares))
         };
         let sites = (0..fleet.sites()).map(site).collect::<Result<_, _>>()?;
-        Ok(Command::Plans { plans: plans.fingerprint(), sites })
+        Ok(Command::Plans {
+            plans: plans.fingerprint(),
+            sites,
+        })
     }
 }
 
@@ -219,7 +224,11 @@
 
     /// What a site has said is missing of another.
     pub fn said(&self, by: usize, of: usize) -> Missing {
-        self.rows.get(of).and_then(|r| r.said.get(&by)).copied().unwrap_or_default()
+        self.rows
+            .get(of)
+            .and_then(|r| r.said.get(&by))
+            .copied()
+            .unwrap_or_default()
     }
 
     /// Whether all conductors have stepped to where the last change leads.
@@ -242,7 +251,10 @@
             return Ok(courses);
         }
         let mut stands = self.chain.iter();
-        let first = stands.next().cloned().unwrap_or_else(|| Stand::sound(self.rows.len()));
+        let first = stands
+            .next()
+            .cloned()
+            .unwrap_or_else(|| Stand::sound(self.rows.len()));
         let (mut plan, most) = first.courses(plans)?;
         let mut in_force = vec![most.clone()];
         let mut here = most;
@@ -251,7 +263,11 @@
             let loss = stand.loss();
             let from: Vec<&Course> = in_force.iter().collect();
             here = plans.between(&loss, &from, &to_most);
-            plan = if here == to_most { to_plan } else { here.clone() };
+            plan = if here == to_most {
+                to_plan
+            } else {
+                here.clone()
+            };
             in_force.push(here.clone());
         }
         let courses = (plan, here);
@@ -263,7 +279,12 @@
     pub fn apply(&mut self, command: Command, out: &mut Vec<Effect>) {
         let applied = match &command {
             Command::Plans { plans, sites } => self.install(*plans, sites, out),
-            Command::Say { by, of, missing, plans } => self.say(by, of, *missing, *plans, out),
+            Command::Say {
+                by,
+                of,
+                missing,
+                plans,
+            } => self.say(by, of, *missing, *plans, out),
             Command::Settle { epoch } => self.settle(*epoch, out),
             Command::Step { epoch, site } => self.pace(*epoch, site, out, |row, last| match row {
                 Standing::Returning { step, held, .. } if *step == *held && *step < last => {
@@ -283,7 +304,9 @@
                 _ => false,
             }),
             Command::Back { epoch, site } => self.pace(*epoch, site, out, |row, _| match row {
-                Standing::Returning { step, held, backs, .. } if *step > *held => {
+                Standing::Returning {
+                    step, held, backs, ..
+                } if *step > *held => {
                     *step = *held;
                     *backs = backs.saturating_add(1);
                     true
@@ -300,10 +323,18 @@
         self.names.iter().position(|n| n == name)
     }
 
-    fn install(&mut self, plans: u64, sites: &[(SiteName, Vec<u32>)], out: &mut Vec<Effect>) -> bool {
-        let sound = self.rows.iter().all(|r| r.standing == Standing::Sound) && self.chain.len() <= 1;
+    fn install(
+        &mut self,
+        plans: u64,
+        sites: &[(SiteName, Vec<u32>)],
+        out: &mut Vec<Effect>,
+    ) -> bool {
+        let sound =
+            self.rows.iter().all(|r| r.standing == Standing::Sound) && self.chain.len() <= 1;
         let bounded = (2..=MOST_SITES).contains(&sites.len())
-            && sites.iter().all(|(_, steps)| !steps.is_empty() && steps.len() <= MOST_STEPS);
+            && sites
+                .iter()
+                .all(|(_, steps)| !steps.is_empty() && steps.len() <= MOST_STEPS);
         if !sound || !bounded || plans == self.plans {
             return false;
         }
@@ -325,7 +356,9 @@
         plans: u64,
         out: &mut Vec<Effect>,
     ) -> bool {
-        let (Some(by), Some(of)) = (self.number(by), self.number(of)) else { return false };
+        let (Some(by), Some(of)) = (self.number(by), self.number(of)) else {
+            return false;
+        };
         if by == of || plans != self.plans {
             return false;
         }
@@ -353,7 +386,9 @@
         out: &mut Vec<Effect>,
         change: impl Fn(&mut Standing, u16) -> bool,
     ) -> bool {
-        let Some(site) = self.number(site) else { return false };
+        let Some(site) = self.number(site) else {
+            return false;
+        };
         // A step back may be agreed on before all have stepped up.
         if epoch != self.epoch || self.chain.len() >= MOST_CHANGES {
             return false;
@@ -372,14 +407,21 @@
 
     /// What a majority of the sites that are not missing themselves says is missing of a site.
     fn agreed(&self, of: usize) -> Missing {
-        let whole = |site: usize| !matches!(self.rows[site].standing, Standing::Lost(m) if m.entries());
-        let voices: Vec<usize> = (0..self.rows.len()).filter(|s| *s != of && whole(*s)).collect();
+        let whole =
+            |site: usize| !matches!(self.rows[site].standing, Standing::Lost(m) if m.entries());
+        let voices: Vec<usize> = (0..self.rows.len())
+            .filter(|s| *s != of && whole(*s))
+            .collect();
         let most = |says: &dyn Fn(Missing) -> bool| {
             let count = voices.iter().filter(|by| says(self.said(**by, of))).count();
             count > 0 && count * 2 > voices.len()
         };
         let entries = most(&|m| m.entries());
-        match (entries, most(&|m| m.hosts_left() <= 0.0), most(&|m| m.hosts_left() < 1.0)) {
+        match (
+            entries,
+            most(&|m| m.hosts_left() <= 0.0),
+            most(&|m| m.hosts_left() < 1.0),
+        ) {
             (true, true, _) => Missing::All,
             // Nobody says of hosts that half of them serves while the conductors are gone: it counts as the whole.
             (true, false, true) => Missing::All,
@@ -404,7 +446,8 @@
                 .enumerate()
                 .any(|(s, r)| s != site && matches!(r.standing, Standing::Returning { .. }));
             let to = match (self.rows[site].standing, agreed) {
-                (Standing::Sound, Missing::Nothing) | (Standing::Returning { .. }, Missing::Nothing) => {
+                (Standing::Sound, Missing::Nothing)
+                | (Standing::Returning { .. }, Missing::Nothing) => {
                     continue;
                 }
                 (Standing::Lost(m), agreed) if m == agreed => continue,
@@ -413,8 +456,17 @@
                     if other_returns {
                         continue;
                     }
-                    let from = if m == Missing::HalfHosts { m } else { Missing::Hosts };
-                    Standing::Returning { from, step: 0, held: 0, backs: 0 }
+                    let from = if m == Missing::HalfHosts {
+                        m
+                    } else {
+                        Missing::Hosts
+                    };
+                    Standing::Returning {
+                        from,
+                        step: 0,
+                        held: 0,
+                        backs: 0,
+                    }
                 }
                 (_, missing) => Standing::Lost(missing),
             };
@@ -425,12 +477,19 @@
     fn stand(&mut self, site: usize, to: Standing, out: &mut Vec<Effect>) {
         let from = std::mem::replace(&mut self.rows[site].standing, to);
         self.epoch += 1;
-        out.push(Effect::Standing { epoch: self.epoch, site: self.names[site].clone(), from, to });
+        out.push(Effect::Standing {
+            epoch: self.epoch,
+            site: self.names[site].clone(),
+            from,
+            to,
+        });
         let of = |(site, row): (usize, &Row)| match row.standing {
             Standing::Sound => (Missing::Nothing, WHOLE),
             Standing::Lost(missing) => (missing, 0),
             Standing::Returning { from, step, .. } => {
-                let share = step.checked_sub(1).and_then(|k| self.steps[site].get(usize::from(k)));
+                let share = step
+                    .checked_sub(1)
+                    .and_then(|k| self.steps[site].get(usize::from(k)));
                 (from, share.copied().unwrap_or(0))
             }
         };
--- a/src/fleet/sites/lp.rs
+++ b/src/fleet/sites/lp.rs
@@ -43,13 +43,19 @@
 
     /// The program whose best values are the prices of this one's rows.
     pub fn dual(&self) -> Program {
-        let mut rows: Vec<(Vec<(usize, f64)>, f64)> =
-            self.objective.iter().map(|worth| (Vec::new(), -worth)).collect();
+        let mut rows: Vec<(Vec<(usize, f64)>, f64)> = self
+            .objective
+            .iter()
+            .map(|worth| (Vec::new(), -worth))
+            .collect();
         for (row, (terms, _)) in self.rows.iter().enumerate() {
             for (variable, value) in terms {
                 rows[*variable].0.push((row, -value));
             }
         }
-        Program { objective: self.rows.iter().map(|(_, limit)| -limit).collect(), rows }
+        Program {
+            objective: self.rows.iter().map(|(_, limit)| -limit).collect(),
+            rows,
+        }
     }
 }
--- a/src/fleet/sites/member.rs
+++ b/src/fleet/sites/member.rs
@@ -126,7 +126,10 @@
     pub fn timeout(&self, now: Micros) -> Option<Micros> {
         let waits = self.differs.iter().any(|d| d.both.is_some()) || self.pacing;
         let own = waits.then_some(now + SPREAD / 2);
-        [self.watch.timeout(now), self.ramp.timeout(now), own].into_iter().flatten().min()
+        [self.watch.timeout(now), self.ramp.timeout(now), own]
+            .into_iter()
+            .flatten()
+            .min()
     }
 
     /// Takes in what has happened.
@@ -146,18 +149,23 @@
             }
             Event::Table(table) => {
                 self.table = *table;
-                self.ramp.handle(now, ramp::Event::Table(self.table.clone()), &mut commands);
+                self.ramp
+                    .handle(now, ramp::Event::Table(self.table.clone()), &mut commands);
             }
             Event::Pacing(pacing) => {
                 self.pacing = pacing;
-                self.ramp.handle(now, ramp::Event::Pacing(pacing), &mut commands);
+                self.ramp
+                    .handle(now, ramp::Event::Pacing(pacing), &mut commands);
             }
             Event::Measured { site, measured } => {
-                self.ramp.handle(now, ramp::Event::Measured { site, measured }, &mut commands);
+                self.ramp
+                    .handle(now, ramp::Event::Measured { site, measured }, &mut commands);
             }
         }
         if self.pacing && self.table.plans() != plans.fingerprint() {
-            let again = self.installed.is_none_or(|at| now.saturating_sub(at) >= self.agree);
+            let again = self
+                .installed
+                .is_none_or(|at| now.saturating_sub(at) >= self.agree);
             if again && let Ok(command) = Command::plans(plans) {
                 self.installed = Some(now);
                 commands.push(command);
@@ -172,7 +180,8 @@
             let back = self.table.standing(site) == Standing::Sound
                 && self.table.said(self.entry, site) == Missing::Nothing;
             if back && self.watch.status(site).0 == Status::Returning {
-                self.watch.handle(now, watch::Event::Whole { site }, &mut seen);
+                self.watch
+                    .handle(now, watch::Event::Whole { site }, &mut seen);
             }
             self.speak(now, site, plans.fingerprint(), &mut commands);
         }
@@ -216,12 +225,19 @@
             _ => self.lost_after,
         };
         let spread = xxh3_64_with_seed(&(site as u64).to_le_bytes(), self.seed) % SPREAD;
-        let again = differs.last.is_none_or(|at| now.saturating_sub(at) >= self.agree);
+        let again = differs
+            .last
+            .is_none_or(|at| now.saturating_sub(at) >= self.agree);
         if now >= since + patience + spread && again {
             differs.last = Some(now);
             let names = self.table.names();
             let (by, of) = (names[self.entry].clone(), names[site].clone());
-            out.push(Command::Say { by, of, missing: sees, plans });
+            out.push(Command::Say {
+                by,
+                of,
+                missing: sees,
+                plans,
+            });
         }
     }
 
@@ -230,25 +246,37 @@
         let sites = self.differs.len();
         let seen = |s| {
             let (status, missing, _) = self.watch.status(s);
-            let matters = matches!(status, Status::Doubted | Status::Lost) && missing.hosts_left() <= 0.0;
-            if matters { (status, missing) } else { (Status::Sound, Missing::Nothing) }
+            let matters =
+                matches!(status, Status::Doubted | Status::Lost) && missing.hosts_left() <= 0.0;
+            if matters {
+                (status, missing)
+            } else {
+                (Status::Sound, Missing::Nothing)
+            }
         };
         let seen = (0..sites).map(seen).collect();
-        let from = Basis { epoch: self.table.epoch(), in_touch: self.in_touch, seen };
+        let from = Basis {
+            epoch: self.table.epoch(),
+            in_touch: self.in_touch,
+            seen,
+        };
         if self.made_from.as_ref() == Some(&from) {
             return;
         }
         if self.table.plans() != plans.fingerprint() {
             // Until the same plans are agreed on, everything goes as ever.
             if self.table.plans() != 0 {
-                out.push(Action::NoPlan("the plans agreed on are others than this conductor's".into()));
+                out.push(Action::NoPlan(
+                    "the plans agreed on are others than this conductor's".into(),
+                ));
             }
             self.made_from = Some(from);
             return;
         }
         match self.course(plans, &from.seen) {
             Ok((plan, most, unusual)) => {
-                let orders = Orders::of(plans, &plan, &most, self.entry, self.table.epoch(), unusual);
+                let orders =
+                    Orders::of(plans, &plan, &most, self.entry, self.table.epoch(), unusual);
                 if orders != self.orders {
                     self.orders = orders.clone();
                     out.push(Action::Orders(Box::new(orders)));
@@ -266,12 +294,16 @@
         seen: &[(Status, Missing)],
     ) -> Result<(Course, Course, bool), PlanError> {
         let (mut plan, mut most) = self.table.courses(plans)?;
-        let Some(stand) = self.table.chain().last() else { return Ok((plan, most, false)) };
+        let Some(stand) = self.table.chain().last() else {
+            return Ok((plan, most, false));
+        };
         let mut loss = stand.loss();
         let usual = loss.0.iter().all(|m| *m == Missing::Nothing) && self.table.settled();
         let mut alone = false;
         for (site, (status, missing)) in seen.iter().enumerate() {
-            if *missing == Missing::Nothing || loss.0[site].hosts_left() <= 0.0 && stand.0[site].1 == 0 {
+            if *missing == Missing::Nothing
+                || loss.0[site].hosts_left() <= 0.0 && stand.0[site].1 == 0
+            {
                 continue;
             }
             alone = true;
--- a/src/fleet/sites/plan.rs
+++ b/src/fleet/sites/plan.rs
@@ -27,7 +27,9 @@
 pub(crate) const SLIGHT: f64 = 1e-6;
 
 /// What is missing of a site.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub enum Missing {
     /// Nothing.
     #[default]
@@ -70,7 +72,17 @@
 
     /// These sites are missing whole.
     pub fn of(sites: usize, lost: &[usize]) -> Self {
-        Loss((0..sites).map(|s| if lost.contains(&s) { Missing::All } else { Missing::Nothing }).collect())
+        Loss(
+            (0..sites)
+                .map(|s| {
+                    if lost.contains(&s) {
+                        Missing::All
+                    } else {
+                        Missing::Nothing
+                    }
+                })
+                .collect(),
+        )
     }
 
     /// The same with another value for one site.
@@ -140,7 +152,11 @@
 impl Load {
     /// The part that is used.
     pub fn part(&self) -> f64 {
-        if self.of > 0.0 { self.used / self.of } else { 0.0 }
+        if self.of > 0.0 {
+            self.used / self.of
+        } else {
+            0.0
+        }
     }
 }
 
@@ -170,7 +186,9 @@
     /// Requests a second of a class that are taken at an entry.
     pub fn taken(&self, class: usize, entry: usize) -> f64 {
         let from = self.at(class, entry, 0, 0);
-        self.rates[from..from + self.sites * self.sites].iter().sum()
+        self.rates[from..from + self.sites * self.sites]
+            .iter()
+            .sum()
     }
 
     /// Requests a second of a class from an entry that are read at each site.
@@ -181,7 +199,9 @@
 
     /// Requests a second of a class from an entry that are written at each site.
     pub fn written_at(&self, class: usize, entry: usize, writer: usize) -> f64 {
-        (0..self.sites).map(|reader| self.rate(class, entry, reader, writer)).sum()
+        (0..self.sites)
+            .map(|reader| self.rate(class, entry, reader, writer))
+            .sum()
     }
 
     /// Every way in use with its rate: class, entry, reading site, writing site, requests a second.
@@ -197,10 +217,14 @@
     /// Part `part` of the way from this course to another: every limit that both keep is kept.
     pub fn toward(&self, other: &Course, part: f64) -> Course {
         let mix = |a: &f64, b: &f64| if part >= 1.0 { *b } else { a + (b - a) * part };
-        let all = |a: &[f64], b: &[f64]| -> Vec<f64> { a.iter().zip(b).map(|(a, b)| mix(a, b)).collect() };
-        let row = |a: &[Vec<f64>], b: &[Vec<f64>]| a.iter().zip(b).map(|(a, b)| all(a, b)).collect();
-        let each =
-            |a: &[Vec<Vec<f64>>], b: &[Vec<Vec<f64>>]| a.iter().zip(b).map(|(a, b)| row(a, b)).collect();
+        let all = |a: &[f64], b: &[f64]| -> Vec<f64> {
+            a.iter().zip(b).map(|(a, b)| mix(a, b)).collect()
+        };
+        let row =
+            |a: &[Vec<f64>], b: &[Vec<f64>]| a.iter().zip(b).map(|(a, b)| all(a, b)).collect();
+        let each = |a: &[Vec<Vec<f64>>], b: &[Vec<Vec<f64>>]| {
+            a.iter().zip(b).map(|(a, b)| row(a, b)).collect()
+        };
         Course {
             sites: self.sites,
             levels: each(&self.levels, &other.levels),
@@ -208,9 +232,12 @@
             rates: all(&self.rates, &other.rates),
             used: (self.used.iter().zip(&other.used))
                 .map(|(a, b)| {
-                    let value = |of: &BTreeMap<Limit, f64>, l: &Limit| of.get(l).copied().unwrap_or(0.0);
+                    let value =
+                        |of: &BTreeMap<Limit, f64>, l: &Limit| of.get(l).copied().unwrap_or(0.0);
                     let limits = a.keys().chain(b.keys());
-                    limits.map(|l| (*l, mix(&value(a, l), &value(b, l)))).collect()
+                    limits
+                        .map(|l| (*l, mix(&value(a, l), &value(b, l))))
+                        .collect()
                 })
                 .collect(),
         }
@@ -219,7 +246,12 @@
     /// The smaller of both on every way: whoever acts by it harms neither.
     fn meet(&self, other: &Course, usage: &Usage) -> Course {
         let mut course = Course {
-            rates: self.rates.iter().zip(&other.rates).map(|(a, b)| a.min(*b)).collect(),
+            rates: self
+                .rates
+                .iter()
+                .zip(&other.rates)
+                .map(|(a, b)| a.min(*b))
+                .collect(),
             used: Vec::new(),
             ..other.clone()
         };
@@ -236,7 +268,10 @@
     /// The same with so many times the requests; what is refused by its hash stays refused.
     fn stretched(mut self, by: f64) -> Course {
         self.rates.iter_mut().for_each(|rate| *rate *= by);
-        self.used.iter_mut().flat_map(|of| of.values_mut()).for_each(|used| *used *= by);
+        self.used
+            .iter_mut()
+            .flat_map(|of| of.values_mut())
+            .for_each(|used| *used *= by);
         self
     }
 
@@ -343,7 +378,9 @@
             let part = if all > 0.0 { moved / all } else { 0.0 };
             class.kept * (1.0 - part) + moved_kept * part
         };
-        let kept = (0..fleet.classes()).map(|c| (0..fleet.sites()).map(|e| kept(c, e)).collect()).collect();
+        let kept = (0..fleet.classes())
+            .map(|c| (0..fleet.sites()).map(|e| kept(c, e)).collect())
+            .collect();
         Usage { fleet, kept }
     }
 
@@ -364,14 +401,19 @@
         let (reads, writes) = (&self.fleet.capacity[reader], &self.fleet.capacity[writer]);
         let unread = c.prompt_tokens * (1.0 - self.kept[class][entry]);
         let link = self.fleet.links[reader][writer].filter(|_| reader != writer);
-        let crossing = link.map_or(0.0, |(rate, delay)| c.prompt_tokens / rate.max(1e-9) + delay / 1e3);
+        let crossing = link.map_or(0.0, |(rate, delay)| {
+            c.prompt_tokens / rate.max(1e-9) + delay / 1e3
+        });
         let held = unread * reads.read_token_s + crossing + self.fleet.tables.hold_s;
         let streams = c.answer_tokens * writes.token_s;
         let mut takes = vec![
             (Limit::Read(reader), unread),
             (Limit::ReadMemory(reader), c.prompt_tokens * held),
             (Limit::Write(writer), c.answer_tokens),
-            (Limit::WriteMemory(writer), (c.prompt_tokens + c.answer_tokens / 2.0) * streams),
+            (
+                Limit::WriteMemory(writer),
+                (c.prompt_tokens + c.answer_tokens / 2.0) * streams,
+            ),
         ];
         if link.is_some() {
             takes.push((Limit::Link(reader, writer), c.prompt_tokens));
@@ -382,10 +424,18 @@
     /// What the way costs in worth; `None` where a link is missing.
     fn price(&self, class: usize, entry: usize, reader: usize, writer: usize) -> Option<f64> {
         let delay = |a: usize, b: usize| {
-            if a == b { Some(0.0) } else { self.fleet.links[a][b].map(|(_, delay)| delay) }
+            if a == b {
+                Some(0.0)
+            } else {
+                self.fleet.links[a][b].map(|(_, delay)| delay)
+            }
         };
         let ms = delay(entry, reader)? + delay(reader, writer)? + delay(writer, entry)?;
-        let state = if reader == writer { 0.0 } else { self.fleet.tables.classes[class].prompt_tokens / 1e3 };
+        let state = if reader == writer {
+            0.0
+        } else {
+            self.fleet.tables.classes[class].prompt_tokens / 1e3
+        };
         Some(ms * self.fleet.tables.price_per_ms + state * self.fleet.tables.price_per_1000_tokens)
     }
 }
@@ -409,8 +459,12 @@
         Room {
             sites: n,
             own: (0..n).map(own).collect(),
-            mixed: (0..n).map(|s| fleet.capacity[s].mixed.map(|v| v * loss.0[s].hosts_left())).collect(),
-            links: (0..n).map(|a| (0..n).map(|b| link(a, b)).collect()).collect(),
+            mixed: (0..n)
+                .map(|s| fleet.capacity[s].mixed.map(|v| v * loss.0[s].hosts_left()))
+                .collect(),
+            links: (0..n)
+                .map(|a| (0..n).map(|b| link(a, b)).collect())
+                .collect(),
         }
     }
 
@@ -434,7 +488,14 @@
 
     fn limits(&self) -> Vec<Limit> {
         let n = self.sites;
-        let of_site = |s| [Limit::Read(s), Limit::ReadMemory(s), Limit::Write(s), Limit::WriteMemory(s)];
+        let of_site = |s| {
+            [
+                Limit::Read(s),
+                Limit::ReadMemory(s),
+                Limit::Write(s),
+                Limit::WriteMemory(s),
+            ]
+        };
         let links = (0..n).flat_map(|a| (0..n).map(move |b| Limit::Link(a, b)));
         let all = (0..n).flat_map(of_site).chain(links);
         all.filter(|l| self.of(*l) > 0.0).collect()
@@ -451,14 +512,25 @@
         for (limit, used) in used {
             let of = self.of(*limit);
             if *used > 0.0 {
-                note(*limit, if of > 0.0 { used / of - fill } else { f64::INFINITY });
+                note(
+                    *limit,
+                    if of > 0.0 {
+                        used / of - fill
+                    } else {
+                        f64::INFINITY
+                    },
+                );
             }
         }
         // Hosts of both stages read for a part of the time and write for the rest.
         for s in 0..self.sites {
             let part = |limit: Limit, k: usize| {
                 let beyond = used.get(&limit).copied().unwrap_or(0.0) - self.own[s][k] * fill;
-                if self.mixed[s][k] > 0.0 { (beyond / self.mixed[s][k]).max(0.0) } else { 0.0 }
+                if self.mixed[s][k] > 0.0 {
+                    (beyond / self.mixed[s][k]).max(0.0)
+                } else {
+                    0.0
+                }
             };
             let reading = part(Limit::Read(s), 0).max(part(Limit::ReadMemory(s), 1));
             let writing = part(Limit::Write(s), 2).max(part(Limit::WriteMemory(s), 3));
@@ -489,8 +561,12 @@
 /// who has not heard of it yet sends there as before.
 pub fn broken_by_mix(fleet: &Fleet, loss: &Loss, courses: &[&Course]) -> Option<(Limit, f64)> {
     let room = Room::new(fleet, loss);
-    let whole = |limit: Limit| Room::place(limit).is_none_or(|(s, _)| loss.0[s].hosts_left() >= 1.0);
-    let there = worst_mix(courses).into_iter().filter(|(limit, _)| whole(*limit)).collect();
+    let whole =
+        |limit: Limit| Room::place(limit).is_none_or(|(s, _)| loss.0[s].hosts_left() >= 1.0);
+    let there = worst_mix(courses)
+        .into_iter()
+        .filter(|(limit, _)| whole(*limit))
+        .collect();
     room.over(&there, fleet.tables.fill)
 }
 
@@ -512,7 +588,11 @@
             open.iter().for_each(|s| to[*s] = 1.0);
         }
         let sum: f64 = to.iter().sum();
-        if sum > 0.0 { to.iter().map(|v| v / sum).collect() } else { to }
+        if sum > 0.0 {
+            to.iter().map(|v| v / sum).collect()
+        } else {
+            to
+        }
     };
     (0..n).map(falls).collect()
 }
@@ -524,7 +604,11 @@
         let at = |e: usize| by_site.iter().zip(&falls).map(|(v, to)| v * to[e]).sum();
         (0..fleet.sites()).map(at).collect()
     };
-    fleet.demand.iter().map(|tenants| tenants.iter().map(enter).collect()).collect()
+    fleet
+        .demand
+        .iter()
+        .map(|tenants| tenants.iter().map(enter).collect())
+        .collect()
 }
 
 /// Makes the plan for a loss.
@@ -534,21 +618,39 @@
 pub fn make(fleet: &Fleet, loss: &Loss) -> Result<Plan, PlanError> {
     let (n, classes, tenants) = (fleet.sites(), fleet.classes(), fleet.tenants.len());
     let fill = fleet.tables.fill;
-    let (usage, room, asked) = (Usage::new(fleet, loss), Room::new(fleet, loss), asked(fleet, loss));
+    let (usage, room, asked) = (
+        Usage::new(fleet, loss),
+        Room::new(fleet, loss),
+        asked(fleet, loss),
+    );
     let total = |c: usize, t: usize| asked[c][t].iter().sum::<f64>();
     // The guaranteed part of each tenant's requests, the same for all its classes.
     let guaranteed: Vec<f64> = (0..tenants)
         .map(|t| {
             let all: f64 = (0..classes).map(|c| total(c, t)).sum();
-            if all > 0.0 { (fleet.guaranteed[t] / all).min(1.0) } else { 0.0 }
+            if all > 0.0 {
+                (fleet.guaranteed[t] / all).min(1.0)
+            } else {
+                0.0
+            }
         })
         .collect();
     let most_worth = fleet.worth.iter().copied().fold(1.0, f64::max);
     let mut program = Program::default();
     // The part taken of each class beyond guarantees, the same for all tenants, and of what each is guaranteed.
-    let rest = |c: usize| (0..tenants).map(|t| total(c, t) * (1.0 - guaranteed[t])).sum::<f64>();
-    let open: Vec<usize> = (0..classes).map(|c| program.variable(fleet.worth[c] * rest(c))).collect();
-    let promise = |c: usize| (0..tenants).map(|t| total(c, t) * guaranteed[t]).sum::<f64>();
+    let rest = |c: usize| {
+        (0..tenants)
+            .map(|t| total(c, t) * (1.0 - guaranteed[t]))
+            .sum::<f64>()
+    };
+    let open: Vec<usize> = (0..classes)
+        .map(|c| program.variable(fleet.worth[c] * rest(c)))
+        .collect();
+    let promise = |c: usize| {
+        (0..tenants)
+            .map(|t| total(c, t) * guaranteed[t])
+            .sum::<f64>()
+    };
     let promised: Vec<usize> = (0..classes)
         .map(|c| program.variable((most_worth * GUARANTEED + fleet.worth[c]) * promise(c)))
         .collect();
@@ -575,7 +677,9 @@
             if coming <= 0.0 {
                 continue;
             }
-            let rest: f64 = (0..tenants).map(|t| asked[c][t][e] * (1.0 - guaranteed[t])).sum();
+            let rest: f64 = (0..tenants)
+                .map(|t| asked[c][t][e] * (1.0 - guaranteed[t]))
+                .sum();
             let promise: f64 = (0..tenants).map(|t| asked[c][t][e] * guaranteed[t]).sum();
             let cut = [
                 program.variable(-fleet.worth[c] * LOCAL),
@@ -584,8 +688,17 @@
             local[c][e] = Some(cut);
             program.limit(vec![(cut[0], 1.0), (open[c], -rest)], 0.0);
             program.limit(vec![(cut[1], 1.0), (promised[c], -promise)], 0.0);
-            let mut terms = vec![(open[c], rest), (promised[c], promise), (cut[0], -1.0), (cut[1], -1.0)];
-            terms.extend(ways.iter().filter(|(w, ..)| w[0] == c && w[1] == e).map(|(_, v, _)| (*v, -1.0)));
+            let mut terms = vec![
+                (open[c], rest),
+                (promised[c], promise),
+                (cut[0], -1.0),
+                (cut[1], -1.0),
+            ];
+            terms.extend(
+                ways.iter()
+                    .filter(|(w, ..)| w[0] == c && w[1] == e)
+                    .map(|(_, v, _)| (*v, -1.0)),
+            );
             balance[c][e] = Some(program.limit(terms, 0.0));
         }
     }
@@ -596,7 +709,10 @@
     let mut terms: BTreeMap<Limit, Vec<(usize, f64)>> = BTreeMap::new();
     for ([c, e, r, w], v, _) in &ways {
         for (limit, takes) in usage.takes(*c, *e, *r, *w) {
-            terms.entry(limit).or_default().push((*v, takes / room.of(limit).max(1e-12)));
+            terms
+                .entry(limit)
+                .or_default()
+                .push((*v, takes / room.of(limit).max(1e-12)));
         }
     }
     let mut price_rows = BTreeMap::new();
@@ -619,22 +735,42 @@
     let values = program.solve().map_err(PlanError::Solver)?;
     let prices = program.dual().solve().map_err(PlanError::Solver)?;
     let value = |program: &Program, values: &[f64]| -> f64 {
-        program.objective.iter().zip(values).map(|(worth, v)| worth * v).sum()
+        program
+            .objective
+            .iter()
+            .zip(values)
+            .map(|(worth, v)| worth * v)
+            .sum()
     };
     // The prices prove the plan: no other is worth more than they say.
     let (kept, proof) = (value(&program, &values), -value(&program.dual(), &prices));
     if (kept - proof).abs() > 1e-4 * kept.abs().max(1.0) {
-        return Err(PlanError::Solver(format!("worth {kept} and its proof {proof} differ")));
+        return Err(PlanError::Solver(format!(
+            "worth {kept} and its proof {proof} differ"
+        )));
     }
 
     let part = |v: usize| round(values[v].clamp(0.0, 1.0));
-    let share = |cut: f64, of: f64| if of > 0.0 { round((1.0 - cut / of).clamp(0.0, 1.0)) } else { 1.0 };
+    let share = |cut: f64, of: f64| {
+        if of > 0.0 {
+            round((1.0 - cut / of).clamp(0.0, 1.0))
+        } else {
+            1.0
+        }
+    };
     // What each entry keeps of the class's level, beyond guarantees and of them.
     let keeps = |c: usize, e: usize| -> [f64; 2] {
-        let Some(cut) = local[c][e] else { return [1.0; 2] };
-        let rest: f64 = (0..tenants).map(|t| asked[c][t][e] * (1.0 - guaranteed[t])).sum();
+        let Some(cut) = local[c][e] else {
+            return [1.0; 2];
+        };
+        let rest: f64 = (0..tenants)
+            .map(|t| asked[c][t][e] * (1.0 - guaranteed[t]))
+            .sum();
         let promise: f64 = (0..tenants).map(|t| asked[c][t][e] * guaranteed[t]).sum();
-        [share(values[cut[0]], rest * part(open[c])), share(values[cut[1]], promise * part(promised[c]))]
+        [
+            share(values[cut[0]], rest * part(open[c])),
+            share(values[cut[1]], promise * part(promised[c])),
+        ]
     };
     let mut levels = vec![vec![vec![0.0; n]; tenants]; classes];
     let mut of_promise = levels.clone();
@@ -650,15 +786,27 @@
         }
     }
     let rates = vec![0.0; classes * n * n * n];
-    let mut course = Course { sites: n, levels, promised: of_promise, rates, used: Vec::new() };
+    let mut course = Course {
+        sites: n,
+        levels,
+        promised: of_promise,
+        rates,
+        used: Vec::new(),
+    };
     for ([c, e, r, w], v, _) in &ways {
         let at = course.at(*c, *e, *r, *w);
-        course.rates[at] = if values[*v] > SLIGHT * 1e-3 { values[*v] } else { 0.0 };
+        course.rates[at] = if values[*v] > SLIGHT * 1e-3 {
+            values[*v]
+        } else {
+            0.0
+        };
     }
     // The solver may leave more way than is taken: every way is cut to what comes.
     for c in 0..classes {
         for e in 0..n {
-            let comes: f64 = (0..tenants).map(|t| asked[c][t][e] * course.levels[c][t][e]).sum();
+            let comes: f64 = (0..tenants)
+                .map(|t| asked[c][t][e] * course.levels[c][t][e])
+                .sum();
             let goes = course.taken(c, e);
             if comes > goes * (1.0 + 10.0 * SLIGHT) + 10.0 * SLIGHT {
                 return Err(PlanError::Broken(format!(
@@ -669,13 +817,19 @@
             }
             let from = course.at(c, e, 0, 0);
             let cut = if goes > comes { comes / goes } else { 1.0 };
-            course.rates[from..from + n * n].iter_mut().for_each(|rate| *rate *= cut);
+            course.rates[from..from + n * n]
+                .iter_mut()
+                .for_each(|rate| *rate *= cut);
         }
     }
     course.used = usage.of(&course);
     let sum = worst_mix(&[&course]);
     if let Some((limit, over)) = room.over(&sum, fill) {
-        return Err(PlanError::Broken(format!("{} by {:.4} of it", limit.name(fleet), over)));
+        return Err(PlanError::Broken(format!(
+            "{} by {:.4} of it",
+            limit.name(fleet),
+            over
+        )));
     }
     let loads: Vec<Load> = (limits.iter())
         .map(|limit| Load {
@@ -689,24 +843,47 @@
     let cost = |c: usize, coming: &dyn Fn(usize) -> f64| {
         let all: f64 = (0..n).map(coming).sum();
         let priced = |e: usize| balance[c][e].map_or(0.0, |row| prices[row]) * coming(e);
-        if all > 0.0 { (0..n).map(priced).sum::<f64>() / all } else { 0.0 }
+        if all > 0.0 {
+            (0..n).map(priced).sum::<f64>() / all
+        } else {
+            0.0
+        }
     };
     // Where nothing is scarce the fullest stage stands in: the next thing to be scarce.
     let fullest = loads.iter().max_by(|a, b| a.part().total_cmp(&b.part()));
     let next = |c: usize| -> f64 {
         let of_stage = |limit: Limit| fullest.is_some_and(|f| same_stage(f.limit, limit));
-        let takes = (0..n).map(|s| usage.takes(c, s, s, s).into_iter().find(|(l, _)| of_stage(*l)));
-        takes.flatten().map(|(limit, takes)| takes / room.of(limit).max(1.0)).fold(0.0, f64::max)
+        let takes = (0..n).map(|s| {
+            usage
+                .takes(c, s, s, s)
+                .into_iter()
+                .find(|(l, _)| of_stage(*l))
+        });
+        takes
+            .flatten()
+            .map(|(limit, takes)| takes / room.of(limit).max(1.0))
+            .fold(0.0, f64::max)
     };
-    let scarce = prices.iter().zip(&program.rows).any(|(p, (_, limit))| *p > SLIGHT && *limit == fill);
+    let scarce = prices
+        .iter()
+        .zip(&program.rows)
+        .any(|(p, (_, limit))| *p > SLIGHT && *limit == fill);
     let ratio = |c: usize, cost: f64| {
         let worth = fleet.worth[c];
-        if scarce { worth / cost.max(1e-9) } else { 2.0 + worth / next(c).max(1e-9) }
+        if scarce {
+            worth / cost.max(1e-9)
+        } else {
+            2.0 + worth / next(c).max(1e-9)
+        }
     };
     let mut order = Vec::new();
     let mut shortfalls = Vec::new();
     for c in 0..classes {
-        let coming = |e: usize| (0..tenants).map(|t| asked[c][t][e] * (1.0 - guaranteed[t])).sum::<f64>();
+        let coming = |e: usize| {
+            (0..tenants)
+                .map(|t| asked[c][t][e] * (1.0 - guaranteed[t]))
+                .sum::<f64>()
+        };
         let refused = |t: usize, taken: &dyn Fn(usize) -> f64, part: f64| -> f64 {
             let refused: f64 = (0..n).map(|e| asked[c][t][e] * (part - taken(e))).sum();
             if refused < SLIGHT { 0.0 } else { refused }
@@ -718,7 +895,13 @@
             };
             let refused = (0..tenants).map(rest_of).sum();
             let ratio = ratio(c, cost(c, &coming));
-            order.push(Refusal { class: c, guaranteed: false, asked: rest(c), refused, ratio });
+            order.push(Refusal {
+                class: c,
+                guaranteed: false,
+                asked: rest(c),
+                refused,
+                ratio,
+            });
         }
         let mut all = 0.0;
         for t in 0..tenants {
@@ -726,13 +909,28 @@
             all += short;
             if short > 0.0 {
                 let guaranteed = total(c, t) * guaranteed[t];
-                shortfalls.push(Shortfall { tenant: t, class: c, guaranteed, short });
+                shortfalls.push(Shortfall {
+                    tenant: t,
+                    class: c,
+                    guaranteed,
+                    short,
+                });
             }
         }
         if promise(c) > 0.0 {
-            let coming = |e: usize| (0..tenants).map(|t| asked[c][t][e] * guaranteed[t]).sum::<f64>();
+            let coming = |e: usize| {
+                (0..tenants)
+                    .map(|t| asked[c][t][e] * guaranteed[t])
+                    .sum::<f64>()
+            };
             let ratio = ratio(c, cost(c, &coming));
-            order.push(Refusal { class: c, guaranteed: true, asked: promise(c), refused: all, ratio });
+            order.push(Refusal {
+                class: c,
+                guaranteed: true,
+                asked: promise(c),
+                refused: all,
+                ratio,
+            });
         }
     }
     order.sort_by(|a, b| {
@@ -749,7 +947,10 @@
         (0..classes).map(class).sum()
     };
     let worth_kept = worth(&|c, t, e| course.levels[c][t][e]);
-    let crossings = ways.iter().map(|([c, e, r, w], _, price)| price * course.rate(*c, *e, *r, *w)).sum();
+    let crossings = ways
+        .iter()
+        .map(|([c, e, r, w], _, price)| price * course.rate(*c, *e, *r, *w))
+        .sum();
     let worth_asked = worth(&|_, _, _| 1.0);
     Ok(Plan {
         loss: loss.clone(),
@@ -854,7 +1055,12 @@
             }
         }
         let fingerprint = xxhash_rust::xxh3::xxh3_64(&bytes);
-        Ok(Plans { fleet, plans, fingerprint, worked_out: VecDeque::new() })
+        Ok(Plans {
+            fleet,
+            plans,
+            fingerprint,
+            worked_out: VecDeque::new(),
+        })
     }
 
     /// The fleet that they are made for.
@@ -882,7 +1088,9 @@
             let plan = make(&self.fleet, &loss)?;
             self.plans.insert(loss.clone(), plan);
         }
-        self.plans.get(&loss).ok_or_else(|| PlanError::Solver("no plan".into()))
+        self.plans
+            .get(&loss)
+            .ok_or_else(|| PlanError::Solver("no plan".into()))
     }
 
     /// All plans.
@@ -900,14 +1108,20 @@
             let more = used.iter().map(|(limit, v)| (*limit, v * by)).collect();
             room.over(&more, self.fleet.tables.fill).is_none()
         };
-        Some(plan.course.clone().stretched(widest(1.0, MOST_STRETCH, fits)))
+        Some(
+            plan.course
+                .clone()
+                .stretched(widest(1.0, MOST_STRETCH, fits)),
+        )
     }
 
     /// The course on the way to another while `loss` is missing: with conductors at any of `from` and here in any
     /// mix no limit is broken, nor with conductors here and at `to`. As far toward `to` as that allows.
     pub fn between(&self, loss: &Loss, from: &[&Course], to: &Course) -> Course {
         let usage = Usage::new(&self.fleet, loss);
-        let meet = from.iter().fold(to.clone(), |meet, course| course.meet(&meet, &usage));
+        let meet = from
+            .iter()
+            .fold(to.clone(), |meet, course| course.meet(&meet, &usage));
         let fits = |part: f64| {
             let here = meet.toward(to, part);
             let courses: Vec<&Course> = from.iter().copied().chain([&here]).collect();
@@ -931,7 +1145,10 @@
 
     /// What was kept by [`Plans::keep_courses`] for a chain of stands.
     pub(crate) fn kept_courses(&self, chain: &[Stand]) -> Option<(Course, Course)> {
-        self.worked_out.iter().find(|(of, _)| of == chain).map(|(_, courses)| courses.clone())
+        self.worked_out
+            .iter()
+            .find(|(of, _)| of == chain)
+            .map(|(_, courses)| courses.clone())
     }
 
     /// Keeps what was worked out for a chain of stands; the oldest goes.
@@ -948,7 +1165,8 @@
         let mut worth = 0.0;
         for (c, (asked, levels)) in asked.iter().zip(&course.levels).enumerate() {
             for (asked, levels) in asked.iter().zip(levels) {
-                worth += asked.iter().zip(levels).map(|(a, l)| a * l).sum::<f64>() * self.fleet.worth[c];
+                worth +=
+                    asked.iter().zip(levels).map(|(a, l)| a * l).sum::<f64>() * self.fleet.worth[c];
             }
         }
         worth
@@ -958,21 +1176,39 @@
     /// is refused before it.
     fn keep(&self, loss: &Loss, course: &mut Course) {
         let asked = asked(&self.fleet, loss);
-        let order = self.get(loss).map(|p| p.order.as_slice()).unwrap_or_default();
-        let mut last_first: Vec<usize> =
-            order.iter().rev().filter(|r| !r.guaranteed).map(|r| r.class).collect();
+        let order = self
+            .get(loss)
+            .map(|p| p.order.as_slice())
+            .unwrap_or_default();
+        let mut last_first: Vec<usize> = order
+            .iter()
+            .rev()
+            .filter(|r| !r.guaranteed)
+            .map(|r| r.class)
+            .collect();
         last_first.extend(
-            (0..self.fleet.classes()).filter(|c| !order.iter().any(|r| !r.guaranteed && r.class == *c)),
+            (0..self.fleet.classes())
+                .filter(|c| !order.iter().any(|r| !r.guaranteed && r.class == *c)),
         );
         // The parts kept at each entry of what is guaranteed and of the rest, by the class before.
         let mut kept = vec![(1.0_f64, 1.0_f64); self.fleet.sites()];
         for c in last_first {
             for e in 0..self.fleet.sites() {
-                let sum =
-                    |of: &Vec<Vec<f64>>| -> f64 { asked[c].iter().zip(of).map(|(by, p)| by[e] * p[e]).sum() };
-                let (carries, promised, level) =
-                    (course.taken(c, e), sum(&course.promised[c]), sum(&course.levels[c]));
-                let part = |of: f64, all: f64| if all > 0.0 { (of / all).clamp(0.0, 1.0) } else { 1.0 };
+                let sum = |of: &Vec<Vec<f64>>| -> f64 {
+                    asked[c].iter().zip(of).map(|(by, p)| by[e] * p[e]).sum()
+                };
+                let (carries, promised, level) = (
+                    course.taken(c, e),
+                    sum(&course.promised[c]),
+                    sum(&course.levels[c]),
+                );
+                let part = |of: f64, all: f64| {
+                    if all > 0.0 {
+                        (of / all).clamp(0.0, 1.0)
+                    } else {
+                        1.0
+                    }
+                };
                 let of_promised = part(carries, promised).min(kept[e].0);
                 let of_rest = part((carries - promised).max(0.0), level - promised).min(kept[e].1);
                 kept[e] = (of_promised, of_rest);
--- a/src/fleet/sites/ramp.rs
+++ b/src/fleet/sites/ramp.rs
@@ -30,7 +30,11 @@
         let at_s = f64::from(k - 1) * every;
         let bears = fleet.bears(site, at_s);
         let part = (f64::from(k) / f64::from(ramp.steps)).min(1.0);
-        let share = if bears < 1.0 { part.min(bears * ramp.cold_part) } else { part };
+        let share = if bears < 1.0 {
+            part.min(bears * ramp.cold_part)
+        } else {
+            part
+        };
         steps.push(Step { share, at_s });
         if share >= 1.0 {
             break;
@@ -107,9 +111,21 @@
 impl Ramp {
     /// Nothing returns.
     pub fn new(fleet: &Fleet) -> Self {
-        let RampSettings { step_ms, agree_ms, most_doublings, few, most_late, most_refused, .. } =
-            fleet.tables.ramp;
-        let at = |site| steps(fleet, site).iter().map(|s| (s.at_s * 1e6) as Micros).collect();
+        let RampSettings {
+            step_ms,
+            agree_ms,
+            most_doublings,
+            few,
+            most_late,
+            most_refused,
+            ..
+        } = fleet.tables.ramp;
+        let at = |site| {
+            steps(fleet, site)
+                .iter()
+                .map(|s| (s.at_s * 1e6) as Micros)
+                .collect()
+        };
         Ramp {
             step: step_ms * 1_000,
             agree: agree_ms * 1_000,
@@ -119,7 +135,10 @@
             at: (0..fleet.sites()).map(at).collect(),
             names: Vec::new(),
             pacing: false,
-            seen: Seen { settled: true, ..Seen::default() },
+            seen: Seen {
+                settled: true,
+                ..Seen::default()
+            },
             measured: Measured::default(),
             proposed: None,
         }
@@ -163,10 +182,20 @@
         self.names = table.names().to_vec();
         let old = self.seen.returning.take();
         let returning = (0..table.names().len()).find_map(|site| match table.standing(site) {
-            Standing::Returning { step, held, backs, .. } => {
-                let same = old.as_ref().filter(|r| r.site == site && step + 1 >= r.step);
+            Standing::Returning {
+                step, held, backs, ..
+            } => {
+                let same = old
+                    .as_ref()
+                    .filter(|r| r.site == site && step + 1 >= r.step);
                 let begun = same.map_or(now, |r| r.begun);
-                Some(Returning { site, step, held, backs, begun })
+                Some(Returning {
+                    site,
+                    step,
+                    held,
+                    backs,
+                    begun,
+                })
             }
             _ => None,
         });
@@ -174,7 +203,12 @@
         if returning.as_ref().map(|r| (r.site, r.step)) != old.as_ref().map(|r| (r.site, r.step)) {
             self.measured = Measured::default();
         }
-        self.seen = Seen { epoch: table.epoch(), since: now, settled: table.settled(), returning };
+        self.seen = Seen {
+            epoch: table.epoch(),
+            since: now,
+            settled: table.settled(),
+            returning,
+        };
         self.proposed = None;
     }
 
@@ -194,13 +228,17 @@
     fn decide(&mut self, now: Micros, out: &mut Vec<Command>) {
         let (epoch, waited) = (self.seen.epoch, now.saturating_sub(self.seen.since));
         // What was proposed may have been lost on its way.
-        if self.proposed.is_some_and(|(of, at)| of == epoch && now.saturating_sub(at) < self.agree) {
+        if self
+            .proposed
+            .is_some_and(|(of, at)| of == epoch && now.saturating_sub(at) < self.agree)
+        {
             return;
         }
         let command = match &self.seen.returning {
-            Some(r) if r.step > r.held && self.bad() => {
-                Some(Command::Back { epoch, site: self.names[r.site].clone() })
-            }
+            Some(r) if r.step > r.held && self.bad() => Some(Command::Back {
+                epoch,
+                site: self.names[r.site].clone(),
+            }),
             _ if !self.pacing => None,
             _ if !self.seen.settled => (waited >= self.agree).then_some(Command::Settle { epoch }),
             None => None,
@@ -210,7 +248,10 @@
                 if r.step > r.held {
                     (waited >= self.step).then_some(Command::Hold { epoch, site })
                 } else {
-                    let at = self.at[r.site].get(usize::from(r.step)).copied().unwrap_or(0);
+                    let at = self.at[r.site]
+                        .get(usize::from(r.step))
+                        .copied()
+                        .unwrap_or(0);
                     let rested = r.backs == 0 || waited >= pause;
                     let due = now.saturating_sub(r.begun) >= at && rested;
                     due.then_some(Command::Step { epoch, site })
--- a/src/fleet/sites/refuse.rs
+++ b/src/fleet/sites/refuse.rs
@@ -57,19 +57,39 @@
         let ways = |c: usize| -> Vec<Way> {
             let all = course.taken(c, entry);
             let way = |reader: usize, writer: usize| {
-                let part = if all > 0.0 { course.rate(c, entry, reader, writer) / all } else { 0.0 };
-                Way { reader, writer, part: millionths(part) }
+                let part = if all > 0.0 {
+                    course.rate(c, entry, reader, writer) / all
+                } else {
+                    0.0
+                };
+                Way {
+                    reader,
+                    writer,
+                    part: millionths(part),
+                }
             };
             let pairs = (0..sites).flat_map(|r| (0..sites).map(move |w| (r, w)));
-            pairs.map(|(r, w)| way(r, w)).filter(|w| w.part > 0).collect()
+            pairs
+                .map(|(r, w)| way(r, w))
+                .filter(|w| w.part > 0)
+                .collect()
         };
         // What goes to each site, over what it can do: the best served site's hosts keep their whole weight.
         let factors = |at: &dyn Fn(usize, usize) -> f64, can: &dyn Fn(usize) -> f64| -> Vec<u32> {
             let sum = |s: usize| (0..classes).map(|c| at(c, s)).sum::<f64>();
-            let per: Vec<f64> =
-                (0..sites).map(|s| if can(s) > 0.0 { sum(s) / can(s) } else { 0.0 }).collect();
+            let per: Vec<f64> = (0..sites)
+                .map(|s| if can(s) > 0.0 { sum(s) / can(s) } else { 0.0 })
+                .collect();
             let most = per.iter().copied().fold(0.0, f64::max);
-            per.iter().map(|v| if most > 0.0 { millionths(v / most) } else { WHOLE as u32 }).collect()
+            per.iter()
+                .map(|v| {
+                    if most > 0.0 {
+                        millionths(v / most)
+                    } else {
+                        WHOLE as u32
+                    }
+                })
+                .collect()
         };
         let prompt = |c: usize| fleet.tables.classes[c].prompt_tokens;
         let answer = |c: usize| fleet.tables.classes[c].answer_tokens;
@@ -77,13 +97,22 @@
             let c = &fleet.capacity[s];
             [c.read + c.mixed[0], c.write + c.mixed[2]][k]
         };
-        let read = factors(&|c, s| course.read_at(c, entry, s) * prompt(c), &|s| can(s, 0));
-        let write = factors(&|c, s| course.written_at(c, entry, s) * answer(c), &|s| can(s, 1));
+        let read = factors(&|c, s| course.read_at(c, entry, s) * prompt(c), &|s| {
+            can(s, 0)
+        });
+        let write = factors(&|c, s| course.written_at(c, entry, s) * answer(c), &|s| {
+            can(s, 1)
+        });
         Orders {
             epoch,
             unusual,
             levels: (course.levels.iter())
-                .map(|tenants| tenants.iter().map(|by_entry| millionths(by_entry[entry])).collect())
+                .map(|tenants| {
+                    tenants
+                        .iter()
+                        .map(|by_entry| millionths(by_entry[entry]))
+                        .collect()
+                })
                 .collect(),
             most: (0..classes)
                 .map(|c| {
@@ -124,7 +153,9 @@
             return;
         }
         for entry in entries {
-            let Some(factors) = site(&entry.zone).and_then(|s| self.weights.get(s)) else { continue };
+            let Some(factors) = site(&entry.zone).and_then(|s| self.weights.get(s)) else {
+                continue;
+            };
             let factor = match role(&entry.kind) {
                 Some(Role::Reader) => factors[0],
                 Some(Role::Writer) => factors[1],
@@ -167,7 +198,11 @@
 impl Gate {
     /// A door that takes everything until it gets orders. Who is refused is told to come back after `least` to `most`.
     pub fn new(least: Micros, most: Micros) -> Self {
-        Gate { orders: Orders::default(), left: Vec::new(), retry: (least, most.max(least)) }
+        Gate {
+            orders: Orders::default(),
+            left: Vec::new(),
+            retry: (least, most.max(least)),
+        }
     }
 
     /// The orders in force.
@@ -203,19 +238,40 @@
 
     /// Whether a new request is taken. `key` is what the client calls it each time it comes again (or its session);
     /// `in_hand`: it was taken before and goes on, which is never refused here.
-    pub fn ask(&mut self, now: Micros, class: usize, tenant: usize, key: &[u8], in_hand: bool) -> Door {
-        let Some(levels) = self.orders.levels.get(class).filter(|_| !in_hand) else { return Door::Take };
-        let level = levels.get(tenant).or(levels.first()).copied().unwrap_or(WHOLE as u32);
+    pub fn ask(
+        &mut self,
+        now: Micros,
+        class: usize,
+        tenant: usize,
+        key: &[u8],
+        in_hand: bool,
+    ) -> Door {
+        let Some(levels) = self.orders.levels.get(class).filter(|_| !in_hand) else {
+            return Door::Take;
+        };
+        let level = levels
+            .get(tenant)
+            .or(levels.first())
+            .copied()
+            .unwrap_or(WHOLE as u32);
         // The low bits spread the advice, the rest decides.
         let hash = xxh3_64(key);
         let place = ((u128::from(hash) * u128::from(WHOLE)) >> 64) as u64;
         let (least, most) = self.retry;
         let spread = xxh3_64_with_seed(key, now) % (most - least + 1);
-        let refused = |by_level| Door::Refuse { retry_after: least + spread, by_level };
+        let refused = |by_level| Door::Refuse {
+            retry_after: least + spread,
+            by_level,
+        };
         if place >= u64::from(level) {
             return refused(true);
         }
-        if self.orders.most.get(class).is_none_or(|most| most.is_none()) {
+        if self
+            .orders
+            .most
+            .get(class)
+            .is_none_or(|most| most.is_none())
+        {
             return Door::Take;
         }
         self.refill(now, class);
@@ -235,5 +291,9 @@
 
 fn most_left(orders: &Orders, class: usize) -> u64 {
     let rate = orders.most.get(class).copied().flatten().unwrap_or(0);
-    if rate == 0 { 0 } else { rate.saturating_mul(BURST_S * 1_000).max(FEW * REQUEST) }
+    if rate == 0 {
+        0
+    } else {
+        rate.saturating_mul(BURST_S * 1_000).max(FEW * REQUEST)
+    }
 }
--- a/src/fleet/sites/svg.rs
+++ b/src/fleet/sites/svg.rs
@@ -10,7 +10,10 @@
 
 impl Svg {
     pub fn new(width: f64, height: f64) -> Self {
-        Svg { size: (width, height), body: String::new() }
+        Svg {
+            size: (width, height),
+            body: String::new(),
+        }
     }
 
     pub fn rect(&mut self, (x, y): (f64, f64), (w, h): (f64, f64), fill: &str) {
@@ -41,7 +44,10 @@
 
     /// `anchor` is `start`, `middle` or `end`.
     pub fn text(&mut self, (x, y): (f64, f64), size: f64, anchor: &str, text: &str) {
-        let text = text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;");
+        let text = text
+            .replace('&', "&amp;")
+            .replace('<', "&lt;")
+            .replace('>', "&gt;");
         let _ = writeln!(
             self.body,
             r#"<text x="{x:.1}" y="{y:.1}" font-size="{size}" text-anchor="{anchor}">{text}</text>"#
