--- a/src/net/discovery/tests.rs
+++ b/src/net/discovery/tests.rs
@@ -61,11 +61,19 @@
     let message = |seq| {
         let text = format!(r#"{{"seq":{seq},"whole":false,"hosts":{HOSTS}}}"#);
         let value: serde_json::Value = serde_json::from_str(&text).unwrap();
-        print(if indented { format!("{value:#}\n{beats}") } else { format!("{value}\n{beats}") })
+        print(if indented {
+            format!("{value:#}\n{beats}")
+        } else {
+            format!("{value}\n{beats}")
+        })
     };
     let text: String = (1..4).map(message).collect();
     for size in 1..=text.len() {
-        assert_eq!(versions(&text, size), [Some(1), Some(2), Some(3)], "in pieces of {size}");
+        assert_eq!(
+            versions(&text, size),
+            [Some(1), Some(2), Some(3)],
+            "in pieces of {size}"
+        );
     }
 }
 
@@ -94,7 +102,10 @@
 )]
 #[case::version("{\"seq\":-1}\n{\"seq\":2}\n", &[None, Some(2)])]
 #[case::not_yet_whole("{\"seq\":1}\n{\"seq\":2,\"hosts\":[", &[Some(1)])]
-fn a_message_that_can_t_be_read_costs_itself_alone(#[case] text: &str, #[case] wanted: &[Option<u64>]) {
+fn a_message_that_can_t_be_read_costs_itself_alone(
+    #[case] text: &str,
+    #[case] wanted: &[Option<u64>],
+) {
     for size in 1..=text.len() {
         assert_eq!(versions(text, size), wanted, "in pieces of {size}");
     }
@@ -104,7 +115,13 @@
 #[test]
 fn only_a_message_that_is_not_whole_is_held() {
     let mut messages = Messages::default();
-    for text in ["\n\n  \n", "what? ", "what?\n", "{\"seq\":1}\n", "{\"seq\":1,\n\n"] {
+    for text in [
+        "\n\n  \n",
+        "what? ",
+        "what?\n",
+        "{\"seq\":1}\n",
+        "{\"seq\":1,\n\n",
+    ] {
         messages.push(text.as_bytes());
         assert_eq!(messages.held(), 0, "{text:?}");
     }
@@ -127,11 +144,17 @@
     }
 
     async fn chunk(&mut self, text: &str) {
-        self.wire.write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes()).await.unwrap();
+        self.wire
+            .write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes())
+            .await
+            .unwrap();
     }
 
     async fn answer(&mut self, text: &str) {
-        let answer = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{text}", text.len());
+        let answer = format!(
+            "HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{text}",
+            text.len()
+        );
         self.wire.write_all(answer.as_bytes()).await.unwrap();
     }
 }
@@ -178,7 +201,16 @@
             Box::pin(async { Ok(Box::new(ours) as Box<dyn Stream>) })
         };
         tokio::task::spawn_local(follower.follow_over(Rc::new(dial), address_told));
-        Rig { directory, told, wires, lost, ask, fetch_list, counters, address }
+        Rig {
+            directory,
+            told,
+            wires,
+            lost,
+            ask,
+            fetch_list,
+            counters,
+            address,
+        }
     }
 
     async fn call(&mut self) -> Call {
@@ -187,7 +219,12 @@
         while !head.ends_with(b"\r\n\r\n") {
             head.push(wire.read_u8().await.unwrap());
         }
-        let target = String::from_utf8(head).unwrap().split(' ').nth(1).unwrap().to_owned();
+        let target = String::from_utf8(head)
+            .unwrap()
+            .split(' ')
+            .nth(1)
+            .unwrap()
+            .to_owned();
         Call { target, wire }
     }
 
@@ -251,7 +288,11 @@
         again.begin().await;
         again.chunk(&line(2, false, "draining")).await;
         rig.until(ListKind::Changes).await;
-        assert!(!rig.is_ready() && since.elapsed() < TOLD, "told after {:?}", since.elapsed());
+        assert!(
+            !rig.is_ready() && since.elapsed() < TOLD,
+            "told after {:?}",
+            since.elapsed()
+        );
     })
     .await;
 }
@@ -296,7 +337,11 @@
         next.begin().await;
         next.chunk(&line(2, false, "draining")).await;
         rig.until(ListKind::Changes).await;
-        assert!(!rig.is_ready() && since.elapsed() < TOLD, "told after {:?}", since.elapsed());
+        assert!(
+            !rig.is_ready() && since.elapsed() < TOLD,
+            "told after {:?}",
+            since.elapsed()
+        );
     })
     .await;
 }
@@ -327,7 +372,9 @@
         let mut rig = Rig::start(false);
         let mut watch = rig.call().await;
         watch.begin().await;
-        watch.chunk(&host(2, false, "draining").replace("}]}", "}")).await;
+        watch
+            .chunk(&host(2, false, "draining").replace("}]}", "}"))
+            .await;
         if in_order {
             watch.wire.write_all(b"0\r\n\r\n").await.unwrap();
         }
@@ -356,7 +403,10 @@
         let since = Instant::now();
         rig.address.send(Some(([127, 0, 0, 1], 2).into())).unwrap();
         let mut list = rig.call().await;
-        assert_eq!((list.target.as_str(), since.elapsed()), ("/v1/servers", Duration::ZERO));
+        assert_eq!(
+            (list.target.as_str(), since.elapsed()),
+            ("/v1/servers", Duration::ZERO)
+        );
         list.answer(&host(40, true, "ready")).await;
         rig.until(ListKind::Full).await;
         drop(rig.call().await);
@@ -402,7 +452,11 @@
 #[case::counted_anew(false, "draining", false)]
 #[case::empty(false, "", true)]
 #[tokio::test(start_paused = true)]
-async fn a_whole_list_beside_the_watch(#[case] overtaken: bool, #[case] health: &str, #[case] ready: bool) {
+async fn a_whole_list_beside_the_watch(
+    #[case] overtaken: bool,
+    #[case] health: &str,
+    #[case] ready: bool,
+) {
     play(async {
         let mut rig = Rig::start(false);
         let mut watch = rig.call().await;
@@ -420,7 +474,10 @@
             health => list.answer(&host(3, true, health)).await,
         }
         sleep(ANSWER).await;
-        assert_eq!((rig.is_ready(), rig.counters.watches_lost.get()), (ready, 0));
+        assert_eq!(
+            (rig.is_ready(), rig.counters.watches_lost.get()),
+            (ready, 0)
+        );
     })
     .await;
 }
@@ -435,10 +492,17 @@
         let mut list = rig.call().await;
         assert_eq!(list.target, "/v1/servers");
         let since = Instant::now();
-        list.wire.write_all(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n").await.unwrap();
+        list.wire
+            .write_all(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n")
+            .await
+            .unwrap();
         let mut written = 0;
         while written < 2 * MOST_BYTES
-            && list.wire.write_all(format!("1000\r\n{}\r\n", " ".repeat(4096)).as_bytes()).await.is_ok()
+            && list
+                .wire
+                .write_all(format!("1000\r\n{}\r\n", " ".repeat(4096)).as_bytes())
+                .await
+                .is_ok()
         {
             written += 4096;
         }
--- a/src/net/drain.rs
+++ b/src/net/drain.rs
@@ -40,7 +40,8 @@
     }
 
     fn set(&self, draining: bool) -> bool {
-        self.0.send_if_modified(|now| std::mem::replace(now, draining) != draining)
+        self.0
+            .send_if_modified(|now| std::mem::replace(now, draining) != draining)
     }
 }
 
@@ -48,10 +49,17 @@
 /// drain on, and kept again from its stop on. Nothing moves once the conductor itself ends.
 pub async fn follow(mut switch: watch::Receiver<bool>, stage: watch::Sender<Stage>) {
     while switch.wait_for(|draining| *draining).await.is_ok() {
-        log::info!("drain: not ready any more; connections close in {} ms", FRONT_NOTICES.as_millis());
-        let stopped =
-            async |switch: &mut watch::Receiver<bool>| _ = switch.wait_for(|draining| !*draining).await;
-        if tokio::time::timeout(FRONT_NOTICES, stopped(&mut switch)).await.is_err() {
+        log::info!(
+            "drain: not ready any more; connections close in {} ms",
+            FRONT_NOTICES.as_millis()
+        );
+        let stopped = async |switch: &mut watch::Receiver<bool>| {
+            _ = switch.wait_for(|draining| !*draining).await
+        };
+        if tokio::time::timeout(FRONT_NOTICES, stopped(&mut switch))
+            .await
+            .is_err()
+        {
             advance(&stage, Stage::Open, Stage::Draining);
             stopped(&mut switch).await;
             advance(&stage, Stage::Draining, Stage::Open);
--- a/src/net/drain/tests.rs
+++ b/src/net/drain/tests.rs
@@ -21,7 +21,10 @@
 
 impl Followed {
     fn start() -> Self {
-        let followed = Followed { switch: DrainSwitch::default(), stage: watch::Sender::new(Stage::Open) };
+        let followed = Followed {
+            switch: DrainSwitch::default(),
+            stage: watch::Sender::new(Stage::Open),
+        };
         tokio::task::spawn_local(follow(followed.switch.subscribe(), followed.stage.clone()));
         followed
     }
@@ -45,7 +48,10 @@
         for _ in 0..2 {
             assert_eq!(followed.stage_after(MOMENT).await, Stage::Open);
             followed.switch.start();
-            assert_eq!(followed.stage_after(FRONT_NOTICES - MOMENT).await, Stage::Open);
+            assert_eq!(
+                followed.stage_after(FRONT_NOTICES - MOMENT).await,
+                Stage::Open
+            );
             // A second start doesn't put it off.
             followed.switch.start();
             assert_eq!(followed.stage_after(2 * MOMENT).await, Stage::Draining);
@@ -69,8 +75,13 @@
         assert!(!seen.has_changed().unwrap());
         // The next one has its whole time.
         followed.switch.start();
-        assert_eq!(followed.stage_after(FRONT_NOTICES - MOMENT).await, Stage::Open);
-        seen.wait_for(|stage| *stage == Stage::Draining).await.unwrap();
+        assert_eq!(
+            followed.stage_after(FRONT_NOTICES - MOMENT).await,
+            Stage::Open
+        );
+        seen.wait_for(|stage| *stage == Stage::Draining)
+            .await
+            .unwrap();
     })
     .await;
 }
@@ -90,10 +101,16 @@
         followed.stage_after(since).await;
         followed.stage.send_replace(Stage::Closing);
         for switch in [DrainSwitch::stop, DrainSwitch::start, DrainSwitch::stop] {
-            assert_eq!(followed.stage_after(2 * FRONT_NOTICES).await, Stage::Closing);
+            assert_eq!(
+                followed.stage_after(2 * FRONT_NOTICES).await,
+                Stage::Closing
+            );
             switch(&followed.switch);
         }
-        assert_eq!(followed.stage_after(2 * FRONT_NOTICES).await, Stage::Closing);
+        assert_eq!(
+            followed.stage_after(2 * FRONT_NOTICES).await,
+            Stage::Closing
+        );
     })
     .await;
 }
--- a/src/net/events.rs
+++ b/src/net/events.rs
@@ -36,7 +36,11 @@
 impl Events {
     /// Over an answer's body.
     pub fn new(body: Incoming, checked: bool) -> Self {
-        Events { body, checked, gate: Gate::default() }
+        Events {
+            body,
+            checked,
+            gate: Gate::default(),
+        }
     }
 
     /// Whether the length of the rest is known beforehand.
@@ -51,8 +55,14 @@
     /// The stream is spoilt from here on.
     pub async fn next(&mut self) -> Result<Option<Bytes>, Spoilt> {
         while let Some(frame) = self.body.frame().await {
-            let Ok(data) = frame?.into_data() else { continue };
-            let passed = if self.checked { self.gate.take(data)? } else { data };
+            let Ok(data) = frame?.into_data() else {
+                continue;
+            };
+            let passed = if self.checked {
+                self.gate.take(data)?
+            } else {
+                data
+            };
             if !passed.is_empty() {
                 return Ok(Some(passed));
             }
@@ -96,7 +106,11 @@
     fn rest(&mut self) -> Result<Bytes, Spoilt> {
         let rest = self.held.split().freeze();
         let last = &rest[std::mem::take(&mut self.seen)..];
-        if is_field(last) { Ok(rest) } else { Err(Spoilt::NoEvent) }
+        if is_field(last) {
+            Ok(rest)
+        } else {
+            Err(Spoilt::NoEvent)
+        }
     }
 }
 
--- a/src/net/events/tests.rs
+++ b/src/net/events/tests.rs
@@ -2,7 +2,11 @@
 use rstest::rstest;
 
 #[rstest]
-#[case::good("data: a\n\n: hi\r\nevent: x\r\ndata: b\r\n\r\ndata\nid:1\n\n", "", false)]
+#[case::good(
+    "data: a\n\n: hi\r\nevent: x\r\ndata: b\r\n\r\ndata\nid:1\n\n",
+    "",
+    false
+)]
 #[case::cut("data: a\n\ndata: b\n", "data: b\n", false)]
 #[case::a_chunk_head("data: a\n\n\r\n2f\r\ndata: b\n\n", "", true)]
 #[case::noise("data: a\n\nx\u{7f}\n", "", true)]
@@ -24,7 +28,11 @@
         assert_eq!(bad, spoilt, "cut at {cut}");
         assert!(passed.ends_with(b"\n") || passed.is_empty());
         if !spoilt {
-            assert_eq!(passed, wire.strip_suffix(held).unwrap().as_bytes(), "cut at {cut}");
+            assert_eq!(
+                passed,
+                wire.strip_suffix(held).unwrap().as_bytes(),
+                "cut at {cut}"
+            );
             assert_eq!(gate.rest().unwrap(), held);
         }
     }
--- a/src/net/fault.rs
+++ b/src/net/fault.rs
@@ -34,7 +34,9 @@
 
 /// Classifies a failed call.
 pub fn classify(call: SystemCall, error: &io::Error) -> Fault {
-    let Some(number) = error.raw_os_error() else { return without_number(error) };
+    let Some(number) = error.raw_os_error() else {
+        return without_number(error);
+    };
     match (call, number) {
         (_, libc::EINTR) => Fault::Connection,
         (_, libc::EMFILE | libc::ENFILE | libc::ENOBUFS | libc::ENOMEM) => Fault::Local,
@@ -43,10 +45,14 @@
         (SystemCall::Accept, libc::EOPNOTSUPP) => Fault::Fatal,
         (SystemCall::Accept, _) => Fault::Connection,
         // No port, no route or no permission here; the request has not left this machine.
-        (SystemCall::Connect, libc::EADDRNOTAVAIL | libc::EADDRINUSE | libc::EAGAIN) => Fault::Local,
+        (SystemCall::Connect, libc::EADDRNOTAVAIL | libc::EADDRINUSE | libc::EAGAIN) => {
+            Fault::Local
+        }
         (SystemCall::Connect, libc::ENETUNREACH | libc::ENETDOWN) => Fault::Local,
         (SystemCall::Connect, libc::EPERM | libc::EACCES) => Fault::Local,
-        (SystemCall::Connect, libc::EAFNOSUPPORT | libc::EPROTONOSUPPORT | libc::EPROTOTYPE) => Fault::Fatal,
+        (SystemCall::Connect, libc::EAFNOSUPPORT | libc::EPROTONOSUPPORT | libc::EPROTOTYPE) => {
+            Fault::Fatal
+        }
         // ECONNREFUSED, ECONNRESET, ETIMEDOUT, EHOSTUNREACH, EHOSTDOWN.
         (SystemCall::Connect, _) => Fault::Host,
     }
--- a/src/net/fault/tests.rs
+++ b/src/net/fault/tests.rs
@@ -22,7 +22,10 @@
 #[case::no_socket(libc::ENOTSOCK, Fault::Fatal)]
 #[case::no_stream(libc::EOPNOTSUPP, Fault::Fatal)]
 fn a_failed_accept(#[case] number: i32, #[case] expected: Fault) {
-    assert_eq!(classify(SystemCall::Accept, &io::Error::from_raw_os_error(number)), expected);
+    assert_eq!(
+        classify(SystemCall::Accept, &io::Error::from_raw_os_error(number)),
+        expected
+    );
 }
 
 #[rstest]
@@ -45,5 +48,8 @@
 #[case::interrupted(libc::EINTR, Fault::Connection)]
 #[case::family(libc::EAFNOSUPPORT, Fault::Fatal)]
 fn a_failed_connect(#[case] number: i32, #[case] expected: Fault) {
-    assert_eq!(classify(SystemCall::Connect, &io::Error::from_raw_os_error(number)), expected);
+    assert_eq!(
+        classify(SystemCall::Connect, &io::Error::from_raw_os_error(number)),
+        expected
+    );
 }
--- a/src/net/framing.rs
+++ b/src/net/framing.rs
@@ -115,7 +115,10 @@
     pub fn head(&self) -> Head {
         self.scan.borrow_mut().verdicts.pop_front();
         let head = self.heads.borrow_mut().pop_front();
-        head.unwrap_or_else(|| Head { is_sound: false, arrived: Instant::now() })
+        head.unwrap_or_else(|| Head {
+            is_sound: false,
+            arrived: Instant::now(),
+        })
     }
 
     /// The request in hand has come whole.
@@ -127,7 +130,11 @@
     pub fn finish(&self) {
         self.answered.set(true);
         let (now, begun) = (Instant::now(), self.scan.borrow().begun());
-        self.stand(if begun { Standing::Arriving(now) } else { Standing::Idle(now) });
+        self.stand(if begun {
+            Standing::Arriving(now)
+        } else {
+            Standing::Idle(now)
+        });
     }
 
     /// Its place is wanted for others.
@@ -155,7 +162,11 @@
     /// takes `room`.
     pub async fn read_ahead(&self, socket: &TcpStream, room: &mut Held) -> bool {
         let mut scrap = [0; 4096];
-        match socket.readable().await.and_then(|()| uninterrupted(|| socket.try_read(&mut scrap))) {
+        match socket
+            .readable()
+            .await
+            .and_then(|()| uninterrupted(|| socket.try_read(&mut scrap)))
+        {
             Ok(n) if n > 0 => self.ahead.borrow_mut().keep(&scrap[..n], room),
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
             _ => return true,
@@ -178,14 +189,18 @@
         let mut scan = self.scan.borrow_mut();
         let before = scan.verdicts.len();
         scan.take(bytes);
-        let heads = scan.verdicts.iter().skip(before).map(|is_sound| Head { is_sound: *is_sound, arrived });
+        let heads = scan.verdicts.iter().skip(before).map(|is_sound| Head {
+            is_sound: *is_sound,
+            arrived,
+        });
         self.heads.borrow_mut().extend(heads);
     }
 }
 
 impl Ahead {
     fn keep(&mut self, bytes: &[u8], room: &mut Held) {
-        self.cut = self.cut || self.bytes.len() + bytes.len() > MOST_AHEAD || !room.grow(bytes.len());
+        self.cut =
+            self.cut || self.bytes.len() + bytes.len() > MOST_AHEAD || !room.grow(bytes.len());
         if self.cut {
             self.bytes = VecDeque::new();
             self.pieces = VecDeque::new();
@@ -240,7 +255,8 @@
 impl Scan {
     /// Whether bytes of a head have come that the service has not been handed.
     fn begun(&self) -> bool {
-        !self.verdicts.is_empty() || self.at == At::Line && (self.lines > 0 || !self.line.is_empty())
+        !self.verdicts.is_empty()
+            || self.at == At::Line && (self.lines > 0 || !self.line.is_empty())
     }
 
     fn take(&mut self, mut bytes: &[u8]) {
@@ -250,7 +266,11 @@
                 At::Body(left) => {
                     let part = left.min(bytes.len() as u64);
                     bytes = &bytes[part as usize..];
-                    self.at = if part == left { At::Line } else { At::Body(left - part) };
+                    self.at = if part == left {
+                        At::Line
+                    } else {
+                        At::Body(left - part)
+                    };
                 }
                 At::Line => {
                     let end = bytes.iter().position(|b| *b == b'\n');
@@ -277,11 +297,20 @@
             return;
         }
         self.lines += 1;
-        let Some(colon) = line.iter().position(|b| *b == b':').filter(|_| self.lines > 1) else { return };
+        let Some(colon) = line
+            .iter()
+            .position(|b| *b == b':')
+            .filter(|_| self.lines > 1)
+        else {
+            return;
+        };
         let (name, value) = (line[..colon].trim_ascii(), line[colon + 1..].trim_ascii());
         if name.eq_ignore_ascii_case(b"content-length") {
             let digits = !value.is_empty() && value.iter().all(u8::is_ascii_digit);
-            let length = std::str::from_utf8(value).ok().filter(|_| digits).and_then(|v| v.parse().ok());
+            let length = std::str::from_utf8(value)
+                .ok()
+                .filter(|_| digits)
+                .and_then(|v| v.parse().ok());
             self.bad |= length.is_none() || self.length.is_some_and(|l| Some(l) != length);
             self.length = length;
         } else if name.eq_ignore_ascii_case(b"transfer-encoding") {
@@ -316,7 +345,11 @@
 }
 
 impl AsyncRead for Watched {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
         let kept = self.watch.ahead.borrow_mut().hand_on(buf);
         let mut done = Ok(());
@@ -332,7 +365,11 @@
 }
 
 impl AsyncWrite for Watched {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
         self.poll_write_vectored(cx, &[IoSlice::new(buf)])
     }
 
--- a/src/net/host_starts.rs
+++ b/src/net/host_starts.rs
@@ -35,8 +35,13 @@
 impl Reading {
     /// Reads the wall clock beside a moment of the core's clock.
     pub fn at(now: Micros) -> Self {
-        let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Reading { wall: since.as_micros() as Micros, now }
+        let since = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        Reading {
+            wall: since.as_micros() as Micros,
+            now,
+        }
     }
 
     /// What the wall clock of this reading shows at another moment.
@@ -67,17 +72,32 @@
 impl HostStarts {
     /// When a host that the list says was born at `born` started. `is_change` where the message tells what has changed
     /// since the one before.
-    pub fn judge(&mut self, worker: &WorkerId, born: Micros, reading: Reading, is_change: bool) -> Micros {
+    pub fn judge(
+        &mut self,
+        worker: &WorkerId,
+        born: Micros,
+        reading: Reading,
+        is_change: bool,
+    ) -> Micros {
         if let Some(known) = self.starts.get(worker).filter(|known| known.born == born) {
             return known.at;
         }
-        let wall = self.discovery_clock.map_or(reading.wall, |clock| clock.wall_at(reading.now));
+        let wall = self
+            .discovery_clock
+            .map_or(reading.wall, |clock| clock.wall_at(reading.now));
         let age = wall.saturating_sub(born);
-        let since_told = self.last_told.filter(|_| is_change).map(|told| reading.now.saturating_sub(told));
+        let since_told = self
+            .last_told
+            .filter(|_| is_change)
+            .map(|told| reading.now.saturating_sub(told));
         let most = since_told.map_or(Micros::MAX, |since| since.saturating_add(LATE));
         let age = if age > most { 0 } else { age };
         let at = reading.now.saturating_sub(age);
-        if self.starts.insert(worker.clone(), Start { born, at }).is_none() {
+        if self
+            .starts
+            .insert(worker.clone(), Start { born, at })
+            .is_none()
+        {
             self.order.push_back(worker.clone());
         }
         if self.order.len() > MOST
@@ -92,7 +112,10 @@
     /// differs from the one that counts now.
     pub fn heard_date(&mut self, date: Micros, reading: Reading) -> bool {
         let differs = reading.wall.abs_diff(date) > IN_STEP;
-        let clock = differs.then_some(Reading { wall: date, now: reading.now });
+        let clock = differs.then_some(Reading {
+            wall: date,
+            now: reading.now,
+        });
         let before = std::mem::replace(&mut self.discovery_clock, clock);
         let is_news = before.is_none() && differs;
         if is_news {
--- a/src/net/host_starts/tests.rs
+++ b/src/net/host_starts/tests.rs
@@ -24,7 +24,10 @@
 fn a_start_that_is_news_is_never_older_than_its_news(#[case] wall: Micros, #[case] age: Micros) {
     let mut starts = HostStarts::default();
     starts.told(NOW - 2 * SECOND);
-    assert_eq!(starts.judge(&host(), WALL, reading(wall, NOW), true), NOW - age);
+    assert_eq!(
+        starts.judge(&host(), WALL, reading(wall, NOW), true),
+        NOW - age
+    );
 }
 
 /// Guards against a start that moves with the wall clock: the host would seem to have started anew.
@@ -34,17 +37,28 @@
     let first = starts.judge(&host(), WALL, reading(WALL + SECOND, NOW), false);
     let again = starts.judge(&host(), WALL, reading(WALL + HOUR, NOW + 9 * SECOND), true);
     assert_eq!(first, again);
-    let reborn = starts.judge(&host(), WALL + 8 * SECOND, reading(WALL + 9 * SECOND, NOW + 9 * SECOND), true);
+    let reborn = starts.judge(
+        &host(),
+        WALL + 8 * SECOND,
+        reading(WALL + 9 * SECOND, NOW + 9 * SECOND),
+        true,
+    );
     assert_eq!(reborn, NOW + 8 * SECOND);
 }
 
 #[test]
 fn in_a_first_list_an_old_start_is_believed() {
     let mut starts = HostStarts::default();
-    assert_eq!(starts.judge(&host(), WALL, reading(WALL + 100 * SECOND, NOW), false), NOW - 100 * SECOND);
+    assert_eq!(
+        starts.judge(&host(), WALL, reading(WALL + 100 * SECOND, NOW), false),
+        NOW - 100 * SECOND
+    );
     starts.told(NOW);
     let other = WorkerId("writer".into());
-    assert_eq!(starts.judge(&other, WALL, reading(WALL + 200 * SECOND, NOW), false), NOW - 200 * SECOND);
+    assert_eq!(
+        starts.judge(&other, WALL, reading(WALL + 200 * SECOND, NOW), false),
+        NOW - 200 * SECOND
+    );
 }
 
 /// Guards against hosts in slow start that are taken for warm ones by a process that starts with its clock ahead.
@@ -57,9 +71,18 @@
     let mut starts = HostStarts::default();
     // Read before discovery could be asked.
     starts.judge(&host(), WALL, reading(own(WALL + SECOND), NOW), false);
-    let differs = starts.heard_date(WALL + 2 * SECOND, reading(own(WALL + 2 * SECOND), NOW + SECOND));
+    let differs = starts.heard_date(
+        WALL + 2 * SECOND,
+        reading(own(WALL + 2 * SECOND), NOW + SECOND),
+    );
     assert_eq!(differs, ahead != 0);
     let now = NOW + 3 * SECOND;
-    assert_eq!(starts.judge(&host(), WALL, reading(own(WALL + 4 * SECOND), now), false), now - age);
-    assert!(!starts.heard_date(WALL + 4 * SECOND, reading(own(WALL + 4 * SECOND), now)), "told once");
+    assert_eq!(
+        starts.judge(&host(), WALL, reading(own(WALL + 4 * SECOND), now), false),
+        now - age
+    );
+    assert!(
+        !starts.heard_date(WALL + 4 * SECOND, reading(own(WALL + 4 * SECOND), now)),
+        "told once"
+    );
 }
--- a/src/net/late_arrivals.rs
+++ b/src/net/late_arrivals.rs
@@ -64,7 +64,11 @@
 impl LateArrivals {
     /// An attempt of `request` has ended, written and with nothing heard of it.
     pub fn abandoned(&mut self, worker: &WorkerId, request: String, now: Instant) {
-        let fresh = || Host { phase: Phase::Asking, requests: VecDeque::new(), due: Some(now) };
+        let fresh = || Host {
+            phase: Phase::Asking,
+            requests: VecDeque::new(),
+            due: Some(now),
+        };
         let host = self.hosts.entry(worker.clone()).or_insert_with(fresh);
         if host.requests.len() >= MOST_REQUESTS {
             host.requests.pop_front();
@@ -89,14 +93,29 @@
         let is_due = |host: &&mut Host| host.due.is_some_and(|due| due <= now);
         let (worker, host) = self.hosts.iter_mut().find(|(_, host)| is_due(host))?;
         host.due = None;
-        let most = if matches!(host.phase, Phase::Back { .. }) { MOST_REQUESTS } else { 1 };
-        let requests = host.requests.iter().rev().take(most).map(|(_, request)| request.clone()).collect();
-        Some(Round { worker: worker.clone(), requests })
+        let most = if matches!(host.phase, Phase::Back { .. }) {
+            MOST_REQUESTS
+        } else {
+            1
+        };
+        let requests = host
+            .requests
+            .iter()
+            .rev()
+            .take(most)
+            .map(|(_, request)| request.clone())
+            .collect();
+        Some(Round {
+            worker: worker.clone(),
+            requests,
+        })
     }
 
     /// The host has answered.
     pub fn answered(&mut self, worker: &WorkerId, now: Instant) {
-        let Some(host) = self.hosts.get_mut(worker) else { return };
+        let Some(host) = self.hosts.get_mut(worker) else {
+            return;
+        };
         let rounds = match host.phase {
             // It runs, and did when the attempts were given up: they have arrived, or never will.
             Phase::Asking | Phase::Back { rounds: 1 } => {
@@ -106,7 +125,11 @@
             Phase::Silent => ROUNDS,
             Phase::Back { rounds } => rounds.saturating_sub(1),
         };
-        let wait = if rounds == ROUNDS { Duration::ZERO } else { RELEASE_AGAIN };
+        let wait = if rounds == ROUNDS {
+            Duration::ZERO
+        } else {
+            RELEASE_AGAIN
+        };
         (host.phase, host.due) = (Phase::Back { rounds }, Some(now + wait));
     }
 
@@ -126,7 +149,8 @@
         for host in self.hosts.values_mut() {
             host.requests.retain(|(at, _)| *at + REMEMBER > now);
         }
-        self.hosts.retain(|_, host| !host.requests.is_empty() || host.due.is_none());
+        self.hosts
+            .retain(|_, host| !host.requests.is_empty() || host.due.is_none());
     }
 }
 
--- a/src/net/late_arrivals/tests.rs
+++ b/src/net/late_arrivals/tests.rs
@@ -6,7 +6,10 @@
 
 fn round(requests: &[&str]) -> Option<Round> {
     let requests = requests.iter().map(|r| (*r).to_owned()).collect();
-    Some(Round { worker: host(), requests })
+    Some(Round {
+        worker: host(),
+        requests,
+    })
 }
 
 /// Guards against calls without end to hosts that are only slow.
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -142,7 +142,9 @@
     fn count(&self, mut bytes: &[u8]) {
         self.written.set(self.written.get() + bytes.len() as u64);
         while self.matched.get() < 4 {
-            let Some((byte, rest)) = bytes.split_first() else { return };
+            let Some((byte, rest)) = bytes.split_first() else {
+                return;
+            };
             bytes = rest;
             self.matched.set(blank_line(self.matched.get(), *byte));
         }
@@ -168,7 +170,11 @@
 }
 
 impl AsyncRead for Metered {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
         let read = stream::poll_read(&self.stream, cx, buf);
         self.meter.hear(&buf.filled()[before..]);
@@ -177,7 +183,11 @@
 }
 
 impl AsyncWrite for Metered {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
         self.poll_write_vectored(cx, &[IoSlice::new(buf)])
     }
 
@@ -344,12 +354,27 @@
 
 impl Pool {
     /// A pool of at most `sockets` connections, a sixteenth of them for releases alone, idle ones kept for `keep`.
-    pub fn new(sockets: usize, connect_timeout: Duration, keep: Duration, counters: Rc<Counters>) -> Self {
+    pub fn new(
+        sockets: usize,
+        connect_timeout: Duration,
+        keep: Duration,
+        counters: Rc<Counters>,
+    ) -> Self {
         let (size, reserve) = (Rc::new(Cell::new(sockets)), sockets / RESERVE);
         let semaphore = |n| std::sync::Arc::new(Semaphore::new(n));
         let (sockets, reserve) = (semaphore(sockets - reserve), semaphore(reserve));
         let (idle, distrust, reach) = (Rc::default(), Rc::default(), Rc::default());
-        Pool { idle, sockets, reserve, size, connect_timeout, keep, distrust, reach, counters }
+        Pool {
+            idle,
+            sockets,
+            reserve,
+            size,
+            connect_timeout,
+            keep,
+            distrust,
+            reach,
+            counters,
+        }
     }
 
     /// Sockets at the most.
@@ -378,7 +403,8 @@
     /// may have run for all that anybody knows, and what must not run twice is lost. So none is kept for a while; a
     /// new one costs a few round trips. An answer that can't be read is no such thing: the connection was alive.
     pub fn broke(&self, connection: &Connection) {
-        if !connection.reused || connection.meter.heard.get() || connection.sent.elapsed() > AT_ONCE {
+        if !connection.reused || connection.meter.heard.get() || connection.sent.elapsed() > AT_ONCE
+        {
             return;
         }
         self.counters.stale_connections.up();
@@ -393,19 +419,27 @@
     }
 
     fn distrusts(&self) -> bool {
-        self.distrust.get().is_some_and(|until| Instant::now() < until)
+        self.distrust
+            .get()
+            .is_some_and(|until| Instant::now() < until)
     }
 
     /// Takes a connection back whose last answer was read to its end.
     pub fn put_back(&self, target: &Target, connection: Connection) {
-        self.reach.borrow_mut().heard(&target.worker, Instant::now());
+        self.reach
+            .borrow_mut()
+            .heard(&target.worker, Instant::now());
         if self.distrusts() {
             return;
         }
         let mut all = self.idle.borrow_mut();
         let idle = all.entry(target.worker.clone()).or_default();
         if idle.len() < MOST_IDLE && !connection.sender.is_closed() {
-            idle.push(Idle { connection, address: target.address, since: Instant::now() });
+            idle.push(Idle {
+                connection,
+                address: target.address,
+                since: Instant::now(),
+            });
         }
     }
 
@@ -417,7 +451,9 @@
     /// Puts hosts, each with its zone, in the order in which a call that any of them may take should try them: those
     /// that connections came up to lately first, those that failed to come up last (see [`Reach::order_spread`]).
     pub fn by_reach(&self, candidates: Vec<(WorkerId, String)>, spread: u64) -> Vec<WorkerId> {
-        self.reach.borrow().order_spread(candidates, Instant::now(), spread)
+        self.reach
+            .borrow()
+            .order_spread(candidates, Instant::now(), spread)
     }
 
     /// Whether an answer of a model host came whole since a moment.
@@ -454,7 +490,9 @@
         let idle = all.get_mut(&target.worker)?;
         while let Some(last) = idle.pop() {
             // A model host closes what has idled too long, and a request written into that ends as a reset.
-            if last.address == target.address && last.since.elapsed() < self.keep && last.connection.usable()
+            if last.address == target.address
+                && last.since.elapsed() < self.keep
+                && last.connection.usable()
             {
                 let mut connection = last.connection;
                 connection.reused = true;
@@ -465,7 +503,11 @@
     }
 
     /// Opens a connection. What fails on this machine alone is tried again for as long as there is time.
-    async fn open_within(&self, address: SocketAddr, within: Duration) -> Result<TcpStream, ConnectError> {
+    async fn open_within(
+        &self,
+        address: SocketAddr,
+        within: Duration,
+    ) -> Result<TcpStream, ConnectError> {
         let until = Instant::now() + within;
         let mut pause = LOCAL_FAULT_PAUSE;
         loop {
@@ -502,33 +544,60 @@
                 // Idle connections to others hold sockets that are wanted here.
                 self.clear();
                 let again = self.sockets.clone().try_acquire_owned();
-                let reserve = || self.reserve.clone().try_acquire_owned().ok().filter(|_| target.reserved);
+                let reserve = || {
+                    self.reserve
+                        .clone()
+                        .try_acquire_owned()
+                        .ok()
+                        .filter(|_| target.reserved)
+                };
                 again.ok().or_else(reserve).ok_or(ConnectError::OverBound)?
             }
         };
         self.counters.connections_out.up();
-        let within = target.within.map_or(self.connect_timeout, |w| w.min(self.connect_timeout));
+        let within = target
+            .within
+            .map_or(self.connect_timeout, |w| w.min(self.connect_timeout));
         let connected = self.open_within(target.address, within).await;
         match &connected {
-            Ok(_) => self.reach.borrow_mut().reached(&target.worker, Instant::now()),
+            Ok(_) => self
+                .reach
+                .borrow_mut()
+                .reached(&target.worker, Instant::now()),
             // No word of the host: it must not be ranked down for it.
             Err(ConnectError::Local(_)) => self.counters.connects_failed_locally.up(),
-            Err(_) => self.reach.borrow_mut().connect_failed(&target.worker, Instant::now()),
+            Err(_) => self
+                .reach
+                .borrow_mut()
+                .connect_failed(&target.worker, Instant::now()),
         }
         let stream = connected?;
         stream.set_nodelay(true)?;
         let (stream, meter) = (Rc::new(stream), Rc::new(Meter::default()));
-        let io = TokioIo::new(Metered { stream: stream.clone(), meter: meter.clone() });
+        let io = TokioIo::new(Metered {
+            stream: stream.clone(),
+            meter: meter.clone(),
+        });
         // A header that can't be read (a load report, say) is no reason to lose a good answer.
         let mut builder = http1::Builder::new();
-        builder.max_buf_size(64 * 1024).ignore_invalid_headers_in_responses(true);
+        builder
+            .max_buf_size(64 * 1024)
+            .ignore_invalid_headers_in_responses(true);
         let (sender, connection) = builder.handshake(io).await?;
         let driver = tokio::task::spawn_local(async move {
             if let Err(error) = connection.await {
                 log::debug!("connection to a model host: {error}");
             }
         });
-        Ok(Connection { sender, stream, meter, driver, reused: false, sent: Instant::now(), _permit: permit })
+        Ok(Connection {
+            sender,
+            stream,
+            meter,
+            driver,
+            reused: false,
+            sent: Instant::now(),
+            _permit: permit,
+        })
     }
 }
 
--- a/src/net/pool/tests.rs
+++ b/src/net/pool/tests.rs
@@ -7,7 +7,10 @@
     let wire = [&ahead[..], b"HTTP/1.1 200 OK\r\n\r\n"].concat();
     for cut in 1..wire.len() {
         let mut head = Head::default();
-        assert!(head.take(&wire[..cut]) == (cut != ahead.len()), "cut at {cut}");
+        assert!(
+            head.take(&wire[..cut]) == (cut != ahead.len()),
+            "cut at {cut}"
+        );
         head.take(&wire[cut..]);
         assert!(head.start.starts_with(b"HTTP/1.1 2"), "cut at {cut}");
     }
@@ -20,8 +23,13 @@
     let address = listener.local_addr().unwrap();
     let wait = Duration::from_secs(5);
     let pool = Pool::new(2 * RESERVE, wait, wait, Rc::default());
-    let target =
-        |reserved| Target { worker: WorkerId("a".into()), address, within: None, reserved, is_new: false };
+    let target = |reserved| Target {
+        worker: WorkerId("a".into()),
+        address,
+        within: None,
+        reserved,
+        is_new: false,
+    };
     let ask = |reserved| pool.clone().connect(target(reserved));
     let run = async {
         let mut open = Vec::new();
@@ -74,8 +82,13 @@
     let wait = Duration::from_secs(5);
     let whole = 2 * RESERVE;
     let pool = Pool::new(whole, wait, wait, Rc::default());
-    let target =
-        Target { worker: WorkerId("a".into()), address, within: None, reserved: false, is_new: false };
+    let target = Target {
+        worker: WorkerId("a".into()),
+        address,
+        within: None,
+        reserved: false,
+        is_new: false,
+    };
     let run = async {
         let mut open = Vec::new();
         for _ in 0..whole / 2 {
--- a/src/net/reach.rs
+++ b/src/net/reach.rs
@@ -60,7 +60,9 @@
 
     /// Whether an answer of `worker` came since a moment.
     pub fn was_heard_since(&self, worker: &WorkerId, since: Instant) -> bool {
-        self.seen.get(worker).is_some_and(|seen| seen.heard.is_some_and(|heard| heard > since))
+        self.seen
+            .get(worker)
+            .is_some_and(|seen| seen.heard.is_some_and(|heard| heard > since))
     }
 
     /// Nothing was heard of `worker` where something should have been, at `now`.
@@ -77,13 +79,17 @@
 
     /// Whether the last connection to `worker` failed and nothing has been heard of it since.
     pub fn is_suspect(&self, worker: &WorkerId) -> bool {
-        let Some(seen) = self.seen.get(worker) else { return false };
-        seen.connect_failed.is_some_and(|failed| seen.reached.is_none_or(|reached| reached < failed))
+        let Some(seen) = self.seen.get(worker) else {
+            return false;
+        };
+        seen.connect_failed
+            .is_some_and(|failed| seen.reached.is_none_or(|reached| reached < failed))
     }
 
     /// Drops what is older than [`REMEMBER`] at `now`.
     pub fn forget_old(&mut self, now: Instant) {
-        let fresh = |at: Option<Instant>| at.filter(|at| now.saturating_duration_since(*at) < REMEMBER);
+        let fresh =
+            |at: Option<Instant>| at.filter(|at| now.saturating_duration_since(*at) < REMEMBER);
         self.seen.retain(|_, seen| {
             *seen = Seen {
                 reached: fresh(seen.reached),
@@ -106,8 +112,11 @@
     }
 
     fn rank(&self, worker: &WorkerId, now: Instant) -> Rank {
-        let Some(seen) = self.seen.get(worker) else { return Rank::Unknown };
-        let fresh = |at: Option<Instant>| at.filter(|at| now.saturating_duration_since(*at) < REMEMBER);
+        let Some(seen) = self.seen.get(worker) else {
+            return Rank::Unknown;
+        };
+        let fresh =
+            |at: Option<Instant>| at.filter(|at| now.saturating_duration_since(*at) < REMEMBER);
         match (fresh(seen.reached), fresh(seen.unreached)) {
             (Some(reached), Some(unreached)) if unreached > reached => Rank::Unreached,
             (Some(reached), _) => Rank::Reached(now.saturating_duration_since(reached)),
@@ -125,7 +134,8 @@
         spread: u64,
     ) -> Vec<WorkerId> {
         let mut order = self.order(candidates, now);
-        let is_recent = |w: &&WorkerId| matches!(self.rank(w, now), Rank::Reached(ago) if ago < LATELY);
+        let is_recent =
+            |w: &&WorkerId| matches!(self.rank(w, now), Rank::Reached(ago) if ago < LATELY);
         let recent = order.iter().take_while(is_recent).count();
         if recent > 1 {
             order[..recent].rotate_left((spread % recent as u64) as usize);
--- a/src/net/reach/tests.rs
+++ b/src/net/reach/tests.rs
@@ -15,7 +15,10 @@
     let start = Instant::now();
     let mut reach = Reach::default();
     for (i, name) in ["a1", "a2", "a3", "b1"].iter().enumerate() {
-        reach.reached(&w(name), start + Duration::from_millis(900 - 100 * i as u64));
+        reach.reached(
+            &w(name),
+            start + Duration::from_millis(900 - 100 * i as u64),
+        );
     }
     reach.unreached(&w("c1"), start);
     let given = ["c1", "a1", "a2", "a3", "b1", "b2", "d1"].map(|n| (w(n), n[..1].to_owned()));
@@ -35,7 +38,10 @@
     let now = start + Duration::from_millis(500);
     let given = ["cut-1", "cut-2", "unknown-1", "old", "unknown-2", "holder"];
     let order = reach.order(given.map(here).to_vec(), now);
-    assert_eq!(order, ["holder", "old", "unknown-1", "unknown-2", "cut-1", "cut-2"].map(w));
+    assert_eq!(
+        order,
+        ["holder", "old", "unknown-1", "unknown-2", "cut-1", "cut-2"].map(w)
+    );
 }
 
 #[test]
@@ -44,10 +50,16 @@
     let mut reach = Reach::default();
     reach.unreached(&w("a"), start);
     reach.reached(&w("a"), start + Duration::from_secs(1));
-    assert_eq!(reach.order(vec![here("b"), here("a")], start + Duration::from_secs(2)), [w("a"), w("b")]);
+    assert_eq!(
+        reach.order(vec![here("b"), here("a")], start + Duration::from_secs(2)),
+        [w("a"), w("b")]
+    );
     reach.forget_old(start + REMEMBER + Duration::from_secs(2));
     assert!(reach.is_empty());
-    assert_eq!(reach.order(vec![here("b"), here("a")], start + REMEMBER * 2), [w("b"), w("a")]);
+    assert_eq!(
+        reach.order(vec![here("b"), here("a")], start + REMEMBER * 2),
+        [w("b"), w("a")]
+    );
 }
 
 /// Guards against many releases of one moment that all ask the one host that answered last.
@@ -64,9 +76,15 @@
     let firsts = (0..3).map(|spread| reach.order_spread(given.clone(), now, spread)[0].clone());
     assert_eq!(firsts.collect::<std::collections::BTreeSet<_>>().len(), 3);
     for spread in 0..3 {
-        assert_eq!(reach.order_spread(given.clone(), now, spread)[3..], ["old", "unknown"].map(w));
+        assert_eq!(
+            reach.order_spread(given.clone(), now, spread)[3..],
+            ["old", "unknown"].map(w)
+        );
     }
-    assert!(!reach.was_heard_since(&w("a"), start), "a connection that came up is no answer");
+    assert!(
+        !reach.was_heard_since(&w("a"), start),
+        "a connection that came up is no answer"
+    );
     reach.heard(&w("a"), now);
     assert!(reach.was_heard_since(&w("a"), start));
 }
--- a/src/net/release.rs
+++ b/src/net/release.rs
@@ -73,7 +73,10 @@
         if now < self.due {
             return Vec::new();
         }
-        if self.open > 0 && now > self.due + HELD_UP && !std::mem::replace(&mut self.is_put_off, true) {
+        if self.open > 0
+            && now > self.due + HELD_UP
+            && !std::mem::replace(&mut self.is_put_off, true)
+        {
             self.due = now + HEDGE / 2;
             return Vec::new();
         }
--- a/src/net/release/tests.rs
+++ b/src/net/release/tests.rs
@@ -25,7 +25,10 @@
 /// When the first call reaches a host that runs, in a simulation of the calls' ends.
 fn reached(hosts: &[(WorkerId, String, Host)], reach: &Reach, start: Instant) -> Option<Duration> {
     let kind = |w: &WorkerId| hosts.iter().find(|(h, ..)| h == w).map(|(.., kind)| *kind);
-    let listed: Vec<_> = hosts.iter().map(|(w, zone, _)| (w.clone(), zone.clone())).collect();
+    let listed: Vec<_> = hosts
+        .iter()
+        .map(|(w, zone, _)| (w.clone(), zone.clone()))
+        .collect();
     let mut fanout = Fanout::new(start);
     let mut failing: Vec<Instant> = Vec::new();
     let mut now = start;
@@ -67,7 +70,12 @@
                 1 => Host::Refuses,
                 _ => Host::Runs,
             };
-            (WorkerId(format!("host-{i}").into()), format!("zone-{}", i % 3), kind, heard)
+            (
+                WorkerId(format!("host-{i}").into()),
+                format!("zone-{}", i % 3),
+                kind,
+                heard,
+            )
         };
         all.into_iter().enumerate().map(host).collect()
     })
@@ -112,7 +120,10 @@
     for _ in 0..6 {
         let now = fanout.due();
         widths.push(fanout.wave(now, &hosts, nobody).len());
-        assert!(fanout.wave(now, &hosts, nobody).is_empty(), "nobody further before the pause is over");
+        assert!(
+            fanout.wave(now, &hosts, nobody).is_empty(),
+            "nobody further before the pause is over"
+        );
         assert_eq!(fanout.due(), now + HEDGE);
     }
     assert_eq!(widths, [1, 2, 4, 8, 8, 8]);
@@ -131,7 +142,11 @@
         wave.iter().for_each(|_| fanout.failed(now));
         asked.extend(wave.contains(&hosts[0]).then_some(now));
     }
-    assert!(asked.last().is_some_and(|at| *at > start + Duration::from_secs(9)));
+    assert!(
+        asked
+            .last()
+            .is_some_and(|at| *at > start + Duration::from_secs(9))
+    );
     assert!((60..200).contains(&calls), "{calls}");
 }
 
@@ -163,7 +178,9 @@
     );
     let third = fanout.due();
     assert_eq!(
-        fanout.wave(third, &hosts, |h, since| since < second && *h == hosts[31]).len(),
+        fanout
+            .wave(third, &hosts, |h, since| since < second && *h == hosts[31])
+            .len(),
         2,
         "not since"
     );
@@ -178,5 +195,9 @@
     let late = fanout.due() + Duration::from_millis(100);
     assert!(fanout.wave(late, &hosts, nobody).is_empty());
     let later = fanout.due() + Duration::from_millis(100);
-    assert_eq!(fanout.wave(later, &hosts, nobody).len(), 2, "put off once only");
+    assert_eq!(
+        fanout.wave(later, &hosts, nobody).len(),
+        2,
+        "put off once only"
+    );
 }
--- a/src/net/releases.rs
+++ b/src/net/releases.rs
@@ -55,7 +55,12 @@
 
 impl Hosts {
     /// Releases what is held for a request, at whichever hosts take it, until one has.
-    pub(super) async fn release_now(&self, call: &Call, permit: ReleasePermit, releasing: Rc<Releasing>) {
+    pub(super) async fn release_now(
+        &self,
+        call: &Call,
+        permit: ReleasePermit,
+        releasing: Rc<Releasing>,
+    ) {
         tokio::time::sleep(SETTLE).await;
         // The calls end with this: one that arrives later would take what the next read leaves.
         let mut calls = tokio::task::JoinSet::new();
@@ -65,9 +70,14 @@
         while releasing.is_going() && begun.elapsed() < RELEASE_WITHIN {
             // Which hosts were just heard from may change meanwhile, and so may the list.
             let hosts = self.pool.by_reach(self.directory.running(), spread);
-            let was_heard_since = |worker: &WorkerId, since| self.pool.was_heard_since(worker, since);
+            let was_heard_since =
+                |worker: &WorkerId, since| self.pool.was_heard_since(worker, since);
             for worker in fanout.wave(Instant::now(), &hosts, was_heard_since) {
-                calls.spawn_local(self.clone().ask_release(worker, call.id.clone(), releasing.clone()));
+                calls.spawn_local(self.clone().ask_release(
+                    worker,
+                    call.id.clone(),
+                    releasing.clone(),
+                ));
             }
             tokio::select! {
                 biased;
@@ -86,19 +96,26 @@
         if releasing.is_going() {
             releasing.stop();
             self.counters.releases_failed.up();
-            log::warn!("request {}: no model host took the release of its state", call.id);
+            log::warn!(
+                "request {}: no model host took the release of its state",
+                call.id
+            );
         }
     }
 
     /// One call of a release; whether the host took it.
     async fn ask_release(self, worker: WorkerId, id: String, releasing: Rc<Releasing>) -> bool {
-        let request = Request::delete(format!("/internal/reservations/{id}")).header("host", "model-host");
-        let (Some(mut target), Ok(request)) = (self.target(&worker), request.body(Full::new(Bytes::new())))
+        let request =
+            Request::delete(format!("/internal/reservations/{id}")).header("host", "model-host");
+        let (Some(mut target), Ok(request)) =
+            (self.target(&worker), request.body(Full::new(Bytes::new())))
         else {
             return false;
         };
         target.reserved = true;
-        let state = || CallState::Release { is_going: releasing.is_going() };
+        let state = || CallState::Release {
+            is_going: releasing.is_going(),
+        };
         let calling = self.small_call(Some(&target), request, 0, state);
         tokio::pin!(calling);
         let answer = match tokio::time::timeout(HEDGE, &mut calling).await {
@@ -127,7 +144,8 @@
             return;
         }
         let (id, now) = (attempt.call.id.clone(), Instant::now());
-        self.late_arrivals.change(|late| late.abandoned(&attempt.worker, id, now));
+        self.late_arrivals
+            .change(|late| late.abandoned(&attempt.worker, id, now));
         if !self.late_arrivals.is_followed.replace(true) {
             tokio::task::spawn_local(self.clone().follow_late_arrivals());
         }
@@ -173,8 +191,10 @@
 
     /// Asks one host to release a request.
     async fn release_at(&self, worker: &WorkerId, id: &str) -> Met {
-        let request = Request::delete(format!("/internal/reservations/{id}")).header("host", "model-host");
-        let (Some(mut target), Ok(request)) = (self.target(worker), request.body(Full::new(Bytes::new())))
+        let request =
+            Request::delete(format!("/internal/reservations/{id}")).header("host", "model-host");
+        let (Some(mut target), Ok(request)) =
+            (self.target(worker), request.body(Full::new(Bytes::new())))
         else {
             return Met::Gone;
         };
@@ -196,7 +216,9 @@
 /// Whether a call failed since nobody listens.
 fn is_refusal(error: &CallError) -> bool {
     match error {
-        CallError::Connect(ConnectError::Io(error)) => error.kind() == io::ErrorKind::ConnectionRefused,
+        CallError::Connect(ConnectError::Io(error)) => {
+            error.kind() == io::ErrorKind::ConnectionRefused
+        }
         _ => false,
     }
 }
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -66,11 +66,17 @@
         let asks = request.uri().path() == platform::PATH && request.method() == Method::POST;
         let class = request.headers().get("x-class").filter(|_| asks);
         let class = class.and_then(|value| value.to_str().ok()).map(str::trim);
-        self.shared.figures.begin(class, &self.shared.classes.borrow())
+        self.shared
+            .figures
+            .begin(class, &self.shared.classes.borrow())
     }
 
     async fn respond(self, arrival: Arrival) -> Response<AnswerBody> {
-        let Arrival { request, watch, tally } = arrival;
+        let Arrival {
+            request,
+            watch,
+            tally,
+        } = arrival;
         let head = watch.head();
         if !head.is_sound {
             return self.bad(StatusCode::BAD_REQUEST, "ambiguous framing\n");
@@ -96,8 +102,12 @@
             };
         }
         match (path, request.method()) {
-            (platform::PATH, &Method::POST) => self.platform(request, arrived, &watch, &tally).await,
-            (platform::PATH | "/healthz", _) => self.bad(StatusCode::METHOD_NOT_ALLOWED, "wrong method\n"),
+            (platform::PATH, &Method::POST) => {
+                self.platform(request, arrived, &watch, &tally).await
+            }
+            (platform::PATH | "/healthz", _) => {
+                self.bad(StatusCode::METHOD_NOT_ALLOWED, "wrong method\n")
+            }
             _ => self.bad(StatusCode::NOT_FOUND, "no such path\n"),
         }
     }
@@ -128,7 +138,12 @@
         };
         tally.take();
         let headers = end_to_end(&head.headers);
-        if !held.grow(headers.iter().map(|(name, value)| name.as_str().len() + value.len()).sum()) {
+        if !held.grow(
+            headers
+                .iter()
+                .map(|(name, value)| name.as_str().len() + value.len())
+                .sum(),
+        ) {
             shared.counters.over_bound.up();
             return platform::refusal(Some(COME_BACK));
         }
@@ -151,9 +166,20 @@
             return self.bad(StatusCode::CONFLICT, "a request with this id is in hand\n");
         }
         let in_hand = InHand::new(shared.clone(), intake.id.clone());
-        let target = head.uri.path_and_query().map_or(platform::PATH, |p| p.as_str()).to_owned();
+        let target = head
+            .uri
+            .path_and_query()
+            .map_or(platform::PATH, |p| p.as_str())
+            .to_owned();
         let keeps: Option<Rc<dyn Any>> = Some(Rc::new((in_hand, held)));
-        let call = Call { id: intake.id, target, headers, body, keeps, name: None };
+        let call = Call {
+            id: intake.id,
+            target,
+            headers,
+            body,
+            keeps,
+            name: None,
+        };
         let asked = shared.core.ask(intake.ask, call);
         drop(pass);
         let (answer, presence) = asked.answer().await;
@@ -162,15 +188,23 @@
 
     /// Reads a body whole, within the bounds of its length and of what all bodies may take. Its time is bounded
     /// by the connection's supervisor.
-    async fn body(&self, mut body: Incoming, watch: &Watch) -> Result<(Bytes, Held), Response<AnswerBody>> {
+    async fn body(
+        &self,
+        mut body: Incoming,
+        watch: &Watch,
+    ) -> Result<(Bytes, Held), Response<AnswerBody>> {
         let too_long = || self.bad(StatusCode::PAYLOAD_TOO_LARGE, "body too long\n");
         if body.size_hint().lower() > MOST_BODY as u64 {
             return Err(too_long());
         }
         let (mut whole, mut held) = (BytesMut::new(), Held::new(self.shared.clone()));
         while let Some(frame) = body.frame().await {
-            let Ok(frame) = frame else { return Err(self.bad(StatusCode::BAD_REQUEST, "body broken\n")) };
-            let Ok(data) = frame.into_data() else { continue };
+            let Ok(frame) = frame else {
+                return Err(self.bad(StatusCode::BAD_REQUEST, "body broken\n"));
+            };
+            let Ok(data) = frame.into_data() else {
+                continue;
+            };
             if whole.len() + data.len() > MOST_BODY {
                 return Err(too_long());
             }
@@ -291,7 +325,9 @@
             Standing::InHand => None,
         };
         let found = all.values().filter(|w| !w.is_unwanted() && !w.is_blocked());
-        let found = found.filter_map(|w| idle(w).map(|since| (since, w))).min_by_key(|(since, _)| *since);
+        let found = found
+            .filter_map(|w| idle(w).map(|since| (since, w)))
+            .min_by_key(|(since, _)| *since);
         let found = found.inspect(|(_, w)| w.evict());
         if found.is_some() {
             counters.connections_evicted.up();
@@ -328,8 +364,10 @@
     /// written to a connection that this machine has accepted is taken, and a listener that goes resets those.
     pub async fn accept(self, listener: TcpListener) {
         // Over its bound the service refuses: tower's shed turns a full limit into an error, answered below.
-        let service =
-            ServiceBuilder::new().load_shed().concurrency_limit(self.waiting).service(self.edge.clone());
+        let service = ServiceBuilder::new()
+            .load_shed()
+            .concurrency_limit(self.waiting)
+            .service(self.edge.clone());
         let mut stage = self.stage.clone();
         loop {
             self.room().await;
@@ -342,7 +380,9 @@
                 }
             }
         }
-        let Ok(listener) = listener.into_std() else { return };
+        let Ok(listener) = listener.into_std() else {
+            return;
+        };
         if *stage.borrow() == Stage::Leaving {
             if let Err(error) = turn_away_new(&listener) {
                 log::warn!("accept: new connections can't be turned away: {error}");
@@ -375,7 +415,10 @@
                 }
                 Err(error) => return log::warn!("accept: {error}; what waits is left"),
             };
-            if let Ok(stream) = stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream)) {
+            if let Ok(stream) = stream
+                .set_nonblocking(true)
+                .and_then(|()| TcpStream::from_std(stream))
+            {
                 self.begin(stream, service.clone());
             }
         }
@@ -396,7 +439,10 @@
 
     /// The most connections now, [`OVER`] aside.
     fn most(&self) -> usize {
-        self.open.most.get().map_or(self.bound, |most| most.min(self.bound))
+        self.open
+            .most
+            .get()
+            .map_or(self.bound, |most| most.min(self.bound))
     }
 
     /// Waits until there is room for one more connection, if only to be refused.
@@ -434,7 +480,11 @@
                 let edge = edge.clone();
                 Box::pin(async move {
                     let tally = edge.tally(&request);
-                    let arrival = Arrival { request, watch: watch.clone(), tally: tally.clone() };
+                    let arrival = Arrival {
+                        request,
+                        watch: watch.clone(),
+                        tally: tally.clone(),
+                    };
                     let mut response = if over {
                         platform::refusal(Some(COME_BACK))
                     } else {
@@ -447,7 +497,15 @@
                     Ok(Answering::new(response, watch, tally))
                 })
             };
-            serve(stream, hyper::service::service_fn(answer), stage, &watch, room, &counters).await;
+            serve(
+                stream,
+                hyper::service::service_fn(answer),
+                stage,
+                &watch,
+                room,
+                &counters,
+            )
+            .await;
         });
     }
 }
--- a/src/net/server/tests.rs
+++ b/src/net/server/tests.rs
@@ -23,7 +23,9 @@
 
 fn connect_to(address: std::net::SocketAddr) -> std::net::TcpStream {
     let client = std::net::TcpStream::connect(address).unwrap();
-    client.set_read_timeout(Some(Duration::from_secs(30))).unwrap();
+    client
+        .set_read_timeout(Some(Duration::from_secs(30)))
+        .unwrap();
     client.set_nodelay(true).unwrap();
     client
 }
@@ -32,7 +34,9 @@
 async fn rest(mut client: std::net::TcpStream) -> io::Result<String> {
     let read = move || {
         let mut all = Vec::new();
-        client.read_to_end(&mut all).map(|_| String::from_utf8_lossy(&all).into_owned())
+        client
+            .read_to_end(&mut all)
+            .map(|_| String::from_utf8_lossy(&all).into_owned())
     };
     spawn_blocking(read).await.unwrap()
 }
@@ -57,8 +61,12 @@
 async fn narrow(listener: &TcpListener, send: usize) -> (std::net::TcpStream, TcpStream) {
     let client = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     client.set_recv_buffer_size(4096).unwrap();
-    client.connect(&listener.local_addr().unwrap().into()).unwrap();
-    client.set_read_timeout(Some(Duration::from_secs(30))).unwrap();
+    client
+        .connect(&listener.local_addr().unwrap().into())
+        .unwrap();
+    client
+        .set_read_timeout(Some(Duration::from_secs(30)))
+        .unwrap();
     let (stream, _) = listener.accept().await.unwrap();
     SockRef::from(&stream).set_send_buffer_size(send).unwrap();
     (client.into(), stream)
@@ -90,11 +98,19 @@
     async fn new() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let (stage, _) = watch::channel(Stage::Open);
-        Story { listener, stage, watch: Watch::new(), counters: Rc::default() }
+        Story {
+            listener,
+            stage,
+            watch: Watch::new(),
+            counters: Rc::default(),
+        }
     }
 
     /// A connection that is served, its answers as given.
-    async fn serve(&self, body: &'static str) -> (std::net::TcpStream, tokio::task::JoinHandle<()>) {
+    async fn serve(
+        &self,
+        body: &'static str,
+    ) -> (std::net::TcpStream, tokio::task::JoinHandle<()>) {
         let client = connect(&self.listener);
         let (stream, _) = self.listener.accept().await.unwrap();
         (client, self.serve_on(stream, body))
@@ -104,7 +120,9 @@
         self.serve_with(stream, move || {
             let mut response = plain(StatusCode::OK, body);
             if body != "here" {
-                response.headers_mut().insert("connection", "close".parse().unwrap());
+                response
+                    .headers_mut()
+                    .insert("connection", "close".parse().unwrap());
             }
             response
         })
@@ -115,7 +133,11 @@
         stream: TcpStream,
         answer: impl Fn() -> Response<AnswerBody> + Unpin + 'static,
     ) -> tokio::task::JoinHandle<()> {
-        let (watch, counters, stage) = (self.watch.clone(), self.counters.clone(), self.stage.subscribe());
+        let (watch, counters, stage) = (
+            self.watch.clone(),
+            self.counters.clone(),
+            self.stage.subscribe(),
+        );
         let (answer, room) = (Rc::new(answer), Held::new(shared(64 * 1024)));
         spawn_local(async move {
             let seen = watch.clone();
@@ -129,7 +151,15 @@
                     Ok(Answering::new(answer(), watch, tally))
                 })
             };
-            serve(stream, hyper::service::service_fn(answerer), stage, &watch, room, &counters).await;
+            serve(
+                stream,
+                hyper::service::service_fn(answerer),
+                stage,
+                &watch,
+                room,
+                &counters,
+            )
+            .await;
         })
     }
 }
@@ -140,7 +170,9 @@
 #[case::in_a_drain(|story: &Story| _ = story.stage.send(Stage::Draining))]
 #[case::whose_place_is_wanted(|story: &Story| story.watch.evict())]
 #[tokio::test]
-async fn a_request_on_a_resting_connection_that_is_just_being_closed_is_answered(#[case] close: fn(&Story)) {
+async fn a_request_on_a_resting_connection_that_is_just_being_closed_is_answered(
+    #[case] close: fn(&Story),
+) {
     let tell = async {
         let story = Story::new().await;
         let (mut client, served) = story.serve("here").await;
@@ -161,7 +193,9 @@
 #[case::at_the_end(Stage::Closing)]
 #[case::in_a_drain(Stage::Draining)]
 #[tokio::test]
-async fn half_a_request_that_crosses_the_close_of_a_resting_connection_is_waited_for(#[case] stage: Stage) {
+async fn half_a_request_that_crosses_the_close_of_a_resting_connection_is_waited_for(
+    #[case] stage: Stage,
+) {
     let tell = async {
         let story = Story::new().await;
         let (mut client, served) = story.serve("here").await;
@@ -205,10 +239,26 @@
 
 /// Guards against a request cut off in the middle: it is waited for, and its answer ends the connection.
 #[rstest]
-#[case::head_at_the_end(Stage::Closing, "POST /x HTTP/1.1\r\nhost: a\r\ncont", "ent-length: 0\r\n\r\n")]
-#[case::head_in_a_drain(Stage::Draining, "POST /x HTTP/1.1\r\nhost: a\r\ncont", "ent-length: 0\r\n\r\n")]
-#[case::body_at_the_end(Stage::Closing, "POST /x HTTP/1.1\r\nhost: a\r\ncontent-length: 4\r\n\r\nha", "lf")]
-#[case::body_in_a_drain(Stage::Draining, "POST /x HTTP/1.1\r\nhost: a\r\ncontent-length: 4\r\n\r\nha", "lf")]
+#[case::head_at_the_end(
+    Stage::Closing,
+    "POST /x HTTP/1.1\r\nhost: a\r\ncont",
+    "ent-length: 0\r\n\r\n"
+)]
+#[case::head_in_a_drain(
+    Stage::Draining,
+    "POST /x HTTP/1.1\r\nhost: a\r\ncont",
+    "ent-length: 0\r\n\r\n"
+)]
+#[case::body_at_the_end(
+    Stage::Closing,
+    "POST /x HTTP/1.1\r\nhost: a\r\ncontent-length: 4\r\n\r\nha",
+    "lf"
+)]
+#[case::body_in_a_drain(
+    Stage::Draining,
+    "POST /x HTTP/1.1\r\nhost: a\r\ncontent-length: 4\r\n\r\nha",
+    "lf"
+)]
 #[tokio::test]
 async fn a_request_that_is_half_there_when_connections_close_is_answered(
     #[case] stage: Stage,
@@ -248,7 +298,11 @@
         let (client, served) = story.serve("here").await;
         let begun = Instant::now();
         served.await.unwrap();
-        assert!((LATE_CLIENT..=LATE_CLIENT + LINGER).contains(&begun.elapsed()), "{:?}", begun.elapsed());
+        assert!(
+            (LATE_CLIENT..=LATE_CLIENT + LINGER).contains(&begun.elapsed()),
+            "{:?}",
+            begun.elapsed()
+        );
         assert_eq!(rest(client).await.expect("ended in order"), "");
     };
     LocalSet::new().run_until(tell).await;
@@ -284,7 +338,10 @@
 #[case::that_hyper_holds("", 4096)]
 #[case::that_the_system_holds("GET /next HTTP/1.1\r\n", 2 * LONG)]
 #[tokio::test]
-async fn a_last_answer_comes_whole_to_a_client_that_reads_it_late(#[case] more: &str, #[case] buffer: usize) {
+async fn a_last_answer_comes_whole_to_a_client_that_reads_it_late(
+    #[case] more: &str,
+    #[case] buffer: usize,
+) {
     let tell = async {
         let story = Story::new().await;
         let (mut client, stream) = narrow(&story.listener, buffer).await;
@@ -312,8 +369,16 @@
         let shared = shared(1);
         let (stage, stages) = watch::channel(Stage::Open);
         let open = Rc::new(Connections::default());
-        let accepting =
-            Listener { edge: Edge { shared, tools: None }, bound: 64, waiting: 64, stage: stages, open };
+        let accepting = Listener {
+            edge: Edge {
+                shared,
+                tools: None,
+            },
+            bound: 64,
+            waiting: 64,
+            stage: stages,
+            open,
+        };
         let asking = |_| {
             let mut client = connect(&listener);
             client.write_all(ASKED).unwrap();
@@ -325,7 +390,10 @@
         accepted.await.unwrap();
         for client in clients {
             let come = rest(client).await.expect("no reset");
-            assert!(come.starts_with("HTTP/1.1 200 OK") && come.contains("connection: close"), "{come:?}");
+            assert!(
+                come.starts_with("HTTP/1.1 200 OK") && come.contains("connection: close"),
+                "{come:?}"
+            );
         }
     };
     LocalSet::new().run_until(tell).await;
@@ -354,10 +422,25 @@
                 true
             }
         });
-        let edge = Edge { shared: Rc::new(shared), tools: None };
-        let accepting = Listener { edge, bound: 64, waiting: 64, stage: stages, open: open.clone() };
+        let edge = Edge {
+            shared: Rc::new(shared),
+            tools: None,
+        };
+        let accepting = Listener {
+            edge,
+            bound: 64,
+            waiting: 64,
+            stage: stages,
+            open: open.clone(),
+        };
         let accepting = spawn_local(accepting.accept(listener));
-        Served { address, stage, taken, open, accepting }
+        Served {
+            address,
+            stage,
+            taken,
+            open,
+            accepting,
+        }
     }
 
     /// A client that asks on one connection, `most` times or until that closes in order; how many answers it got, and
@@ -387,7 +470,10 @@
         if come.is_empty() {
             break;
         }
-        assert!(come.starts_with("HTTP/1.1 200 OK") && come.ends_with("ready\n"), "{come:?}");
+        assert!(
+            come.starts_with("HTTP/1.1 200 OK") && come.ends_with("ready\n"),
+            "{come:?}"
+        );
         answered += 1;
         if come.contains("connection: close") {
             assert_eq!(client.read(&mut piece).expect("ended in order"), 0);
@@ -414,8 +500,16 @@
         };
         let clients = futures_util::future::join_all((0..8).map(|_| service.ask(WITHOUT_END)));
         let (ends, ()) = tokio::join!(clients, drain);
-        assert_eq!(ends.iter().map(|(answered, _)| answered).sum::<u64>(), service.taken.get());
-        assert_eq!(spawn_blocking(move || resting.read(&mut [0]).unwrap()).await.unwrap(), 0);
+        assert_eq!(
+            ends.iter().map(|(answered, _)| answered).sum::<u64>(),
+            service.taken.get()
+        );
+        assert_eq!(
+            spawn_blocking(move || resting.read(&mut [0]).unwrap())
+                .await
+                .unwrap(),
+            0
+        );
         // None is left, and the next ones are answered once.
         while service.open.count() > 0 {
             tokio::task::yield_now().await;
@@ -444,10 +538,12 @@
         let (mut client, stream) = narrow(&story.listener, 4096).await;
         let (frames, lines) = tokio::sync::mpsc::channel(1);
         let lines = RefCell::new(Some(lines));
-        let served =
-            story.serve_with(stream, move || Response::new(AnswerBody::Lines(lines.take().unwrap())));
+        let served = story.serve_with(stream, move || {
+            Response::new(AnswerBody::Lines(lines.take().unwrap()))
+        });
         client.write_all(ASKED).unwrap();
-        let frame = |text: &'static str| crate::exchange::Frame::Data(Bytes::from_static(text.as_bytes()));
+        let frame =
+            |text: &'static str| crate::exchange::Frame::Data(Bytes::from_static(text.as_bytes()));
         frames.send(frame("one ")).await.unwrap();
         for stage in [Stage::Draining, Stage::Open, Stage::Draining] {
             for _ in 0..10 {
@@ -458,7 +554,10 @@
         frames.send(frame("two ")).await.unwrap();
         frames.send(crate::exchange::Frame::End).await.unwrap();
         let come = rest(client).await.expect("ended in order");
-        assert!(come.contains("one ") && come.contains("two ") && come.ends_with("0\r\n\r\n"), "{come:?}");
+        assert!(
+            come.contains("one ") && come.contains("two ") && come.ends_with("0\r\n\r\n"),
+            "{come:?}"
+        );
         assert!(!come.contains("connection: close"), "{come:?}");
         served.await.unwrap();
     };
@@ -472,11 +571,21 @@
     let tell = async {
         let address = "127.0.0.1:0".parse().unwrap();
         let listener = crate::net::upgrade::socket::listen(address, true).unwrap();
-        let _other = crate::net::upgrade::socket::listen(listener.local_addr().unwrap(), true).unwrap();
+        let _other =
+            crate::net::upgrade::socket::listen(listener.local_addr().unwrap(), true).unwrap();
         let (stage, stages) = watch::channel(Stage::Open);
         let open = Rc::new(Connections::default());
-        let edge = Edge { shared: shared(1), tools: None };
-        let accepting = Listener { edge, bound: 64, waiting: 64, stage: stages, open: open.clone() };
+        let edge = Edge {
+            shared: shared(1),
+            tools: None,
+        };
+        let accepting = Listener {
+            edge,
+            bound: 64,
+            waiting: 64,
+            stage: stages,
+            open: open.clone(),
+        };
         // Some of them wait at the other listener, which nobody serves.
         let mut clients: Vec<_> = (0..64).map(|_| connect(&listener)).collect();
         let accepted = spawn_local(accepting.accept(listener));
@@ -495,8 +604,9 @@
             client.set_nonblocking(true).unwrap();
             let mut come = String::new();
             let _ = client.read_to_string(&mut come);
-            answered +=
-                usize::from(come.starts_with("HTTP/1.1 200 OK") && come.contains("connection: close"));
+            answered += usize::from(
+                come.starts_with("HTTP/1.1 200 OK") && come.contains("connection: close"),
+            );
         }
         assert_eq!(answered, here);
     };
@@ -507,13 +617,23 @@
 #[tokio::test(start_paused = true)]
 async fn as_another_process_takes_over_the_system_hands_nothing_new_to_this_one() {
     let tell = async {
-        let listener = crate::net::upgrade::socket::listen("127.0.0.1:0".parse().unwrap(), true).unwrap();
+        let listener =
+            crate::net::upgrade::socket::listen("127.0.0.1:0".parse().unwrap(), true).unwrap();
         let address = listener.local_addr().unwrap();
         let _other = crate::net::upgrade::socket::listen(address, true).unwrap();
         let (stage, stages) = watch::channel(Stage::Open);
         let open = Rc::new(Connections::default());
-        let edge = Edge { shared: shared(1), tools: None };
-        let accepting = Listener { edge, bound: 128, waiting: 128, stage: stages, open: open.clone() };
+        let edge = Edge {
+            shared: shared(1),
+            tools: None,
+        };
+        let accepting = Listener {
+            edge,
+            bound: 128,
+            waiting: 128,
+            stage: stages,
+            open: open.clone(),
+        };
         let accepted = spawn_local(accepting.accept(listener));
         stage.send(Stage::Leaving).unwrap();
         // It waits for the end of handshakes then: the clock stands for as long as there is something to do.
@@ -522,7 +642,8 @@
         }
         assert!(!accepted.is_finished());
         let begin = |_| {
-            let client = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
+            let client =
+                socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
             client.set_nonblocking(true).unwrap();
             let _ = client.connect(&address.into());
             client
@@ -542,10 +663,16 @@
         let (mut client, stream) = narrow(&story.listener, 4096).await;
         let (frames, lines) = tokio::sync::mpsc::channel(1);
         let lines = RefCell::new(Some(lines));
-        let served =
-            story.serve_with(stream, move || Response::new(AnswerBody::Lines(lines.take().unwrap())));
+        let served = story.serve_with(stream, move || {
+            Response::new(AnswerBody::Lines(lines.take().unwrap()))
+        });
         client.write_all(ASKED).unwrap();
-        frames.send(crate::exchange::Frame::Data(Bytes::from_static(long().as_bytes()))).await.unwrap();
+        frames
+            .send(crate::exchange::Frame::Data(Bytes::from_static(
+                long().as_bytes(),
+            )))
+            .await
+            .unwrap();
         drop(frames);
         while !story.watch.is_blocked() {
             tokio::task::yield_now().await;
@@ -555,7 +682,10 @@
             tokio::task::yield_now().await;
         }
         let come = rest(client).await.expect("no reset");
-        assert_eq!((come.matches('~').count(), come.ends_with("0\r\n\r\n")), (LONG, false));
+        assert_eq!(
+            (come.matches('~').count(), come.ends_with("0\r\n\r\n")),
+            (LONG, false)
+        );
         served.await.unwrap();
     };
     LocalSet::new().run_until(tell).await;
@@ -576,7 +706,10 @@
     client.write_all(&[b'a'; 5_000]).unwrap();
     client.shutdown(std::net::Shutdown::Write).unwrap();
     while !watch.read_ahead(&stream, &mut room).await {}
-    assert_eq!((watch.kept_ahead(), shared.budget.get()), (kept, budget - kept));
+    assert_eq!(
+        (watch.kept_ahead(), shared.budget.get()),
+        (kept, budget - kept)
+    );
     room.shrink_to(2_000);
     assert_eq!(shared.budget.get(), budget - kept.min(2_000));
     drop(room);
@@ -599,7 +732,10 @@
     let came = Instant::now();
     tokio::time::advance(Duration::from_secs(2)).await;
     let mut piece = [0; 1024];
-    let read = Watched::new(stream, watch.clone()).read(&mut piece).await.unwrap();
+    let read = Watched::new(stream, watch.clone())
+        .read(&mut piece)
+        .await
+        .unwrap();
     assert_eq!(&piece[..read], ASKED);
     let head = watch.head();
     assert!(head.is_sound);
@@ -615,7 +751,10 @@
     assert_eq!(response.status(), StatusCode::INTERNAL_SERVER_ERROR);
     assert_eq!(counters.panics.get(), 1);
     let full = async { Err("no room") };
-    assert_eq!(answer_always(full, &counters).await.status(), StatusCode::SERVICE_UNAVAILABLE);
+    assert_eq!(
+        answer_always(full, &counters).await.status(),
+        StatusCode::SERVICE_UNAVAILABLE
+    );
 }
 
 /// Guards against the same over loopback sockets: the connection lives on.
@@ -628,11 +767,24 @@
             let (core, _) = crate::core::CoreHandle::channel(Clock::start());
             let panics = Cell::new(true);
             let ready = Box::new(move || !panics.take() || panic!("on purpose"));
-            let shared = Rc::new(Shared { core, ready, ..Rc::into_inner(shared(64 * 1024)).unwrap() });
+            let shared = Rc::new(Shared {
+                core,
+                ready,
+                ..Rc::into_inner(shared(64 * 1024)).unwrap()
+            });
             let counters = shared.counters.clone();
-            let edge = Edge { shared, tools: None };
+            let edge = Edge {
+                shared,
+                tools: None,
+            };
             let (_stage, stage) = watch::channel(Stage::Open);
-            let listening = Listener { edge, bound: 8, waiting: 8, stage, open: Rc::default() };
+            let listening = Listener {
+                edge,
+                bound: 8,
+                waiting: 8,
+                stage,
+                open: Rc::default(),
+            };
             spawn_local(listening.accept(listener));
             for wanted in ["HTTP/1.1 500 ", "HTTP/1.1 200 "] {
                 client.write_all(ASKED).unwrap();
--- a/src/net/stream.rs
+++ b/src/net/stream.rs
@@ -22,7 +22,11 @@
 }
 
 /// Reads what there is, or waits.
-pub fn poll_read(stream: &TcpStream, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+pub fn poll_read(
+    stream: &TcpStream,
+    cx: &mut Context<'_>,
+    buf: &mut ReadBuf<'_>,
+) -> Poll<io::Result<()>> {
     loop {
         ready!(stream.poll_read_ready(cx))?;
         match uninterrupted(|| stream.try_read_buf(buf)) {
@@ -33,7 +37,11 @@
 }
 
 /// Writes as much as the system takes, or waits.
-pub fn poll_write(stream: &TcpStream, cx: &mut Context<'_>, bufs: &[IoSlice<'_>]) -> Poll<io::Result<usize>> {
+pub fn poll_write(
+    stream: &TcpStream,
+    cx: &mut Context<'_>,
+    bufs: &[IoSlice<'_>],
+) -> Poll<io::Result<usize>> {
     loop {
         ready!(stream.poll_write_ready(cx))?;
         match uninterrupted(|| stream.try_write_vectored(bufs)) {
@@ -53,13 +61,21 @@
 pub struct SteadyStream(pub TcpStream);
 
 impl AsyncRead for SteadyStream {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
         poll_read(&self.0, cx, buf)
     }
 }
 
 impl AsyncWrite for SteadyStream {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
         poll_write(&self.0, cx, &[IoSlice::new(buf)])
     }
 
--- a/src/net/upgrade.rs
+++ b/src/net/upgrade.rs
@@ -75,12 +75,17 @@
     /// # Errors
     /// The other process leaves too few.
     pub async fn first_share(&self, shares: Shares) -> Result<(usize, bool), ConfigError> {
-        let Place::Shared(seat) = self else { return Ok((shares.whole(), false)) };
+        let Place::Shared(seat) = self else {
+            return Ok((shares.whole(), false));
+        };
         let begun = Instant::now();
         loop {
             let other = seat.other();
             if let Some(first) = shares.first(other) {
-                seat.tell(Claim { phase: Phase::Starting, sockets: first });
+                seat.tell(Claim {
+                    phase: Phase::Starting,
+                    sockets: first,
+                });
                 return Ok((first, other.is_some()));
             }
             if begun.elapsed() >= SEAT_WAIT {
@@ -183,25 +188,37 @@
     /// Moves the bounds to what the other process leaves; whether there is one.
     fn look(&self) -> bool {
         let other = self.place.other();
-        let right = self.slow_start.borrow_mut().update(self.phase.get(), other.map(|claim| claim.phase));
+        let right = self
+            .slow_start
+            .borrow_mut()
+            .update(self.phase.get(), other.map(|claim| claim.phase));
         if let Some(allowed) = right {
             self.shared.core.tell(Input::SlowStart { allowed });
         }
-        let Place::Shared(seat) = &self.place else { return false };
-        self.other_serves.set(other.is_some_and(|claim| claim.phase == Phase::Serving));
+        let Place::Shared(seat) = &self.place else {
+            return false;
+        };
+        self.other_serves
+            .set(other.is_some_and(|claim| claim.phase == Phase::Serving));
         let split = Split::of(self.shares.target(other), self.spare);
         self.pool.resize(split.hosts);
-        self.open.bound_to(split.clients - OVER, &self.shared.counters);
+        self.open
+            .bound_to(split.clients - OVER, &self.shared.counters);
         // What is in hand can't be given back: the other process learns what is held, not what is aimed at.
         let sockets = self.spare + self.pool.size() + self.open.count().max(split.clients);
-        seat.tell(Claim { phase: self.phase.get(), sockets });
+        seat.tell(Claim {
+            phase: self.phase.get(),
+            sockets,
+        });
         other.is_some()
     }
 
     fn report(&self, has_other: bool) {
         let sockets = self.pool.size();
         if has_other {
-            log::info!("upgrade: two processes share the limits; {sockets} sockets for model hosts here");
+            log::info!(
+                "upgrade: two processes share the limits; {sockets} sockets for model hosts here"
+            );
         } else {
             log::info!("upgrade: this process is the only one; {sockets} sockets for model hosts");
         }
--- a/src/net/upgrade/seat.rs
+++ b/src/net/upgrade/seat.rs
@@ -27,11 +27,17 @@
 }
 
 impl Phase {
-    const ALL: [(Phase, &str); 3] =
-        [(Phase::Starting, "starting"), (Phase::Serving, "serving"), (Phase::Stopping, "stopping")];
+    const ALL: [(Phase, &str); 3] = [
+        (Phase::Starting, "starting"),
+        (Phase::Serving, "serving"),
+        (Phase::Stopping, "stopping"),
+    ];
 
     fn word(self) -> &'static str {
-        Self::ALL.iter().find(|(phase, _)| *phase == self).map_or("", |(_, word)| word)
+        Self::ALL
+            .iter()
+            .find(|(phase, _)| *phase == self)
+            .map_or("", |(_, word)| word)
     }
 }
 
@@ -54,8 +60,13 @@
 
     fn from_str(line: &str) -> Result<Self, NoClaim> {
         let words: Vec<&str> = line.split_whitespace().collect();
-        let [MARK, phase, sockets] = words[..] else { return Err(NoClaim) };
-        let (phase, _) = Phase::ALL.into_iter().find(|(_, word)| *word == phase).ok_or(NoClaim)?;
+        let [MARK, phase, sockets] = words[..] else {
+            return Err(NoClaim);
+        };
+        let (phase, _) = Phase::ALL
+            .into_iter()
+            .find(|(_, word)| *word == phase)
+            .ok_or(NoClaim)?;
         let sockets = sockets.parse().map_err(|_| NoClaim)?;
         Ok(Claim { phase, sockets })
     }
@@ -111,7 +122,10 @@
                 told: Cell::default(),
                 reported: RefCell::default(),
             };
-            seat.tell(Claim { phase: Phase::Starting, sockets: 0 });
+            seat.tell(Claim {
+                phase: Phase::Starting,
+                sockets: 0,
+            });
             return Ok(seat);
         }
         Err(SeatError::Taken)
@@ -123,7 +137,10 @@
             return;
         }
         let line = format!("{:<width$}\n", claim.to_string(), width = LINE - 1);
-        let written = self.own.write_all_at(line.as_bytes(), 0).and_then(|()| self.own.set_len(LINE as u64));
+        let written = self
+            .own
+            .write_all_at(line.as_bytes(), 0)
+            .and_then(|()| self.own.set_len(LINE as u64));
         if let Err(error) = written {
             log::warn!("upgrade: own seat not written: {error}");
             self.told.set(None);
@@ -152,7 +169,10 @@
         let text = String::from_utf8_lossy(&line[..length]);
         text.parse().unwrap_or_else(|error: NoClaim| {
             self.report_unreadable(&error.to_string());
-            Claim { phase: Phase::Starting, sockets: 0 }
+            Claim {
+                phase: Phase::Starting,
+                sockets: 0,
+            }
         })
     }
 
@@ -166,8 +186,15 @@
 
 fn open(path: &Path) -> Result<File, SeatError> {
     let mut options = OpenOptions::new();
-    options.read(true).write(true).create(true).truncate(false).mode(0o600);
-    options.open(path).map_err(|error| SeatError::Unusable(path.to_owned(), error))
+    options
+        .read(true)
+        .write(true)
+        .create(true)
+        .truncate(false)
+        .mode(0o600);
+    options
+        .open(path)
+        .map_err(|error| SeatError::Unusable(path.to_owned(), error))
 }
 
 #[cfg(test)]
--- a/src/net/upgrade/seat/tests.rs
+++ b/src/net/upgrade/seat/tests.rs
@@ -6,7 +6,8 @@
 
 impl Folder {
     fn new(name: &str) -> Self {
-        let path = std::env::temp_dir().join(format!("whinhaven-seat-{}-{name}", std::process::id()));
+        let path =
+            std::env::temp_dir().join(format!("whinhaven-seat-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&path).unwrap();
         Folder(path)
     }
@@ -35,10 +36,23 @@
     assert_eq!(first.other(), None);
     let second = folder.take().unwrap();
     assert!(matches!(folder.take(), Err(SeatError::Taken)));
-    assert_eq!(first.other(), Some(Claim { phase: Phase::Starting, sockets: 0 }));
-    for claim in
-        [Claim { phase: Phase::Serving, sockets: 1024 }, Claim { phase: Phase::Stopping, sockets: 7 }]
-    {
+    assert_eq!(
+        first.other(),
+        Some(Claim {
+            phase: Phase::Starting,
+            sockets: 0
+        })
+    );
+    for claim in [
+        Claim {
+            phase: Phase::Serving,
+            sockets: 1024,
+        },
+        Claim {
+            phase: Phase::Stopping,
+            sockets: 7,
+        },
+    ] {
         second.tell(claim);
         assert_eq!(first.other(), Some(claim));
     }
@@ -72,7 +86,13 @@
     assert_eq!(first.other(), None, "nobody holds it");
     let foreign = File::open(folder.file(1)).unwrap();
     foreign.lock().unwrap();
-    assert_eq!(first.other(), Some(Claim { phase: Phase::Starting, sockets: 0 }));
+    assert_eq!(
+        first.other(),
+        Some(Claim {
+            phase: Phase::Starting,
+            sockets: 0
+        })
+    );
 }
 
 #[test]
@@ -82,7 +102,13 @@
     let first = folder.take().unwrap();
     assert_eq!(first.other(), None);
     let second = folder.take().unwrap();
-    assert_eq!(first.other(), Some(Claim { phase: Phase::Starting, sockets: 0 }));
+    assert_eq!(
+        first.other(),
+        Some(Claim {
+            phase: Phase::Starting,
+            sockets: 0
+        })
+    );
     drop(second);
 }
 
--- a/src/net/upgrade/share.rs
+++ b/src/net/upgrade/share.rs
@@ -36,7 +36,9 @@
 
     /// What a process is to hold at the most. One that has more in hand comes down to it as that ends.
     pub fn target(&self, other: Option<Claim>) -> usize {
-        let Some(claim) = other else { return self.whole };
+        let Some(claim) = other else {
+            return self.whole;
+        };
         let left = self.whole.saturating_sub(claim.sockets);
         left.min(self.whole / 2)
     }
@@ -60,7 +62,10 @@
     pub fn of(share: usize, spare: usize) -> Self {
         let sockets = share.saturating_sub(spare).max(LEAST);
         let hosts = sockets * 9 / 20;
-        Split { hosts, clients: sockets - hosts }
+        Split {
+            hosts,
+            clients: sockets - hosts,
+        }
     }
 }
 
--- a/src/net/upgrade/share/tests.rs
+++ b/src/net/upgrade/share/tests.rs
@@ -6,21 +6,36 @@
 const SPARE: usize = 24;
 
 fn claim(sockets: usize) -> Option<Claim> {
-    Some(Claim { phase: Phase::Serving, sockets })
+    Some(Claim {
+        phase: Phase::Serving,
+        sockets,
+    })
 }
 
 #[test]
 fn a_process_alone_has_all_and_beside_another_one_at_most_a_half() {
     let shares = Shares::new(WHOLE, SPARE);
-    assert_eq!([None, claim(0), claim(512), claim(700)].map(|c| shares.target(c)), [1024, 512, 512, 324]);
+    assert_eq!(
+        [None, claim(0), claim(512), claim(700)].map(|c| shares.target(c)),
+        [1024, 512, 512, 324]
+    );
 }
 
 #[test]
 fn a_start_waits_until_the_other_process_leaves_enough_to_serve() {
     let shares = Shares::new(WHOLE, SPARE);
     let least = SPARE + LEAST;
-    let firsts = [claim(WHOLE), claim(WHOLE - least + 1), claim(WHOLE - least), claim(512), None];
-    assert_eq!(firsts.map(|c| shares.first(c)), [None, None, Some(least), Some(512), Some(WHOLE)]);
+    let firsts = [
+        claim(WHOLE),
+        claim(WHOLE - least + 1),
+        claim(WHOLE - least),
+        claim(512),
+        None,
+    ];
+    assert_eq!(
+        firsts.map(|c| shares.first(c)),
+        [None, None, Some(least), Some(512), Some(WHOLE)]
+    );
 }
 
 #[test]
--- a/src/net/upgrade/slow_start.rs
+++ b/src/net/upgrade/slow_start.rs
@@ -12,7 +12,10 @@
 impl SlowStartRight {
     /// Of a process that starts; `beside` says whether another one was there before it.
     pub fn new(beside: bool) -> Self {
-        SlowStartRight { is_newer: beside, told: None }
+        SlowStartRight {
+            is_newer: beside,
+            told: None,
+        }
     }
 
     /// Takes in how far both processes are; whether this one may send now, if that has changed. One that stops with no
--- a/src/net/upgrade/socket.rs
+++ b/src/net/upgrade/socket.rs
@@ -13,7 +13,11 @@
 /// # Errors
 /// The system's.
 pub fn listen(address: SocketAddr, beside: bool) -> io::Result<TcpListener> {
-    let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
+    let socket = Socket::new(
+        Domain::for_address(address),
+        Type::STREAM,
+        Some(Protocol::TCP),
+    )?;
     socket.set_reuse_address(true)?;
     socket.set_reuse_port(beside)?;
     socket.set_nonblocking(true)?;
--- a/src/net/upgrade/socket/tests.rs
+++ b/src/net/upgrade/socket/tests.rs
@@ -22,7 +22,10 @@
     let alone = listen("127.0.0.1:0".parse().unwrap(), false).unwrap();
     let address = alone.local_addr().unwrap();
     for beside in [true, false] {
-        assert_eq!(listen(address, beside).unwrap_err().kind(), ErrorKind::AddrInUse);
+        assert_eq!(
+            listen(address, beside).unwrap_err().kind(),
+            ErrorKind::AddrInUse
+        );
     }
 }
 
@@ -34,7 +37,11 @@
     let first = first.into_std().unwrap();
     turn_away_new(&first).unwrap();
     let clients: Vec<Socket> = (0..CLIENTS).map(|_| begin(address)).collect();
-    assert_eq!(first.accept().unwrap_err().kind(), ErrorKind::WouldBlock, "the system hands it nothing");
+    assert_eq!(
+        first.accept().unwrap_err().kind(),
+        ErrorKind::WouldBlock,
+        "the system hands it nothing"
+    );
     drop(first);
     for _ in &clients {
         second.accept().await.unwrap();
@@ -45,10 +52,13 @@
 #[tokio::test]
 async fn what_waits_to_be_accepted_is_kept_as_new_ones_are_turned_away() {
     let (first, second) = pair().await;
-    let _clients: Vec<Socket> = (0..CLIENTS).map(|_| begin(first.local_addr().unwrap())).collect();
+    let _clients: Vec<Socket> = (0..CLIENTS)
+        .map(|_| begin(first.local_addr().unwrap()))
+        .collect();
     let (first, second) = (first.into_std().unwrap(), second.into_std().unwrap());
     turn_away_new(&first).unwrap();
-    let count = |listener: &std::net::TcpListener| std::iter::from_fn(|| listener.accept().ok()).count();
+    let count =
+        |listener: &std::net::TcpListener| std::iter::from_fn(|| listener.accept().ok()).count();
     let counts = [count(&first), count(&second)];
     assert_eq!(counts.iter().sum::<usize>(), CLIENTS);
     assert!(counts.iter().all(|n| *n > 0), "{counts:?}");
--- a/src/net/upgrade/tests.rs
+++ b/src/net/upgrade/tests.rs
@@ -10,7 +10,8 @@
 
 impl Folder {
     fn new(name: &str) -> Self {
-        let path = std::env::temp_dir().join(format!("whinhaven-place-{}-{name}", std::process::id()));
+        let path =
+            std::env::temp_dir().join(format!("whinhaven-place-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&path).unwrap();
         Folder(path)
     }
@@ -47,23 +48,38 @@
 async fn a_start_waits_until_the_running_process_has_given_way() {
     let folder = Folder::new("way");
     let running = folder.seat();
-    running.tell(Claim { phase: Phase::Serving, sockets: WHOLE });
+    running.tell(Claim {
+        phase: Phase::Serving,
+        sockets: WHOLE,
+    });
     let place = folder.place().await.unwrap();
     let shares = Shares::new(WHOLE, SPARE);
     let refused = place.first_share(shares).await.unwrap_err();
     assert!(refused.0.starts_with("limits.sockets"), "{refused}");
     let (first, ()) = tokio::join!(place.first_share(shares), async {
         tokio::time::sleep(SEAT_WAIT / 2).await;
-        running.tell(Claim { phase: Phase::Serving, sockets: WHOLE * 3 / 4 });
+        running.tell(Claim {
+            phase: Phase::Serving,
+            sockets: WHOLE * 3 / 4,
+        });
     });
     assert_eq!(first.unwrap(), (WHOLE / 4, true));
     let told = running.other().unwrap();
-    assert_eq!(told, Claim { phase: Phase::Starting, sockets: WHOLE / 4 });
+    assert_eq!(
+        told,
+        Claim {
+            phase: Phase::Starting,
+            sockets: WHOLE / 4
+        }
+    );
 }
 
 #[tokio::test]
 async fn a_process_alone_has_the_whole_limit() {
     let folder = Folder::new("alone");
     let place = folder.place().await.unwrap();
-    assert_eq!(place.first_share(Shares::new(WHOLE, SPARE)).await.unwrap(), (WHOLE, false));
+    assert_eq!(
+        place.first_share(Shares::new(WHOLE, SPARE)).await.unwrap(),
+        (WHOLE, false)
+    );
 }
--- a/src/ops/door.rs
+++ b/src/ops/door.rs
@@ -114,7 +114,11 @@
     }
 
     /// Answers a call once it has come whole.
-    async fn call(&self, request: Request<Incoming>, connection: &Connection) -> Response<Full<Bytes>> {
+    async fn call(
+        &self,
+        request: Request<Incoming>,
+        connection: &Connection,
+    ) -> Response<Full<Bytes>> {
         let (head, body) = request.into_parts();
         if Limited::new(body, MOST_BODY).collect().await.is_err() {
             return plain(StatusCode::PAYLOAD_TOO_LARGE, "body too long or broken\n");
@@ -131,8 +135,8 @@
         };
         if call.method() != method {
             let mut response = plain(StatusCode::METHOD_NOT_ALLOWED, "wrong method\n");
-            let allowed =
-                HeaderValue::from_str(call.method().as_str()).expect("a method is a header's value");
+            let allowed = HeaderValue::from_str(call.method().as_str())
+                .expect("a method is a header's value");
             response.headers_mut().insert(ALLOW, allowed);
             return response;
         }
@@ -166,7 +170,9 @@
             load_errors: counters.reloads_failed.get(),
         };
         let figures: &Figures = &self.shared.figures;
-        figures.report(&self.shared.classes.borrow(), gauges).to_string()
+        figures
+            .report(&self.shared.classes.borrow(), gauges)
+            .to_string()
     }
 
     /// Asks the core, whose module knows what it avoids.
@@ -214,7 +220,9 @@
 fn plain(status: StatusCode, text: impl Into<Bytes>) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(text.into()));
     *response.status_mut() = status;
-    response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("text/plain"));
+    response
+        .headers_mut()
+        .insert(CONTENT_TYPE, HeaderValue::from_static("text/plain"));
     response
 }
 
@@ -257,17 +265,32 @@
         let number = self.accepted.get();
         self.accepted.set(number + 1);
         let (answering, displaced) = (Cell::new(false), Notify::new());
-        let connection = Rc::new(Connection { accepted: Instant::now(), answering, displaced });
+        let connection = Rc::new(Connection {
+            accepted: Instant::now(),
+            answering,
+            displaced,
+        });
         self.open.borrow_mut().insert(number, connection.clone());
-        Seat { connections: self.clone(), connection, number }
+        Seat {
+            connections: self.clone(),
+            connection,
+            number,
+        }
     }
 
     /// Waits until there are no more than there may be: the oldest one without a whole call is displaced.
     async fn make_room(&self) {
         while self.open.borrow().len() > MOST_CONNECTIONS {
-            let oldest = self.open.borrow().values().find(|c| !c.answering.get()).cloned();
+            let oldest = self
+                .open
+                .borrow()
+                .values()
+                .find(|c| !c.answering.get())
+                .cloned();
             let displace = async {
-                let Some(oldest) = oldest else { return tokio::time::sleep(SETTLED).await };
+                let Some(oldest) = oldest else {
+                    return tokio::time::sleep(SETTLED).await;
+                };
                 tokio::time::sleep_until(oldest.accepted + SETTLED).await;
                 if !oldest.answering.get() {
                     oldest.displaced.notify_one();
--- a/src/ops/door/tests.rs
+++ b/src/ops/door/tests.rs
@@ -2,7 +2,9 @@
 
 /// Takes one place more than there are.
 fn crowd(connections: &Rc<Connections>) -> Vec<Seat> {
-    (0..=MOST_CONNECTIONS).map(|_| connections.enter()).collect()
+    (0..=MOST_CONNECTIONS)
+        .map(|_| connections.enter())
+        .collect()
 }
 
 /// Guards against callers without a whole call that hold all places until their time is over, and against one
@@ -35,7 +37,8 @@
     connections.make_room().await;
     assert_eq!(begun.elapsed(), Duration::ZERO);
     for seat in &seats {
-        let displaced = tokio::time::timeout(CALL_WITHIN, seat.connection.displaced.notified()).await;
+        let displaced =
+            tokio::time::timeout(CALL_WITHIN, seat.connection.displaced.notified()).await;
         assert!(displaced.is_err());
     }
 }
@@ -44,7 +47,9 @@
 async fn where_all_are_being_answered_one_that_ends_makes_room() {
     let connections = Rc::<Connections>::default();
     let mut seats = crowd(&connections);
-    seats.iter().for_each(|seat| seat.connection.answering.set(true));
+    seats
+        .iter()
+        .for_each(|seat| seat.connection.answering.set(true));
     let end_one = async {
         tokio::time::sleep(10 * SETTLED).await;
         drop(seats.remove(5));
--- a/src/ops/figures.rs
+++ b/src/ops/figures.rs
@@ -65,7 +65,12 @@
     pub fn begin(self: &Rc<Self>, class: Option<&str>, known: &[Class]) -> Rc<Tally> {
         let class = class.filter(|name| known.iter().any(|c| c.name == *name));
         let class = class.map(|name| self.class(name));
-        Rc::new(Tally { figures: self.clone(), class, taken: Cell::new(false), ended: Cell::new(false) })
+        Rc::new(Tally {
+            figures: self.clone(),
+            class,
+            taken: Cell::new(false),
+            ended: Cell::new(false),
+        })
     }
 
     fn class(&self, name: &str) -> Rc<ClassFigures> {
@@ -82,7 +87,11 @@
         let mut samples = Vec::new();
         for (name, class) in &*self.classes.borrow() {
             let mut sample = |figure, count: &Count| {
-                samples.push(Sample { figure, class: Some(name.clone()), value: count.get() });
+                samples.push(Sample {
+                    figure,
+                    class: Some(name.clone()),
+                    value: count.get(),
+                });
             };
             sample("passed", &class.passed);
             sample("dropped", &class.dropped);
@@ -96,7 +105,11 @@
             ("loads", gauges.loads),
             ("load_errors", gauges.load_errors),
         ];
-        samples.extend(whole.map(|(figure, value)| Sample { figure, class: None, value }));
+        samples.extend(whole.map(|(figure, value)| Sample {
+            figure,
+            class: None,
+            value,
+        }));
         Report(samples)
     }
 }
@@ -130,7 +143,12 @@
 
 impl fmt::Display for Report {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for Sample { figure, class, value } in &self.0 {
+        for Sample {
+            figure,
+            class,
+            value,
+        } in &self.0
+        {
             match class {
                 Some(class) => writeln!(f, "conductor.{figure}.{class}={value}")?,
                 None => writeln!(f, "conductor.{figure}={value}")?,
@@ -155,7 +173,9 @@
     /// The request has come whole: it is in progress from here on.
     pub fn take(&self) {
         if !self.ended.get() && !self.taken.replace(true) {
-            self.figures.in_progress.set(self.figures.in_progress.get() + 1);
+            self.figures
+                .in_progress
+                .set(self.figures.in_progress.get() + 1);
         }
     }
 
@@ -172,7 +192,9 @@
 
     fn leave(&self) {
         if self.taken.replace(false) {
-            self.figures.in_progress.set(self.figures.in_progress.get() - 1);
+            self.figures
+                .in_progress
+                .set(self.figures.in_progress.get() - 1);
         }
     }
 }
--- a/src/policies.rs
+++ b/src/policies.rs
@@ -25,10 +25,19 @@
 
 impl Asker {
     fn new(file: &Path) -> Result<Self, String> {
-        let config = Source::operator(file.to_owned()).load().map_err(|e| e.to_string())?;
-        let fleet = config.fleet.ok_or_else(|| format!("{}: there is no [fleet] table", file.display()))?;
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-        Ok(Asker { fleet, runtime: runtime.map_err(|e| format!("runtime: {e}"))? })
+        let config = Source::operator(file.to_owned())
+            .load()
+            .map_err(|e| e.to_string())?;
+        let fleet = config
+            .fleet
+            .ok_or_else(|| format!("{}: there is no [fleet] table", file.display()))?;
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build();
+        Ok(Asker {
+            fleet,
+            runtime: runtime.map_err(|e| format!("runtime: {e}"))?,
+        })
     }
 
     fn ask(&self, request: Request) -> Result<Reply, String> {
@@ -58,7 +67,11 @@
 /// One line: why it is in force nowhere, or can't be told.
 pub fn run(what: &Policy) -> Result<(), String> {
     match what {
-        Policy::Propose { new, file, only_check } => propose(new, file, *only_check),
+        Policy::Propose {
+            new,
+            file,
+            only_check,
+        } => propose(new, file, *only_check),
         Policy::History { file } => history(&Asker::new(file)?.policies()?),
         Policy::Abort { file } => abort(&Asker::new(file)?),
         Policy::Show { file } => show(&Asker::new(file)?.policies()?),
@@ -73,13 +86,22 @@
         return Err(fault("empty".to_owned()));
     }
     let mut value: serde_json::Value = toml::from_str(&text).map_err(|e| {
-        let line = e.span().map_or(0, |s| text[..s.start.min(text.len())].lines().count().max(1));
+        let line = e.span().map_or(0, |s| {
+            text[..s.start.min(text.len())].lines().count().max(1)
+        });
         fault(format!("line {line}: {}", e.message().replace('\n', " ")))
     })?;
-    let settings = value.get_mut("settings").map(serde_json::Value::take).unwrap_or(value);
+    let settings = value
+        .get_mut("settings")
+        .map(serde_json::Value::take)
+        .unwrap_or(value);
     let (policy, own) = content::take(&settings).map_err(fault)?;
     if policy.len() > epoch::MOST_CONTENT {
-        return Err(fault(format!("{} bytes are above {}", policy.len(), epoch::MOST_CONTENT)));
+        return Err(fault(format!(
+            "{} bytes are above {}",
+            policy.len(),
+            epoch::MOST_CONTENT
+        )));
     }
     if !own.is_empty() {
         println!("each conductor's own, not proposed: {}", own.join(", "));
@@ -99,7 +121,9 @@
         println!("nothing differs from epoch {}", before.table.epoch());
         return Ok(());
     }
-    let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    let since = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default();
     let mark = (since.as_nanos() as u64) ^ (u64::from(std::process::id()) << 40);
     let command = Command::Propose {
         mark,
@@ -109,23 +133,33 @@
         at_us: since.as_micros() as u64,
         difference: differences.join("; "),
     };
-    let proposal = asker.command(command).map_err(|e| format!("nowhere: {e}"))?;
+    let proposal = asker
+        .command(command)
+        .map_err(|e| format!("nowhere: {e}"))?;
     println!("proposal {proposal} over epoch {}", before.table.epoch());
     let within = asker.fleet.policy.as_ref().map_or(30_000, |p| p.within_ms);
     let until = Instant::now() + Duration::from_millis(within) + BEYOND;
     let past = loop {
         // A member that has just died answers nothing: the next one does.
-        let found = asker.policies().ok().and_then(|p| p.table.past().find(|p| p.mark == mark).cloned());
+        let found = asker
+            .policies()
+            .ok()
+            .and_then(|p| p.table.past().find(|p| p.mark == mark).cloned());
         match found {
             Some(past) => break past,
             None if Instant::now() > until => {
-                return Err("not decided yet; whinhaven policy history tells what comes of it".to_owned());
+                return Err(
+                    "not decided yet; whinhaven policy history tells what comes of it".to_owned(),
+                );
             }
             None => std::thread::sleep(LOOK),
         }
     };
     match past.outcome {
-        Outcome::Checked => println!("checked: all {} could; nothing was changed", before.living.len()),
+        Outcome::Checked => println!(
+            "checked: all {} could; nothing was changed",
+            before.living.len()
+        ),
         Outcome::Nowhere(why) => return Err(format!("nowhere: {why}")),
         Outcome::Epoch(epoch) => println!("epoch {epoch} in force at {}", in_force(&asker, epoch)?),
     }
@@ -146,13 +180,23 @@
 }
 
 fn line(past: &Past) -> String {
-    let Past { proposal, by, at_us, digest, difference, outcome, .. } = past;
+    let Past {
+        proposal,
+        by,
+        at_us,
+        digest,
+        difference,
+        outcome,
+        ..
+    } = past;
     let outcome = match outcome {
         Outcome::Epoch(epoch) => format!("epoch {epoch}"),
         Outcome::Checked => "checked".to_owned(),
         Outcome::Nowhere(why) => format!("nowhere: {why}"),
     };
-    format!("proposal {proposal} by {by} at {at_us} us, digest {digest:016x}: {outcome} ({difference})")
+    format!(
+        "proposal {proposal} by {by} at {at_us} us, digest {digest:016x}: {outcome} ({difference})"
+    )
 }
 
 fn history(policies: &Policies) -> Result<(), String> {
@@ -161,7 +205,10 @@
     }
     if let Some(open) = policies.table.open() {
         let stage = if open.closing { "closing" } else { "asked" };
-        println!("proposal {} by {}: {stage} ({})", open.proposal, open.by, open.difference);
+        println!(
+            "proposal {} by {}: {stage} ({})",
+            open.proposal, open.by, open.difference
+        );
     }
     Ok(())
 }
@@ -169,7 +216,11 @@
 fn show(policies: &Policies) -> Result<(), String> {
     let Policies { table, living, .. } = policies;
     let over = living.intersection(table.over()).count();
-    println!("epoch {}, digest {:016x}", table.epoch(), epoch::digest(table.content()));
+    println!(
+        "epoch {}, digest {:016x}",
+        table.epoch(),
+        epoch::digest(table.content())
+    );
     println!("in force at {over} of {} that may act", living.len());
     println!("{}", table.content());
     Ok(())
@@ -179,7 +230,10 @@
     let policies = asker.policies()?;
     let open = policies.table.open().ok_or("no proposal is under way")?;
     let cause = "aborted by the operator".to_owned();
-    asker.command(Command::Abort { proposal: open.proposal, cause })?;
+    asker.command(Command::Abort {
+        proposal: open.proposal,
+        cause,
+    })?;
     println!("proposal {} is in force nowhere", open.proposal);
     Ok(())
 }
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -70,7 +70,11 @@
 impl Policy {
     /// A module that knows nothing yet.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let mut policy = Policy { seed, slow_start_from: Micros::MAX, ..Policy::default() };
+        let mut policy = Policy {
+            seed,
+            slow_start_from: Micros::MAX,
+            ..Policy::default()
+        };
         policy.set(settings);
         policy
     }
@@ -78,9 +82,14 @@
     /// New requests begin under these settings; see `settle` for what those in hand keep.
     pub fn set(&mut self, settings: Settings) {
         self.tenants = levels(&settings, &self.tenants);
-        self.workers.values_mut().for_each(|w| (w.answers, w.full) = Default::default());
+        self.workers
+            .values_mut()
+            .for_each(|w| (w.answers, w.full) = Default::default());
         let requests = self.requests.values_mut();
-        self.set = Settings { classes: settle(&self.set.classes, &settings.classes, requests), ..settings };
+        self.set = Settings {
+            classes: settle(&self.set.classes, &settings.classes, requests),
+            ..settings
+        };
     }
 
     /// Takes one event in and appends the actions that answer it.
@@ -93,7 +102,11 @@
         match event {
             Event::List { kind, entries } => self.list(kind, entries),
             Event::Ask(ask) => self.ask(ask, out),
-            Event::Started { request, attempt, elapsed } => self.started(request, attempt, elapsed),
+            Event::Started {
+                request,
+                attempt,
+                elapsed,
+            } => self.started(request, attempt, elapsed),
             Event::Ended(end) => self.ended(end, out),
             Event::Left { request } => self.close(request, out),
             Event::Timer(timer) if timer == SWEEP => self.sweep(out),
@@ -114,7 +127,10 @@
         }
         if !self.swept && (!self.requests.is_empty() || self.call_due.is_some()) {
             self.swept = true;
-            out.push(Action::Timer { at: self.now + self.sweep_every(), timer: SWEEP });
+            out.push(Action::Timer {
+                at: self.now + self.sweep_every(),
+                timer: SWEEP,
+            });
         }
     }
 
@@ -142,7 +158,10 @@
             return self.resume(false, out);
         }
         if !std::mem::replace(&mut self.is_resume_due, true) {
-            out.push(Action::Timer { at: self.now + RESUME_WITHIN, timer: RESUME });
+            out.push(Action::Timer {
+                at: self.now + RESUME_WITHIN,
+                timer: RESUME,
+            });
         }
     }
 
@@ -154,7 +173,16 @@
                 Phase::Reading | Phase::Writing => all,
                 Phase::Streaming | Phase::Done => false,
             })
-            .map(|(id, r)| (*id, if r.phase == Phase::Held { f64::MAX } else { self.worth(r) }))
+            .map(|(id, r)| {
+                (
+                    *id,
+                    if r.phase == Phase::Held {
+                        f64::MAX
+                    } else {
+                        self.worth(r)
+                    },
+                )
+            })
             .collect();
         open.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.0.cmp(&b.0)));
         for (id, _) in open {
@@ -164,7 +192,9 @@
 
     /// Takes a request as far as it can go now.
     fn step(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        let Some(r) = self.requests.get(&id) else { return };
+        let Some(r) = self.requests.get(&id) else {
+            return;
+        };
         let margin = 2 * self.sweep_every();
         // Of unknown fate, and no worker may repeat it: waiting gains its client nothing.
         let stuck = r.may_have_run() && !self.workers.values().any(|w| self.may_repeat_at(r, w));
@@ -181,11 +211,15 @@
             Phase::Waiting => self.begin(id, out),
             Phase::Held => {
                 let release_at = r.held.release_by(
-                    self.set.release.saturating_sub(self.release_margin(held_state::SWEEPS_BEFORE_RELEASE)),
+                    self.set
+                        .release
+                        .saturating_sub(self.release_margin(held_state::SWEEPS_BEFORE_RELEASE)),
                 );
                 if self.now >= release_at {
                     self.release(id, ReleaseReason::Untaken, out);
-                    self.requests.entry(id).and_modify(|r| r.phase = Phase::Waiting);
+                    self.requests
+                        .entry(id)
+                        .and_modify(|r| r.phase = Phase::Waiting);
                     self.begin(id, out);
                 } else if let Some(writer) = self.pick_writer(id, r.held.reader()) {
                     self.send(id, &writer, None, out);
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -16,12 +16,17 @@
         self.learned.prompt.add(ask.prompt_tokens as f64, LEARN);
         self.learn_rates();
         self.kept.asked(&ask, self.now, PREFIX_TTL);
-        self.requests.insert(id, Request::new(ask, class, self.now, over_share, self.set.max_attempts));
+        self.requests.insert(
+            id,
+            Request::new(ask, class, self.now, over_share, self.set.max_attempts),
+        );
         self.step(id, out);
     }
 
     pub(super) fn over_share(&mut self, tenant: Option<&str>) -> bool {
-        let Some((rate, level, at)) = tenant.and_then(|t| self.tenants.get_mut(t)) else { return false };
+        let Some((rate, level, at)) = tenant.and_then(|t| self.tenants.get_mut(t)) else {
+            return false;
+        };
         let refill = *rate * (self.now - *at) as f64 / 1e6;
         (*level, *at) = ((*level + refill).min(BURST.max(*rate * 2.0)), self.now);
         let over = *level < 1.0;
@@ -31,7 +36,11 @@
 
     pub(super) fn worth(&self, r: &Request) -> f64 {
         let worth = self.set.classes[r.class].worth;
-        if r.over_share { worth * self.set.over_share_worth } else { worth }
+        if r.over_share {
+            worth * self.set.over_share_worth
+        } else {
+            worth
+        }
     }
 
     pub(super) fn aim(&self, r: &Request) -> Micros {
@@ -44,18 +53,22 @@
     pub(super) fn begin(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let (readers, mixed) = (self.usable(Role::Reader, id), self.usable(Role::Mixed, id));
         let writers = self.usable(Role::Writer, id).len() + mixed.len();
-        let Some(r) = self.requests.get(&id) else { return };
+        let Some(r) = self.requests.get(&id) else {
+            return;
+        };
         let prompt = r.ask.prompt_tokens as f64;
         let short = prompt <= self.learned.prompt.or(0.0);
-        let direct =
-            !mixed.is_empty() && (short || readers.is_empty()) || readers.is_empty() && self.set.writers_read;
+        let direct = !mixed.is_empty() && (short || readers.is_empty())
+            || readers.is_empty() && self.set.writers_read;
         let target = if direct {
             self.pick_writer(id, None).map(|w| (w, 0.0))
         } else {
             // A read whose writers can't take it would only gather states at the readers.
             self.pick_reader(r, &readers).filter(|_| writers > 0)
         };
-        let Some((target, unread)) = target else { return };
+        let Some((target, unread)) = target else {
+            return;
+        };
         let ahead = self.ahead(&target, 0.0);
         // What nobody has measured yet is not free, or all that waits would begin at once.
         let unmeasured = self.read_token() / FASTER_THAN_STATED;
@@ -67,7 +80,11 @@
             .filter(|r| matches!(r.phase, Phase::Reading | Phase::Held | Phase::Writing))
             .map(|r| r.ask.prompt_tokens as f64)
             .collect();
-        let pace = if direct { self.learned.write_pace[2] } else { self.learned.first_pace };
+        let pace = if direct {
+            self.learned.write_pace[2]
+        } else {
+            self.learned.first_pace
+        };
         let first = |work: f64| pace.or(0.0) * (work + self.learned.prompt.or(0.0));
         let crowd = coming.iter().sum::<f64>() / writers.max(1) as f64;
         let writes = coming.len() < writers || first(crowd + prompt) <= aim * STAGE_PART;
@@ -88,7 +105,9 @@
 
     /// Gives the final answer, at once: a refusal with advice where trying again is harmless, else a failure.
     pub(super) fn finish(&mut self, id: RequestId, reason: EndReason, out: &mut Vec<Action>) {
-        let Some(r) = self.requests.get(&id) else { return };
+        let Some(r) = self.requests.get(&id) else {
+            return;
+        };
         if matches!(r.phase, Phase::Done | Phase::Streaming) {
             return;
         }
@@ -98,9 +117,16 @@
                 let spread = xxh3_64_with_seed(&id.0.to_le_bytes(), self.seed) % 1000;
                 self.set.max_retry_after / 2 + self.set.max_retry_after / 2 * spread / 1000
             });
-            out.push(Action::Refuse { request: id, reason, retry_after });
+            out.push(Action::Refuse {
+                request: id,
+                reason,
+                retry_after,
+            });
         } else {
-            out.push(Action::Fail { request: id, reason });
+            out.push(Action::Fail {
+                request: id,
+                reason,
+            });
         }
         self.close(id, out);
     }
@@ -112,11 +138,18 @@
             if self.set.may_drop {
                 let open = |a: &Attempt| a.outcome.is_none() && a.first.is_none();
                 let open = (0..).zip(&r.attempts).filter(|(_, a)| open(a));
-                out.extend(open.map(|(i, _)| Action::Drop { request: id, attempt: AttemptIndex(i) }));
+                out.extend(open.map(|(i, _)| Action::Drop {
+                    request: id,
+                    attempt: AttemptIndex(i),
+                }));
             }
         }
         self.release(id, ReleaseReason::RequestOver, out);
-        if self.requests.get(&id).is_some_and(|r| r.out().next().is_none()) {
+        if self
+            .requests
+            .get(&id)
+            .is_some_and(|r| r.out().next().is_none())
+        {
             self.requests.remove(&id);
         }
     }
--- a/src/policy/call_permission.rs
+++ b/src/policy/call_permission.rs
@@ -48,7 +48,11 @@
         is_under_way: bool,
     ) -> Result<ReleasePermit, ReleaseUnderWay> {
         let is_outdated = std::mem::take(&mut self.is_outdated);
-        if is_under_way && !is_outdated { Err(ReleaseUnderWay) } else { Ok(ReleasePermit { reason }) }
+        if is_under_way && !is_outdated {
+            Err(ReleaseUnderWay)
+        } else {
+            Ok(ReleasePermit { reason })
+        }
     }
 }
 
@@ -99,12 +103,16 @@
 pub fn permit_call(state: CallState) -> Result<CallPermit, CallRefusal> {
     match state {
         CallState::Release { is_going: false } => Err(CallRefusal::ReleaseOver),
-        CallState::ToolResult { is_streaming: false } => Err(CallRefusal::StreamOver),
+        CallState::ToolResult {
+            is_streaming: false,
+        } => Err(CallRefusal::StreamOver),
         CallState::ToolCall { may_have_run: true } => Err(CallRefusal::MayHaveRun),
         CallState::Release { is_going: true }
         | CallState::LateRelease
         | CallState::ToolResult { is_streaming: true }
-        | CallState::ToolCall { may_have_run: false } => Ok(CallPermit(())),
+        | CallState::ToolCall {
+            may_have_run: false,
+        } => Ok(CallPermit(())),
     }
 }
 
--- a/src/policy/call_permission/tests.rs
+++ b/src/policy/call_permission/tests.rs
@@ -36,6 +36,9 @@
 #[case(CallState::ToolResult { is_streaming: false }, Some(CallRefusal::StreamOver))]
 #[case(CallState::ToolCall { may_have_run: false }, None)]
 #[case(CallState::ToolCall { may_have_run: true }, Some(CallRefusal::MayHaveRun))]
-fn a_call_is_written_only_for_what_goes_on(#[case] state: CallState, #[case] refusal: Option<CallRefusal>) {
+fn a_call_is_written_only_for_what_goes_on(
+    #[case] state: CallState,
+    #[case] refusal: Option<CallRefusal>,
+) {
     assert_eq!(permit_call(state).err(), refusal);
 }
--- a/src/policy/close_permission.rs
+++ b/src/policy/close_permission.rs
@@ -51,7 +51,10 @@
 ///
 /// # Errors
 /// Why it may not.
-pub fn permit_close(cause: CloseCause, state: ConnectionState) -> Result<ClosePermit, CloseRefusal> {
+pub fn permit_close(
+    cause: CloseCause,
+    state: ConnectionState,
+) -> Result<ClosePermit, CloseRefusal> {
     match (cause, state) {
         (CloseCause::ClientGone, _) => Ok(ClosePermit(())),
         (_, ConnectionState::InHand) => Err(CloseRefusal::InHand),
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -37,7 +37,9 @@
     }
 
     pub(super) fn slowness(&self, worker: &WorkerId) -> f64 {
-        let Some(w) = self.workers.get(worker) else { return 1.0 };
+        let Some(w) = self.workers.get(worker) else {
+            return 1.0;
+        };
         let slow = w.slowness.or(1.0) / self.learned.slowness[w.role as usize].max(0.1);
         // Ordinary differences between workers are noise here.
         (if slow < 1.5 { 1.0 } else { slow }).max(1.0 / self.warmth(w))
@@ -49,7 +51,9 @@
     }
 
     pub(super) fn ready(&self, role: Role) -> impl Iterator<Item = (&WorkerId, &Worker)> {
-        self.workers.iter().filter(move |(_, w)| w.role == role && w.status == Status::Ready)
+        self.workers
+            .iter()
+            .filter(move |(_, w)| w.role == role && w.status == Status::Ready)
     }
 
     /// Zones of which nothing has come since several workers there could not be reached. Guards against a try
@@ -62,18 +66,24 @@
             *count += u32::from(fresh.is_some());
             (*last, *good) = ((*last).max(fresh.unwrap_or(0)), (*good).max(w.last_good));
         }
-        seen.into_iter().filter(|(_, (n, last, good))| *n > 1 && good < last).map(|(zone, _)| zone).collect()
+        seen.into_iter()
+            .filter(|(_, (n, last, good))| *n > 1 && good < last)
+            .map(|(zone, _)| zone)
+            .collect()
     }
 
     /// The workers of a role that may be sent this request now, healthy ones first.
     pub(super) fn usable(&self, role: Role, id: RequestId) -> Vec<WorkerId> {
         let request = self.requests.get(&id);
         let any_warm = self.ready(role).any(|(_, w)| !self.cold(w));
-        let turn = request.filter(|_| role == Role::Reader && any_warm).map(|r| self.slow_start_reader(r));
+        let turn = request
+            .filter(|_| role == Role::Reader && any_warm)
+            .map(|r| self.slow_start_reader(r));
         let mut ready: Vec<(&WorkerId, &Worker)> = (self.ready(role))
             .filter(|(_, w)| request.is_none_or(|r| !r.may_have_run() || self.may_repeat_at(r, w)))
             .filter(|(id, w)| {
-                !self.cold(w) || self.has_room(id, w) && turn.as_ref().is_none_or(|t| t.as_ref() == Some(id))
+                !self.cold(w)
+                    || self.has_room(id, w) && turn.as_ref().is_none_or(|t| t.as_ref() == Some(id))
             })
             .collect();
         let reached = ready.iter().filter(|(_, w)| !w.lost).count();
@@ -83,13 +93,20 @@
         // Another one than those that have just failed it, and out of zones that seem lost.
         let lost = self.lost_zones();
         prefer(&mut ready, |(_, w)| !lost.contains(&*w.zone));
-        prefer(&mut ready, |(id, _)| request.is_none_or(|r| !r.failed_at(id)));
+        prefer(&mut ready, |(id, _)| {
+            request.is_none_or(|r| !r.failed_at(id))
+        });
         if request.is_some_and(Request::is_pressed) {
             // Where something just came from, as from the state's reader: a zone may be cut off.
-            let just = self.workers.values().filter(|w| w.answered_within(self.now, self.set.release));
+            let just = self
+                .workers
+                .values()
+                .filter(|w| w.answered_within(self.now, self.set.release));
             let zones: BTreeSet<&str> = just.map(|w| &*w.zone).collect();
             prefer(&mut ready, |(_, w)| zones.contains(&*w.zone));
-            prefer(&mut ready, |(_, w)| w.answered_within(self.now, 2 * HALF_LIFE));
+            prefer(&mut ready, |(_, w)| {
+                w.answered_within(self.now, 2 * HALF_LIFE)
+            });
         }
         let healthy: Vec<WorkerId> = (ready.iter())
             .filter(|(id, w)| {
@@ -107,7 +124,9 @@
         }
         // Writers that read by themselves stand in for readers of which none can be reached.
         let stand_in = role == Role::Reader && self.set.writers_read;
-        let all = ready.iter().filter(|(id, w)| !w.lost || reached == 0 && !stand_in || healthy.contains(id));
+        let all = ready
+            .iter()
+            .filter(|(id, w)| !w.lost || reached == 0 && !stand_in || healthy.contains(id));
         all.map(|(id, _)| (*id).clone()).collect()
     }
 }
--- a/src/policy/held_state.rs
+++ b/src/policy/held_state.rs
@@ -39,7 +39,11 @@
 
     /// An attempt at `reader` has ended and may have left a state there.
     pub fn hold(&mut self, reader: WorkerId, now: Micros) {
-        *self = HeldState { reader: Some(reader), since: now, is_released_behind_send: false };
+        *self = HeldState {
+            reader: Some(reader),
+            since: now,
+            is_released_behind_send: false,
+        };
     }
 
     /// Nothing is known to be held any more: taken, or about to be released. Whether something may have been.
@@ -67,7 +71,8 @@
     /// Until when a connection for the next send may take to come up: half of the time that is left, so that
     /// there is some for another writer, and in the end for the release.
     pub fn connect_by(&self, now: Micros, limit: Micros) -> Option<Micros> {
-        self.is_held().then(|| now.saturating_add(self.release_by(limit).saturating_sub(now) / 2))
+        self.is_held()
+            .then(|| now.saturating_add(self.release_by(limit).saturating_sub(now) / 2))
     }
 
     /// Whether a release has to be ordered though a send is out: `margin` before the limit, and once for
@@ -92,17 +97,28 @@
     /// Orders the release of a state whose send has not been answered when its limit comes near: that the
     /// send was written doesn't say that it has arrived.
     pub(super) fn release_behind_send(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        let (limit, margin) = (self.set.release, self.release_margin(SWEEPS_BEFORE_RELEASE_BEHIND_SEND));
-        let Some(r) = self.requests.get_mut(&id) else { return };
+        let (limit, margin) = (
+            self.set.release,
+            self.release_margin(SWEEPS_BEFORE_RELEASE_BEHIND_SEND),
+        );
+        let Some(r) = self.requests.get_mut(&id) else {
+            return;
+        };
         if r.held.is_due_behind_send(self.now, limit, margin) {
             r.held.set_released_behind_send();
-            out.push(Action::Release { request: id, reason: ReleaseReason::UnansweredSend });
+            out.push(Action::Release {
+                request: id,
+                reason: ReleaseReason::UnansweredSend,
+            });
         }
     }
 
     pub(super) fn release(&mut self, id: RequestId, reason: ReleaseReason, out: &mut Vec<Action>) {
         if self.requests.get_mut(&id).is_some_and(|r| r.held.clear()) {
-            out.push(Action::Release { request: id, reason });
+            out.push(Action::Release {
+                request: id,
+                reason,
+            });
         }
     }
 }
--- a/src/policy/membership.rs
+++ b/src/policy/membership.rs
@@ -9,11 +9,16 @@
 
 impl Policy {
     pub(super) fn list(&mut self, kind: ListKind, entries: Vec<Entry>) {
-        let failures = if kind == ListKind::Failed { self.call_failures + 1 } else { 0 };
+        let failures = if kind == ListKind::Failed {
+            self.call_failures + 1
+        } else {
+            0
+        };
         self.call_failures = failures.min(MAX_DOUBLINGS);
         if matches!(kind, ListKind::Failed | ListKind::Saved) && self.set.list_on_request {
             // A span for all routers' calls one by one, doubled with each failure: in step they never end.
-            let span = CALL_WITHIN.min((CALL * Micros::from(self.set.routers)) << self.call_failures);
+            let span =
+                CALL_WITHIN.min((CALL * Micros::from(self.set.routers)) << self.call_failures);
             let drawn = unit(xxh3_64_with_seed(&self.now.to_le_bytes(), self.seed));
             self.call_due = Some(self.now + (span as f64 * drawn) as Micros);
         }
@@ -21,7 +26,9 @@
             return;
         }
         if kind != ListKind::Changes {
-            self.workers.values_mut().for_each(|w| w.status = Status::Gone);
+            self.workers
+                .values_mut()
+                .for_each(|w| w.status = Status::Gone);
         }
         for e in entries {
             self.entry(e);
@@ -30,7 +37,8 @@
         // A gone worker stays known while something of ours is out there.
         self.out.retain(|_, attempts| !attempts.is_empty());
         let busy = |id: &WorkerId| self.out.contains_key(id);
-        self.workers.retain(|id, w| w.status != Status::Gone || busy(id));
+        self.workers
+            .retain(|id, w| w.status != Status::Gone || busy(id));
         for role in [Role::Reader, Role::Writer, Role::Mixed] {
             self.most[role as usize] = self.most[role as usize].max(self.ready(role).count());
             self.learn_slowness(role);
@@ -40,13 +48,29 @@
     pub(super) fn entry(&mut self, e: Entry) {
         let kind = self.set.kinds.iter().find(|k| k.name == e.kind);
         let role = kind.map_or(Role::Mixed, |k| k.role);
-        let memory = kind.and_then(|k| k.memory_tokens).map_or(1e6, |m| m.max(1) as f64);
-        let weight = if e.weight.is_finite() && e.weight > 0.0 { e.weight } else { 1.0 };
-        if self.workers.get(&e.worker).is_none_or(|w| w.started != e.started || w.role != role) {
+        let memory = kind
+            .and_then(|k| k.memory_tokens)
+            .map_or(1e6, |m| m.max(1) as f64);
+        let weight = if e.weight.is_finite() && e.weight > 0.0 {
+            e.weight
+        } else {
+            1.0
+        };
+        if self
+            .workers
+            .get(&e.worker)
+            .is_none_or(|w| w.started != e.started || w.role != role)
+        {
             // A new life: nothing kept, nothing learned, cold if it began lately.
             self.kept.forget(&e.worker);
             let slowness = Average::from_prior(1.0, 1.0 / LEARN); // one odd answer says little
-            let fresh = Worker { slowness, role, memory, started: e.started, ..Worker::default() };
+            let fresh = Worker {
+                slowness,
+                role,
+                memory,
+                started: e.started,
+                ..Worker::default()
+            };
             self.workers.insert(e.worker.clone(), fresh);
         }
         if let Some(w) = self.workers.get_mut(&e.worker) {
@@ -60,13 +84,23 @@
         let groups = |w: &Worker| [(w.zone.clone(), Some(w.cell)), (w.zone.clone(), None)];
         let (mut parts, mut all) = (BTreeMap::<_, [f64; 2]>::new(), [0.0; 2]);
         for w in self.workers.values().filter(|w| w.status == Status::Ready) {
-            let others = [(0, Role::Writer), (1, Role::Reader)].into_iter().filter(|o| o.1 != w.role);
+            let others = [(0, Role::Writer), (1, Role::Reader)]
+                .into_iter()
+                .filter(|o| o.1 != w.role);
             for (i, _) in others {
                 all[i] += self.can(w);
-                groups(w).into_iter().for_each(|g| parts.entry(g).or_default()[i] += self.can(w));
+                groups(w)
+                    .into_iter()
+                    .for_each(|g| parts.entry(g).or_default()[i] += self.can(w));
             }
         }
-        let part = |g| parts.get(&g).map_or(1.0, |p| p[1] * all[0] / (p[0] * all[1]).max(1e-9));
-        self.workers.values_mut().for_each(|w| w.keep = groups(w).map(part));
+        let part = |g| {
+            parts
+                .get(&g)
+                .map_or(1.0, |p| p[1] * all[0] / (p[0] * all[1]).max(1e-9))
+        };
+        self.workers
+            .values_mut()
+            .for_each(|w| w.keep = groups(w).map(part));
     }
 }
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -4,11 +4,16 @@
 
 impl Policy {
     pub(super) fn started(&mut self, id: RequestId, attempt: AttemptIndex, elapsed: Micros) {
-        let Some(r) = self.requests.get_mut(&id) else { return };
-        let Some(a) = r.attempts.get_mut(attempt.0 as usize) else { return };
+        let Some(r) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let Some(a) = r.attempts.get_mut(attempt.0 as usize) else {
+            return;
+        };
         a.first = Some(self.now);
         self.patience[1] = self.patience[1].saturating_sub(1);
-        let (worker, work, pace, sent, class) = (a.worker.clone(), a.work, Some(a.far), a.sent, r.class);
+        let (worker, work, pace, sent, class) =
+            (a.worker.clone(), a.work, Some(a.far), a.sent, r.class);
         if r.phase != Phase::Done {
             r.phase = Phase::Streaming;
         }
@@ -17,8 +22,16 @@
         self.learn(&worker, pace, elapsed, work);
     }
 
-    pub(super) fn learn(&mut self, worker: &WorkerId, far: Option<usize>, elapsed: Micros, work: f64) {
-        let pace = far.map_or(&mut self.learned.read_pace, |far| &mut self.learned.write_pace[far]);
+    pub(super) fn learn(
+        &mut self,
+        worker: &WorkerId,
+        far: Option<usize>,
+        elapsed: Micros,
+        work: f64,
+    ) {
+        let pace = far.map_or(&mut self.learned.read_pace, |far| {
+            &mut self.learned.write_pace[far]
+        });
         let sample = elapsed as f64 / work.max(1.0);
         // One that hangs says little of its peers: a sample counts as twice the average at the most.
         let bounded = sample.min(2.0 * pace.or(sample));
@@ -27,17 +40,31 @@
         }
         let ratio = sample / pace.or(sample).max(1e-9);
         pace.add(bounded, LEARN);
-        let Some(w) = self.workers.get_mut(worker) else { return };
+        let Some(w) = self.workers.get_mut(worker) else {
+            return;
+        };
         w.slowness.add(ratio.clamp(0.1, 10.0), LEARN);
         let role = w.role;
         self.learn_slowness(role);
     }
 
     pub(super) fn ended(&mut self, end: Ended, out: &mut Vec<Action>) {
-        let Ended { request: id, attempt, outcome, elapsed, settled, kept, report } = end;
+        let Ended {
+            request: id,
+            attempt,
+            outcome,
+            elapsed,
+            settled,
+            kept,
+            report,
+        } = end;
         let (now, i) = (self.now, attempt.0 as usize);
-        let Some(r) = self.requests.get_mut(&id) else { return };
-        let Some(a) = r.attempts.get_mut(i).filter(|a| a.outcome.is_none()) else { return };
+        let Some(r) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let Some(a) = r.attempts.get_mut(i).filter(|a| a.outcome.is_none()) else {
+            return;
+        };
         a.outcome = Some(outcome);
         if let Some(out) = self.out.get_mut(&a.worker) {
             out.remove(&(id, i));
@@ -63,7 +90,10 @@
             // A read may have ended well as it was given up or broke; what this writer doesn't find may be
             // elsewhere. What is left is held like any state.
             r.held.clear();
-            out.push(Action::Release { request: id, reason: ReleaseReason::AttemptEnded });
+            out.push(Action::Release {
+                request: id,
+                reason: ReleaseReason::AttemptEnded,
+            });
         }
         self.heard(&worker, report);
         if let (Some(at), Some(w)) = (first, self.workers.get_mut(&worker)) {
@@ -81,11 +111,18 @@
             // Full, perhaps for this kind of request alone: others may still go there.
             Outcome::TurnedAway => {
                 let until = now + HALF_LIFE / 2;
-                self.workers.entry(worker.clone()).and_modify(|w| w.turned_away(kind, now, until));
+                self.workers
+                    .entry(worker.clone())
+                    .and_modify(|w| w.turned_away(kind, now, until));
             }
             // One sent later was answered: this one doesn't wait there, its answer was lost on the way.
             // Guards against setting workers aside, or taking them to be full, while most answers come.
-            Outcome::NoAnswer if self.workers.get(&worker).is_some_and(|w| w.good_sent > sent) => {
+            Outcome::NoAnswer
+                if self
+                    .workers
+                    .get(&worker)
+                    .is_some_and(|w| w.good_sent > sent) =>
+            {
                 if let Some(w) = self.workers.get_mut(&worker) {
                     w.answers.entry(class).or_default()[0].add(now, HALF_LIFE, 1.0);
                 }
@@ -94,17 +131,25 @@
                 self.learn(&worker, writes.then_some(far), elapsed, work);
                 self.bad(&worker, sent);
                 if writes {
-                    let hung = if far > 0 { &mut self.hung_far } else { &mut self.hung_near };
+                    let hung = if far > 0 {
+                        &mut self.hung_far
+                    } else {
+                        &mut self.hung_near
+                    };
                     hung.add(now, HALF_LIFE, 1.0);
                 }
                 // Without a report, it's as if it had told of so much work.
                 let waiting = elapsed as f64 / self.learned.read_pace.or(f64::MAX).max(1e-9);
                 if !writes && self.set.load_unknown() {
-                    self.workers.entry(worker.clone()).and_modify(|w| w.others.add(now, HALF_LIFE, waiting));
+                    self.workers
+                        .entry(worker.clone())
+                        .and_modify(|w| w.others.add(now, HALF_LIFE, waiting));
                 }
             }
             Outcome::Error | Outcome::ConnectionLost => {
-                self.workers.entry(worker.clone()).and_modify(|w| w.faults[0].add(now, PREFIX_TTL, 1.0));
+                self.workers
+                    .entry(worker.clone())
+                    .and_modify(|w| w.faults[0].add(now, PREFIX_TTL, 1.0));
                 self.bad(&worker, sent);
             }
             Outcome::NoConnection => {
@@ -116,7 +161,9 @@
             }
             Outcome::Served | Outcome::NoState | Outcome::Dropped | Outcome::NotSent => {}
         }
-        let Some(r) = self.requests.get_mut(&id) else { return };
+        let Some(r) = self.requests.get_mut(&id) else {
+            return;
+        };
         if settled || r.phase == Phase::Done {
             // Whatever the attempt left behind is let go, also what a drop or a late read left.
             if outcome != Outcome::Served {
@@ -125,7 +172,11 @@
             self.close(id, out);
             return;
         }
-        r.phase = if r.held.is_held() { Phase::Held } else { Phase::Waiting };
+        r.phase = if r.held.is_held() {
+            Phase::Held
+        } else {
+            Phase::Waiting
+        };
         self.step(id, out);
     }
 }
--- a/src/policy/permission.rs
+++ b/src/policy/permission.rs
@@ -71,7 +71,11 @@
     /// A permit to read that no module has given.
     #[cfg(test)]
     pub(crate) fn for_test(send_by: Option<Micros>) -> Self {
-        SendPermit { send_by, connect_by: None, reads: true }
+        SendPermit {
+            send_by,
+            connect_by: None,
+            reads: true,
+        }
     }
 
     /// The moment by which the request's last byte must be written, where there is one: later the attempt
@@ -138,7 +142,9 @@
             return Err(SendRefusal::SlowStart);
         }
         Ok(SendPermit {
-            send_by: self.repeat_until(request, to).filter(|by| *by < Micros::MAX),
+            send_by: self
+                .repeat_until(request, to)
+                .filter(|by| *by < Micros::MAX),
             connect_by: request.held.connect_by(self.now, self.set.release),
             reads: !writes,
         })
@@ -147,7 +153,11 @@
     /// Until when a request may be written to a worker, if at all: what may have run, and is not harmless to
     /// repeat, only inside the group and the window of each earlier attempt.
     fn repeat_until(&self, request: &Request, to: &Worker) -> Option<Micros> {
-        let Class { effect, repeat_window, .. } = self.set.classes[request.class];
+        let Class {
+            effect,
+            repeat_window,
+            ..
+        } = self.set.classes[request.class];
         let drops_repeats_of = |first: &Worker| match effect {
             Effect::Safe | Effect::Keyed(Group::All) => true,
             Effect::Keyed(Group::Zone) => first.zone == to.zone,
@@ -174,7 +184,10 @@
 
     /// Whether a request may be refused, which tells its client that trying again is harmless.
     pub(super) fn may_refuse(&self, request: &Request) -> bool {
-        self.set.classes[request.class].effect.is_harmless_to_repeat() || !request.may_have_run()
+        self.set.classes[request.class]
+            .effect
+            .is_harmless_to_repeat()
+            || !request.may_have_run()
     }
 }
 
--- a/src/policy/permission/tests.rs
+++ b/src/policy/permission/tests.rs
@@ -15,6 +15,19 @@
     #[case] has_client_left: bool,
     #[case] expected: Result<(), SendRefusal>,
 ) {
-    let permit = SendPermit { send_by: Some(SEND_BY), connect_by: None, reads: false };
-    assert_eq!(permit.check_write(WriteState { now, is_in_service, has_client_left }).map(drop), expected);
+    let permit = SendPermit {
+        send_by: Some(SEND_BY),
+        connect_by: None,
+        reads: false,
+    };
+    assert_eq!(
+        permit
+            .check_write(WriteState {
+                now,
+                is_in_service,
+                has_client_left
+            })
+            .map(drop),
+        expected
+    );
 }
--- a/src/policy/sending.rs
+++ b/src/policy/sending.rs
@@ -9,7 +9,9 @@
     fn growth(&self, class: &Class) -> f64 {
         let half = self.ask.max_tokens as f64 / 2.0;
         match self.ask.hint {
-            Some(hint) if class.token_aim > 0 => (hint as f64 / class.token_aim as f64).min(half * 2.0),
+            Some(hint) if class.token_aim > 0 => {
+                (hint as f64 / class.token_aim as f64).min(half * 2.0)
+            }
             _ => half,
         }
     }
@@ -29,10 +31,16 @@
         let permit = match self.permit_send(id, worker, writes) {
             Ok(permit) => permit,
             Err(refusal) => {
-                return out.push(Action::SendRefused { request: id, worker: worker.clone(), refusal });
+                return out.push(Action::SendRefused {
+                    request: id,
+                    worker: worker.clone(),
+                    refusal,
+                });
             }
         };
-        let (Some(r), Some(w)) = (self.requests.get(&id), self.workers.get(worker)) else { return };
+        let (Some(r), Some(w)) = (self.requests.get(&id), self.workers.get(worker)) else {
+            return;
+        };
         let class = &self.set.classes[r.class];
         let left = r.ask.deadline.saturating_sub(self.now);
         let prompt = r.ask.prompt_tokens as f64;
@@ -42,41 +50,82 @@
             (unread, work, self.learned.read_pace)
         } else {
             let waiting = self.out_at(worker).filter(|a| a.first.is_none());
-            let work = waiting.map(|a| a.tokens).sum::<f64>() + prompt + self.learned.prompt.or(0.0);
+            let work =
+                waiting.map(|a| a.tokens).sum::<f64>() + prompt + self.learned.prompt.or(0.0);
             (prompt + r.growth(class), work, self.learned.write_pace[far])
         };
         // Well past what this work takes, but leaving as long again for another try, if there may be one.
         let last = writes && class.effect != Effect::Safe;
         let takes = |work: f64| pace.or(0.0) * work * self.slowness(worker);
-        let expected = (takes(work) as Micros) << self.patience[usize::from(writes)].saturating_sub(1);
+        let expected =
+            (takes(work) as Micros) << self.patience[usize::from(writes)].saturating_sub(1);
         // Kept text may be gone: a read may have to do the whole prompt.
         let whole = (IMBALANCE * takes(work + prompt - unread.unwrap_or(prompt))) as Micros;
-        let due = self.set.connect_timeout.saturating_add(whole.max((OVERDUE * expected as f64) as Micros));
-        let part = if writes || !self.set.load_unknown() { STAGE_PART } else { 1.0 - STAGE_PART };
+        let due = self
+            .set
+            .connect_timeout
+            .saturating_add(whole.max((OVERDUE * expected as f64) as Micros));
+        let part = if writes || !self.set.load_unknown() {
+            STAGE_PART
+        } else {
+            1.0 - STAGE_PART
+        };
         // With much of the role cold, no other is better off, and a repeat reads the whole prompt anew:
         // guards against a jam that feeds itself.
-        let (can, of) =
-            self.ready(w.role).fold((0.0, 1e-9), |(c, a), (_, w)| (c + self.can(w), a + w.weight));
-        let part = if writes { part } else { part * (of / can).powi(3).min(4.0) };
+        let (can, of) = self.ready(w.role).fold((0.0, 1e-9), |(c, a), (_, w)| {
+            (c + self.can(w), a + w.weight)
+        });
+        let part = if writes {
+            part
+        } else {
+            part * (of / can).powi(3).min(4.0)
+        };
         let due = due.max((self.aim(r) as f64 * part) as Micros);
-        let due = if left / 2 > expected { due.min(left - expected) } else { left };
+        let due = if left / 2 > expected {
+            due.min(left - expected)
+        } else {
+            left
+        };
         let timeout = (!last).then_some(due);
         if !writes {
             self.kept.credit(&r.ask, worker, self.now);
         }
         let (now, window) = (self.now, self.slow_start_window());
-        self.workers.entry(worker.clone()).and_modify(|w| w.slow_start_sends.push(now, window));
+        self.workers
+            .entry(worker.clone())
+            .and_modify(|w| w.slow_start_sends.push(now, window));
         let (due, sent, outcome, first) = (self.now + due, self.now, None, None);
-        let attempt =
-            Attempt { worker: worker.clone(), writes, far, sent, due, tokens, work, outcome, first };
+        let attempt = Attempt {
+            worker: worker.clone(),
+            writes,
+            far,
+            sent,
+            due,
+            tokens,
+            work,
+            outcome,
+            first,
+        };
         if let Some(r) = self.requests.get_mut(&id) {
-            self.out.entry(worker.clone()).or_default().insert((id, r.attempts.len()));
+            self.out
+                .entry(worker.clone())
+                .or_default()
+                .insert((id, r.attempts.len()));
             r.attempts.push(attempt);
-            r.phase = if writes { Phase::Writing } else { Phase::Reading };
+            r.phase = if writes {
+                Phase::Writing
+            } else {
+                Phase::Reading
+            };
             if !writes {
                 r.held.clear();
             }
         }
-        out.push(Action::Send { request: id, worker: worker.clone(), timeout, permit });
+        out.push(Action::Send {
+            request: id,
+            worker: worker.clone(),
+            timeout,
+            permit,
+        });
     }
 }
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -8,7 +8,9 @@
 impl Policy {
     /// The least part that a worker can do now of what it does when warm.
     pub(super) fn warmth(&self, w: &Worker) -> f64 {
-        let age = w.started.map_or(f64::MAX, |at| self.now.saturating_sub(at) as f64);
+        let age = w
+            .started
+            .map_or(f64::MAX, |at| self.now.saturating_sub(at) as f64);
         let part = (age / (0.7 * self.set.cold.max(1) as f64)).min(1.0);
         (self.set.cold_from + (1.0 - self.set.cold_from) * part).max(0.05)
     }
@@ -18,26 +20,38 @@
     }
 
     pub(super) fn cold(&self, w: &Worker) -> bool {
-        w.started.is_some_and(|at| self.now < at.saturating_add(self.set.cold))
+        w.started
+            .is_some_and(|at| self.now < at.saturating_add(self.set.cold))
     }
 
     /// The one reader in slow start that may get this request, once: one in whose budget this router is one
     /// of few with a share, for a session of which it knows no reader, else the home of its text.
     pub(super) fn slow_start_reader(&self, r: &Request) -> Option<WorkerId> {
         let ready = || self.ready(Role::Reader);
-        let rank = |id: &WorkerId| xxh3_64_with_seed(id.0.as_bytes(), hash_key(&r.ask, self.seed, 1));
+        let rank =
+            |id: &WorkerId| xxh3_64_with_seed(id.0.as_bytes(), hash_key(&r.ask, self.seed, 1));
         let shares = |id, w| self.cold(w) && self.is_concentrated(w) && self.has_room(id, w);
         let known = self.kept.knows_session(&r.ask);
         let one = ready().filter(|(id, w)| r.attempts.is_empty() && !known && shares(id, w));
         let one = one.max_by_key(|(id, _)| rank(id)).map(|(id, _)| id.clone());
-        let home = || self.home(&r.ask, &ready().map(|(id, _)| id.clone()).collect::<Vec<_>>());
-        one.or_else(home).filter(|id| r.attempts.iter().all(|a| a.worker != *id))
+        let home = || {
+            self.home(
+                &r.ask,
+                &ready().map(|(id, _)| id.clone()).collect::<Vec<_>>(),
+            )
+        };
+        one.or_else(home)
+            .filter(|id| r.attempts.iter().all(|a| a.worker != *id))
     }
 
     /// Learns what a warm worker of each role completes, as requests arrive; that stands while none is warm.
     pub(super) fn learn_rates(&mut self) {
         for role in [Role::Reader, Role::Writer, Role::Mixed] {
-            let warm = || self.ready(role).filter(|(_, w)| !self.cold(w)).map(|(_, w)| w);
+            let warm = || {
+                self.ready(role)
+                    .filter(|(_, w)| !self.cold(w))
+                    .map(|(_, w)| w)
+            };
             let done: f64 = warm().map(|w| w.done.left(self.now, HALF_LIFE)).sum();
             let size: f64 = warm().map(|w| w.weight).sum();
             if size > 0.0 {
@@ -53,9 +67,15 @@
     pub(super) fn slow_start_budget(&self, w: &Worker) -> f64 {
         let promised = self.tenants.values().map(|t| t.0).sum::<f64>() / 1e6;
         let role = w.role as usize;
-        let each = self.learned.rates[role].or(0.0).max(promised / self.most[role].max(1) as f64) * w.weight;
+        let each = self.learned.rates[role]
+            .or(0.0)
+            .max(promised / self.most[role].max(1) as f64)
+            * w.weight;
         // What it could do at the beginning of the window: how it grows is not stated.
-        let age = self.now.saturating_sub(w.started.unwrap_or(0)).saturating_sub(self.set.fall);
+        let age = self
+            .now
+            .saturating_sub(w.started.unwrap_or(0))
+            .saturating_sub(self.set.fall);
         let age = age as f64 / self.set.cold.max(1) as f64;
         let part = self.set.cold_from + (1.0 - self.set.cold_from) * age.min(1.0);
         let all = each * f64::from(self.set.routers) * part * self.set.fall as f64;
@@ -71,7 +91,10 @@
 
     /// Sends are counted as they are decided, and written up to a connect time-out later.
     pub(super) fn slow_start_window(&self) -> Micros {
-        self.set.fall.max(1).saturating_add(self.set.connect_timeout)
+        self.set
+            .fall
+            .max(1)
+            .saturating_add(self.set.connect_timeout)
     }
 
     /// Whether too many routers share a worker's budget for each to have a part of it.
@@ -84,14 +107,21 @@
     pub(super) fn has_room(&self, id: &WorkerId, w: &Worker) -> bool {
         let (routers, window) = (f64::from(self.set.routers.max(1)), self.slow_start_window());
         let budget = self.slow_start_budget(w);
-        let senders = budget / self.set.fall_multiple.max(1.0) * window as f64 / self.set.fall.max(1) as f64;
+        let senders =
+            budget / self.set.fall_multiple.max(1.0) * window as f64 / self.set.fall.max(1) as f64;
         let start = unit(xxh3_64_with_seed(id.0.as_bytes(), w.started.unwrap_or(0)));
         let turn = |index| (f64::from(index) + self.now as f64 / window as f64) / routers + start;
         // A router without a number counts on no rest.
         let place = self.set.index.map_or(0.0, |index| turn(index).fract());
-        let share =
-            (if budget < routers { senders.min(budget).max(1.0) } else { budget } / routers + place) as usize;
+        let share = (if budget < routers {
+            senders.min(budget).max(1.0)
+        } else {
+            budget
+        } / routers
+            + place) as usize;
         let room = |time, most| w.slow_start_sends.within(self.now, time) < most;
-        self.now >= self.slow_start_from && room(window, share) && room(window / 2, share.div_ceil(2))
+        self.now >= self.slow_start_from
+            && room(window, share)
+            && room(window / 2, share.div_ceil(2))
     }
 }
--- a/src/reload.rs
+++ b/src/reload.rs
@@ -38,7 +38,10 @@
         self.counters.reloads.up();
         let fixed = self.held.differences(&new);
         if !fixed.is_empty() {
-            log::warn!("reload: a new {} counts from the next start on", fixed.join(", "));
+            log::warn!(
+                "reload: a new {} counts from the next start on",
+                fixed.join(", ")
+            );
         }
         self.take(new);
     }
@@ -54,7 +57,10 @@
         match self.held.replace_with(new) {
             SettingsChange::None => {}
             SettingsChange::New(settings) => {
-                log::info!("reload: new settings: {}", describe_changes(&before, &settings));
+                log::info!(
+                    "reload: new settings: {}",
+                    describe_changes(&before, &settings)
+                );
                 self.live.replace(*settings);
             }
             SettingsChange::LeftToFleetPolicy => log::warn!(
@@ -66,7 +72,9 @@
 
     fn move_discovery(&self) {
         let address = self.held.discovery;
-        let moved = self.discovery.send_if_modified(|at| std::mem::replace(at, address) != address);
+        let moved = self
+            .discovery
+            .send_if_modified(|at| std::mem::replace(at, address) != address);
         match address {
             Some(address) if moved => log::info!("reload: discovery is now at {address}"),
             None if moved => log::info!("reload: no discovery any more; the list stands"),
--- a/src/run.rs
+++ b/src/run.rs
@@ -64,7 +64,10 @@
 impl Source {
     /// An operator's file.
     pub fn operator(file: PathBuf) -> Self {
-        Source { file, platform: false }
+        Source {
+            file,
+            platform: false,
+        }
     }
 
     /// The platform's, which NODE_CONFIG names.
@@ -72,8 +75,12 @@
     /// # Errors
     /// NODE_CONFIG is not set.
     pub fn platform() -> Result<Self, ConfigError> {
-        let file = std::env::var("NODE_CONFIG").map_err(|_| ConfigError("NODE_CONFIG is not set".into()))?;
-        Ok(Source { file: file.into(), platform: true })
+        let file = std::env::var("NODE_CONFIG")
+            .map_err(|_| ConfigError("NODE_CONFIG is not set".into()))?;
+        Ok(Source {
+            file: file.into(),
+            platform: true,
+        })
     }
 
     /// Reads it.
@@ -83,7 +90,9 @@
     pub fn load(&self) -> Result<Config, ConfigError> {
         let text = read(&self.file)?;
         if self.platform {
-            Config::from_json(&text, |name| std::env::var(name).ok().filter(|v| !v.is_empty()))
+            Config::from_json(&text, |name| {
+                std::env::var(name).ok().filter(|v| !v.is_empty())
+            })
         } else {
             let mut config = Config::from_toml(&text)?;
             if let (Some(fleet), Some(folder)) = (&mut config.fleet, self.file.parent()) {
@@ -107,7 +116,9 @@
     // Before anything else: until it is taken over, SIGHUP ends the process.
     let signals = Signals::take_over().map_err(|e| ConfigError(format!("signals: {e}")))?;
     let config = source.load()?;
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build();
     let runtime = runtime.map_err(|e| ConfigError(format!("runtime: {e}")))?;
     let local = tokio::task::LocalSet::new();
     runtime.block_on(local.run_until(run(config, source, signals)))
@@ -127,7 +138,9 @@
 
 /// Binds the operators' door.
 async fn listen_for_operators(address: SocketAddr) -> Result<TcpListener, ConfigError> {
-    TcpListener::bind(address).await.map_err(|e| ConfigError(format!("ops {address}: {e}")))
+    TcpListener::bind(address)
+        .await
+        .map_err(|e| ConfigError(format!("ops {address}: {e}")))
 }
 
 async fn run(mut config: Config, source: Source, signals: Signals) -> Result<(), ConfigError> {
@@ -151,13 +164,23 @@
         + config.tools.as_ref().map_or(0, |t| t.max_calls_at_once)
         + config.fleet.as_ref().map_or(0, |f| f.sockets());
     let shares = Shares::new(config.limits.sockets, spare);
-    let Split { hosts: to_hosts, clients: to_clients } = Split::of(shares.whole(), spare);
+    let Split {
+        hosts: to_hosts,
+        clients: to_clients,
+    } = Split::of(shares.whole(), spare);
     if to_hosts < 64 {
-        return Err(ConfigError(format!("limits.sockets: {} are too few", config.limits.sockets)));
+        return Err(ConfigError(format!(
+            "limits.sockets: {} are too few",
+            config.limits.sockets
+        )));
     }
     let (first_share, beside) = place.first_share(shares).await?;
     let not_bound = |e: std::io::Error| ConfigError(format!("listen {}: {e}", config.listen));
-    let listener = if beside { None } else { Some(place.listen_alone(config.listen).map_err(not_bound)?) };
+    let listener = if beside {
+        None
+    } else {
+        Some(place.listen_alone(config.listen).map_err(not_bound)?)
+    };
     // What conductors draw by chance has to differ between them, also where no file states a seed.
     let own_seed = xxh3_64_with_seed(config.name.as_bytes(), config.seed);
     let connect_timeout = Duration::from_micros(settings.connect_timeout.max(10_000));
@@ -180,10 +203,15 @@
         late_arrivals: Rc::default(),
     };
     // Before the fleet begins: it would wait for this member meanwhile.
-    let own = config.fleet.as_ref().and_then(|f| config.sites.as_ref()?.site(f.site.as_str()));
+    let own = config
+        .fleet
+        .as_ref()
+        .and_then(|f| config.sites.as_ref()?.site(f.site.as_str()));
     let plans = match (own, config.sites.clone()) {
         (Some(own), Some(tables)) => {
-            let plans = Sites::plan(tables).await.map_err(|e| ConfigError(format!("sites: {e}")))?;
+            let plans = Sites::plan(tables)
+                .await
+                .map_err(|e| ConfigError(format!("sites: {e}")))?;
             log::info!("sites: plans {:016x}", plans.fingerprint());
             Some((own, plans))
         }
@@ -195,9 +223,19 @@
     };
     let sites = match (&fleet, plans) {
         (Some(fleet), Some((own, plans))) => {
-            let seen =
-                Seen { directory: directory.clone(), core: core.clone(), kinds: settings.kinds.clone() };
-            Some(Sites::start(fleet.clone(), clock, seen, plans, own, own_seed))
+            let seen = Seen {
+                directory: directory.clone(),
+                core: core.clone(),
+                kinds: settings.kinds.clone(),
+            };
+            Some(Sites::start(
+                fleet.clone(),
+                clock,
+                seen,
+                plans,
+                own,
+                own_seed,
+            ))
         }
         _ => None,
     };
@@ -210,7 +248,13 @@
         }
         _ => None,
     };
-    let work = match (&fleet, config.fleet.as_ref().and_then(|f| Some((f, f.takeover.clone()?)))) {
+    let work = match (
+        &fleet,
+        config
+            .fleet
+            .as_ref()
+            .and_then(|f| Some((f, f.takeover.clone()?))),
+    ) {
         (Some(fleet), Some((settings, takeover))) => {
             let work = Work::start(fleet.clone(), clock, takeover);
             tokio::task::spawn_local(work.clone().adopt(settings.most_members, outbound.clone()));
@@ -220,10 +264,17 @@
     };
     if let Some(work) = &work {
         let (directory, kinds) = (directory.clone(), settings.kinds.clone());
-        let reads = Box::new(move |worker: &WorkerId| directory.role(worker, &kinds) == Some(Role::Reader));
+        let reads =
+            Box::new(move |worker: &WorkerId| directory.role(worker, &kinds) == Some(Role::Reader));
         outbound = Recording::start(outbound, work.clone(), core.clone(), reads);
     }
-    let driver = Core::new(settings.clone(), own_seed, clock, outbound, counters.clone());
+    let driver = Core::new(
+        settings.clone(),
+        own_seed,
+        clock,
+        outbound,
+        counters.clone(),
+    );
     let follower = Follower {
         directory: directory.clone(),
         core: core.clone(),
@@ -234,9 +285,9 @@
         ask: settings.list_on_request.then_some(watch_again),
         fetch_list: fetch_list.clone(),
         counters: counters.clone(),
-        weigh: sites
-            .clone()
-            .map(|sites| Box::new(move |kind, entries: &mut [_]| sites.weigh(kind, entries)) as Weigh),
+        weigh: sites.clone().map(|sites| {
+            Box::new(move |kind, entries: &mut [_]| sites.weigh(kind, entries)) as Weigh
+        }),
         starts: RefCell::default(),
     };
     let refresh_list = {
@@ -260,14 +311,17 @@
     };
     let holds = {
         let (able, listening, gate) = (able.clone(), listening.clone(), gate.clone());
-        Rc::new(move || listening.get() && able() && gate.as_ref().is_none_or(|gate| gate.is_ready()))
+        Rc::new(move || {
+            listening.get() && able() && gate.as_ref().is_none_or(|gate| gate.is_ready())
+        })
     };
     let can_serve = {
         let (holds, stopping) = (holds.clone(), stopping.clone());
         move || holds() && !stopping.get()
     };
     let ready = {
-        let (stopping, other_serves, drain) = (stopping.clone(), other_serves.clone(), drain.clone());
+        let (stopping, other_serves, drain) =
+            (stopping.clone(), other_serves.clone(), drain.clone());
         // Clients ask at the address. It is served on where another process stays there.
         move || holds() && (!stopping.get() || other_serves.get()) && !drain.is_draining()
     };
@@ -301,12 +355,20 @@
     if let Some(listener) = door_listener {
         log::info!(
             "the operators' door is at {}",
-            listener.local_addr().map_or_else(|e| e.to_string(), |a| a.to_string())
+            listener
+                .local_addr()
+                .map_or_else(|e| e.to_string(), |a| a.to_string())
         );
         let (shared, directory, drain) = (shared.clone(), directory.clone(), drain.clone());
         let may_serve = shared.clone();
         let can_serve = Box::new(move || can_serve() && (may_serve.may_serve)());
-        let door = Rc::new(Door { shared, can_serve, directory, drain, skipped: Cell::new(0) });
+        let door = Rc::new(Door {
+            shared,
+            can_serve,
+            directory,
+            drain,
+            skipped: Cell::new(0),
+        });
         tokio::task::spawn_local(door.serve(listener));
     }
     // Ids of sends at model hosts: of this start alone, or two conductors, or two lives of one, would share what is held.
@@ -347,8 +409,13 @@
     let address = listener.local_addr().map_err(not_bound)?;
     listening.set(true);
     sharing.enter(Phase::Serving);
-    let accepting =
-        Listener { edge: Edge { shared, tools }, bound, waiting: bound, stage: stages, open: open.clone() };
+    let accepting = Listener {
+        edge: Edge { shared, tools },
+        bound,
+        waiting: bound,
+        stage: stages,
+        open: open.clone(),
+    };
     let accepting = tokio::task::spawn_local(accepting.accept(listener));
     log::info!(
         "{} serves on {}, {} sockets for clients and {} for model hosts",
@@ -358,7 +425,13 @@
         to_hosts
     );
 
-    let mut reload = Reload { source, held: config, discovery, live, counters: counters.clone() };
+    let mut reload = Reload {
+        source,
+        held: config,
+        discovery,
+        live,
+        counters: counters.clone(),
+    };
     let mut retire = tokio::time::interval(RETIRE);
     loop {
         tokio::select! {
@@ -405,12 +478,16 @@
             let _ = stage.send(Stage::Leaving);
             std::future::pending::<()>().await;
         };
-        tokio::join!(early, tokio::time::timeout(ACCEPT_ON, successor)).1.unwrap_or_default();
+        tokio::join!(early, tokio::time::timeout(ACCEPT_ON, successor))
+            .1
+            .unwrap_or_default();
         let _ = stage.send(Stage::Closing);
         // What the system has accepted by now is taken.
         let _ = accepting.await;
         pool.clear();
-        let hand_over = work.as_ref().map(|w| Duration::from_millis(w.settings().hand_over_after_ms));
+        let hand_over = work
+            .as_ref()
+            .map(|w| Duration::from_millis(w.settings().hand_over_after_ms));
         let begun = Instant::now();
         // A call that is out has its time: without its outcome on record it is unknown wherever its request goes on.
         let calls = || hand_over.is_some() && front.as_ref().is_some_and(|f| f.is_calling());
--- a/src/signals.rs
+++ b/src/signals.rs
@@ -26,12 +26,20 @@
     /// # Errors
     /// The system refuses, or has no thread for it.
     pub fn take_over() -> std::io::Result<Signals> {
-        let set: SigSet =
-            [Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP, Signal::SIGUSR1].into_iter().collect();
+        let set: SigSet = [
+            Signal::SIGTERM,
+            Signal::SIGINT,
+            Signal::SIGHUP,
+            Signal::SIGUSR1,
+        ]
+        .into_iter()
+        .collect();
         set.thread_block()?;
         let signals = Signals::default();
         let told = signals.clone();
-        std::thread::Builder::new().name("signals".to_owned()).spawn(move || told.follow(&set))?;
+        std::thread::Builder::new()
+            .name("signals".to_owned())
+            .spawn(move || told.follow(&set))?;
         Ok(signals)
     }
 
--- a/src/state.rs
+++ b/src/state.rs
@@ -4,7 +4,9 @@
 
 pub(crate) use prefix_table::PrefixTable;
 
-use crate::interface::{Ask, Class, Effect, Micros, Outcome, Report, Role, Settings, Status, Tenant};
+use crate::interface::{
+    Ask, Class, Effect, Micros, Outcome, Report, Role, Settings, Status, Tenant,
+};
 use crate::interface::{RequestId, WorkerId};
 use crate::policy::held_state::HeldState;
 use std::collections::{BTreeMap, VecDeque};
@@ -28,7 +30,10 @@
     }
 
     pub fn add(&mut self, now: Micros, half_life: Micros, amount: f64) {
-        *self = Fading { value: (self.left(now, half_life) + amount).max(0.0), at: now };
+        *self = Fading {
+            value: (self.left(now, half_life) + amount).max(0.0),
+            at: now,
+        };
     }
 }
 
@@ -51,7 +56,11 @@
     }
 
     pub fn or(&self, default: f64) -> f64 {
-        if self.samples > 0.0 { self.value } else { default }
+        if self.samples > 0.0 {
+            self.value
+        } else {
+            default
+        }
     }
 }
 
@@ -59,7 +68,11 @@
 pub(crate) fn sane(report: Report) -> Report {
     let sane = |figure: Option<f64>| figure.filter(|v| v.is_finite() && *v >= 0.0);
     let (memory_share, tokens_waiting) = (sane(report.memory_share), sane(report.tokens_waiting));
-    Report { memory_share, tokens_waiting, ..report }
+    Report {
+        memory_share,
+        tokens_waiting,
+        ..report
+    }
 }
 
 /// When the sends of the last while were made, oldest first.
@@ -75,7 +88,11 @@
 
     /// How many were made within that time, its ends included.
     pub fn within(&self, now: Micros, time: Micros) -> usize {
-        self.0.iter().rev().take_while(|at| at.saturating_add(time) >= now).count()
+        self.0
+            .iter()
+            .rev()
+            .take_while(|at| at.saturating_add(time) >= now)
+            .count()
     }
 }
 
@@ -95,8 +112,8 @@
     pub read_pace: Average,
     pub write_pace: [Average; 3], // to the first token; the state moves in a cell, in a zone, or between zones
     pub first_pace: Average,      // the same over all distances
-    pub rates: [Average; 3],      // of each role: what one warm worker of weight 1 completes in a microsecond
-    pub slowness: [f64; 3],       // of each role: the median of its workers, learned with each change
+    pub rates: [Average; 3], // of each role: what one warm worker of weight 1 completes in a microsecond
+    pub slowness: [f64; 3],  // of each role: the median of its workers, learned with each change
     pub unread: Average,
     pub prompt: Average,
 }
@@ -213,7 +230,9 @@
     /// The attempts that may have had an effect, or still may: those at writers without an outcome that rules it out.
     pub fn effects(&self) -> impl Iterator<Item = &Attempt> {
         let ruled_out = |a: &Attempt| a.outcome.is_some_and(Outcome::rules_out_a_run_at_a_writer);
-        self.attempts.iter().filter(move |a| a.writes && !ruled_out(a))
+        self.attempts
+            .iter()
+            .filter(move |a| a.writes && !ruled_out(a))
     }
 
     /// Whether all its attempts have been made.
@@ -223,7 +242,9 @@
 
     /// Whether an attempt got no answer in time.
     pub fn unanswered(&self) -> bool {
-        self.attempts.iter().any(|a| a.outcome == Some(Outcome::NoAnswer))
+        self.attempts
+            .iter()
+            .any(|a| a.outcome == Some(Outcome::NoAnswer))
     }
 
     /// Whether an attempt there has failed. A read that wasn't answered in time may have left its text there.
@@ -233,7 +254,9 @@
             Some(Outcome::NoAnswer) => a.writes,
             Some(_) => true,
         };
-        self.attempts.iter().any(|a| a.worker == *worker && failed(a))
+        self.attempts
+            .iter()
+            .any(|a| a.worker == *worker && failed(a))
     }
 
     /// Whether time is short for what is held: it ran on during the last attempt, which nothing was heard of.
@@ -245,7 +268,16 @@
     pub fn new(ask: Ask, class: usize, now: Micros, over_share: bool, most_attempts: u32) -> Self {
         let (arrived, phase) = (now, Phase::Waiting);
         let (attempts, held) = (Vec::new(), HeldState::default());
-        Request { ask, class, arrived, over_share, most_attempts, phase, attempts, held }
+        Request {
+            ask,
+            class,
+            arrived,
+            over_share,
+            most_attempts,
+            phase,
+            attempts,
+            held,
+        }
     }
 
     /// The attempts without an outcome.
@@ -256,7 +288,10 @@
 
 /// The place of a class; the last one if the settings don't name it.
 pub(crate) fn class_of(classes: &[Class], name: &str) -> usize {
-    classes.iter().position(|c| c.name == name && !name.is_empty()).unwrap_or(classes.len() - 1)
+    classes
+        .iter()
+        .position(|c| c.name == name && !name.is_empty())
+        .unwrap_or(classes.len() - 1)
 }
 
 /// The classes of new settings, and behind them those of requests in hand, which keep theirs with effect, worth and
@@ -272,12 +307,18 @@
         let class = request.class;
         request.class = *moved.entry(class).or_insert_with(|| {
             // Without a name no new request finds it.
-            all.push(Class { name: String::new(), ..old[class].clone() });
+            all.push(Class {
+                name: String::new(),
+                ..old[class].clone()
+            });
             all.len() - 1
         });
     }
     // The last one is of requests whose class the settings don't name: never repeated, worth least.
-    all.push(Class { effect: Effect::Unsafe, ..Class::default() });
+    all.push(Class {
+        effect: Effect::Unsafe,
+        ..Class::default()
+    });
     all
 }
 
@@ -288,7 +329,14 @@
 ) -> BTreeMap<String, (f64, f64, Micros)> {
     let tenant = |t: &Tenant| {
         let (_, level, at) = held.get(&t.name).copied().unwrap_or((0.0, f64::MAX, 0));
-        (t.name.clone(), (t.quota_per_s / f64::from(settings.routers.max(1)), level, at))
+        (
+            t.name.clone(),
+            (
+                t.quota_per_s / f64::from(settings.routers.max(1)),
+                level,
+                at,
+            ),
+        )
     };
     settings.tenants.iter().map(tenant).collect()
 }
@@ -333,7 +381,10 @@
 /// something of this router's own.
 pub(crate) fn hash_key(ask: &Ask, own: u64, homes: u64) -> u64 {
     let RequestId(id) = ask.request;
-    let session = ask.session.as_ref().map_or(id ^ own, |s| xxh3_64(s.as_bytes()));
+    let session = ask
+        .session
+        .as_ref()
+        .map_or(id ^ own, |s| xxh3_64(s.as_bytes()));
     match &ask.prefix {
         Some(prefix) if homes > 1 => xxh3_64_with_seed(prefix.as_bytes(), session % homes),
         Some(prefix) => xxh3_64(prefix.as_bytes()),
--- a/src/state/prefix_table.rs
+++ b/src/state/prefix_table.rs
@@ -27,13 +27,19 @@
     pub fn asked(&mut self, ask: &Ask, now: Micros, half_life: Micros) {
         self.requests.add(now, half_life, 1.0);
         if let Some(prefix) = ask.prefix.clone() {
-            self.requests_by_prefix.entry(prefix).or_default().add(now, half_life, 1.0);
+            self.requests_by_prefix
+                .entry(prefix)
+                .or_default()
+                .add(now, half_life, 1.0);
         }
     }
 
     /// The part of all requests of late that have this one's prefix, without the request itself.
     pub fn share(&self, ask: &Ask, now: Micros, half_life: Micros) -> f64 {
-        let requests = ask.prefix.as_ref().and_then(|prefix| self.requests_by_prefix.get(prefix));
+        let requests = ask
+            .prefix
+            .as_ref()
+            .and_then(|prefix| self.requests_by_prefix.get(prefix));
         let requests = requests.map_or(0.0, |requests| requests.left(now, half_life));
         (requests - 1.0).max(0.0) / self.requests.left(now, half_life).max(1.0)
     }
@@ -41,11 +47,20 @@
     /// Credits a reader that a request is sent to with the request's prefix and session.
     pub fn credit(&mut self, ask: &Ask, worker: &WorkerId, at: Micros) {
         if let Some(prefix) = ask.prefix.clone() {
-            let credit = Credit { tokens: ask.prefix_tokens, at };
-            self.prefixes.entry(prefix).or_default().insert(worker.clone(), credit);
+            let credit = Credit {
+                tokens: ask.prefix_tokens,
+                at,
+            };
+            self.prefixes
+                .entry(prefix)
+                .or_default()
+                .insert(worker.clone(), credit);
         }
         if let Some(session) = ask.session.clone() {
-            let credit = Credit { tokens: ask.prompt_tokens, at };
+            let credit = Credit {
+                tokens: ask.prompt_tokens,
+                at,
+            };
             self.sessions.insert(session, (worker.clone(), credit));
         }
     }
@@ -65,12 +80,17 @@
 
     /// Whether a reader of the request's session is known.
     pub fn knows_session(&self, ask: &Ask) -> bool {
-        ask.session.as_ref().is_some_and(|session| self.sessions.contains_key(session))
+        ask.session
+            .as_ref()
+            .is_some_and(|session| self.sessions.contains_key(session))
     }
 
     /// Tokens of all prefixes that a reader is credited with.
     pub fn credited(&self, worker: &WorkerId) -> f64 {
-        let credits = self.prefixes.values().filter_map(|holders| holders.get(worker));
+        let credits = self
+            .prefixes
+            .values()
+            .filter_map(|holders| holders.get(worker));
         credits.map(|credit| credit.tokens as f64).sum()
     }
 
@@ -81,7 +101,8 @@
             !holders.is_empty()
         });
         self.sessions.retain(|_, (_, credit)| credit.at >= before);
-        self.requests_by_prefix.retain(|_, requests| requests.at >= before);
+        self.requests_by_prefix
+            .retain(|_, requests| requests.at >= before);
     }
 
     /// Forgets a reader, whose new process keeps nothing.
--- a/src/state/tests.rs
+++ b/src/state/tests.rs
@@ -15,7 +15,14 @@
 #[test]
 fn requests_in_hand_keep_their_class_and_new_ones_find_the_new() {
     let classes = |names: &[&str], effect| -> Vec<Class> {
-        names.iter().map(|n| Class { name: (*n).into(), effect, ..Class::default() }).collect()
+        names
+            .iter()
+            .map(|n| Class {
+                name: (*n).into(),
+                effect,
+                ..Class::default()
+            })
+            .collect()
     };
     let ask = |class: &str| Ask {
         request: RequestId(1),
@@ -30,16 +37,33 @@
         tenant: None,
     };
     let mut requests = Vec::new();
-    let mut all = settle(&[], &classes(&["explain", "send"], Effect::Unsafe), [].iter_mut());
+    let mut all = settle(
+        &[],
+        &classes(&["explain", "send"], Effect::Unsafe),
+        [].iter_mut(),
+    );
     for effect in [Effect::Safe, Effect::Unsafe, Effect::Safe] {
-        requests.push(Request::new(ask("send"), class_of(&all, "send"), 0, false, 6));
-        all = settle(&all, &classes(&["send", "new"], effect), requests.iter_mut());
+        requests.push(Request::new(
+            ask("send"),
+            class_of(&all, "send"),
+            0,
+            false,
+            6,
+        ));
+        all = settle(
+            &all,
+            &classes(&["send", "new"], effect),
+            requests.iter_mut(),
+        );
     }
     let kept: Vec<Effect> = requests.iter().map(|r| all[r.class].effect).collect();
     assert_eq!(kept, [Effect::Unsafe, Effect::Safe, Effect::Unsafe]);
     assert_eq!(all[class_of(&all, "send")].effect, Effect::Safe);
     // Those kept have no name, and a request without one does not find them either.
-    assert_eq!((class_of(&all, "explain"), class_of(&all, "")), (all.len() - 1, all.len() - 1));
+    assert_eq!(
+        (class_of(&all, "explain"), class_of(&all, "")),
+        (all.len() - 1, all.len() - 1)
+    );
     // What no request in hand needs is gone, however often settings come.
     for _ in 0..9 {
         all = settle(&all, &classes(&["send"], Effect::Safe), requests.iter_mut());
@@ -87,6 +111,10 @@
     ];
     for (writes, outcome, may_have_run) in cases {
         request.attempts = vec![attempt(writes, outcome)];
-        assert_eq!(request.may_have_run(), may_have_run, "writes: {writes}, {outcome:?}");
+        assert_eq!(
+            request.may_have_run(),
+            may_have_run,
+            "writes: {writes}, {outcome:?}"
+        );
     }
 }
--- a/src/store/disk.rs
+++ b/src/store/disk.rs
@@ -50,19 +50,31 @@
     /// Opens a directory, makes it if need be, and locks it. `Ok(None)`: another store holds it.
     pub fn open(path: &Path) -> io::Result<Option<Self>> {
         make(path)?;
-        let lock = OpenOptions::new().create(true).truncate(false).write(true).open(path.join(Self::LOCK))?;
+        let lock = OpenOptions::new()
+            .create(true)
+            .truncate(false)
+            .write(true)
+            .open(path.join(Self::LOCK))?;
         match lock.try_lock() {
             Ok(()) => {}
             Err(TryLockError::WouldBlock) => return Ok(None),
             Err(TryLockError::Error(error)) => return Err(error),
         }
         let directory = File::open(path)?;
-        Ok(Some(Directory { path: path.into(), directory, files: BTreeMap::new(), _lock: lock }))
+        Ok(Some(Directory {
+            path: path.into(),
+            directory,
+            files: BTreeMap::new(),
+            _lock: lock,
+        }))
     }
 
     fn file(&mut self, name: &str) -> io::Result<&File> {
         if !self.files.contains_key(name) {
-            let file = OpenOptions::new().read(true).write(true).open(self.path.join(name))?;
+            let file = OpenOptions::new()
+                .read(true)
+                .write(true)
+                .open(self.path.join(name))?;
             self.files.insert(name.into(), file);
         }
         Ok(&self.files[name])
@@ -74,7 +86,10 @@
     if path.is_dir() {
         return Ok(());
     }
-    let parent = path.parent().filter(|parent| !parent.as_os_str().is_empty()).unwrap_or(Path::new("."));
+    let parent = path
+        .parent()
+        .filter(|parent| !parent.as_os_str().is_empty())
+        .unwrap_or(Path::new("."));
     make(parent)?;
     match fs::create_dir(path) {
         Err(error) if error.kind() != io::ErrorKind::AlreadyExists => return Err(error),
@@ -86,12 +101,19 @@
 impl Disk for Directory {
     fn names(&mut self) -> io::Result<Vec<String>> {
         let entries = fs::read_dir(&self.path)?;
-        entries.map(|entry| Ok(entry?.file_name().to_string_lossy().into_owned())).collect()
+        entries
+            .map(|entry| Ok(entry?.file_name().to_string_lossy().into_owned()))
+            .collect()
     }
 
     fn create(&mut self, name: &str) -> io::Result<()> {
         let mut options = OpenOptions::new();
-        let file = options.read(true).write(true).create(true).truncate(true).open(self.path.join(name))?;
+        let file = options
+            .read(true)
+            .write(true)
+            .create(true)
+            .truncate(true)
+            .open(self.path.join(name))?;
         self.files.insert(name.into(), file);
         Ok(())
     }
--- a/src/store/frame.rs
+++ b/src/store/frame.rs
@@ -43,7 +43,11 @@
 impl Salt {
     fn crc(self, head: &[u8]) -> u32 {
         let mut crc = crc32fast::Hasher::new();
-        for part in [&self.store_id.to_le_bytes(), &self.generation.to_le_bytes(), head] {
+        for part in [
+            &self.store_id.to_le_bytes(),
+            &self.generation.to_le_bytes(),
+            head,
+        ] {
             crc.update(part);
         }
         crc.finalize()
@@ -77,7 +81,9 @@
 
     /// Takes a snapshot in, and drops what it stands for.
     pub fn take_snapshot(&mut self, index: u64, data: Vec<u8>) {
-        let drop = (index + 1).saturating_sub(self.first()).min(self.records.len() as u64);
+        let drop = (index + 1)
+            .saturating_sub(self.first())
+            .min(self.records.len() as u64);
         self.records.drain(..drop as usize);
         self.snapshot = Some((index, data));
     }
@@ -153,7 +159,9 @@
         .iter()
         .map(|op| match op {
             Op::HardState(state) => 5 + state.len() as u64,
-            Op::Append { records, .. } => 13 + records.iter().map(|r| 4 + r.len() as u64).sum::<u64>(),
+            Op::Append { records, .. } => {
+                13 + records.iter().map(|r| 4 + r.len() as u64).sum::<u64>()
+            }
             Op::Snapshot { data, .. } => 13 + data.len() as u64,
         })
         .sum();
@@ -210,7 +218,10 @@
 fn empty_sectors(offset: u64, frame: &[u8]) -> u32 {
     let rest = SECTOR - offset as usize % SECTOR;
     let later = frame.get(rest..).unwrap_or_default();
-    later.chunks(SECTOR).filter(|sector| sector.iter().all(|byte| *byte == 0)).count() as u32
+    later
+        .chunks(SECTOR)
+        .filter(|sector| sector.iter().all(|byte| *byte == 0))
+        .count() as u32
 }
 
 /// What a frame's head says, if it is one for this place.
@@ -225,7 +236,11 @@
         let right = &head[..8] == FRAME_MAGIC
             && u64_at(head, 8) == offset
             && u32_at(head, 28) == salt.crc(&head[..28]);
-        right.then(|| FrameHead { body: u32_at(head, 16), empty: u32_at(head, 20), crc: u32_at(head, 24) })
+        right.then(|| FrameHead {
+            body: u32_at(head, 16),
+            empty: u32_at(head, 20),
+            crc: u32_at(head, 24),
+        })
     }
 
     fn whole(&self) -> u64 {
@@ -249,9 +264,21 @@
 /// Every frame that is not right is either torn, the last one and never acknowledged, or corrupt. Torn it is only if all
 /// of this holds: it begins where nothing is known to have been acknowledged; the file ends within it, or a sector of
 /// it was not written (holds zeros, more such than the frame says); and no frame follows it.
-pub fn read_file(disk: &mut impl Disk, name: &str, generation: u64, synced: u64) -> Result<Read, StoreError> {
-    let failed = |error| StoreError::Io { file: name.into(), error };
-    let corrupt = |offset, reason| StoreError::Corrupt { file: name.into(), offset, reason };
+pub fn read_file(
+    disk: &mut impl Disk,
+    name: &str,
+    generation: u64,
+    synced: u64,
+) -> Result<Read, StoreError> {
+    let failed = |error| StoreError::Io {
+        file: name.into(),
+        error,
+    };
+    let corrupt = |offset, reason| StoreError::Corrupt {
+        file: name.into(),
+        offset,
+        reason,
+    };
     let length = disk.length(name).map_err(failed)?;
     let mut head = [0; HEAD as usize];
     if length < HEAD {
@@ -264,7 +291,10 @@
     if &head[..8] != FILE_MAGIC {
         return Err(corrupt(0, "not a log, or of another version"));
     }
-    let salt = Salt { store_id: u64_at(&head, 8), generation: u64_at(&head, 16) };
+    let salt = Salt {
+        store_id: u64_at(&head, 8),
+        generation: u64_at(&head, 16),
+    };
     if salt.generation != generation {
         return Err(corrupt(16, "another file's name"));
     }
@@ -302,13 +332,19 @@
             return Err(corrupt(at, "wrong checksum of a frame"));
         }
         let body = &whole[FRAME as usize..][..frame.body as usize];
-        live.apply(body).ok_or_else(|| corrupt(at, "a frame that makes no sense"))?;
+        live.apply(body)
+            .ok_or_else(|| corrupt(at, "a frame that makes no sense"))?;
         at += frame.whole();
     }
     if at < synced {
         return Err(corrupt(length, "shorter than was acknowledged"));
     }
-    Ok(Read { salt, live, end: at, length })
+    Ok(Read {
+        salt,
+        live,
+        end: at,
+        length,
+    })
 }
 
 /// Whether a frame that wasn't written whole can be one that was never acknowledged.
@@ -328,8 +364,14 @@
     while later + FRAME <= length {
         let bytes = (length - later).min(chunk.len() as u64) / FRAME * FRAME;
         let chunk = &mut chunk[..bytes as usize];
-        disk.read(name, later, chunk).map_err(|error| StoreError::Io { file: name.into(), error })?;
-        let mut places = chunk.chunks(FRAME as usize).zip((later..).step_by(FRAME as usize));
+        disk.read(name, later, chunk)
+            .map_err(|error| StoreError::Io {
+                file: name.into(),
+                error,
+            })?;
+        let mut places = chunk
+            .chunks(FRAME as usize)
+            .zip((later..).step_by(FRAME as usize));
         // A frame is begun only after the one before it was made durable.
         if places.any(|(head, at)| FrameHead::read(salt, at, head).is_some()) {
             return Ok(false);
