--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -37,7 +37,10 @@
 
 impl Default for Settings {
     fn default() -> Self {
-        Settings { most_bytes: 64 << 20, most_record_bytes: 1 << 20 }
+        Settings {
+            most_bytes: 64 << 20,
+            most_record_bytes: 1 << 20,
+        }
     }
 }
 
@@ -199,7 +202,10 @@
         match Directory::open(path) {
             Ok(Some(disk)) => Store::open_on(disk, settings),
             Ok(None) => Err(StoreError::InUse(path.into())),
-            Err(error) => Err(StoreError::Io { file: path.display().to_string(), error }),
+            Err(error) => Err(StoreError::Io {
+                file: path.display().to_string(),
+                error,
+            }),
         }
     }
 }
@@ -209,12 +215,17 @@
 }
 
 fn generation_of(name: &str) -> Option<u64> {
-    let digits = name.strip_prefix("log-").filter(|digits| digits.len() == 20)?;
+    let digits = name
+        .strip_prefix("log-")
+        .filter(|digits| digits.len() == 20)?;
     digits.parse().ok()
 }
 
 fn io_of<T>(file: &str, result: io::Result<T>) -> Result<T, StoreError> {
-    result.map_err(|error| StoreError::Io { file: file.into(), error })
+    result.map_err(|error| StoreError::Io {
+        file: file.into(),
+        error,
+    })
 }
 
 impl<D: Disk> Store<D> {
@@ -226,12 +237,16 @@
         let known = hint.map_or(0, |(salt, _)| salt.generation);
         let Some(generation) = generation.filter(|newest| *newest >= known) else {
             if known > 0 {
-                return Err(StoreError::Missing { file: log_name(known) });
+                return Err(StoreError::Missing {
+                    file: log_name(known),
+                });
             }
             return Self::format(disk, settings, &names);
         };
         let name = log_name(generation);
-        let synced = hint.filter(|(salt, _)| salt.generation == generation).map_or(0, |(_, length)| length);
+        let synced = hint
+            .filter(|(salt, _)| salt.generation == generation)
+            .map_or(0, |(_, length)| length);
         let read = frame::read_file(&mut disk, &name, generation, synced)?;
         let torn = (read.length > read.end).then(|| Torn {
             file: name.clone(),
@@ -256,8 +271,19 @@
         Ok((store, Self::restored(read.salt, read.live, false, torn)))
     }
 
-    fn format(disk: D, settings: Settings, names: &[String]) -> Result<(Self, Restored), StoreError> {
-        let mut store = Self::of(disk, settings, Salt { store_id: 0, generation: 0 });
+    fn format(
+        disk: D,
+        settings: Settings,
+        names: &[String],
+    ) -> Result<(Self, Restored), StoreError> {
+        let mut store = Self::of(
+            disk,
+            settings,
+            Salt {
+                store_id: 0,
+                generation: 0,
+            },
+        );
         store.salt.store_id = io_of(".", store.disk.draw())?;
         store.write_generation(&Live::default())?;
         store.prepare_synced(names)?;
@@ -282,7 +308,11 @@
 
     fn restored(salt: Salt, live: Live, fresh: bool, torn: Option<Torn>) -> Restored {
         let first = live.first();
-        let Live { hard_state, snapshot, records } = live;
+        let Live {
+            hard_state,
+            snapshot,
+            records,
+        } = live;
         Restored {
             store_id: salt.store_id,
             fresh,
@@ -316,9 +346,14 @@
             })
             .collect();
         let needed = frame::frame_bytes(&ops);
-        let adds = writes.iter().any(|w| matches!(w, Write::Append { records, .. } if !records.is_empty()));
+        let adds = writes
+            .iter()
+            .any(|w| matches!(w, Write::Append { records, .. } if !records.is_empty()));
         let limit = self.limit() - if adds { self.limit() / 16 } else { 0 };
-        let (name, left) = (log_name(self.salt.generation), limit.saturating_sub(self.length));
+        let (name, left) = (
+            log_name(self.salt.generation),
+            limit.saturating_sub(self.length),
+        );
         if needed > left {
             // Worth it only where it gives back a part of the room, so that not every call rewrites all.
             let after = self.live_bytes_after(writes);
@@ -329,7 +364,8 @@
             ops.iter().for_each(|op| live.take(op));
             return self.write_generation(&live);
         }
-        let frame = frame::frame(self.salt, self.length, &ops).ok_or(StoreError::Full { needed, left })?;
+        let frame =
+            frame::frame(self.salt, self.length, &ops).ok_or(StoreError::Full { needed, left })?;
         if let Err(error) = self.disk.write(&name, self.length, &frame) {
             // What got there is cut off again; where even that fails, it would be in the way of the next write.
             self.broken = self.disk.cut(&name, self.length).is_err();
@@ -346,7 +382,8 @@
                 Write::HardState(state) => self.hard_bytes = state.len() as u64,
                 Write::Append { first, records } => {
                     self.records.truncate((first - self.first) as usize);
-                    self.records.extend(records.iter().map(|record| record.len() as u32));
+                    self.records
+                        .extend(records.iter().map(|record| record.len() as u32));
                 }
             }
         }
@@ -362,7 +399,11 @@
             return Err(StoreError::Broken);
         }
         if index == u64::MAX || index + 1 < self.first {
-            return Err(StoreError::Gap { index, first: self.first, next });
+            return Err(StoreError::Gap {
+                index,
+                first: self.first,
+                next,
+            });
         }
         let mut live = self.read_live()?;
         live.take_snapshot(index, data.to_vec());
@@ -399,7 +440,11 @@
                 Write::HardState(state) => fits(state.len())?,
                 Write::Append { first, records } => {
                     if first < self.first || first > next {
-                        return Err(StoreError::Gap { index: first, first: self.first, next });
+                        return Err(StoreError::Gap {
+                            index: first,
+                            first: self.first,
+                            next,
+                        });
                     }
                     records.iter().try_for_each(|record| fits(record.len()))?;
                     next = first + records.len() as u64;
@@ -421,13 +466,17 @@
         for write in writes {
             match *write {
                 Write::HardState(state) => hard = state.len() as u64,
-                Write::Append { first, records: new } => {
+                Write::Append {
+                    first,
+                    records: new,
+                } => {
                     records.truncate((first - self.first) as usize);
                     records.extend(new.iter().map(|record| record.len() as u64));
                 }
             }
         }
-        let body = 31 + self.snapshot_bytes + hard + records.iter().map(|bytes| bytes + 4).sum::<u64>();
+        let body =
+            31 + self.snapshot_bytes + hard + records.iter().map(|bytes| bytes + 4).sum::<u64>();
         HEAD + FRAME + body.next_multiple_of(FRAME)
     }
 
@@ -441,20 +490,37 @@
 
     /// Writes a new file with what counts, and puts it in the old one's place.
     fn write_generation(&mut self, live: &Live) -> Result<(), StoreError> {
-        let salt = Salt { generation: self.salt.generation + 1, ..self.salt };
+        let salt = Salt {
+            generation: self.salt.generation + 1,
+            ..self.salt
+        };
         let records: Vec<Vec<u8>> = live.records.iter().cloned().collect();
         let mut ops = Vec::new();
         if let Some((index, data)) = &live.snapshot {
-            ops.push(Op::Snapshot { index: *index, data });
+            ops.push(Op::Snapshot {
+                index: *index,
+                data,
+            });
         }
         if let Some(state) = &live.hard_state {
             ops.push(Op::HardState(state));
         }
         if !records.is_empty() {
-            ops.push(Op::Append { first: live.first(), records: &records });
+            ops.push(Op::Append {
+                first: live.first(),
+                records: &records,
+            });
         }
-        let needed = HEAD + if ops.is_empty() { 0 } else { frame::frame_bytes(&ops) };
-        let full = || StoreError::Full { needed, left: self.limit() };
+        let needed = HEAD
+            + if ops.is_empty() {
+                0
+            } else {
+                frame::frame_bytes(&ops)
+            };
+        let full = || StoreError::Full {
+            needed,
+            left: self.limit(),
+        };
         if needed > self.limit() {
             return Err(full());
         }
@@ -470,10 +536,16 @@
         if let Err(error) = written {
             // If it stays, the next opening removes it.
             let _ = self.disk.remove(UNFINISHED);
-            return Err(StoreError::Io { file: UNFINISHED.into(), error });
+            return Err(StoreError::Io {
+                file: UNFINISHED.into(),
+                error,
+            });
         }
         let (old, new) = (log_name(self.salt.generation), log_name(salt.generation));
-        let renamed = self.disk.rename(UNFINISHED, &new).and_then(|()| self.disk.sync_names());
+        let renamed = self
+            .disk
+            .rename(UNFINISHED, &new)
+            .and_then(|()| self.disk.sync_names());
         if let Err(error) = renamed {
             self.broken = true;
             return Err(StoreError::Io { file: new, error });
@@ -490,9 +562,19 @@
     fn stand(&mut self, live: &Live, length: u64) {
         self.length = length;
         self.first = live.first();
-        self.records = live.records.iter().map(|record| record.len() as u32).collect();
-        self.hard_bytes = live.hard_state.as_ref().map_or(0, |state| state.len() as u64);
-        self.snapshot_bytes = live.snapshot.as_ref().map_or(0, |(_, data)| data.len() as u64);
+        self.records = live
+            .records
+            .iter()
+            .map(|record| record.len() as u32)
+            .collect();
+        self.hard_bytes = live
+            .hard_state
+            .as_ref()
+            .map_or(0, |state| state.len() as u64);
+        self.snapshot_bytes = live
+            .snapshot
+            .as_ref()
+            .map_or(0, |(_, data)| data.len() as u64);
     }
 
     /// Makes the file for [`Store::note_synced`], with its place on the disk taken.
@@ -544,7 +626,15 @@
         let number = |at: usize| u64::from_le_bytes(note[at..at + 8].try_into().expect("8 bytes"));
         let crc = crc32fast::hash(&note[..24]).to_le_bytes();
         let right = note[24..] == crc && number(8) > 0;
-        right.then(|| (Salt { store_id: number(0), generation: number(8) }, number(16)))
+        right.then(|| {
+            (
+                Salt {
+                    store_id: number(0),
+                    generation: number(8),
+                },
+                number(16),
+            )
+        })
     });
     halves.max_by_key(|(salt, length)| (salt.generation, *length))
 }
--- a/src/store/tests/faulty.rs
+++ b/src/store/tests/faulty.rs
@@ -16,7 +16,8 @@
 
     pub fn below(&mut self, bound: usize) -> usize {
         self.1 += 1;
-        (xxhash_rust::xxh3::xxh3_64_with_seed(&self.1.to_le_bytes(), self.0) % bound.max(1) as u64) as usize
+        (xxhash_rust::xxh3::xxh3_64_with_seed(&self.1.to_le_bytes(), self.0) % bound.max(1) as u64)
+            as usize
     }
 }
 
@@ -71,7 +72,11 @@
         let disk = Faulty::default();
         let mut state = disk.0.borrow_mut();
         for (file, (name, bytes)) in image.iter().enumerate() {
-            state.files.push(File { now: bytes.clone(), durable: bytes.clone(), unsynced: vec![] });
+            state.files.push(File {
+                now: bytes.clone(),
+                durable: bytes.clone(),
+                unsynced: vec![],
+            });
             state.names.insert(name.clone(), file);
         }
         state.durable_names = state.names.clone();
@@ -111,7 +116,11 @@
     /// What is there after the process was killed: all that was written, to the byte.
     pub fn after_kill(&self) -> Image {
         let state = self.0.borrow();
-        state.names.iter().map(|(name, file)| (name.clone(), state.files[*file].now.clone())).collect()
+        state
+            .names
+            .iter()
+            .map(|(name, file)| (name.clone(), state.files[*file].now.clone()))
+            .collect()
     }
 
     /// What may be there after the power was lost: what was synced, and of the rest a beginning of each file and of the
@@ -119,11 +128,17 @@
     pub fn after_power_loss(&self, draw: &mut Draw) -> Image {
         let state = self.0.borrow();
         let kept = draw.below(state.unsynced_names.len() + 1);
-        let names = if kept == 0 { &state.durable_names } else { &state.unsynced_names[kept - 1] };
+        let names = if kept == 0 {
+            &state.durable_names
+        } else {
+            &state.unsynced_names[kept - 1]
+        };
         let mut survivor = |file: &File| {
             let mut bytes = file.durable.clone();
             let kept = draw.below(file.unsynced.len() + 1);
-            file.unsynced[..kept].iter().for_each(|c| change(&mut bytes, c));
+            file.unsynced[..kept]
+                .iter()
+                .for_each(|c| change(&mut bytes, c));
             if let Some(Change::Write(at, new)) = file.unsynced.get(kept) {
                 let cut = draw.below(new.len());
                 if draw.below(2) == 0 {
@@ -141,7 +156,10 @@
             }
             bytes
         };
-        names.iter().map(|(name, file)| (name.clone(), survivor(&state.files[*file]))).collect()
+        names
+            .iter()
+            .map(|(name, file)| (name.clone(), survivor(&state.files[*file])))
+            .collect()
     }
 }
 
@@ -155,7 +173,11 @@
     }
 
     fn step(&mut self) -> io::Result<()> {
-        if self.spend(1) == 1 { Ok(()) } else { Err(io::Error::other("no power")) }
+        if self.spend(1) == 1 {
+            Ok(())
+        } else {
+            Err(io::Error::other("no power"))
+        }
     }
 
     fn file(&mut self, name: &str) -> io::Result<&mut File> {
@@ -177,7 +199,10 @@
     }
 
     fn bytes(&self) -> usize {
-        self.names.values().map(|file| self.files[*file].now.len()).sum()
+        self.names
+            .values()
+            .map(|file| self.files[*file].now.len())
+            .sum()
     }
 }
 
@@ -208,7 +233,11 @@
     fn read(&mut self, name: &str, offset: u64, bytes: &mut [u8]) -> io::Result<()> {
         let mut state = self.0.borrow_mut();
         state.step()?;
-        let from = state.file(name)?.now.get(offset as usize..).unwrap_or_default();
+        let from = state
+            .file(name)?
+            .now
+            .get(offset as usize..)
+            .unwrap_or_default();
         bytes.copy_from_slice(from.get(..bytes.len()).ok_or(ErrorKind::UnexpectedEof)?);
         Ok(())
     }
@@ -217,7 +246,9 @@
         let mut state = self.0.borrow_mut();
         let end = offset as usize + bytes.len();
         let grows = end.saturating_sub(state.file(name)?.now.len());
-        let room = state.room.map_or(usize::MAX, |room| room.saturating_sub(state.bytes()));
+        let room = state
+            .room
+            .map_or(usize::MAX, |room| room.saturating_sub(state.bytes()));
         let fits = bytes.len() - grows.saturating_sub(room);
         let made = state.spend(fits);
         state.change(name, Change::Write(offset as usize, bytes[..made].to_vec()))?;
@@ -244,7 +275,9 @@
         if fails {
             return Err(io::Error::other("I/O error"));
         }
-        changes.iter().for_each(|written| change(&mut file.durable, written));
+        changes
+            .iter()
+            .for_each(|written| change(&mut file.durable, written));
         Ok(())
     }
 
--- a/src/store/tests/mod.rs
+++ b/src/store/tests/mod.rs
@@ -8,7 +8,10 @@
 use std::collections::BTreeMap;
 
 fn settings() -> Settings {
-    Settings { most_bytes: 1 << 20, most_record_bytes: 2048 }
+    Settings {
+        most_bytes: 1 << 20,
+        most_record_bytes: 2048,
+    }
 }
 
 /// One call of the store.
@@ -24,9 +27,13 @@
     match call {
         Call::Hard(state) => store.set_hard_state(state),
         Call::Append(first, records) => store.append(*first, records),
-        Call::Both(state, first, records) => {
-            store.write(&[Write::HardState(state), Write::Append { first: *first, records }])
-        }
+        Call::Both(state, first, records) => store.write(&[
+            Write::HardState(state),
+            Write::Append {
+                first: *first,
+                records,
+            },
+        ]),
         Call::Snapshot(index, data) => store.install_snapshot(*index, data),
     }
 }
@@ -41,7 +48,13 @@
 
 impl Model {
     fn next(&self) -> u64 {
-        self.records.keys().last().copied().max(self.snapshot.as_ref().map(|s| s.0)).unwrap_or(0) + 1
+        self.records
+            .keys()
+            .last()
+            .copied()
+            .max(self.snapshot.as_ref().map(|s| s.0))
+            .unwrap_or(0)
+            + 1
     }
 
     fn then(&self, call: &Call) -> Model {
@@ -50,10 +63,14 @@
             Call::Hard(state) => model.hard = Some(state.clone()),
             Call::Append(first, records) => {
                 model.records.retain(|index, _| index < first);
-                model.records.extend((*first..).zip(records.iter().cloned()));
+                model
+                    .records
+                    .extend((*first..).zip(records.iter().cloned()));
             }
             Call::Both(state, first, records) => {
-                return model.then(&Call::Hard(state.clone())).then(&Call::Append(*first, records.clone()));
+                return model
+                    .then(&Call::Hard(state.clone()))
+                    .then(&Call::Append(*first, records.clone()));
             }
             Call::Snapshot(index, data) => {
                 model.records.retain(|at, _| at > index);
@@ -67,7 +84,9 @@
         Model {
             hard: restored.hard_state.clone(),
             snapshot: restored.snapshot.clone(),
-            records: (restored.first..).zip(restored.records.iter().cloned()).collect(),
+            records: (restored.first..)
+                .zip(restored.records.iter().cloned())
+                .collect(),
         }
     }
 }
@@ -76,7 +95,9 @@
 fn some_bytes(draw: &mut Draw) -> Vec<u8> {
     let length = [0, 1, 9, 40, 40, 200, 1300][draw.below(7)];
     let zeros = draw.below(4) == 0;
-    (0..length).map(|_| if zeros { 0 } else { draw.below(256) as u8 }).collect()
+    (0..length)
+        .map(|_| if zeros { 0 } else { draw.below(256) as u8 })
+        .collect()
 }
 
 fn history(seed: u64, calls: usize) -> Vec<Call> {
@@ -86,7 +107,11 @@
     for _ in 0..calls {
         let first = model.snapshot.as_ref().map_or(1, |s| s.0 + 1);
         let back = draw.below((model.next() - first).min(3) as usize + 1) as u64;
-        let at = if draw.below(3) == 0 { model.next() - back } else { model.next() };
+        let at = if draw.below(3) == 0 {
+            model.next() - back
+        } else {
+            model.next()
+        };
         let records = (0..draw.below(4)).map(|_| some_bytes(&mut draw)).collect();
         let next = match draw.below(8) {
             0 | 1 => Call::Hard(some_bytes(&mut draw)),
@@ -122,7 +147,12 @@
             acknowledged = or.clone();
         }
     }
-    Ran { disk, store_id, acknowledged, or }
+    Ran {
+        disk,
+        store_id,
+        acknowledged,
+        or,
+    }
 }
 
 #[rstest]
@@ -136,7 +166,10 @@
 ) {
     let history = history(seed, calls);
     let steps = run(Faulty::default(), &history).disk.spent();
-    assert_eq!(run(Faulty::default(), &history).acknowledged, run(Faulty::default(), &history).or);
+    assert_eq!(
+        run(Faulty::default(), &history).acknowledged,
+        run(Faulty::default(), &history).or
+    );
     let (mut torn, mut fresh) = (0, 0);
     for cut in (0..=steps).step_by(step) {
         let ran = run(Faulty::default().power(cut), &history);
@@ -148,11 +181,20 @@
             for image in [image, again.after_kill(), again.after_power_loss(&mut draw)] {
                 let disk = Faulty::with(&image);
                 let (mut store, restored) = Store::open_on(disk.clone(), settings())
-                    .unwrap_or_else(|error| panic!("seed {seed}, cut at {cut} of {steps}: {error}"));
+                    .unwrap_or_else(|error| {
+                        panic!("seed {seed}, cut at {cut} of {steps}: {error}")
+                    });
                 let model = Model::of(&restored);
-                assert!(model == ran.acknowledged || model == ran.or, "seed {seed}, cut at {cut}: {model:?}");
+                assert!(
+                    model == ran.acknowledged || model == ran.or,
+                    "seed {seed}, cut at {cut}: {model:?}"
+                );
                 if let Some(id) = ran.store_id {
-                    assert_eq!((restored.store_id, restored.fresh), (id, false), "cut at {cut}");
+                    assert_eq!(
+                        (restored.store_id, restored.fresh),
+                        (id, false),
+                        "cut at {cut}"
+                    );
                 }
                 torn += restored.torn.is_some() as u32;
                 fresh += restored.fresh as u32;
@@ -160,7 +202,8 @@
                 let more = Call::Append(store.next(), vec![b"after".to_vec()]);
                 call(&mut store, &more).unwrap();
                 drop(store);
-                let (_, again) = Store::open_on(Faulty::with(&disk.after_kill()), settings()).unwrap();
+                let (_, again) =
+                    Store::open_on(Faulty::with(&disk.after_kill()), settings()).unwrap();
                 assert_eq!((Model::of(&again), again.torn), (model.then(&more), None));
             }
         }
@@ -175,7 +218,11 @@
     let (mut store, _) = Store::open_on(disk.clone(), settings()).unwrap();
     let mut begins = vec![0, HEAD];
     let last = Call::Append(1, vec![vec![0; 1700], b"x".to_vec()]);
-    for next in history(seed, 16).iter().filter(|c| !matches!(c, Call::Snapshot(..))).chain([&last]) {
+    for next in history(seed, 16)
+        .iter()
+        .filter(|c| !matches!(c, Call::Snapshot(..)))
+        .chain([&last])
+    {
         let begin = store.bytes();
         if call(&mut store, next).is_ok() {
             begins.push(begin);
@@ -191,7 +238,9 @@
 fn is_refused(image: &Image, name: &str, offset: u64, what: &str) {
     let disk = Faulty::with(image);
     match Store::open_on(disk.clone(), settings()) {
-        Err(StoreError::Corrupt { file, offset: at, .. }) => {
+        Err(StoreError::Corrupt {
+            file, offset: at, ..
+        }) => {
             assert_eq!((&*file, at), (name, offset), "{what}")
         }
         Err(error) => panic!("{what}: {error}"),
@@ -210,7 +259,11 @@
         image.insert(SYNCED.into(), vec![0; SYNCED_BYTES as usize]);
     }
     for byte in 0..image[&name].len() {
-        let begin = *begins.iter().filter(|begin| **begin <= byte as u64).max().unwrap();
+        let begin = *begins
+            .iter()
+            .filter(|begin| **begin <= byte as u64)
+            .max()
+            .unwrap();
         for bit in 0..8 {
             image.get_mut(&name).unwrap()[byte] ^= 1 << bit;
             is_refused(&image, &name, begin, &format!("bit {bit} of byte {byte}"));
@@ -230,7 +283,13 @@
     let (image, restored, begins) = at_rest(5);
     let name = log_name(1);
     let log = &image[&name];
-    let begin_of = |byte: usize| *begins.iter().filter(|begin| **begin <= byte as u64).max().unwrap();
+    let begin_of = |byte: usize| {
+        *begins
+            .iter()
+            .filter(|begin| **begin <= byte as u64)
+            .max()
+            .unwrap()
+    };
     let with = |log: Vec<u8>, hint: bool| {
         let mut image = image.clone();
         image.insert(name.clone(), log);
@@ -247,7 +306,12 @@
             continue;
         }
         let changed = (at..end).find(|byte| log[*byte] != 0).unwrap();
-        is_refused(&with(zeroed.clone(), true), &name, begin_of(changed), &format!("no sector at {at}"));
+        is_refused(
+            &with(zeroed.clone(), true),
+            &name,
+            begin_of(changed),
+            &format!("no sector at {at}"),
+        );
         // Without the hint, the last frame's sectors tell no more than that they were not written.
         if end as u64 <= *begins.last().unwrap() {
             is_refused(
@@ -265,19 +329,31 @@
             length if length == begin => length,
             _ => begin,
         };
-        is_refused(&with(log[..length].to_vec(), true), &name, at, &format!("cut to {length}"));
+        is_refused(
+            &with(log[..length].to_vec(), true),
+            &name,
+            at,
+            &format!("cut to {length}"),
+        );
     }
     let mut without = image.clone();
     without.remove(&name);
-    let error = Store::open_on(Faulty::with(&without), settings()).err().unwrap();
-    assert!(matches!(&error, StoreError::Missing { file } if *file == name), "{error}");
+    let error = Store::open_on(Faulty::with(&without), settings())
+        .err()
+        .unwrap();
+    assert!(
+        matches!(&error, StoreError::Missing { file } if *file == name),
+        "{error}"
+    );
     let (_, emptied) = Store::open_on(Faulty::with(&Image::new()), settings()).unwrap();
     assert!(emptied.fresh && !restored.fresh && emptied.records.is_empty());
 }
 
 /// Guards against taking for durable at the next opening what a failed sync has left in memory alone.
 #[rstest]
-fn what_an_opening_tells_outlives_a_loss_of_power_though_a_sync_had_failed(#[values(1, 2, 3)] failing: u64) {
+fn what_an_opening_tells_outlives_a_loss_of_power_though_a_sync_had_failed(
+    #[values(1, 2, 3)] failing: u64,
+) {
     let disk = Faulty::default();
     let (mut store, _) = Store::open_on(disk.clone(), settings()).unwrap();
     store.append(1, &[b"acknowledged".to_vec()]).unwrap();
@@ -302,7 +378,9 @@
     let mut refused = 0;
     for room in (0..most).step_by(7) {
         let disk = Faulty::default().room(Some(room));
-        let Ok((mut store, first)) = Store::open_on(disk.clone(), settings()) else { continue };
+        let Ok((mut store, first)) = Store::open_on(disk.clone(), settings()) else {
+            continue;
+        };
         let mut model = Model::default();
         for next in &history {
             match call(&mut store, next) {
@@ -311,8 +389,13 @@
                 Err(error) => {
                     refused += 1;
                     assert!(error.is_full() && !store.is_broken(), "{error}");
-                    let (_, restored) = Store::open_on(Faulty::with(&disk.after_kill()), settings()).unwrap();
-                    assert_eq!((Model::of(&restored), restored.torn), (model.clone(), None), "room {room}");
+                    let (_, restored) =
+                        Store::open_on(Faulty::with(&disk.after_kill()), settings()).unwrap();
+                    assert_eq!(
+                        (Model::of(&restored), restored.torn),
+                        (model.clone(), None),
+                        "room {room}"
+                    );
                 }
             }
         }
@@ -329,7 +412,10 @@
 
 #[test]
 fn the_store_stays_within_its_bytes_keeps_room_for_hard_states_and_a_snapshot_makes_more() {
-    let settings = Settings { most_bytes: 20_000, most_record_bytes: 500 };
+    let settings = Settings {
+        most_bytes: 20_000,
+        most_record_bytes: 500,
+    };
     let disk = Faulty::default();
     let (mut store, _) = Store::open_on(disk.clone(), settings.clone()).unwrap();
     let mut model = Model::default();
@@ -361,7 +447,11 @@
         model = model.then(&next);
     }
     fill(&mut store, &mut model);
-    assert!(store.next() > before + 15 && disk.most_bytes() <= 20_000, "{}", disk.most_bytes());
+    assert!(
+        store.next() > before + 15 && disk.most_bytes() <= 20_000,
+        "{}",
+        disk.most_bytes()
+    );
     let (_, restored) = Store::open_on(Faulty::with(&disk.after_kill()), settings).unwrap();
     assert_eq!(Model::of(&restored), model);
 
@@ -371,7 +461,13 @@
         assert!(matches!(error, StoreError::Gap { .. }), "{error}");
     }
     for index in [0, first - 2, u64::MAX] {
-        assert!(matches!(store.install_snapshot(index, b"").unwrap_err(), StoreError::Gap { .. }));
+        assert!(matches!(
+            store.install_snapshot(index, b"").unwrap_err(),
+            StoreError::Gap { .. }
+        ));
     }
-    assert!(matches!(store.append(next, &[vec![0; 501]]).unwrap_err(), StoreError::TooLong { .. }));
+    assert!(matches!(
+        store.append(next, &[vec![0; 501]]).unwrap_err(),
+        StoreError::TooLong { .. }
+    ));
 }
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -33,8 +33,15 @@
 /// [`WireError::Malformed`] at the first line that can't be understood, or at an end of input inside a batch;
 /// [`WireError::Io`] when reading or writing fails.
 pub fn serve(input: impl BufRead, output: impl Write) -> Result<(), WireError> {
-    let mut host = Host { instances: BTreeMap::new(), out: io::BufWriter::new(output) };
-    let mut lines = Lines { input, number: 0, text: String::new() };
+    let mut host = Host {
+        instances: BTreeMap::new(),
+        out: io::BufWriter::new(output),
+    };
+    let mut lines = Lines {
+        input,
+        number: 0,
+        text: String::new(),
+    };
     while lines.next()? {
         let opening = lines.text.clone();
         let mut fields = Fields::new(&opening);
@@ -77,12 +84,16 @@
         if bytes.last() == Some(&b'\n') {
             bytes.pop();
         }
-        self.text = String::from_utf8(bytes).map_err(|e| self.malformed(format!("not UTF-8: {e}")))?;
+        self.text =
+            String::from_utf8(bytes).map_err(|e| self.malformed(format!("not UTF-8: {e}")))?;
         Ok(true)
     }
 
     fn malformed(&self, what: String) -> WireError {
-        WireError::Malformed { line: self.number, what }
+        WireError::Malformed {
+            line: self.number,
+            what,
+        }
     }
 }
 
@@ -93,11 +104,16 @@
 
 impl<'a> Fields<'a> {
     fn new(line: &'a str) -> Self {
-        Fields { message: line.split('\t').next().unwrap_or(""), rest: line.split('\t') }
+        Fields {
+            message: line.split('\t').next().unwrap_or(""),
+            rest: line.split('\t'),
+        }
     }
 
     fn text(&mut self, field: &str) -> Parsed<&'a str> {
-        self.rest.next().ok_or_else(|| format!("{}: field {field} is missing", self.message))
+        self.rest
+            .next()
+            .ok_or_else(|| format!("{}: field {field} is missing", self.message))
     }
 
     fn optional(&mut self, field: &str) -> Parsed<Option<&'a str>> {
@@ -106,11 +122,14 @@
 
     fn maybe<T: std::str::FromStr>(&mut self, field: &str) -> Parsed<Option<T>> {
         let message = self.message;
-        self.optional(field)?.map(|v| v.parse().map_err(|_| bad(message, field, v))).transpose()
+        self.optional(field)?
+            .map(|v| v.parse().map_err(|_| bad(message, field, v)))
+            .transpose()
     }
 
     fn number<T: std::str::FromStr>(&mut self, field: &str) -> Parsed<T> {
-        self.maybe(field)?.ok_or_else(|| bad(self.message, field, "-"))
+        self.maybe(field)?
+            .ok_or_else(|| bad(self.message, field, "-"))
     }
 
     fn count(&mut self, field: &str) -> Parsed<u64> {
@@ -132,8 +151,12 @@
     }
 
     fn report(&mut self) -> Parsed<Option<Report>> {
-        let Some(text) = self.optional("health_info")? else { return Ok(None) };
-        read_report(text).map(Some).map_err(|pair| bad(self.message, "health_info", &pair))
+        let Some(text) = self.optional("health_info")? else {
+            return Ok(None);
+        };
+        read_report(text)
+            .map(Some)
+            .map_err(|pair| bad(self.message, "health_info", &pair))
     }
 }
 
@@ -188,7 +211,9 @@
                 return Ok((router, None));
             }
             if !self.instances.contains_key(&router) {
-                return Err(bad(message, "router", &router.to_string()) + ", an instance that is not known");
+                return Err(
+                    bad(message, "router", &router.to_string()) + ", an instance that is not known"
+                );
             }
             if message == "SHUTDOWN" {
                 self.instances.remove(&router);
@@ -205,15 +230,21 @@
                 for _ in 0..count {
                     if !lines.next()? {
                         lines.number += 1;
-                        return Err(lines.malformed("end of input inside a batch: ENTRY missing".into()));
+                        return Err(
+                            lines.malformed("end of input inside a batch: ENTRY missing".into())
+                        );
                     }
                     let text = lines.text.clone();
-                    entries.push(entry(&mut Fields::new(&text)).map_err(|what| lines.malformed(what))?);
+                    entries.push(
+                        entry(&mut Fields::new(&text)).map_err(|what| lines.malformed(what))?,
+                    );
                 }
                 Event::List { kind, entries }
             }
         };
-        let Some(policy) = self.instances.get_mut(&router) else { return Ok(()) };
+        let Some(policy) = self.instances.get_mut(&router) else {
+            return Ok(());
+        };
         let mut actions = Vec::new();
         match catch_unwind(AssertUnwindSafe(|| policy.handle(now, event, &mut actions))) {
             Ok(()) => {
@@ -250,20 +281,31 @@
                 other => return Err(bad(message, "kind", other)),
             };
             f.maybe::<i64>("version")?;
-            return Ok(Incoming::List { kind, count: f.maybe("members")?.unwrap_or(0) });
+            return Ok(Incoming::List {
+                kind,
+                count: f.maybe("members")?.unwrap_or(0),
+            });
         }
         "ASK" => Event::Ask(ask(f)?),
         "UNDER_WAY" => {
             let request = RequestId(f.number("txn")?);
             f.text("worker")?;
             let elapsed = f.number("spent_us")?;
-            Event::Started { request, elapsed, attempt: AttemptIndex(f.number("hop")?) }
+            Event::Started {
+                request,
+                elapsed,
+                attempt: AttemptIndex(f.number("hop")?),
+            }
         }
         "SEAT_NEWS" => {
             let request = RequestId(f.number("txn")?);
             f.text("hop")?;
             let worker = worker(f.text("worker")?);
-            Event::Place { request, worker, held: f.number::<u8>("kind")? == 1 }
+            Event::Place {
+                request,
+                worker,
+                held: f.number::<u8>("kind")? == 1,
+            }
         }
         "CLOSED_ATTEMPT" => {
             let request = RequestId(f.number("txn")?);
@@ -273,24 +315,44 @@
             let elapsed = f.maybe("spent_us")?.unwrap_or(0);
             let settled = f.flag("settled")?;
             let kept = f.count("detail")?;
-            let outcome =
-                if outcome == Outcome::TurnedAway && kept == 1 { Outcome::NoState } else { outcome };
-            Event::Ended(Ended { request, attempt, outcome, elapsed, settled, kept, report: f.report()? })
+            let outcome = if outcome == Outcome::TurnedAway && kept == 1 {
+                Outcome::NoState
+            } else {
+                outcome
+            };
+            Event::Ended(Ended {
+                request,
+                attempt,
+                outcome,
+                elapsed,
+                settled,
+                kept,
+                report: f.report()?,
+            })
         }
-        "CLIENT_LEFT" => Event::Left { request: RequestId(f.number("txn")?) },
+        "CLIENT_LEFT" => Event::Left {
+            request: RequestId(f.number("txn")?),
+        },
         "ALARM" => Event::Timer(TimerId(f.number("name")?)),
         "PROBED" => {
             let worker = worker(f.text("worker")?);
             let outcome = outcome(f)?;
             f.text("spent_us")?;
-            Event::Probed { worker, outcome, report: f.report()? }
+            Event::Probed {
+                worker,
+                outcome,
+                report: f.report()?,
+            }
         }
         "PEER_DATA" => {
             let from = f.number("src_peer")?;
             let hex = f.optional("payload")?.unwrap_or("");
             let payload = (0..hex.len())
                 .step_by(2)
-                .map(|i| hex.get(i..i + 2).and_then(|h| u8::from_str_radix(h, 16).ok()))
+                .map(|i| {
+                    hex.get(i..i + 2)
+                        .and_then(|h| u8::from_str_radix(h, 16).ok())
+                })
                 .collect::<Option<Vec<u8>>>()
                 .ok_or_else(|| bad(message, "payload", hex))?;
             Event::Peer { from, payload }
@@ -304,12 +366,18 @@
     let request = RequestId(f.number("txn")?);
     let deadline = f.number("client_deadline_us")?;
     let session = f.optional("session_id")?.map(Arc::from);
-    let tenant = f.optional("project")?.filter(|t| *t != "0").map(String::from);
+    let tenant = f
+        .optional("project")?
+        .filter(|t| *t != "0")
+        .map(String::from);
     let hint: Option<Micros> = f.maybe::<f64>("work_hint_us")?.map(|h| h as u64);
     let max_tokens = f.count("max_tokens")?;
     let prompt_tokens = f.count("prompt_tokens")?;
     let prefix_tokens = f.count("n_prefix")?;
-    let prefix = f.optional("system_prompt")?.filter(|p| *p != "0").map(Arc::from);
+    let prefix = f
+        .optional("system_prompt")?
+        .filter(|p| *p != "0")
+        .map(Arc::from);
     let class = f.text("priority")?.to_owned();
     let bits: u64 = f.maybe("attrs")?.unwrap_or(0);
     let hint = hint.filter(|h| bits & 1 == 1 && *h > 0);
@@ -358,22 +426,37 @@
     };
     let weight = f.maybe("scale")?.unwrap_or(1.0);
     let started = f.maybe("since_us")?.filter(|s| *s > 0);
-    Ok(Entry { worker, zone, kind, cell, status, weight, started })
+    Ok(Entry {
+        worker,
+        zone,
+        kind,
+        cell,
+        status,
+        weight,
+        started,
+    })
 }
 
 struct Pairs<'a>(BTreeMap<&'a str, &'a str>);
 
 impl Pairs<'_> {
     fn text(&self, key: &str) -> Parsed<&str> {
-        self.0.get(key).copied().ok_or_else(|| format!("INIT: setting {key} is missing"))
+        self.0
+            .get(key)
+            .copied()
+            .ok_or_else(|| format!("INIT: setting {key} is missing"))
     }
 
     fn get<T: std::str::FromStr>(&self, key: &str) -> Parsed<Option<T>> {
-        self.0.get(key).map(|v| v.parse().map_err(|_| bad("INIT", key, v))).transpose()
+        self.0
+            .get(key)
+            .map(|v| v.parse().map_err(|_| bad("INIT", key, v)))
+            .transpose()
     }
 
     fn need<T: std::str::FromStr>(&self, key: &str) -> Parsed<T> {
-        self.get(key)?.ok_or_else(|| format!("INIT: setting {key} is missing"))
+        self.get(key)?
+            .ok_or_else(|| format!("INIT: setting {key} is missing"))
     }
 
     /// A number from `least` to `most`, if it is stated.
@@ -391,7 +474,8 @@
     }
 
     fn micros(&self, key: &str) -> Parsed<Micros> {
-        self.optional_micros(key)?.ok_or_else(|| format!("INIT: setting {key} is missing"))
+        self.optional_micros(key)?
+            .ok_or_else(|| format!("INIT: setting {key} is missing"))
     }
 
     fn flag(&self, key: &str) -> Parsed<bool> {
@@ -403,11 +487,17 @@
     }
 
     fn list(&self, key: &str) -> Vec<&str> {
-        self.0.get(key).map(|v| v.split(',').filter(|p| !p.is_empty()).collect()).unwrap_or_default()
+        self.0
+            .get(key)
+            .map(|v| v.split(',').filter(|p| !p.is_empty()).collect())
+            .unwrap_or_default()
     }
 
     fn nth<T: std::str::FromStr>(&self, key: &str, index: usize) -> Parsed<Option<T>> {
-        self.list(key).get(index).map(|v| v.parse().map_err(|_| bad("INIT", key, v))).transpose()
+        self.list(key)
+            .get(index)
+            .map(|v| v.parse().map_err(|_| bad("INIT", key, v)))
+            .transpose()
     }
 }
 
@@ -430,7 +520,9 @@
 ///
 /// # Errors
 /// A line that names the setting that is missing or has a value that can't be used.
-pub fn read_settings<'a>(fields: impl Iterator<Item = (&'a str, &'a str)>) -> Result<Settings, String> {
+pub fn read_settings<'a>(
+    fields: impl Iterator<Item = (&'a str, &'a str)>,
+) -> Result<Settings, String> {
     let pairs = Pairs(fields.collect());
     let mut kinds = Vec::new();
     for (i, name) in pairs.list("skus").into_iter().enumerate() {
@@ -441,7 +533,11 @@
             Some(v) => return Err(bad("INIT", "family_info.role_by_kind", v)),
         };
         let memory = pairs.nth_number("family_info.kv_tokens", i, 1.0, MOST_MEMORY)?;
-        kinds.push(Kind { name: name.to_owned(), role, memory_tokens: memory.map(|m| m as u64) });
+        kinds.push(Kind {
+            name: name.to_owned(),
+            role,
+            memory_tokens: memory.map(|m| m as u64),
+        });
     }
     let mut classes = Vec::new();
     for i in 0..pairs.need::<usize>("classes.count")? {
@@ -464,7 +560,9 @@
         classes.push(Class {
             name: pairs.text(&key("name"))?.to_owned(),
             effect,
-            repeat_window: pairs.optional_micros(&key("repeat_window_us"))?.unwrap_or(0),
+            repeat_window: pairs
+                .optional_micros(&key("repeat_window_us"))?
+                .unwrap_or(0),
             aim: pairs.micros(&key("objective_us"))?,
             aim_per_1000_tokens: per_1000.unwrap_or(0.0) as Micros,
             token_aim: token_aim.unwrap_or(0.0) as Micros,
@@ -490,7 +588,9 @@
     };
     let optional = |key: &str| pairs.optional_micros(key);
     let needed = |key: &str, least: f64, most: f64| {
-        pairs.number(key, least, most)?.ok_or_else(|| format!("INIT: setting {key} is missing"))
+        pairs
+            .number(key, least, most)?
+            .ok_or_else(|| format!("INIT: setting {key} is missing"))
     };
     Ok(Settings {
         index: pairs.get("self_index")?,
@@ -499,7 +599,9 @@
         kinds,
         classes,
         tenants,
-        over_share_worth: pairs.number("over_share_worth", 0.0, MOST_RATE)?.unwrap_or(1.0),
+        over_share_worth: pairs
+            .number("over_share_worth", 0.0, MOST_RATE)?
+            .unwrap_or(1.0),
         reports,
         list_on_request: pairs.text("registry_mode")? == "on_request",
         ask_within: optional("rules.ask_within_us")?.unwrap_or(Micros::MAX),
@@ -530,14 +632,42 @@
 fn write_action(out: &mut impl Write, router: u32, action: &Action) -> io::Result<()> {
     let or_dash = |v: Option<Micros>| v.map_or_else(|| "-".to_owned(), |v| v.to_string());
     match action {
-        Action::Send { request, worker, timeout, .. } => {
-            writeln!(out, "DELIVER\t{router}\t{}\t{}\t{}", request.0, worker.0, or_dash(*timeout))
+        Action::Send {
+            request,
+            worker,
+            timeout,
+            ..
+        } => {
+            writeln!(
+                out,
+                "DELIVER\t{router}\t{}\t{}\t{}",
+                request.0,
+                worker.0,
+                or_dash(*timeout)
+            )
         }
-        Action::SendRefused { request, worker, refusal } => {
-            writeln!(out, "LOG\t{router}\t{} not sent to {}: {refusal}", request.0, worker.0)
+        Action::SendRefused {
+            request,
+            worker,
+            refusal,
+        } => {
+            writeln!(
+                out,
+                "LOG\t{router}\t{} not sent to {}: {refusal}",
+                request.0, worker.0
+            )
         }
-        Action::Refuse { request, retry_after, .. } => {
-            writeln!(out, "DECLINE\t{router}\t{}\t{}", request.0, or_dash(*retry_after))
+        Action::Refuse {
+            request,
+            retry_after,
+            ..
+        } => {
+            writeln!(
+                out,
+                "DECLINE\t{router}\t{}\t{}",
+                request.0,
+                or_dash(*retry_after)
+            )
         }
         Action::Fail { request, .. } => writeln!(out, "FAIL\t{router}\t{}", request.0),
         Action::Drop { request, attempt } => {
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -48,7 +48,11 @@
 }
 
 fn settings(index: u32, routers: u32, numbered: bool) -> Settings {
-    let kind = |name: &str, role| Kind { name: name.into(), role, memory_tokens: Some(150_000) };
+    let kind = |name: &str, role| Kind {
+        name: name.into(),
+        role,
+        memory_tokens: Some(150_000),
+    };
     let class = Class {
         name: "safe".into(),
         effect: Effect::Safe,
@@ -64,7 +68,10 @@
         zone: "z".into(),
         kinds: vec![kind("r", Role::Reader), kind("w", Role::Writer)],
         classes: vec![class],
-        tenants: vec![Tenant { name: "t".into(), quota_per_s: 0.8 * EACH * WORKERS as f64 }],
+        tenants: vec![Tenant {
+            name: "t".into(),
+            quota_per_s: 0.8 * EACH * WORKERS as f64,
+        }],
         over_share_worth: 1.0,
         max_attempts: 5,
         retry_advice: true,
@@ -93,7 +100,9 @@
 
 impl Host {
     fn warmth(&self, now: Micros) -> f64 {
-        let part = self.started.map_or(1.0, |at| (now.saturating_sub(at) as f64 / COLD as f64).min(1.0));
+        let part = self.started.map_or(1.0, |at| {
+            (now.saturating_sub(at) as f64 / COLD as f64).min(1.0)
+        });
         COLD_FROM + (1.0 - COLD_FROM) * part
     }
 
@@ -163,8 +172,10 @@
     /// A request of a text (the most asked for makes up a sixth), at any router.
     fn arrives(&mut self, tries: u32) {
         let text = (50f64.powf(self.random.unit()) - 1.0) as u64;
-        let (session, router) =
-            ((self.random.unit() * 400.0) as u64, self.random.unit() * self.policies.len() as f64);
+        let (session, router) = (
+            (self.random.unit() * 400.0) as u64,
+            self.random.unit() * self.policies.len() as f64,
+        );
         let request = RequestId(self.agenda.number());
         let ask = Ask {
             request,
@@ -187,15 +198,27 @@
         self.policies[router].handle(self.now, event, &mut out);
         for action in out {
             match action {
-                Action::Send { request, worker, timeout, .. } => self.send(router, request, worker, timeout),
+                Action::Send {
+                    request,
+                    worker,
+                    timeout,
+                    ..
+                } => self.send(router, request, worker, timeout),
                 Action::Timer { at, timer } => {
-                    self.agenda.enter(at.max(self.now), Next::Event(router, Event::Timer(timer)));
+                    self.agenda
+                        .enter(at.max(self.now), Next::Event(router, Event::Timer(timer)));
                 }
-                Action::Refuse { request, retry_after, .. } => {
+                Action::Refuse {
+                    request,
+                    retry_after,
+                    ..
+                } => {
                     let tries = self.tries[&request.0];
                     if tries < 4 {
-                        self.agenda
-                            .enter(self.now + retry_after.unwrap_or(50 * MS), Next::Arrives(tries + 1));
+                        self.agenda.enter(
+                            self.now + retry_after.unwrap_or(50 * MS),
+                            Next::Arrives(tries + 1),
+                        );
                     }
                 }
                 _ => {}
@@ -203,11 +226,18 @@
         }
     }
 
-    fn send(&mut self, router: usize, request: RequestId, worker: WorkerId, timeout: Option<Micros>) {
+    fn send(
+        &mut self,
+        router: usize,
+        request: RequestId,
+        worker: WorkerId,
+        timeout: Option<Micros>,
+    ) {
         let attempt = self.attempts.entry((router, request.0)).or_default();
         let (index, reads, now) = (AttemptIndex(*attempt), worker.0.starts_with('r'), self.now);
         *attempt += 1;
-        let jam = self.trouble == Trouble::Storm && (5..7).contains(&(now.saturating_sub(START) / SECOND));
+        let jam = self.trouble == Trouble::Storm
+            && (5..7).contains(&(now.saturating_sub(START) / SECOND));
         let host = self.hosts.get_mut(&worker).expect("a worker of the list");
         // One that was not told yet sends as to a warm worker: the operators' rule is on those that were.
         if now >= self.told[router] {
@@ -216,11 +246,26 @@
             let position = host.sent.partition_point(|at| *at <= written);
             host.sent.insert(position, written);
         }
-        let done = if jam && host.started.is_none() { None } else { host.takes(now, reads) };
+        let done = if jam && host.started.is_none() {
+            None
+        } else {
+            host.takes(now, reads)
+        };
         let end = |at, outcome| {
             let (settled, elapsed) = (outcome == Outcome::Served, at - now);
             let (attempt, kept, report) = (index, 1_500, None);
-            (at, Event::Ended(Ended { request, attempt, outcome, elapsed, settled, kept, report }))
+            (
+                at,
+                Event::Ended(Ended {
+                    request,
+                    attempt,
+                    outcome,
+                    elapsed,
+                    settled,
+                    kept,
+                    report,
+                }),
+            )
         };
         let limit = now + timeout.unwrap_or(4 * SECOND);
         let events = match done {
@@ -229,7 +274,11 @@
             Some(at) if reads => vec![end(at, Outcome::Read)],
             Some(at) => {
                 self.served += 1;
-                let started = Event::Started { request, attempt: index, elapsed: at - now };
+                let started = Event::Started {
+                    request,
+                    attempt: index,
+                    elapsed: at - now,
+                };
                 vec![(at, started), end(at + STREAM, Outcome::Served)]
             }
         };
@@ -244,7 +293,13 @@
     }
 
     fn play_ramp(routers: u32, cold: u64, trouble: Trouble, numbered: bool, ramp: Ramp) -> Day {
-        let policy = |i| started(settings(i, routers, numbered), u64::from(i) * 7_919 + 1, BEGIN);
+        let policy = |i| {
+            started(
+                settings(i, routers, numbered),
+                u64::from(i) * 7_919 + 1,
+                BEGIN,
+            )
+        };
         let mut fleet = Day {
             now: BEGIN,
             random: Random(42),
@@ -274,21 +329,39 @@
             };
             of("r").chain(of("w")).map(entry).collect()
         };
-        fleet.hosts = entries(None).into_iter().map(|e| (e.worker, Host::default())).collect();
+        fleet.hosts = entries(None)
+            .into_iter()
+            .map(|e| (e.worker, Host::default()))
+            .collect();
         let restarted = entries(Some(START));
-        let current =
-            |entry: Entry| restarted.iter().find(|e| e.worker == entry.worker).cloned().unwrap_or(entry);
+        let current = |entry: Entry| {
+            restarted
+                .iter()
+                .find(|e| e.worker == entry.worker)
+                .cloned()
+                .unwrap_or(entry)
+        };
         let whole: Vec<Entry> = entries(None).into_iter().map(current).collect();
         for router in 0..routers as usize {
             let list = |kind, entries| Next::Event(router, Event::List { kind, entries });
-            fleet.agenda.enter(BEGIN, list(ListKind::Saved, entries(None)));
+            fleet
+                .agenda
+                .enter(BEGIN, list(ListKind::Saved, entries(None)));
             let moment = (fleet.random.unit() * 1_500.0) as Micros * MS;
-            let told = if ramp == Ramp::Spread { START + moment } else { START };
+            let told = if ramp == Ramp::Spread {
+                START + moment
+            } else {
+                START
+            };
             fleet.told[router] = told;
-            fleet.agenda.enter(told, list(ListKind::Changes, entries(Some(START))));
+            fleet
+                .agenda
+                .enter(told, list(ListKind::Changes, entries(Some(START))));
             if ramp == Ramp::Restarted {
                 fleet.agenda.enter(START + moment, Next::Restart(router));
-                fleet.agenda.enter(START + moment, list(ListKind::Saved, whole.clone()));
+                fleet
+                    .agenda
+                    .enter(START + moment, list(ListKind::Saved, whole.clone()));
             }
         }
         let mut at = BEGIN as f64;
@@ -310,7 +383,10 @@
             if at >= START && !is_new {
                 is_new = true;
                 for e in restarted {
-                    let fresh = Host { started: Some(START), ..Host::default() };
+                    let fresh = Host {
+                        started: Some(START),
+                        ..Host::default()
+                    };
                     self.hosts.insert(e.worker.clone(), fresh);
                 }
             }
@@ -327,7 +403,9 @@
     }
 
     fn cold(&self, role: &'static str) -> impl Iterator<Item = (&WorkerId, &Host)> {
-        self.hosts.iter().filter(move |(id, h)| id.0.starts_with(role) && h.started.is_some())
+        self.hosts
+            .iter()
+            .filter(move |(id, h)| id.0.starts_with(role) && h.started.is_some())
     }
 
     /// The part of their capacity that was asked of the cold workers of a role.
@@ -341,7 +419,12 @@
 
     fn figures(&self) -> String {
         let of = |role| (self.excess(role), self.used(role));
-        format!("readers {:.2?}, writers {:.2?}, served {}", of("r"), of("w"), self.served)
+        format!(
+            "readers {:.2?}, writers {:.2?}, served {}",
+            of("r"),
+            of("w"),
+            self.served
+        )
     }
 
     /// The most that any of them got, by what it bears and what is put down to chance.
@@ -383,8 +466,15 @@
 
 fn keeps_to_its_budget(routers: u32, cold: u64, trouble: Trouble, ramp: Ramp) {
     let day = Day::play_ramp(routers, WORKERS - cold, trouble, true, ramp);
-    println!("{routers} routers, {cold} cold, {trouble:?}, {ramp:?}: {}", day.figures());
-    assert!(day.excess("r") <= 1.0 && day.excess("w") <= 1.0, "{}", day.figures());
+    println!(
+        "{routers} routers, {cold} cold, {trouble:?}, {ramp:?}: {}",
+        day.figures()
+    );
+    assert!(
+        day.excess("r") <= 1.0 && day.excess("w") <= 1.0,
+        "{}",
+        day.figures()
+    );
 }
 
 /// Guards against a budget so careful that cold workers idle, and against a cliff at some number of routers.
@@ -398,12 +488,20 @@
 fn cold_workers_are_of_use_on_a_calm_day(#[case] routers: u32, #[case] least: f64) {
     let day = Day::play(routers, 6, Trouble::Calm, true);
     println!("{routers} routers, calm: {}", day.figures());
-    assert!(day.used("r") >= least && day.used("w") >= least, "{}", day.figures());
+    assert!(
+        day.used("r") >= least && day.used("w") >= least,
+        "{}",
+        day.figures()
+    );
 }
 
 /// Routers whose settings give them no number have their turns by chance.
 #[test]
 fn routers_without_numbers_keep_to_the_budget_too() {
     let day = Day::play(16, 6, Trouble::Storm, false);
-    assert!(day.excess("r") <= 1.0 && day.excess("w") <= 1.0, "{}", day.figures());
+    assert!(
+        day.excess("r") <= 1.0 && day.excess("w") <= 1.0,
+        "{}",
+        day.figures()
+    );
 }
--- a/tests/conductor.rs
+++ b/tests/conductor.rs
@@ -59,24 +59,43 @@
     });
     let reader = Peer::reader();
     let conductor = Conductor::start(&operator_file(&[reader.address], &[writer.address], ""));
-    assert!(conductor.raw(b"GET /healthz HTTP/1.1\r\nhost: a\r\n\r\n").line.contains("200"));
+    assert!(
+        conductor
+            .raw(b"GET /healthz HTTP/1.1\r\nhost: a\r\n\r\n")
+            .line
+            .contains("200")
+    );
     let answer = conductor.ask("id-1", "send");
     let message = messages.recv().unwrap();
     assert_eq!(message.line, "POST /v1/chat/completions?x=1 HTTP/1.1");
-    assert_eq!((message.header("x-request-id"), message.text().as_str()), (Some("id-1"), "hello"));
+    assert_eq!(
+        (message.header("x-request-id"), message.text().as_str()),
+        (Some("id-1"), "hello")
+    );
     assert_eq!(answer.header("content-type"), Some("text/event-stream"));
-    let wanted =
-        "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"one\"},\"finish_reason\":null}]}\n\n";
-    assert!(answer.whole && answer.text().starts_with(wanted) && answer.text().ends_with("data: [DONE]\n\n"));
+    let wanted = "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"one\"},\"finish_reason\":null}]}\n\n";
+    assert!(
+        answer.whole
+            && answer.text().starts_with(wanted)
+            && answer.text().ends_with("data: [DONE]\n\n")
+    );
     let counters = conductor.stop();
-    let counts = ["taken", "sent", "ended_read", "ended_served", "answered_stream", "clients_left"];
+    let counts = [
+        "taken",
+        "sent",
+        "ended_read",
+        "ended_served",
+        "answered_stream",
+        "clients_left",
+    ];
     assert_eq!(counts.map(|c| counters.get(c)), [1, 2, 1, 1, 1, 0]);
 }
 
 /// Guards against a key lost on the way: model hosts know the repeats of a keyed request by it, and without one each
 /// repeat runs. What is between the client and this conductor alone stays there.
 #[test]
-fn headers_meant_for_model_hosts_are_passed_on_at_both_stages_and_those_of_one_connection_are_not() {
+fn headers_meant_for_model_hosts_are_passed_on_at_both_stages_and_those_of_one_connection_are_not()
+{
     let (seen, messages) = mpsc::channel();
     let seen = Mutex::new(seen);
     let host = Peer::start(move |message, conn| {
@@ -100,7 +119,12 @@
     assert_eq!(conductor.raw(request.as_bytes()).status(), 200);
     for message in [messages.recv().unwrap(), writes.recv().unwrap()] {
         let all = |name: &str| -> Vec<String> {
-            message.headers.iter().filter(|(n, _)| n == name).map(|(_, v)| v.clone()).collect()
+            message
+                .headers
+                .iter()
+                .filter(|(n, _)| n == name)
+                .map(|(_, v)| v.clone())
+                .collect()
         };
         assert_eq!(all("idempotency-key"), ["51e8c3f14d065132"]);
         assert_eq!(all("x-many"), ["a", "b"]);
@@ -142,11 +166,15 @@
     let all = writers.each_ref().map(|w| w.address);
     let conductor = Conductor::start(&operator_file(&[reader.address], &all, ""));
     let answer = conductor.ask("id-1", class);
-    assert_eq!((answer.status(), answer.whole, count.load(Ordering::SeqCst)), (status, whole, tries));
+    assert_eq!(
+        (answer.status(), answer.whole, count.load(Ordering::SeqCst)),
+        (status, whole, tries)
+    );
     assert!(!begun || answer.text().contains("one"));
 }
 
-const HEAD: &str = "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n";
+const HEAD: &str =
+    "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n";
 
 /// Guards against what a model host may write instead of a stream, on a connection that it keeps open: a repeat
 /// of what must not run twice before the first event, and after it a client left waiting, or given what is no event.
@@ -156,7 +184,10 @@
 #[case::noise_for_a_first_event("{HEAD}5\r\nnoise\r\n6\r\nnoise\n\r\n", false)]
 #[case::a_size_that_can_t_be_read("{HEAD}b\r\ndata: one\n\n\r\nzz\r\n", true)]
 #[case::a_size_too_small("{HEAD}b\r\ndata: one\n\n\r\n3\r\ndata: two\n\n\r\n", true)]
-#[case::a_size_too_large("{HEAD}b\r\ndata: one\n\n\r\n40\r\ndata: two\n\n\r\nb\r\ndata: x\n\n\r\n", true)]
+#[case::a_size_too_large(
+    "{HEAD}b\r\ndata: one\n\n\r\n40\r\ndata: two\n\n\r\nb\r\ndata: x\n\n\r\n",
+    true
+)]
 #[case::three_gigabytes("{HEAD}b\r\ndata: one\n\n\r\nb2d05e00\r\n{MORE}", true)]
 fn a_stream_that_comes_spoilt(
     #[case] wire: &str,
@@ -181,9 +212,17 @@
     let reader = Peer::reader();
     let conductor = Conductor::start(&operator_file(&[reader.address], &[writer.address], ""));
     let answer = conductor.ask("id-1", class);
-    let status = if begun || class == "explain" { 200 } else { 502 };
+    let status = if begun || class == "explain" {
+        200
+    } else {
+        502
+    };
     assert_eq!((answer.status(), answer.whole), (status, !begun));
-    assert!(!begun || answer.text() == "data: one\n\n", "{}", answer.text());
+    assert!(
+        !begun || answer.text() == "data: one\n\n",
+        "{}",
+        answer.text()
+    );
     assert_eq!(closes.recv().unwrap(), "true");
 }
 
@@ -211,7 +250,11 @@
     });
     let conductor = Conductor::start(&operator_file(&[reader.address], &[writer.address], ""));
     for i in 0..10 {
-        assert_eq!(conductor.ask(&format!("id-{i}"), "send").status(), 200, "request {i}");
+        assert_eq!(
+            conductor.ask(&format!("id-{i}"), "send").status(),
+            200,
+            "request {i}"
+        );
     }
     assert_eq!(conductor.stop().get("stale_connections"), 1);
 }
@@ -220,14 +263,19 @@
 #[test]
 fn a_head_that_doesn_t_end_is_a_failed_attempt() {
     let writer = Peer::start(|_, conn| {
-        let _ = conn.0.write_all(b"HTTP/1.1 200 OK\r\ncontent-type: text/ev");
+        let _ = conn
+            .0
+            .write_all(b"HTTP/1.1 200 OK\r\ncontent-type: text/ev");
         !conn.is_closed()
     });
     let reader = Peer::reader();
     let conductor = Conductor::start(&operator_file(&[reader.address], &[writer.address], ""));
     assert_eq!(conductor.ask("id-1", "send").status(), 502);
     let counters = conductor.stop();
-    assert_eq!(["ended_lost", "ended_no_answer"].map(|c| counters.get(c)), [1, 0]);
+    assert_eq!(
+        ["ended_lost", "ended_no_answer"].map(|c| counters.get(c)),
+        [1, 0]
+    );
 }
 
 /// Guards against the head of the answer before being timed in place of the next one's on a connection kept.
@@ -273,7 +321,11 @@
     let conductor = Conductor::start(&operator_file(&[reader.address], &[writer.address], ""));
     for i in 0..12 {
         let status = if i == 3 { 502 } else { 200 };
-        assert_eq!(conductor.ask(&format!("id-{i}"), "send").status(), status, "request {i}");
+        assert_eq!(
+            conductor.ask(&format!("id-{i}"), "send").status(),
+            status,
+            "request {i}"
+        );
     }
     let counters = conductor.stop();
     assert_eq!(counters.get("stale_connections"), 0);
@@ -288,22 +340,36 @@
     ""
 )]
 #[case::a_report_that_can_t_be_read("{HEAD}", "")]
-#[case::a_second_answer("{HEAD}", "HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\n\r\n")]
-fn a_good_stream_that_brings_more_than_belongs_to_it(#[case] head: &str, #[case] behind: &'static str) {
+#[case::a_second_answer(
+    "{HEAD}",
+    "HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\n\r\n"
+)]
+fn a_good_stream_that_brings_more_than_belongs_to_it(
+    #[case] head: &str,
+    #[case] behind: &'static str,
+) {
     let report = "transfer-encoding: chunked\r\nx-load: \u{1}\u{2}\r\nx-load: what\r\n";
-    let head = head.replace("{HEAD}", HEAD).replace("transfer-encoding: chunked\r\n", report);
+    let head = head
+        .replace("{HEAD}", HEAD)
+        .replace("transfer-encoding: chunked\r\n", report);
     let writer = Peer::start(move |message, conn| {
         let _ = conn.0.write_all(head.as_bytes());
         conn.delta(message.header("x-request-id").unwrap());
         // In one piece: what comes once the next request is out can't be told from its answer by anybody.
-        let _ = conn.0.write_all(format!("e\r\ndata: [DONE]\n\n\r\n0\r\n\r\n{behind}").as_bytes());
+        let _ = conn
+            .0
+            .write_all(format!("e\r\ndata: [DONE]\n\n\r\n0\r\n\r\n{behind}").as_bytes());
         true
     });
     let reader = Peer::reader();
     let conductor = Conductor::start(&operator_file(&[reader.address], &[writer.address], ""));
     for i in 0..20 {
         let answer = conductor.ask(&format!("id-{i}"), "send");
-        assert!(answer.whole && answer.text().contains(&format!("\"id-{i}\"")), "{}", answer.line);
+        assert!(
+            answer.whole && answer.text().contains(&format!("\"id-{i}\"")),
+            "{}",
+            answer.line
+        );
     }
 }
 
@@ -316,8 +382,16 @@
         true
     });
     let (writer, reader) = (writer(), Peer::reader());
-    let first = if status.is_empty() { Peer::nobody() } else { full.address };
-    let conductor = Conductor::start(&operator_file(&[reader.address], &[first, writer.address], ""));
+    let first = if status.is_empty() {
+        Peer::nobody()
+    } else {
+        full.address
+    };
+    let conductor = Conductor::start(&operator_file(
+        &[reader.address],
+        &[first, writer.address],
+        "",
+    ));
     for i in 0..8 {
         assert_eq!(conductor.ask(&format!("id-{i}"), "send").status(), 200);
     }
@@ -348,8 +422,15 @@
     let conductor = Conductor::start(&operator_file(&[reader.address], &[writer.address], ""));
     assert_eq!(conductor.ask("id-1", "send").status(), 200);
     let lines: Vec<String> = told.try_iter().collect();
-    let wanted = ["POST /v1/chat", "DELETE /internal/reservations/id-1", "POST /v1/chat"];
-    assert!(lines.len() == 3 && lines.iter().zip(wanted).all(|(l, w)| l.starts_with(w)), "{lines:?}");
+    let wanted = [
+        "POST /v1/chat",
+        "DELETE /internal/reservations/id-1",
+        "POST /v1/chat",
+    ];
+    assert!(
+        lines.len() == 3 && lines.iter().zip(wanted).all(|(l, w)| l.starts_with(w)),
+        "{lines:?}"
+    );
 }
 
 /// Guards against a state left held when a zone is cut off: the release went to hosts in the list's order, and
@@ -374,10 +455,23 @@
     let writers: Vec<_> = silent.iter().map(|s| s.address).collect();
     let conductor = Conductor::start(&operator_file(&[reader.address], &writers, ""));
     assert_ne!(conductor.ask("id-1", "send").status(), 200);
-    assert!(told.recv_timeout(STUCK).unwrap().0.starts_with("POST /v1/chat"));
-    let (next, after) = told.recv_timeout(STUCK).expect("the reader was never asked to let the state go");
-    assert!(next.starts_with("DELETE /internal/reservations/id-1"), "{next}");
-    assert!(after < HELD_FOR, "held for {after:?}, while connections to writers failed to come up");
+    assert!(
+        told.recv_timeout(STUCK)
+            .unwrap()
+            .0
+            .starts_with("POST /v1/chat")
+    );
+    let (next, after) = told
+        .recv_timeout(STUCK)
+        .expect("the reader was never asked to let the state go");
+    assert!(
+        next.starts_with("DELETE /internal/reservations/id-1"),
+        "{next}"
+    );
+    assert!(
+        after < HELD_FOR,
+        "held for {after:?}, while connections to writers failed to come up"
+    );
     drop(silent);
 }
 
@@ -386,10 +480,18 @@
 #[test]
 fn a_release_that_no_host_has_taken_outlives_the_next_read() {
     let (tell, told) = news();
-    let (broken, told_of) = (Mutex::new(HashMap::<String, Instant>::new()), Mutex::new(tell));
+    let (broken, told_of) = (
+        Mutex::new(HashMap::<String, Instant>::new()),
+        Mutex::new(tell),
+    );
     let reader = Peer::start(move |message, conn| {
         let mut broken = broken.lock().unwrap();
-        if let Some(id) = message.line.split("reservations/").nth(1).and_then(|l| l.split(' ').next()) {
+        if let Some(id) = message
+            .line
+            .split("reservations/")
+            .nth(1)
+            .and_then(|l| l.split(' ').next())
+        {
             // No host takes a release so soon.
             let after = broken.get(id).map_or(Duration::ZERO, Instant::elapsed);
             if after < Duration::from_millis(200) {
@@ -399,20 +501,30 @@
             conn.answer("204 No Content", "", "");
             return true;
         }
-        let again = broken.insert(message.header("x-request-id").unwrap().to_owned(), Instant::now());
+        let again = broken.insert(
+            message.header("x-request-id").unwrap().to_owned(),
+            Instant::now(),
+        );
         if again.is_some() {
             conn.answer("503 Service Unavailable", "x-not-run: 1\r\n", "");
         }
         again.is_some()
     });
     let (silent, writer) = (Silent::start(), Silent::start());
-    let conductor =
-        Conductor::start(&operator_file(&[reader.address, silent.address], &[writer.address], ""));
+    let conductor = Conductor::start(&operator_file(
+        &[reader.address, silent.address],
+        &[writer.address],
+        "",
+    ));
     for i in 0..3 {
         let id = format!("id-{i}");
         let request = request(&id, "explain", "hello").replace("8000m", "1500m");
         assert_ne!(conductor.raw(request.as_bytes()).status(), 200);
-        assert_eq!(told.recv_timeout(STUCK).expect("nobody was asked to let go"), format!("{id} true"));
+        assert_eq!(
+            told.recv_timeout(STUCK)
+                .expect("nobody was asked to let go"),
+            format!("{id} true")
+        );
         while told.recv_timeout(Duration::from_millis(50)).is_ok() {}
     }
 }
@@ -435,7 +547,10 @@
     let reader = Peer::reader();
     let conductor = Conductor::start(&operator_file(&[reader.address], &[writer.address], ""));
     let mut client = BufReader::new(conductor.connect());
-    client.get_mut().write_all(request("id-1", "send", "hello").as_bytes()).unwrap();
+    client
+        .get_mut()
+        .write_all(request("id-1", "send", "hello").as_bytes())
+        .unwrap();
     begins.recv().unwrap();
     // The head of the answer: the request has its answer, and its stream runs.
     client.fill_buf().unwrap();
@@ -458,11 +573,17 @@
     });
     let conductor = Conductor::start(&operator_file(&[host.address], &[host.address], ""));
     let mut client = conductor.connect();
-    client.write_all(request("id-1", "send", "hello").as_bytes()).unwrap();
+    client
+        .write_all(request("id-1", "send", "hello").as_bytes())
+        .unwrap();
     told.recv().unwrap();
     client.shutdown(Shutdown::Both).unwrap();
     assert_eq!(closes.recv().unwrap(), "true");
-    assert!(deleted.iter().any(|l| l.starts_with("DELETE /internal/reservations/id-1")));
+    assert!(
+        deleted
+            .iter()
+            .any(|l| l.starts_with("DELETE /internal/reservations/id-1"))
+    );
 }
 
 /// Guards against answers held back: what the module gives up is refused at once, with advice.
@@ -510,7 +631,10 @@
     "POST /v1/chat/completions HTTP/1.1\r\nhost: a\r\nx-request-id: a\r\nx-class: send\r\nx-deadline: 1m\r\ncontent-length: 262145\r\n\r\n",
     413
 )]
-#[case::framing("POST /v1/chat/completions HTTP/1.1\r\nhost: a\r\ncontent-length: x\r\n\r\n", 400)]
+#[case::framing(
+    "POST /v1/chat/completions HTTP/1.1\r\nhost: a\r\ncontent-length: x\r\n\r\n",
+    400
+)]
 #[case::not_http("\u{16}\u{3}\u{1}\r\n\r\n", 400)]
 #[case::bad_chunk(
     "POST /v1/chat/completions HTTP/1.1\r\nhost: a\r\nx-request-id: a\r\nx-class: send\r\nx-deadline: 1m\r\ntransfer-encoding: chunked\r\n\r\nzz\r\n",
@@ -570,10 +694,17 @@
     let more = format!("discovery = \"{}\"", discovery.address);
     let conductor = Conductor::start(&operator_file(&[reader.address], &[old.0.address], &more));
     for _ in 0..2 {
-        assert!(asks.recv().unwrap().contains("GET /v1/servers?watch=1&after=7"));
+        assert!(
+            asks.recv()
+                .unwrap()
+                .contains("GET /v1/servers?watch=1&after=7")
+        );
     }
     assert_eq!(conductor.ask("id-1", "send").status(), 200);
-    assert_eq!(old.1.try_iter().filter(|l| l.starts_with("POST")).count(), 0);
+    assert_eq!(
+        old.1.try_iter().filter(|l| l.starts_with("POST")).count(),
+        0
+    );
 }
 
 /// Guards against discovery kept overbooked: where it has to be asked, a call that waits its turn is not cut off and
@@ -603,7 +734,11 @@
     let conductor = Conductor::start(&file.replace("\"pushed\"", "\"on_request\""));
     conductor.wait_for("answer-9");
     assert_eq!(conductor.ask("id-1", "send").status(), 200);
-    assert_eq!(asks.try_iter().count(), 2, "one turned away, one waited for");
+    assert_eq!(
+        asks.try_iter().count(),
+        2,
+        "one turned away, one waited for"
+    );
 }
 
 /// Guards against a SIGHUP that ends the process, a watch that stays with the old agent for as long as that one
@@ -644,20 +779,32 @@
     let file = |more: &str| operator_file(&[reader.address], &[old_writer.address], more);
     let conductor = Conductor::start(&file(&format!("discovery = \"{}\"", old.address)));
     let mut client = conductor.connect();
-    client.write_all(request("id-1", "send", "hello").as_bytes()).unwrap();
+    client
+        .write_all(request("id-1", "send", "hello").as_bytes())
+        .unwrap();
     begins.recv().unwrap();
     conductor.reload("listen = ");
-    assert!(conductor.wait_for("the configuration held stands").contains("line 1"));
+    assert!(
+        conductor
+            .wait_for("the configuration held stands")
+            .contains("line 1")
+    );
     conductor.reload(&file(&format!("discovery = \"{}\"", new.address)));
     assert_eq!(closes.recv().unwrap(), "true");
-    for wanted in ["GET /v1/servers HTTP", "GET /v1/servers?watch=1&after=1 HTTP"] {
+    for wanted in [
+        "GET /v1/servers HTTP",
+        "GET /v1/servers?watch=1&after=1 HTTP",
+    ] {
         assert!(asks.recv().unwrap().starts_with(wanted));
     }
     assert_eq!(conductor.ask("id-2", "send").status(), 200);
     drop(held);
     assert!(Message::read(&mut BufReader::new(client)).unwrap().whole);
     let counters = conductor.stop();
-    assert_eq!(["reloads", "reloads_failed", "taken"].map(|c| counters.get(c)), [1, 1, 2]);
+    assert_eq!(
+        ["reloads", "reloads_failed", "taken"].map(|c| counters.get(c)),
+        [1, 1, 2]
+    );
 }
 
 /// Guards against a SIGHUP during an orderly end that breaks it off.
@@ -690,15 +837,26 @@
     let conductor = Conductor::start(&operator_file(&[reader.address], &[writer.address], ""));
     let mut client = BufReader::new(conductor.connect());
     let mut idle = conductor.connect();
-    client.get_mut().write_all(request("id-1", "send", "hello").as_bytes()).unwrap();
+    client
+        .get_mut()
+        .write_all(request("id-1", "send", "hello").as_bytes())
+        .unwrap();
     begins.recv().unwrap();
     // The conductor has begun to answer, too.
     client.fill_buf().unwrap();
     conductor.signal("-USR1");
-    assert_eq!(Counters(conductor.wait_for("counters:")).get("answered_stream"), 1);
+    assert_eq!(
+        Counters(conductor.wait_for("counters:")).get("answered_stream"),
+        1
+    );
     conductor.signal("-TERM");
     conductor.wait_for("stopping");
-    assert!(conductor.raw(b"GET /healthz HTTP/1.1\r\nhost: a\r\n\r\n").line.contains("503"));
+    assert!(
+        conductor
+            .raw(b"GET /healthz HTTP/1.1\r\nhost: a\r\n\r\n")
+            .line
+            .contains("503")
+    );
     // Idle ones are closed, and only then is the stream let go on.
     assert_eq!(idle.read(&mut [0]).unwrap(), 0);
     drop(held);
@@ -710,15 +868,28 @@
 #[rstest]
 #[case::no_toml("listen = ", "line 1")]
 #[case::no_settings("listen = \"127.0.0.1:0\"", "settings")]
-#[case::setting("listen = \"127.0.0.1:0\"\n[settings]\nmy_zone = \"z\"", "classes.count")]
+#[case::setting(
+    "listen = \"127.0.0.1:0\"\n[settings]\nmy_zone = \"z\"",
+    "classes.count"
+)]
 fn a_broken_configuration_is_one_line_and_a_failure(#[case] text: &str, #[case] names: &str) {
-    let file =
-        std::env::temp_dir().join(format!("whinhaven-broken-{}-{}.toml", std::process::id(), text.len()));
+    let file = std::env::temp_dir().join(format!(
+        "whinhaven-broken-{}-{}.toml",
+        std::process::id(),
+        text.len()
+    ));
     std::fs::write(&file, text).unwrap();
-    let done = Command::new(env!("CARGO_BIN_EXE_whinhaven")).arg("serve").arg(&file).output().unwrap();
+    let done = Command::new(env!("CARGO_BIN_EXE_whinhaven"))
+        .arg("serve")
+        .arg(&file)
+        .output()
+        .unwrap();
     std::fs::remove_file(&file).unwrap();
     let error = String::from_utf8(done.stderr).unwrap();
-    assert!(!done.status.success() && error.lines().count() == 1 && error.contains(names), "{error}");
+    assert!(
+        !done.status.success() && error.lines().count() == 1 && error.contains(names),
+        "{error}"
+    );
 }
 
 /// Guards against places held by clients that connect by the hundred and say nothing, or never all: others are
@@ -728,8 +899,11 @@
 #[case::half_a_request("POST /v1/chat/completions HTTP/1.1\r\nhost: a\r\n")]
 fn clients_that_hold_places_make_room_for_others(#[case] bytes: &str) {
     let (reader, writer) = (Peer::reader(), writer());
-    let file =
-        operator_file(&[reader.address], &[writer.address], "limits = { sockets = 256, memory_mb = 64 }");
+    let file = operator_file(
+        &[reader.address],
+        &[writer.address],
+        "limits = { sockets = 256, memory_mb = 64 }",
+    );
     let conductor = Conductor::start(&file);
     let hold = |_| {
         let mut client = conductor.connect();
@@ -789,7 +963,10 @@
         begun.is_ok() && (0..60).all(|_| sending.write_all(&[b'a'; 1_000_000]).is_ok())
     });
     let answer = Message::read(&mut BufReader::new(&mut client)).unwrap();
-    assert_eq!((answer.status(), answer.header("connection")), (413, Some("close")));
+    assert_eq!(
+        (answer.status(), answer.header("connection")),
+        (413, Some("close"))
+    );
     assert!(!sent.join().unwrap());
 }
 
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -16,7 +16,9 @@
 }
 
 /// A writer whose streams wait for a word after their first event, and then end as told.
-fn waiting_writer(end: impl Fn(&mut Conn) -> bool + Send + Sync + 'static) -> (Peer, mpsc::Sender<()>) {
+fn waiting_writer(
+    end: impl Fn(&mut Conn) -> bool + Send + Sync + 'static,
+) -> (Peer, mpsc::Sender<()>) {
     let (go, gone) = mpsc::channel();
     let gone = Mutex::new(gone);
     let writer = Peer::start(move |message, conn| {
@@ -35,7 +37,10 @@
 /// A client whose stream has begun.
 fn begin(conductor: &Conductor, id: &str) -> BufReader<TcpStream> {
     let mut client = BufReader::new(conductor.connect());
-    client.get_mut().write_all(request(id, "send", "hello").as_bytes()).unwrap();
+    client
+        .get_mut()
+        .write_all(request(id, "send", "hello").as_bytes())
+        .unwrap();
     client.fill_buf().unwrap();
     client
 }
@@ -74,11 +79,17 @@
     // Those that rest are closed: the end has begun.
     assert_eq!(resting.read(&mut [0]).unwrap(), 0);
     // More than is read of it while the stream runs.
-    client.get_mut().write_all(request("id-2", "send", &"x".repeat(100_000)).as_bytes()).unwrap();
+    client
+        .get_mut()
+        .write_all(request("id-2", "send", &"x".repeat(100_000)).as_bytes())
+        .unwrap();
     go.send(()).unwrap();
     let counters = Counters(conductor.wait_for("stopped; counters:"));
     let answer = Message::read(&mut client).unwrap();
-    assert_eq!((answer.whole, answer.text().matches("more").count()), (is_whole, EVENTS));
+    assert_eq!(
+        (answer.whole, answer.text().matches("more").count()),
+        (is_whole, EVENTS)
+    );
     // In order, and nothing behind it.
     assert_eq!(client.read(&mut [0]).expect("a reset"), 0);
     assert_eq!(counters.get("taken"), 1);
@@ -130,7 +141,9 @@
                     if client.get_mut().write_all(request.as_bytes()).is_err() {
                         break;
                     }
-                    let Some(answer) = Message::read(&mut client) else { break };
+                    let Some(answer) = Message::read(&mut client) else {
+                        break;
+                    };
                     assert!(answer.whole && answer.status() == 200, "{}", answer.line);
                     answered += 1;
                     if answer.header("connection") == Some("close") {
@@ -148,7 +161,12 @@
     conductor.signal("-TERM");
     let end = Counters(conductor.wait_for("stopped; counters:"));
     let answered: u64 = clients.into_iter().map(|c| c.join().unwrap()).sum();
-    assert_eq!(["taken", "answered_stream"].map(|c| end.get(c)), [answered; 2], "{}", end.0);
+    assert_eq!(
+        ["taken", "answered_stream"].map(|c| end.get(c)),
+        [answered; 2],
+        "{}",
+        end.0
+    );
     // Nobody listens any more.
     assert!(TcpStream::connect(address).is_err());
 }
@@ -158,7 +176,10 @@
 #[rstest]
 #[case::kept(40_000, 2)]
 #[case::too_much(200_000, 1)]
-fn a_request_behind_the_one_in_hand_comes_after_it_unchanged(#[case] length: usize, #[case] taken: u64) {
+fn a_request_behind_the_one_in_hand_comes_after_it_unchanged(
+    #[case] length: usize,
+    #[case] taken: u64,
+) {
     let (tell, told) = news();
     let reader = Peer::start(move |message, conn| {
         tell(message.text());
@@ -169,7 +190,9 @@
     let conductor = Conductor::start(&operator_file(&[reader.address], &[writer.address], ""));
     let mut client = begin(&conductor, "id-1");
     assert_eq!(told.recv_timeout(STUCK).unwrap(), "hello");
-    let body: String = (0..length).map(|i| char::from(b'a' + (i % 23) as u8)).collect();
+    let body: String = (0..length)
+        .map(|i| char::from(b'a' + (i % 23) as u8))
+        .collect();
     for piece in request("id-2", "send", &body).as_bytes().chunks(7_000) {
         client.get_mut().write_all(piece).unwrap();
     }
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -23,7 +23,10 @@
 #[case::not_indented(|text: &str| text.replace('{', "{\n").replace(',', ",\n").replace('}', "\n}") + "\n", false)]
 #[case::with_no_line_end(|text: &str| text.to_owned(), false)]
 #[case::after_half_of_it(|text: &str| format!("{text}\n"), true)]
-fn a_drain_is_heard_in_whatever_form_it_comes(#[case] print: fn(&str) -> String, #[case] cut: bool) {
+fn a_drain_is_heard_in_whatever_form_it_comes(
+    #[case] print: fn(&str) -> String,
+    #[case] cut: bool,
+) {
     let (tell, told) = mpsc::channel();
     let tell = Mutex::new(tell);
     let old = Peer::start(move |message, conn| {
@@ -69,7 +72,10 @@
     assert_eq!(told.try_iter().count(), 0);
     let asked: Vec<String> = asked.try_iter().collect();
     assert!(
-        asked.iter().take(1 + usize::from(cut)).all(|line| line.contains("watch=1&after=1 ")),
+        asked
+            .iter()
+            .take(1 + usize::from(cut))
+            .all(|line| line.contains("watch=1&after=1 ")),
         "{asked:?}"
     );
 }
--- a/tests/drain.rs
+++ b/tests/drain.rs
@@ -13,7 +13,13 @@
 const HEALTH: &[u8] = b"GET /healthz HTTP/1.1\r\nhost: a\r\n\r\n";
 
 fn drain(conductor: &Conductor, switch: &str) {
-    assert_eq!(conductor.call("POST", &format!("/ops/drain/{switch}")).status(), 200, "{switch}");
+    assert_eq!(
+        conductor
+            .call("POST", &format!("/ops/drain/{switch}"))
+            .status(),
+        200,
+        "{switch}"
+    );
 }
 
 fn health(conductor: &Conductor) -> u16 {
@@ -22,7 +28,9 @@
 
 /// Whether a front would send clients on; a connection refused says no.
 fn is_ready(conductor: &Conductor) -> bool {
-    let Ok(mut front) = TcpStream::connect(conductor.address) else { return false };
+    let Ok(mut front) = TcpStream::connect(conductor.address) else {
+        return false;
+    };
     front.set_read_timeout(Some(STUCK)).unwrap();
     _ = front.write_all(HEALTH);
     Message::read(&mut BufReader::new(front)).is_some_and(|answer| answer.status() == 200)
@@ -37,7 +45,10 @@
 fn resting(conductor: &Conductor) -> BufReader<TcpStream> {
     let mut client = BufReader::new(conductor.connect());
     client.get_mut().write_all(HEALTH).unwrap();
-    assert_eq!(Message::read(&mut client).unwrap().header("connection"), None);
+    assert_eq!(
+        Message::read(&mut client).unwrap().header("connection"),
+        None
+    );
     client
 }
 
@@ -67,7 +78,10 @@
 
 /// Sends a request on a kept connection; its answer, if it was taken.
 fn ask(client: &mut BufReader<TcpStream>, id: &str) -> Option<Message> {
-    client.get_mut().write_all(request(id, "send", "hello").as_bytes()).ok()?;
+    client
+        .get_mut()
+        .write_all(request(id, "send", "hello").as_bytes())
+        .ok()?;
     let answer = Message::read(client)?;
     assert!(answer.whole && answer.status() == 200, "{}", answer.line);
     Some(answer)
@@ -102,7 +116,10 @@
 }
 
 fn answers(clients: Vec<JoinHandle<u64>>) -> u64 {
-    clients.into_iter().map(|client| client.join().unwrap()).sum()
+    clients
+        .into_iter()
+        .map(|client| client.join().unwrap())
+        .sum()
 }
 
 /// Guards against requests lost in a drain, and against a drain that outlasts its stop.
@@ -139,7 +156,12 @@
         answered += 4;
     }
     let counters = conductor.stop();
-    assert_eq!(["taken", "answered_stream"].map(|name| counters.get(name)), [answered; 2], "{}", counters.0);
+    assert_eq!(
+        ["taken", "answered_stream"].map(|name| counters.get(name)),
+        [answered; 2],
+        "{}",
+        counters.0
+    );
 }
 
 #[test]
@@ -160,7 +182,10 @@
     let file = operator_file(&[reader.address], &[writer.address], DOOR);
     let conductor = Conductor::start(&file);
     let mut client = BufReader::new(conductor.connect());
-    client.get_mut().write_all(request("id-1", "send", "hello").as_bytes()).unwrap();
+    client
+        .get_mut()
+        .write_all(request("id-1", "send", "hello").as_bytes())
+        .unwrap();
     client.fill_buf().unwrap();
     let mut resting = resting(&conductor);
     drain(&conductor, "start");
@@ -174,7 +199,11 @@
     assert_eq!(health(&conductor), 200);
     go.send(()).unwrap();
     let answer = Message::read(&mut client).unwrap();
-    assert!(answer.whole && answer.text().contains("two"), "{}", answer.text());
+    assert!(
+        answer.whole && answer.text().contains("two"),
+        "{}",
+        answer.text()
+    );
     // Kept or closed: the drain may have been over before it came to this connection, whose first answer this is.
     drop(client);
     assert_eq!(conductor.stop().get("ended_served"), 1);
@@ -186,7 +215,10 @@
     let (reader, (writer, go)) = (Peer::reader(), waiting_writer());
     let conductor = Conductor::start(&operator_file(&[reader.address], &[writer.address], DOOR));
     let mut client = BufReader::new(conductor.connect());
-    client.get_mut().write_all(request("id-1", "send", "hello").as_bytes()).unwrap();
+    client
+        .get_mut()
+        .write_all(request("id-1", "send", "hello").as_bytes())
+        .unwrap();
     client.fill_buf().unwrap();
     let mut resting = resting(&conductor);
     drain(&conductor, "start");
--- a/tests/fairness.rs
+++ b/tests/fairness.rs
@@ -37,7 +37,11 @@
 const WRITERS_SPARE: f64 = 1.25;
 
 fn settings(index: u32, routers: u32, reports: Reports, flat: Micros) -> Settings {
-    let kind = |name: &str, role| Kind { name: name.into(), role, memory_tokens: Some(400_000) };
+    let kind = |name: &str, role| Kind {
+        name: name.into(),
+        role,
+        memory_tokens: Some(400_000),
+    };
     let class = |name: &str, effect, aim, aim_per_1000_tokens| Class {
         name: name.into(),
         effect,
@@ -77,7 +81,8 @@
 
 /// Lognormal, of this median and spread.
 fn spread(random: &mut Random, median: f64, sigma: f64) -> f64 {
-    let normal = (-2.0 * (1.0 - random.unit()).ln()).sqrt() * (std::f64::consts::TAU * random.unit()).cos();
+    let normal =
+        (-2.0 * (1.0 - random.unit()).ln()).sqrt() * (std::f64::consts::TAU * random.unit()).cos();
     median * (sigma * normal).exp()
 }
 
@@ -104,10 +109,19 @@
         let mut turn = |_| {
             prompt = (prompt + spread(random, size, 0.9)).min(LONGEST);
             let stream = SECOND / 10 + (random.unit() * SECOND as f64 / 3.0) as Micros;
-            Turn { prompt: prompt as u64, stream, answered: false }
+            Turn {
+                prompt: prompt as u64,
+                stream,
+                answered: false,
+            }
         };
         let turns = (0..turns).map(&mut turn).collect();
-        Session { class: usize::from(random.unit() < 0.4), text, text_tokens, turns }
+        Session {
+            class: usize::from(random.unit() < 0.4),
+            text,
+            text_tokens,
+            turns,
+        }
     }
 
     /// What its reads take where nothing is read twice but the text.
@@ -192,11 +206,21 @@
         self.policies[router].handle(self.now, event, &mut out);
         for action in out {
             match action {
-                Action::Send { request, worker, timeout, .. } => self.send(router, request, worker, timeout),
+                Action::Send {
+                    request,
+                    worker,
+                    timeout,
+                    ..
+                } => self.send(router, request, worker, timeout),
                 Action::Timer { at, timer } => {
-                    self.agenda.enter(at.max(self.now), Next::Event(router, Event::Timer(timer)));
+                    self.agenda
+                        .enter(at.max(self.now), Next::Event(router, Event::Timer(timer)));
                 }
-                Action::Refuse { request, retry_after, .. } => self.refused(request, retry_after),
+                Action::Refuse {
+                    request,
+                    retry_after,
+                    ..
+                } => self.refused(request, retry_after),
                 Action::Fail { request, .. } => {
                     let this = self.open.remove(&request.0).expect("one end");
                     self.goes_on(this, self.now);
@@ -211,7 +235,13 @@
         let this = self.open.remove(&request.0).expect("one end");
         let at = self.now + retry_after.unwrap_or(50 * MS);
         if this.count < 3 && at < this.first + PATIENCE {
-            self.agenda.enter(at, Next::Arrives(Try { count: this.count + 1, ..this }));
+            self.agenda.enter(
+                at,
+                Next::Arrives(Try {
+                    count: this.count + 1,
+                    ..this
+                }),
+            );
         } else {
             self.goes_on(this, self.now);
         }
@@ -220,7 +250,15 @@
     fn goes_on(&mut self, this: Try, from: Micros) {
         if this.turn + 1 < self.sessions[this.session].turns.len() {
             let first = from + SECOND / 10 + (self.random.unit() * SECOND as f64 / 4.0) as Micros;
-            self.agenda.enter(first, Next::Arrives(Try { turn: this.turn + 1, count: 1, first, ..this }));
+            self.agenda.enter(
+                first,
+                Next::Arrives(Try {
+                    turn: this.turn + 1,
+                    count: 1,
+                    first,
+                    ..this
+                }),
+            );
         }
     }
 
@@ -232,8 +270,17 @@
         if reads {
             host.busy_until = host.busy_until.max(now);
             (host.busy_until < now + QUEUE).then(|| {
-                let text = if host.texts.insert(session.text) { 0 } else { session.text_tokens };
-                let kept = host.sessions.insert(this.session, prompt).unwrap_or(0).max(text).min(prompt);
+                let text = if host.texts.insert(session.text) {
+                    0
+                } else {
+                    session.text_tokens
+                };
+                let kept = host
+                    .sessions
+                    .insert(this.session, prompt)
+                    .unwrap_or(0)
+                    .max(text)
+                    .min(prompt);
                 host.busy_until += READ + ((prompt - kept) as f64 * READ_TOKEN) as Micros;
                 (host.busy_until, kept)
             })
@@ -247,21 +294,45 @@
         }
     }
 
-    fn send(&mut self, router: usize, request: RequestId, worker: WorkerId, timeout: Option<Micros>) {
+    fn send(
+        &mut self,
+        router: usize,
+        request: RequestId,
+        worker: WorkerId,
+        timeout: Option<Micros>,
+    ) {
         let attempt = self.attempts.entry(request.0).or_default();
         let (index, reads, now) = (AttemptIndex(*attempt), worker.0.starts_with('r'), self.now);
         *attempt += 1;
-        let this = *self.open.get(&request.0).expect("sent while its client waits");
+        let this = *self
+            .open
+            .get(&request.0)
+            .expect("sent while its client waits");
         let done = self.takes(this, &worker, reads);
         let host = &self.hosts[&worker];
         let waiting = host.busy_until.saturating_sub(now) as f64 / READ_TOKEN;
         let share = host.streams.len() as f64 / self.slots as f64;
-        let told = Report { memory_share: Some(share), tokens_waiting: Some(waiting), ..Report::default() };
+        let told = Report {
+            memory_share: Some(share),
+            tokens_waiting: Some(waiting),
+            ..Report::default()
+        };
         let report = self.reports.then_some(told);
         let end = |at, outcome, kept| {
             let (settled, elapsed) = (outcome == Outcome::Served, at - now);
             let report = report.filter(|_| outcome != Outcome::NoAnswer);
-            (at, Event::Ended(Ended { request, attempt: index, outcome, elapsed, settled, kept, report }))
+            (
+                at,
+                Event::Ended(Ended {
+                    request,
+                    attempt: index,
+                    outcome,
+                    elapsed,
+                    settled,
+                    kept,
+                    report,
+                }),
+            )
         };
         let limit = now + timeout.unwrap_or(TRY);
         let events = match done {
@@ -270,7 +341,11 @@
             Some((at, kept)) if reads => vec![end(at, Outcome::Read, kept)],
             Some((at, _)) => {
                 let turn = &self.sessions[this.session].turns[this.turn];
-                let started = Event::Started { request, attempt: index, elapsed: at - now };
+                let started = Event::Started {
+                    request,
+                    attempt: index,
+                    elapsed: at - now,
+                };
                 vec![(at, started), end(at + turn.stream, Outcome::Served, 0)]
             }
         };
@@ -283,10 +358,21 @@
     fn play(routers: u32, load: f64, reports: Reports, flat: Micros, seed: u64) -> Day {
         let mut random = Random(seed);
         let extra = (SESSIONS as f64 * (BURST.end - BURST.start) / 2.0) as usize;
-        let sessions: Vec<Session> = (0..SESSIONS + extra).map(|_| Session::new(&mut random)).collect();
+        let sessions: Vec<Session> = (0..SESSIONS + extra)
+            .map(|_| Session::new(&mut random))
+            .collect();
         let work: Micros = sessions[..SESSIONS].iter().map(Session::work).sum();
-        let streams: Micros = sessions[..SESSIONS].iter().flat_map(|s| &s.turns).map(|t| t.stream).sum();
-        let policy = |i| Policy::new(settings(i, routers, reports, flat), u64::from(i) * 7_919 + 1);
+        let streams: Micros = sessions[..SESSIONS]
+            .iter()
+            .flat_map(|s| &s.turns)
+            .map(|t| t.stream)
+            .sum();
+        let policy = |i| {
+            Policy::new(
+                settings(i, routers, reports, flat),
+                u64::from(i) * 7_919 + 1,
+            )
+        };
         let entry = |(role, i): (&str, u64)| Entry {
             worker: WorkerId(Arc::from(format!("{role}{i}"))),
             zone: "z".into(),
@@ -296,7 +382,9 @@
             weight: 1.0,
             started: None,
         };
-        let workers = ["r", "w"].into_iter().flat_map(|role| (0..WORKERS).map(move |i| (role, i)));
+        let workers = ["r", "w"]
+            .into_iter()
+            .flat_map(|role| (0..WORKERS).map(move |i| (role, i)));
         let entries: Vec<Entry> = workers.map(entry).collect();
         let mut day = Day {
             now: BEGIN,
@@ -304,7 +392,10 @@
             agenda: Agenda::new(),
             policies: (0..routers).map(policy).collect(),
             reports: reports == Reports::Answers,
-            hosts: entries.iter().map(|e| (e.worker.clone(), Host::default())).collect(),
+            hosts: entries
+                .iter()
+                .map(|e| (e.worker.clone(), Host::default()))
+                .collect(),
             slots: (streams as f64 / work as f64 * WRITERS_SPARE).ceil() as usize,
             sessions,
             open: BTreeMap::new(),
@@ -312,7 +403,16 @@
         };
         for router in 0..routers as usize {
             let entries = entries.clone();
-            day.agenda.enter(BEGIN, Next::Event(router, Event::List { kind: ListKind::Full, entries }));
+            day.agenda.enter(
+                BEGIN,
+                Next::Event(
+                    router,
+                    Event::List {
+                        kind: ListKind::Full,
+                        entries,
+                    },
+                ),
+            );
         }
         let length = work as f64 / (load * WORKERS as f64);
         for session in 0..SESSIONS + extra {
@@ -320,7 +420,15 @@
             let burst = BURST.start + part * (BURST.end - BURST.start);
             let part = if session < SESSIONS { part } else { burst };
             let first = BEGIN + 1 + (part * length) as Micros;
-            day.agenda.enter(first, Next::Arrives(Try { session, turn: 0, count: 1, first }));
+            day.agenda.enter(
+                first,
+                Next::Arrives(Try {
+                    session,
+                    turn: 0,
+                    count: 1,
+                    first,
+                }),
+            );
         }
         day.run();
         day
@@ -343,17 +451,29 @@
                 }
             }
         }
-        assert!(self.open.is_empty(), "requests without an end: {}", self.open.len());
+        assert!(
+            self.open.is_empty(),
+            "requests without an end: {}",
+            self.open.len()
+        );
     }
 
     fn figures(&self, class: usize) -> Figures {
         let sessions: Vec<&Session> = self.sessions.iter().filter(|s| s.class == class).collect();
         let mut turns: Vec<&Turn> = sessions.iter().flat_map(|s| &s.turns).collect();
         turns.sort_by_key(|t| Reverse(t.prompt));
-        let share = |turns: &[&Turn]| turns.iter().filter(|t| t.answered).count() as f64 / turns.len() as f64;
+        let share = |turns: &[&Turn]| {
+            turns.iter().filter(|t| t.answered).count() as f64 / turns.len() as f64
+        };
         let (all, tenth) = (share(&turns), turns.len() / 10);
-        let shut_out = sessions.iter().filter(|s| s.turns.iter().all(|t| !t.answered)).count() as f64;
-        let chance: f64 = sessions.iter().map(|s| (1.0 - all).powi(s.turns.len() as i32)).sum();
+        let shut_out = sessions
+            .iter()
+            .filter(|s| s.turns.iter().all(|t| !t.answered))
+            .count() as f64;
+        let chance: f64 = sessions
+            .iter()
+            .map(|s| (1.0 - all).powi(s.turns.len() as i32))
+            .sum();
         Figures {
             all,
             longest: share(&turns[..tenth]),
@@ -376,7 +496,10 @@
 #[case(100, 1.2, Reports::None)]
 #[case(100, 1.2, Reports::Answers)]
 fn refusals_fall_on_all_alike(#[case] routers: u32, #[case] load: f64, #[case] reports: Reports) {
-    check(&Day::play(routers, load, reports, 2 * SECOND, 1), load < 1.0);
+    check(
+        &Day::play(routers, load, reports, 2 * SECOND, 1),
+        load < 1.0,
+    );
 }
 
 /// Guards against long prompts that only an idle reader would take: their own reads are most of a flat aim, or more.
@@ -385,14 +508,23 @@
 #[case(4, 4)]
 #[case(100, 4)]
 fn a_tight_aim_does_not_shut_out_the_longest(#[case] routers: u32, #[case] seed: u64) {
-    check(&Day::play(routers, 0.5, Reports::Answers, SECOND, seed), true);
+    check(
+        &Day::play(routers, 0.5, Reports::Answers, SECOND, seed),
+        true,
+    );
 }
 
 fn check(day: &Day, quiet: bool) {
     for (class, name) in CLASSES.into_iter().enumerate() {
         let f = day.figures(class);
-        println!("{} routers, quiet: {quiet}, {name}: {f:.2?}", day.policies.len());
-        assert!((4.0..8.0).contains(&f.spread), "not the intended prompts: {f:.2?}");
+        println!(
+            "{} routers, quiet: {quiet}, {name}: {f:.2?}",
+            day.policies.len()
+        );
+        assert!(
+            (4.0..8.0).contains(&f.spread),
+            "not the intended prompts: {f:.2?}"
+        );
         let least = f.all * if quiet { 2.0 / 3.0 } else { 0.5 };
         assert!(f.longest >= least && f.next >= least, "{name}: {f:.2?}");
         assert!(!quiet || f.shut_out <= 0.12, "{name}: {f:.2?}");
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -42,19 +42,28 @@
     fn new(size: usize, more: &str) -> Fleet {
         static NUMBER: AtomicU32 = AtomicU32::new(0);
         let number = NUMBER.fetch_add(1, Ordering::Relaxed);
-        let folder = std::env::temp_dir().join(format!("whinhaven-fleet-{}-{number}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("whinhaven-fleet-{}-{number}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         std::fs::write(folder.join("key"), KEY).unwrap();
         // Addresses of this fleet's own. A port that was free a moment ago is soon free for another member as well.
         let (process, block) = (std::process::id(), number as usize * 8);
         let address = |i: usize| {
-            let host = [127, 70 + (process / 256 % 30) as u8, (process % 256) as u8, (block + i + 1) as u8];
+            let host = [
+                127,
+                70 + (process / 256 % 30) as u8,
+                (process % 256) as u8,
+                (block + i + 1) as u8,
+            ];
             SocketAddr::from((host, 7100))
         };
         let peers: Vec<SocketAddr> = (0..size).map(address).collect();
         let names: Vec<String> = (1..=size).map(|i| format!("\"c{i}\"")).collect();
-        let all: Vec<String> =
-            peers.iter().enumerate().map(|(i, p)| format!("c{} = \"{p}\"", i + 1)).collect();
+        let all: Vec<String> = peers
+            .iter()
+            .enumerate()
+            .map(|(i, p)| format!("c{} = \"{p}\"", i + 1))
+            .collect();
         let member = |(i, peer): (usize, &SocketAddr)| {
             let tables = format!(
                 "---\n[fleet]\nname = \"c{0}\"\nsite = \"here\"\npeer = \"{peer}\"\nkey_file = \"key\"\n\
@@ -70,11 +79,21 @@
             let host = Peer::nobody();
             let file = folder.join(format!("c{}.toml", i + 1));
             std::fs::write(&file, operator_file(&[host], &[host], &tables)).unwrap();
-            Member { file, peer: *peer, child: None }
+            Member {
+                file,
+                peer: *peer,
+                child: None,
+            }
         };
         let members = peers.iter().enumerate().map(member).collect();
         let (told, lines) = mpsc::channel();
-        Fleet { folder, members, lines, told, listens: RefCell::default() }
+        Fleet {
+            folder,
+            members,
+            lines,
+            told,
+            listens: RefCell::default(),
+        }
     }
 
     fn start(&mut self, at: usize) {
@@ -83,18 +102,27 @@
 
     fn start_by(&mut self, at: usize, mut command: Command) {
         let file = &self.members[at].file;
-        command.args(["--log-format", "json", "serve"]).arg(file).env_remove("RUST_LOG");
+        command
+            .args(["--log-format", "json", "serve"])
+            .arg(file)
+            .env_remove("RUST_LOG");
         let mut child = command.stderr(Stdio::piped()).spawn().unwrap();
-        let (stderr, told) = (BufReader::new(child.stderr.take().unwrap()), self.told.clone());
+        let (stderr, told) = (
+            BufReader::new(child.stderr.take().unwrap()),
+            self.told.clone(),
+        );
         std::thread::spawn(move || {
-            stderr.lines().map_while(Result::ok).all(|line| match serde_json::from_str(&line) {
-                Ok(value) => told.send((at, value)).is_ok(),
-                // Why it could not start: without it a story only sees that nothing comes.
-                Err(_) => {
-                    eprintln!("{line}");
-                    true
-                }
-            })
+            stderr
+                .lines()
+                .map_while(Result::ok)
+                .all(|line| match serde_json::from_str(&line) {
+                    Ok(value) => told.send((at, value)).is_ok(),
+                    // Why it could not start: without it a story only sees that nothing comes.
+                    Err(_) => {
+                        eprintln!("{line}");
+                        true
+                    }
+                })
         });
         self.members[at].child = Some(child);
     }
@@ -102,8 +130,14 @@
     /// The next line of the histories that is wanted.
     fn wait(&self, wanted: impl Fn(usize, &Value) -> bool) -> (usize, Value) {
         loop {
-            let (at, line) = self.lines.recv_timeout(4 * STUCK).expect("the history falls silent");
-            if let Some((_, serves)) = line["message"].as_str().and_then(|m| m.split_once(" serves on ")) {
+            let (at, line) = self
+                .lines
+                .recv_timeout(4 * STUCK)
+                .expect("the history falls silent");
+            if let Some((_, serves)) = line["message"]
+                .as_str()
+                .and_then(|m| m.split_once(" serves on "))
+            {
                 let address = serves.split(',').next().unwrap().parse().unwrap();
                 self.listens.borrow_mut().insert(at, address);
             }
@@ -115,7 +149,13 @@
 
     fn signal(&self, at: usize, name: &str) {
         let pid = self.members[at].child.as_ref().unwrap().id().to_string();
-        assert!(Command::new("kill").args([name, &pid]).status().unwrap().success());
+        assert!(
+            Command::new("kill")
+                .args([name, &pid])
+                .status()
+                .unwrap()
+                .success()
+        );
     }
 
     fn kill(&mut self, at: usize) {
@@ -126,7 +166,11 @@
 
     fn status(&self, at: usize) -> Output {
         let mut command = Command::new(env!("CARGO_BIN_EXE_whinhaven"));
-        command.args(["fleet", "status", "--json"]).arg(&self.members[at].file).output().unwrap()
+        command
+            .args(["fleet", "status", "--json"])
+            .arg(&self.members[at].file)
+            .output()
+            .unwrap()
     }
 
     /// Starts all, and waits until somebody acts under the duty's lease and all may act. Who, and under which token.
@@ -162,16 +206,26 @@
 }
 
 fn number(line: &Value, field: &str) -> u64 {
-    line[field].as_u64().unwrap_or_else(|| panic!("no {field} in {line}"))
+    line[field]
+        .as_u64()
+        .unwrap_or_else(|| panic!("no {field} in {line}"))
 }
 
 #[test]
 fn a_lease_moves_when_its_holder_is_killed_and_the_killed_comes_back_from_its_disk() {
     let mut fleet = Fleet::new(3, "");
     let (holder, token) = fleet.settle();
-    let status = |fleet: &Fleet| -> Value { serde_json::from_slice(&fleet.status(holder).stdout).unwrap() };
+    let status =
+        |fleet: &Fleet| -> Value { serde_json::from_slice(&fleet.status(holder).stdout).unwrap() };
     let alive = |m: &&Value| m["status"] == "alive";
-    while status(&fleet)["members"].as_array().unwrap().iter().filter(alive).count() < 3 {
+    while status(&fleet)["members"]
+        .as_array()
+        .unwrap()
+        .iter()
+        .filter(alive)
+        .count()
+        < 3
+    {
         // One of the histories goes on: time has passed.
         fleet.wait(|_, l| event(l, "lease.renewed"));
     }
@@ -184,14 +238,21 @@
         move |_: usize, l: &Value| event(l, "view.change") && l["peer"] == *name && l["to"] == to
     };
     fleet.wait(of("suspect"));
-    let (next, act) =
-        fleet.wait(|_, l| event(l, "lease.act") && l["lease"] == DUTY && number(l, "token") > token);
+    let (next, act) = fleet
+        .wait(|_, l| event(l, "lease.act") && l["lease"] == DUTY && number(l, "token") > token);
     assert_ne!(next, holder);
     assert!(number(&act, "token") > token);
     // Its own conductor is down: a peer of its file answers.
     let status: Value = serde_json::from_slice(&fleet.status(holder).stdout).unwrap();
     assert_ne!(status["me"]["name"], *name);
-    let lease = |name: &str| status["leases"].as_array().unwrap().iter().find(|l| l["name"] == name).cloned();
+    let lease = |name: &str| {
+        status["leases"]
+            .as_array()
+            .unwrap()
+            .iter()
+            .find(|l| l["name"] == name)
+            .cloned()
+    };
     assert!(lease(DUTY).is_none_or(|l| l["holder"]["name"] != *name));
     fleet.start(holder);
     let (_, start) = fleet.wait(|at, l| at == holder && event(l, "fleet.start"));
@@ -201,7 +262,15 @@
     fleet.signal(next, "-TERM");
     let name = format!("c{}", next + 1);
     fleet.wait(|_, l| event(l, "view.change") && l["peer"] == *name && l["to"] == "left");
-    assert!(fleet.members[next].child.take().unwrap().wait().unwrap().success());
+    assert!(
+        fleet.members[next]
+            .child
+            .take()
+            .unwrap()
+            .wait()
+            .unwrap()
+            .success()
+    );
 }
 
 #[test]
@@ -209,7 +278,8 @@
     let mut fleet = Fleet::new(3, "");
     let (holder, token) = fleet.settle();
     fleet.signal(holder, "-STOP");
-    let next = |at: usize, l: &Value| at != holder && event(l, "lease.act") && number(l, "token") > token;
+    let next =
+        |at: usize, l: &Value| at != holder && event(l, "lease.act") && number(l, "token") > token;
     let (_, act) = fleet.wait(next);
     let moved = number(&act, "at_us");
     fleet.signal(holder, "-CONT");
@@ -232,11 +302,18 @@
     let store = |fleet: &Fleet| {
         let status: Value = serde_json::from_slice(&fleet.status(0).stdout).unwrap();
         let voters = status["voters"].as_array().unwrap().clone();
-        voters.iter().find(|v| v["name"] == "c3").map(|v| number(v, "store"))
+        voters
+            .iter()
+            .find(|v| v["name"] == "c3")
+            .map(|v| number(v, "store"))
     };
     let before = store(&fleet).unwrap();
-    let commit =
-        |fleet: &Fleet| number(&serde_json::from_slice::<Value>(&fleet.status(0).stdout).unwrap(), "commit");
+    let commit = |fleet: &Fleet| {
+        number(
+            &serde_json::from_slice::<Value>(&fleet.status(0).stdout).unwrap(),
+            "commit",
+        )
+    };
     while commit(&fleet) < 24 {
         fleet.wait(|_, l| event(l, "lease.renewed"));
     }
@@ -260,7 +337,10 @@
 #[rstest]
 #[case::refuse("", 503)]
 #[case::serve("when_cut_off = \"serve\"", 502)]
-fn a_conductor_cut_off_from_the_majority_does_what_its_file_says(#[case] more: &str, #[case] status: u16) {
+fn a_conductor_cut_off_from_the_majority_does_what_its_file_says(
+    #[case] more: &str,
+    #[case] status: u16,
+) {
     let mut fleet = Fleet::new(3, more);
     fleet.settle();
     fleet.kill(1);
@@ -286,7 +366,10 @@
     fleet.settle();
     let peer = fleet.members[0].peer;
     let bounds = Bounds::default();
-    let me = Who { name: MemberName::try_from("c7").unwrap(), incarnation: Incarnation(7) };
+    let me = Who {
+        name: MemberName::try_from("c7").unwrap(),
+        incarnation: Incarnation(7),
+    };
     let to = MemberName::try_from("c1").unwrap();
     let sealer = |key| Sealer::new(me.clone(), Keys::parse(key).unwrap(), &bounds);
     let forged = sealer(OTHER_KEY).seal(&to, 1, b"x").unwrap();
@@ -295,7 +378,15 @@
     let mut garbled = sealed.clone();
     garbled[30] ^= 1;
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
-    for frame in [&forged, &garbled, &sealed, &sealed, &elsewhere, &b"hello".to_vec(), &vec![1; 3000]] {
+    for frame in [
+        &forged,
+        &garbled,
+        &sealed,
+        &sealed,
+        &elsewhere,
+        &b"hello".to_vec(),
+        &vec![1; 3000],
+    ] {
         socket.send_to(frame, peer).unwrap();
     }
     // A connection that speaks something else is closed, and one that says nothing makes room for others.
@@ -304,23 +395,33 @@
     stream.set_read_timeout(Some(STUCK)).unwrap();
     stream.write_all(b"GET / HTTP/1.1\r\n\r\n").unwrap();
     let _ = stream.read_to_end(&mut Vec::new());
-    let refused =
-        |source: &'static str| move |_: usize, l: &Value| event(l, "fleet.refused") && l["peer"] == source;
+    let refused = |source: &'static str| {
+        move |_: usize, l: &Value| event(l, "fleet.refused") && l["peer"] == source
+    };
     fleet.wait(refused("127.0.0.1"));
     // Someone without the key learns nothing, and is told so in one line.
     std::fs::write(fleet.folder.join("key"), OTHER_KEY).unwrap();
     let done = fleet.status(0);
     let error = String::from_utf8(done.stderr).unwrap();
     assert!(
-        done.status.code() == Some(1) && error.lines().count() == 1 && error.contains("not the same key"),
+        done.status.code() == Some(1)
+            && error.lines().count() == 1
+            && error.contains("not the same key"),
         "{error}"
     );
     std::fs::write(fleet.folder.join("key"), KEY).unwrap();
     drop(silent);
     let status: Value = serde_json::from_slice(&fleet.status(0).stdout).unwrap();
-    assert_eq!((status["members"].as_array().unwrap().len(), &status["life"]), (1, &Value::from("acting")));
+    assert_eq!(
+        (status["members"].as_array().unwrap().len(), &status["life"]),
+        (1, &Value::from("acting"))
+    );
     fleet.signal(0, "-USR1");
-    let (_, line) = fleet.wait(|_, l| l["message"].as_str().is_some_and(|m| m.starts_with("fleet counters")));
+    let (_, line) = fleet.wait(|_, l| {
+        l["message"]
+            .as_str()
+            .is_some_and(|m| m.starts_with("fleet counters"))
+    });
     let counters = Counters(line["message"].as_str().unwrap().to_owned());
     let count = |name: &str| counters.get(name);
     let reasons = ["refused_payload", "refused_replay", "refused_receiver"].map(count);
@@ -328,7 +429,9 @@
     // One forged, one garbled, and the administrator without the key.
     assert_eq!(count("refused_mac"), 3, "{line}");
     assert!(
-        count("refused_version") >= 1 && count("refused_too_long") >= 2 && count("peers_unproven") >= 12,
+        count("refused_version") >= 1
+            && count("refused_too_long") >= 2
+            && count("peers_unproven") >= 12,
         "{line}"
     );
 }
@@ -339,8 +442,9 @@
     let mut fleet = Fleet::new(1, "");
     // Snapshots would make room again and again.
     let file = fleet.members[0].file.clone();
-    let text =
-        std::fs::read_to_string(&file).unwrap().replace("snapshot_after = 8", "snapshot_after = 1000000");
+    let text = std::fs::read_to_string(&file)
+        .unwrap()
+        .replace("snapshot_after = 8", "snapshot_after = 1000000");
     std::fs::write(&file, text).unwrap();
     let mut limited = Command::new("bash");
     let limit = "trap '' XFSZ; ulimit -f 6; exec \"$0\" \"$@\"";
@@ -351,11 +455,23 @@
     assert_eq!(stop["cause"], "store", "{stop}");
     let done = fleet.status(0);
     let error = String::from_utf8(done.stderr).unwrap();
-    assert!(error.lines().count() == 1 && error.contains("the store failed"), "{error}");
+    assert!(
+        error.lines().count() == 1 && error.contains("the store failed"),
+        "{error}"
+    );
     // It may be stopped in order all the same.
     fleet.signal(0, "-TERM");
-    assert!(fleet.members[0].child.take().unwrap().wait().unwrap().success());
-    let quiet =
-        |line: Result<(usize, Value), _>| line.is_ok_and(|(_, l): (usize, Value)| event(&l, "lease.act"));
+    assert!(
+        fleet.members[0]
+            .child
+            .take()
+            .unwrap()
+            .wait()
+            .unwrap()
+            .success()
+    );
+    let quiet = |line: Result<(usize, Value), _>| {
+        line.is_ok_and(|(_, l): (usize, Value)| event(&l, "lease.act"))
+    };
     assert!(!quiet(fleet.lines.recv_timeout(Duration::from_millis(1))));
 }
--- a/tests/fleet_state.rs
+++ b/tests/fleet_state.rs
@@ -4,11 +4,18 @@
 use proptest::test_runner::RngSeed;
 use std::collections::BTreeMap;
 use whinhaven::fleet::lease::{self, LIFE, What};
-use whinhaven::fleet::state::{Answer, Bounds, Command, Effect, FleetState, Origin, Proposal, Refusal};
+use whinhaven::fleet::state::{
+    Answer, Bounds, Command, Effect, FleetState, Origin, Proposal, Refusal,
+};
 use whinhaven::fleet::{Incarnation, Index, LeaseName, MemberName, Token, Who};
 
 fn bounds() -> Bounds {
-    Bounds { most_members: 3, most_leases: 4, most_waiters: 2, most_granted_for_ms: 1_000 }
+    Bounds {
+        most_members: 3,
+        most_leases: 4,
+        most_waiters: 2,
+        most_granted_for_ms: 1_000,
+    }
 }
 
 fn proposal() -> impl Strategy<Value = Proposal> {
@@ -17,16 +24,30 @@
         let name = LeaseName::try_from(name).unwrap();
         let token = Token(token);
         match kind {
-            0 => lease::Command::Acquire { name, granted_for_ms: more * 400 },
+            0 => lease::Command::Acquire {
+                name,
+                granted_for_ms: more * 400,
+            },
             1 => lease::Command::Renew { name, token },
             2 => lease::Command::Release { name },
-            _ => lease::Command::Expire { name, token, renewals: more },
+            _ => lease::Command::Expire {
+                name,
+                token,
+                renewals: more,
+            },
         }
     });
     let who = (prop::sample::select(vec!["a", "b", "c", "d"]), 1..4u64);
     (who, 1..30u64, 0..30u64, command).prop_map(|((name, life), seq, settled, command)| {
-        let who = Who { name: MemberName::try_from(name).unwrap(), incarnation: Incarnation(life) };
-        Proposal { origin: Origin { who, seq }, settled, command: Command::Lease(command) }
+        let who = Who {
+            name: MemberName::try_from(name).unwrap(),
+            incarnation: Incarnation(life),
+        };
+        Proposal {
+            origin: Origin { who, seq },
+            settled,
+            command: Command::Lease(command),
+        }
     })
 }
 
@@ -89,15 +110,28 @@
 fn an_older_life_proposes_nothing_once_a_later_one_has() {
     let mut state = FleetState::new();
     let mut answer = |index, incarnation, seq| {
-        let who = Who { name: MemberName::try_from("a").unwrap(), incarnation: Incarnation(incarnation) };
-        let command = lease::Command::Acquire { name: lease::life(&who.name).unwrap(), granted_for_ms: 500 };
-        let proposal = Proposal { origin: Origin { who, seq }, settled: 0, command: Command::Lease(command) };
+        let who = Who {
+            name: MemberName::try_from("a").unwrap(),
+            incarnation: Incarnation(incarnation),
+        };
+        let command = lease::Command::Acquire {
+            name: lease::life(&who.name).unwrap(),
+            granted_for_ms: 500,
+        };
+        let proposal = Proposal {
+            origin: Origin { who, seq },
+            settled: 0,
+            command: Command::Lease(command),
+        };
         let mut out = Vec::new();
         state.apply(Index(index), proposal, &mut out);
         out.pop()
     };
     let is = |effect: Option<Effect>, expected| matches!(effect, Some(Effect::Answered { answer, .. }) if answer == expected);
-    assert!(is(answer(1, 7, 1), Answer::Lease(lease::Outcome::Held(Token(1)))));
+    assert!(is(
+        answer(1, 7, 1),
+        Answer::Lease(lease::Outcome::Held(Token(1)))
+    ));
     assert!(is(answer(2, 8, 1), Answer::Lease(lease::Outcome::Waiting)));
     assert!(is(answer(3, 7, 2), Answer::Refused(Refusal::OldLife)));
 }
--- a/tests/held.rs
+++ b/tests/held.rs
@@ -56,7 +56,9 @@
         let (mut all, now) = (self.held.borrow_mut(), self.core.clock.now());
         let held = all.entry(id.to_owned()).or_default();
         if held.some && held.out == 0 && now > held.since + RELEASE + SLACK {
-            self.broken.borrow_mut().push(format!("{id}: held for {} ms", (now - held.since) / MS));
+            self.broken
+                .borrow_mut()
+                .push(format!("{id}: held for {} ms", (now - held.since) / MS));
             held.some = false;
         }
         change(held);
@@ -67,8 +69,10 @@
         if let Some(releasing) = &attempt.after {
             let _ = timeout(Duration::from_millis(250), releasing.over()).await;
         }
-        let by =
-            attempt.permit.connect_by().map_or(250 * MS, |by| by.saturating_sub(clock.now()).min(250 * MS));
+        let by = attempt
+            .permit
+            .connect_by()
+            .map_or(250 * MS, |by| by.saturating_sub(clock.now()).min(250 * MS));
         if self.draw(10) < self.silent {
             sleep(Duration::from_micros(by)).await;
             return Outcome::NoConnection;
@@ -108,7 +112,11 @@
         if outcome == Outcome::Served {
             let (source, feed) = feed(None);
             self.look(&id, |held| held.some = false);
-            self.core.tell(Input::First { request: attempt.request, attempt: attempt.attempt, feed });
+            self.core.tell(Input::First {
+                request: attempt.request,
+                attempt: attempt.attempt,
+                feed,
+            });
             let _ = source.frames.send(Frame::End).await;
         }
         let now = clock.now();
@@ -130,7 +138,13 @@
         tokio::task::spawn_local(async move {
             let outcome = world.attempt(&mut attempt).await;
             let (request, attempt) = (attempt.request, attempt.attempt);
-            world.core.tell(Input::Ended { request, attempt, outcome, kept: 0, report: None });
+            world.core.tell(Input::Ended {
+                request,
+                attempt,
+                outcome,
+                kept: 0,
+                report: None,
+            });
         });
     }
 
@@ -155,7 +169,11 @@
 }
 
 fn settings() -> Settings {
-    let kind = |name: &str, role| Kind { name: name.into(), role, memory_tokens: Some(150_000) };
+    let kind = |name: &str, role| Kind {
+        name: name.into(),
+        role,
+        memory_tokens: Some(150_000),
+    };
     let class = |name: &str, effect| Class {
         name: name.into(),
         effect,
@@ -169,7 +187,10 @@
         routers: 20,
         zone: "a".into(),
         kinds: vec![kind("r", Role::Reader), kind("w", Role::Writer)],
-        classes: vec![class("explain", Effect::Safe), class("send", Effect::Unsafe)],
+        classes: vec![
+            class("explain", Effect::Safe),
+            class("send", Effect::Unsafe),
+        ],
         max_attempts: 6,
         may_drop: true,
         connect_timeout: 250 * MS,
@@ -215,7 +236,13 @@
             releases: Cell::new(0),
             served: Cell::new(0),
         });
-        let driver = Core::new(settings(), seed, clock, Rc::new(Hosts(world.clone())), Rc::default());
+        let driver = Core::new(
+            settings(),
+            seed,
+            clock,
+            Rc::new(Hosts(world.clone())),
+            Rc::default(),
+        );
         let run = async {
             tokio::task::spawn_local(driver.run(queue));
             let entries = (0..6).map(|i| Entry {
@@ -227,7 +254,10 @@
                 weight: 1.0,
                 started: None,
             });
-            core.tell(Input::List { kind: ListKind::Full, entries: entries.collect() });
+            core.tell(Input::List {
+                kind: ListKind::Full,
+                entries: entries.collect(),
+            });
             for i in 0..40 {
                 let ask = Ask {
                     request: RequestId(0),
@@ -238,16 +268,31 @@
                     prompt_tokens: 2_000,
                     max_tokens: 300,
                     hint: None,
-                    class: if world.draw(2) == 0 { "explain".into() } else { "send".into() },
+                    class: if world.draw(2) == 0 {
+                        "explain".into()
+                    } else {
+                        "send".into()
+                    },
                     tenant: None,
                 };
                 let (id, target, body) = (format!("{seed}-{i}"), String::new(), Bytes::new());
                 let server = core.ask(
                     ask,
-                    Call { id, target, headers: hyper::HeaderMap::new(), body, keeps: None, name: None },
+                    Call {
+                        id,
+                        target,
+                        headers: hyper::HeaderMap::new(),
+                        body,
+                        keeps: None,
+                        name: None,
+                    },
                 );
                 // Some clients leave early.
-                let patience = if world.draw(8) == 0 { 100 + world.draw(900) } else { 20_000 };
+                let patience = if world.draw(8) == 0 {
+                    100 + world.draw(900)
+                } else {
+                    20_000
+                };
                 let served = world.clone();
                 tokio::task::spawn_local(async move {
                     let answered = timeout(Duration::from_millis(patience), server.answer()).await;
@@ -263,8 +308,18 @@
         local.run_until(run).await;
         let ids: Vec<String> = world.held.borrow().keys().cloned().collect();
         ids.iter().for_each(|id| world.look(id, |_| {}));
-        assert!(world.broken.borrow().is_empty(), "seed {seed}: {:?}", world.broken.borrow());
-        totals = [totals[0] + world.releases.get(), totals[1] + world.served.get()];
+        assert!(
+            world.broken.borrow().is_empty(),
+            "seed {seed}: {:?}",
+            world.broken.borrow()
+        );
+        totals = [
+            totals[0] + world.releases.get(),
+            totals[1] + world.served.get(),
+        ];
     }
-    assert!(totals.iter().all(|n| *n > 200), "too little happened: {totals:?}");
+    assert!(
+        totals.iter().all(|n| *n > 200),
+        "too little happened: {totals:?}"
+    );
 }
--- a/tests/import.rs
+++ b/tests/import.rs
@@ -11,7 +11,10 @@
     let number = NUMBER.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
     let file = std::env::temp_dir().join(format!("haproxy-{}-{number}.cfg", std::process::id()));
     std::fs::write(&file, text).unwrap();
-    let done = Command::new(env!("CARGO_BIN_EXE_whinhaven")).args(["import", "haproxy"]).arg(&file).output();
+    let done = Command::new(env!("CARGO_BIN_EXE_whinhaven"))
+        .args(["import", "haproxy"])
+        .arg(&file)
+        .output();
     std::fs::remove_file(&file).unwrap();
     done.unwrap()
 }
@@ -37,10 +40,18 @@
         host.address,
     );
     let done = import(&text);
-    let (file, told) = (String::from_utf8(done.stdout).unwrap(), String::from_utf8(done.stderr).unwrap());
+    let (file, told) = (
+        String::from_utf8(done.stdout).unwrap(),
+        String::from_utf8(done.stderr).unwrap(),
+    );
     assert!(done.status.success(), "{told}");
-    for left in ["line 4", "line 10", "line 16", "line 19", "line 20", "line 23"] {
-        assert!(told.contains(left) && file.contains(&format!("# {left},")), "{left}: {told}\n{file}");
+    for left in [
+        "line 4", "line 10", "line 16", "line 19", "line 20", "line 23",
+    ] {
+        assert!(
+            told.contains(left) && file.contains(&format!("# {left},")),
+            "{left}: {told}\n{file}"
+        );
     }
     for carried in [
         "connect_timeout_us = 150000",
@@ -65,7 +76,10 @@
 #[case::port("listen a\n  bind 127.0.0.1:99999\n", "line 2")]
 #[case::no_port("listen a\n  bind 127.0.0.1\n", "line 2")]
 #[case::server("listen a\n  bind 127.0.0.1:1\n  server s\n", "line 3")]
-#[case::weight("listen a\n  bind 127.0.0.1:1\n  server s 127.0.0.1:2 weight\n", "line 3")]
+#[case::weight(
+    "listen a\n  bind 127.0.0.1:1\n  server s 127.0.0.1:2 weight\n",
+    "line 3"
+)]
 #[case::twice("backend a\nbackend a\n", "line 2")]
 #[case::backend("frontend a\n  bind 127.0.0.1:1\n  default_backend b\n", "line 3")]
 #[case::no_name("frontend\n", "line 1")]
@@ -76,7 +90,10 @@
     let done = import(text);
     let error = String::from_utf8(done.stderr).unwrap();
     assert!(!done.status.success() && done.stdout.is_empty());
-    assert!(error.lines().count() == 1 && error.contains(&format!("{place}:")), "{error}");
+    assert!(
+        error.lines().count() == 1 && error.contains(&format!("{place}:")),
+        "{error}"
+    );
 }
 
 #[test]
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -10,9 +10,14 @@
 /// The files that the deploy file names under `policy`.
 fn policy_files() -> Vec<String> {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
-    let deploy: toml::Table = fs::read_to_string(root.join("deploy/balancer.toml")).unwrap().parse().unwrap();
+    let deploy: toml::Table = fs::read_to_string(root.join("deploy/balancer.toml"))
+        .unwrap()
+        .parse()
+        .unwrap();
     let names = deploy["policy"].as_array().unwrap().iter();
-    names.map(|name| name.as_str().unwrap().to_owned()).collect()
+    names
+        .map(|name| name.as_str().unwrap().to_owned())
+        .collect()
 }
 
 fn read(file: &str) -> String {
@@ -25,9 +30,16 @@
     for file in policy_files() {
         let text = read(&file);
         let lines = text.lines().filter(|l| !l.trim().is_empty()).count();
-        assert!(lines <= MOST_LINES, "{file}: {lines} lines that are not blank");
+        assert!(
+            lines <= MOST_LINES,
+            "{file}: {lines} lines that are not blank"
+        );
         for (i, line) in text.lines().enumerate() {
-            assert!(line.chars().count() <= WIDEST, "{file}: line {} is too wide", i + 1);
+            assert!(
+                line.chars().count() <= WIDEST,
+                "{file}: line {} is too wide",
+                i + 1
+            );
         }
     }
 }
@@ -40,7 +52,10 @@
     for entry in fs::read_dir(folder).unwrap() {
         let entry = entry.unwrap();
         if entry.file_type().unwrap().is_file() {
-            found.push(format!("src/policy/{}", entry.file_name().to_str().unwrap()));
+            found.push(format!(
+                "src/policy/{}",
+                entry.file_name().to_str().unwrap()
+            ));
         }
     }
     let mut named = policy_files();
@@ -51,5 +66,10 @@
 
 #[test]
 fn policy_names_its_interface_in_its_first_lines() {
-    assert!(read("src/policy.rs").lines().take(3).any(|l| l.contains("src/interface.rs")));
+    assert!(
+        read("src/policy.rs")
+            .lines()
+            .take(3)
+            .any(|l| l.contains("src/interface.rs"))
+    );
 }
--- a/tests/list_calls.rs
+++ b/tests/list_calls.rs
@@ -29,13 +29,19 @@
             connect_timeout: 250 * MS,
             ..Settings::default()
         };
-        Module { policy: Policy::new(settings, seed), timers: Vec::new() }
+        Module {
+            policy: Policy::new(settings, seed),
+            timers: Vec::new(),
+        }
     }
 
     /// Plays one round that begins with such news; when its calls are made, from then on.
     fn calls(&mut self, begun: Micros, kind: ListKind) -> Vec<Micros> {
         let (mut calls, mut now) = (Vec::new(), begun);
-        let mut event = Event::List { kind, entries: Vec::new() };
+        let mut event = Event::List {
+            kind,
+            entries: Vec::new(),
+        };
         loop {
             let mut out = Vec::new();
             self.policy.handle(now, event, &mut out);
@@ -63,7 +69,9 @@
     #[values(3, 30, 300)] routers: u32,
     #[values(ListKind::Saved, ListKind::Failed)] first: ListKind,
 ) {
-    let mut modules: Vec<Module> = (0..routers).map(|i| Module::new(routers, u64::from(i))).collect();
+    let mut modules: Vec<Module> = (0..routers)
+        .map(|i| Module::new(routers, u64::from(i)))
+        .collect();
     let mut at_once = 0;
     for round in 0..10 {
         let begun = 100 * SECOND + round * ROUND;
@@ -75,13 +83,29 @@
             calls.extend(own);
         }
         calls.sort_unstable();
-        let late = calls.iter().filter(|at| NOTICED + **at + ANSWERED > TOLD).count();
-        assert_eq!(late, 0, "round {round}: the last of {routers} calls after {} us", calls[calls.len() - 1]);
+        let late = calls
+            .iter()
+            .filter(|at| NOTICED + **at + ANSWERED > TOLD)
+            .count();
+        assert_eq!(
+            late,
+            0,
+            "round {round}: the last of {routers} calls after {} us",
+            calls[calls.len() - 1]
+        );
         // Calls within a tenth of a second, of all that there are.
-        let in_step = |at: &Micros| calls.iter().filter(|c| (*at..at + 100 * MS).contains(c)).count();
+        let in_step = |at: &Micros| {
+            calls
+                .iter()
+                .filter(|c| (*at..at + 100 * MS).contains(c))
+                .count()
+        };
         let most = calls.iter().map(in_step).max().unwrap_or(0);
         if routers > 3 {
-            assert!(most * 3 <= calls.len(), "round {round}: {most} of {routers} calls in step");
+            assert!(
+                most * 3 <= calls.len(),
+                "round {round}: {most} of {routers} calls in step"
+            );
         }
         at_once += usize::from(calls.last().map(|last| last - calls[0]) < Some(20 * MS));
     }
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -18,15 +18,23 @@
 const HALF_CALLS: usize = 48;
 
 /// A call with a body that is longer than any call's may be.
-const POST_50000: &[u8] = b"POST /ops/drain/start HTTP/1.1\r\nhost: a\r\ncontent-length: 50000\r\n\r\n";
+const POST_50000: &[u8] =
+    b"POST /ops/drain/start HTTP/1.1\r\nhost: a\r\ncontent-length: 50000\r\n\r\n";
 
 /// The figures by their names.
 fn stats(conductor: &Conductor) -> BTreeMap<String, u64> {
     let answer = conductor.call("GET", "/ops/stats");
     assert_eq!((answer.status(), answer.whole), (200, true));
     let pair = |line: &str| {
-        let (name, value) = line.split_once('=').unwrap_or_else(|| panic!("no figure: {line:?}"));
-        (name.to_owned(), value.parse().unwrap_or_else(|_| panic!("no number: {line:?}")))
+        let (name, value) = line
+            .split_once('=')
+            .unwrap_or_else(|| panic!("no figure: {line:?}"));
+        (
+            name.to_owned(),
+            value
+                .parse()
+                .unwrap_or_else(|_| panic!("no number: {line:?}")),
+        )
     };
     answer.text().lines().map(pair).collect()
 }
@@ -40,7 +48,10 @@
         if stats.get(figure) == Some(&value) {
             return stats;
         }
-        assert!(begun.elapsed() < STUCK, "{figure} never was {value}: {stats:#?}");
+        assert!(
+            begun.elapsed() < STUCK,
+            "{figure} never was {value}: {stats:#?}"
+        );
     }
 }
 
@@ -93,7 +104,9 @@
 
     let answers = |ids: &[&str], class: &str| -> Vec<(u16, bool)> {
         let answers = ids.iter().map(|id| conductor.ask(id, class));
-        answers.map(|answer| (answer.status(), answer.whole)).collect()
+        answers
+            .map(|answer| (answer.status(), answer.whole))
+            .collect()
     };
     assert_eq!(answers(&["ok-1", "ok-2", "ok-3"], "send"), [(200, true); 3]);
     assert_eq!(answers(&["ok-4"], "explain"), [(200, true)]);
@@ -110,13 +123,19 @@
     let stats = stats_once(&conductor, "conductor.bad_gateway.send", 3);
     let of = |name: &str| stats.get(&format!("conductor.{name}")).copied();
     assert_eq!([of("passed.send"), of("dropped.send")], [Some(3), Some(0)]);
-    assert_eq!([of("passed.explain"), of("bad_gateway.explain")], [Some(1), Some(0)]);
+    assert_eq!(
+        [of("passed.explain"), of("bad_gateway.explain")],
+        [Some(1), Some(0)]
+    );
     assert_eq!(of("dropped.explain"), Some(0));
     assert_eq!(of("upstream_tries"), Some(seen));
     assert_eq!(of("in_progress"), Some(0));
     assert_eq!(of("known_model_hosts"), Some(2));
     assert_eq!([of("loads"), of("load_errors")], [Some(0), Some(0)]);
-    assert!(!stats.keys().any(|name| name.contains("nobody")), "{stats:#?}");
+    assert!(
+        !stats.keys().any(|name| name.contains("nobody")),
+        "{stats:#?}"
+    );
 }
 
 /// Guards against tries that are counted by what was planned: one that is turned away and goes on elsewhere
@@ -166,7 +185,10 @@
     assert_eq!(stats(&conductor)["conductor.skipped_model_hosts"], 0);
     let begun = Instant::now();
     for number in 0.. {
-        assert!(begun.elapsed() < STUCK, "never skipped, after {number} requests");
+        assert!(
+            begun.elapsed() < STUCK,
+            "never skipped, after {number} requests"
+        );
         let _ = conductor.ask(&format!("error-{number}"), "send");
         if stats(&conductor)["conductor.skipped_model_hosts"] == 1 {
             break;
@@ -198,10 +220,18 @@
     let writer = Peer::start(write_by_id);
     let conductor = Conductor::start(&operator_file(&[reader.address], &[writer.address], DOOR));
     let mut leaves = conductor.connect();
-    leaves.write_all(request("leaves", "send", "hello").as_bytes()).unwrap();
+    leaves
+        .write_all(request("leaves", "send", "hello").as_bytes())
+        .unwrap();
     begins.recv_timeout(STUCK).unwrap();
     let mut half = conductor.connect();
-    half.write_all(request("half", "send", "hello").strip_suffix("lo").unwrap().as_bytes()).unwrap();
+    half.write_all(
+        request("half", "send", "hello")
+            .strip_suffix("lo")
+            .unwrap()
+            .as_bytes(),
+    )
+    .unwrap();
     stats_once(&conductor, "conductor.in_progress", 1);
     drop(leaves);
     stats_once(&conductor, "conductor.in_progress", 0);
@@ -225,7 +255,10 @@
     conductor.reload("");
     conductor.wait_for("the configuration held stands");
     let stats = stats(&conductor);
-    assert_eq!((stats["conductor.loads"], stats["conductor.load_errors"]), (1, 1));
+    assert_eq!(
+        (stats["conductor.loads"], stats["conductor.load_errors"]),
+        (1, 1)
+    );
 }
 
 #[rstest]
@@ -243,9 +276,17 @@
     let peer = Peer::reader();
     let conductor = Conductor::start(&operator_file(&[peer.address], &[peer.address], DOOR));
     let answer = conductor.call(method, path);
-    assert_eq!((answer.status(), answer.whole, answer.header("connection")), (status, true, Some("close")));
+    assert_eq!(
+        (answer.status(), answer.whole, answer.header("connection")),
+        (status, true, Some("close"))
+    );
     // What is asked of clients' requests isn't found at the clients' address.
-    assert_eq!(conductor.raw(b"GET /ops/stats HTTP/1.1\r\nhost: a\r\n\r\n").status(), 404);
+    assert_eq!(
+        conductor
+            .raw(b"GET /ops/stats HTTP/1.1\r\nhost: a\r\n\r\n")
+            .status(),
+        404
+    );
 }
 
 #[test]
@@ -253,8 +294,18 @@
     let peer = Peer::reader();
     let conductor = Conductor::start(&operator_file(&[peer.address], &[peer.address], DOOR));
     for switch in ["stop", "start", "start", "stop", "stop"] {
-        assert_eq!(conductor.call("POST", &format!("/ops/drain/{switch}")).status(), 200, "{switch}");
-        assert_eq!(conductor.call("GET", "/ops/readiness").status(), 200, "after {switch}");
+        assert_eq!(
+            conductor
+                .call("POST", &format!("/ops/drain/{switch}"))
+                .status(),
+            200,
+            "{switch}"
+        );
+        assert_eq!(
+            conductor.call("GET", "/ops/readiness").status(),
+            200,
+            "after {switch}"
+        );
     }
 }
 
@@ -305,7 +356,10 @@
         _ => b" body.",
     };
     latest.write_all(rest).unwrap();
-    assert_eq!(Message::read(&mut BufReader::new(latest)).unwrap().status(), 200);
+    assert_eq!(
+        Message::read(&mut BufReader::new(latest)).unwrap().status(),
+        200
+    );
 }
 
 /// Guards against a drain that begins with a call that never came whole.
@@ -314,9 +368,13 @@
     let peer = Peer::reader();
     let conductor = Conductor::start(&operator_file(&[peer.address], &[peer.address], DOOR));
     let mut half = conductor.connect_to_door();
-    half.write_all(b"POST /ops/drain/start HTTP/1.1\r\nhost: a\r\ncontent-length: 10\r\n\r\nhalf").unwrap();
+    half.write_all(b"POST /ops/drain/start HTTP/1.1\r\nhost: a\r\ncontent-length: 10\r\n\r\nhalf")
+        .unwrap();
     half.shutdown(std::net::Shutdown::Write).unwrap();
-    assert_ne!(Message::read(&mut BufReader::new(half)).map_or(0, |answer| answer.status()), 200);
+    assert_ne!(
+        Message::read(&mut BufReader::new(half)).map_or(0, |answer| answer.status()),
+        200
+    );
     conductor.signal("-TERM");
     // The first drain would be logged before.
     let mut line = conductor.wait_for("");
@@ -357,11 +415,17 @@
     for byte in b"GET /ops/readiness HTTP/1.1\r\nhost: a\r\n\r\n" {
         stream.write_all(&[*byte]).unwrap();
     }
-    assert_eq!(Message::read(&mut BufReader::new(stream)).unwrap().status(), 200);
+    assert_eq!(
+        Message::read(&mut BufReader::new(stream)).unwrap().status(),
+        200
+    );
 }
 
 /// Starts the program on the platform's form of a configuration; its exit code and what it said.
-fn start_on_platform(ops_in_file: Option<&str>, ops_in_environment: Option<&str>) -> (Option<i32>, String) {
+fn start_on_platform(
+    ops_in_file: Option<&str>,
+    ops_in_environment: Option<&str>,
+) -> (Option<i32>, String) {
     static NUMBER: AtomicU64 = AtomicU64::new(0);
     let number = NUMBER.fetch_add(1, Ordering::Relaxed);
     let text = operator_file(&["127.0.0.1:1".parse().unwrap()], &[], "");
@@ -369,7 +433,10 @@
     if let Some(ops) = ops_in_file {
         value["ops"] = ops.into();
     }
-    let file = std::env::temp_dir().join(format!("whinhaven-ops-{}-{number}.json", std::process::id()));
+    let file = std::env::temp_dir().join(format!(
+        "whinhaven-ops-{}-{number}.json",
+        std::process::id()
+    ));
     std::fs::write(&file, value.to_string()).unwrap();
     let mut command = Command::new(env!("CARGO_BIN_EXE_whinhaven"));
     command.env("NODE_CONFIG", &file).env_remove("NODE_OPS");
@@ -394,7 +461,10 @@
     for (file, environment) in ways {
         let (code, said) = start_on_platform(file, environment);
         assert_eq!(code, Some(1), "{said}");
-        assert!(said.starts_with("whinhaven: configuration: ") && said.lines().count() == 1, "{said:?}");
+        assert!(
+            said.starts_with("whinhaven: configuration: ") && said.lines().count() == 1,
+            "{said:?}"
+        );
     }
 }
 
@@ -408,12 +478,20 @@
     let conductor = Conductor::start(&operator_file(&hosts, &[], limits));
     conductor.stop();
     let file = std::env::temp_dir().join(format!("whinhaven-ops-{}.toml", std::process::id()));
-    std::fs::write(&file, operator_file(&hosts, &[], &format!("{limits}\n{DOOR}"))).unwrap();
+    std::fs::write(
+        &file,
+        operator_file(&hosts, &[], &format!("{limits}\n{DOOR}")),
+    )
+    .unwrap();
     let mut command = Command::new(env!("CARGO_BIN_EXE_whinhaven"));
     let done = command.arg("serve").arg(&file).output().unwrap();
     std::fs::remove_file(&file).unwrap();
     let said = String::from_utf8(done.stderr).unwrap();
-    assert_eq!((done.status.code(), said.lines().count()), (Some(1), 1), "{said}");
+    assert_eq!(
+        (done.status.code(), said.lines().count()),
+        (Some(1), 1),
+        "{said}"
+    );
     assert!(said.contains("limits.sockets"), "{said}");
 }
 
@@ -437,7 +515,9 @@
     let (answered, answers) = mpsc::channel();
     for number in 0..81 {
         let (mut client, answered) = (conductor.connect(), answered.clone());
-        client.write_all(request(&format!("ok-{number}"), "send", "hello").as_bytes()).unwrap();
+        client
+            .write_all(request(&format!("ok-{number}"), "send", "hello").as_bytes())
+            .unwrap();
         std::thread::spawn(move || {
             let answer = Message::read(&mut BufReader::new(client)).unwrap_or_default();
             let _ = answered.send((answer.status(), answer.whole));
@@ -447,12 +527,25 @@
     let mut statuses = vec![answers.recv_timeout(STUCK).unwrap()];
     drop(go);
     statuses.extend(answers);
-    let of = |status| statuses.iter().filter(|answer| **answer == (status, true)).count() as u64;
-    assert_eq!((statuses.len(), of(200) + of(503) + of(502)), (81, 81), "{statuses:?}");
+    let of = |status| {
+        statuses
+            .iter()
+            .filter(|answer| **answer == (status, true))
+            .count() as u64
+    };
+    assert_eq!(
+        (statuses.len(), of(200) + of(503) + of(502)),
+        (81, 81),
+        "{statuses:?}"
+    );
     let stats = stats_once(&conductor, "conductor.passed.send", of(200));
     assert_eq!(stats["conductor.dropped.send"], of(503));
     assert_eq!(stats["conductor.bad_gateway.send"], of(502));
     assert_eq!(stats["conductor.in_progress"], 0);
     let counters = conductor.stop();
-    assert!(counters.get("connections_over_bound") + counters.get("over_bound") > 0, "{}", counters.0);
+    assert!(
+        counters.get("connections_over_bound") + counters.get("over_bound") > 0,
+        "{}",
+        counters.0
+    );
 }
