--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -22,11 +22,19 @@
 }
 
 fn settings() -> Settings {
-    let kind = |name: &str, role| Kind { name: name.into(), role, memory_tokens: Some(150_000) };
+    let kind = |name: &str, role| Kind {
+        name: name.into(),
+        role,
+        memory_tokens: Some(150_000),
+    };
     Settings {
         routers: 2,
         zone: "z".into(),
-        kinds: vec![kind("r", Role::Reader), kind("w", Role::Writer), kind("m", Role::Mixed)],
+        kinds: vec![
+            kind("r", Role::Reader),
+            kind("w", Role::Writer),
+            kind("m", Role::Mixed),
+        ],
         classes: vec![
             class("safe", Effect::Safe),
             class("once", Effect::Unsafe),
@@ -72,7 +80,12 @@
 impl Rig {
     fn new(settings: Settings) -> Self {
         let policy = module(settings, 7);
-        Rig { policy, now: BEGIN, log: Vec::new(), timers: Vec::new() }
+        Rig {
+            policy,
+            now: BEGIN,
+            log: Vec::new(),
+            timers: Vec::new(),
+        }
     }
 
     /// Two readers and three writers in two cells of one zone.
@@ -81,7 +94,9 @@
         let list = [("r1", 0), ("r2", 1), ("w1", 0), ("w2", 1), ("w3", 1)];
         rig.list(
             ListKind::Saved,
-            list.iter().map(|(w, cell)| entry(w, *cell, Status::Ready, None)).collect(),
+            list.iter()
+                .map(|(w, cell)| entry(w, *cell, Status::Ready, None))
+                .collect(),
         );
         rig
     }
@@ -102,7 +117,10 @@
     }
 
     fn ask(&mut self, id: u64, class: &str) -> Vec<Action> {
-        self.ask_with(Ask { request: RequestId(id), ..ask(self.now, class) })
+        self.ask_with(Ask {
+            request: RequestId(id),
+            ..ask(self.now, class)
+        })
     }
 
     fn ask_with(&mut self, ask: Ask) -> Vec<Action> {
@@ -156,7 +174,15 @@
 fn entry(name: &str, cell: u64, status: Status, started: Option<Micros>) -> Entry {
     let worker = WorkerId(Arc::from(name));
     let kind = name[..1].to_owned();
-    Entry { worker, zone: "z".into(), kind, cell, status, weight: 1.0, started }
+    Entry {
+        worker,
+        zone: "z".into(),
+        kind,
+        cell,
+        status,
+        weight: 1.0,
+        started,
+    }
 }
 
 /// Whether an action fails this request.
@@ -165,25 +191,39 @@
 }
 
 fn sends(actions: &[Action]) -> Vec<&str> {
-    let to = |a: &'_ Action| if let Action::Send { worker, .. } = a { Some(worker.0.clone()) } else { None };
+    let to = |a: &'_ Action| {
+        if let Action::Send { worker, .. } = a {
+            Some(worker.0.clone())
+        } else {
+            None
+        }
+    };
     let names: Vec<Arc<str>> = actions.iter().filter_map(to).collect();
     names
         .iter()
         .map(|n| {
-            ["r1", "r2", "w1", "w2", "w3", "w4", "w5", "w6", "m1", "r3", "r4", "r5", "r6"]
-                .into_iter()
-                .find(|k| **n == **k)
-                .unwrap()
+            [
+                "r1", "r2", "w1", "w2", "w3", "w4", "w5", "w6", "m1", "r3", "r4", "r5", "r6",
+            ]
+            .into_iter()
+            .find(|k| **n == **k)
+            .unwrap()
         })
         .collect()
 }
 
 fn finals(actions: &[Action]) -> usize {
-    actions.iter().filter(|a| matches!(a, Action::Refuse { .. } | Action::Fail { .. })).count()
+    actions
+        .iter()
+        .filter(|a| matches!(a, Action::Refuse { .. } | Action::Fail { .. }))
+        .count()
 }
 
 fn releases(actions: &[Action]) -> usize {
-    actions.iter().filter(|a| matches!(a, Action::Release { .. })).count()
+    actions
+        .iter()
+        .filter(|a| matches!(a, Action::Release { .. }))
+        .count()
 }
 
 #[test]
@@ -201,12 +241,22 @@
 fn a_prefix_has_the_same_home_at_every_router_and_stays_there() {
     let mut homes = Vec::new();
     for index in 0..2 {
-        let mut rig = Rig::fleet(Settings { index: Some(index), ..settings() });
-        let with = |now| Ask { prefix: Some(Arc::from("p")), prefix_tokens: 1_900, ..ask(now, "safe") };
+        let mut rig = Rig::fleet(Settings {
+            index: Some(index),
+            ..settings()
+        });
+        let with = |now| Ask {
+            prefix: Some(Arc::from("p")),
+            prefix_tokens: 1_900,
+            ..ask(now, "safe")
+        };
         let first = rig.ask_with(with(rig.now));
         rig.end(0, 0, Outcome::Read);
         rig.end(0, 1, Outcome::Served);
-        let again = rig.ask_with(Ask { request: RequestId(2), ..with(rig.now) });
+        let again = rig.ask_with(Ask {
+            request: RequestId(2),
+            ..with(rig.now)
+        });
         assert_eq!(sends(&first), sends(&again));
         homes.push(sends(&first)[0].to_owned());
     }
@@ -219,7 +269,11 @@
     let mut readers = Vec::new();
     for id in 1..6 {
         let session = Some(Arc::from("s"));
-        let read = rig.ask_with(Ask { request: RequestId(id), session, ..ask(rig.now, "safe") });
+        let read = rig.ask_with(Ask {
+            request: RequestId(id),
+            session,
+            ..ask(rig.now, "safe")
+        });
         readers.push(sends(&read)[0].to_owned());
         // Another request keeps the other reader's load in play.
         rig.ask(100 + id, "safe");
@@ -235,15 +289,27 @@
 fn a_failed_read_is_not_credited() {
     let mut rig = Rig::fleet(settings());
     let session = || Some(Arc::from("s"));
-    let first = rig.ask_with(Ask { request: RequestId(1), session: session(), ..ask(rig.now, "safe") });
+    let first = rig.ask_with(Ask {
+        request: RequestId(1),
+        session: session(),
+        ..ask(rig.now, "safe")
+    });
     let failed = sends(&first)[0].to_owned();
     let second = rig.end(1, 0, Outcome::Error);
-    assert_eq!(sends(&second).len(), 1, "a reading attempt may always be followed by another");
+    assert_eq!(
+        sends(&second).len(),
+        1,
+        "a reading attempt may always be followed by another"
+    );
     rig.end(1, 1, Outcome::Error);
     rig.end(1, 2, Outcome::Error);
     // Both readers failed; neither holds the session, so nothing binds the next prompt to the first one.
     rig.pass(10 * SECOND);
-    let next = rig.ask_with(Ask { request: RequestId(2), session: session(), ..ask(rig.now, "safe") });
+    let next = rig.ask_with(Ask {
+        request: RequestId(2),
+        session: session(),
+        ..ask(rig.now, "safe")
+    });
     assert_eq!(sends(&next).len(), 1, "{failed}");
 }
 
@@ -280,7 +346,12 @@
 
 #[test]
 fn an_unsafe_request_of_unknown_fate_fails_and_is_never_sent_again() {
-    for outcome in [Outcome::Error, Outcome::NoAnswer, Outcome::ConnectionLost, Outcome::Dropped] {
+    for outcome in [
+        Outcome::Error,
+        Outcome::NoAnswer,
+        Outcome::ConnectionLost,
+        Outcome::Dropped,
+    ] {
         let mut rig = Rig::fleet(settings());
         rig.ask(1, "once");
         rig.end(1, 0, Outcome::Read);
@@ -309,7 +380,13 @@
     let mut rig = Rig::new(settings());
     let cell = |worker: &str| u64::from(["r2", "w4", "w5", "w6"].contains(&worker));
     let names = ["r1", "r2", "w1", "w2", "w3", "w4", "w5", "w6"];
-    rig.list(ListKind::Saved, names.iter().map(|w| entry(w, cell(w), Status::Ready, None)).collect());
+    rig.list(
+        ListKind::Saved,
+        names
+            .iter()
+            .map(|w| entry(w, cell(w), Status::Ready, None))
+            .collect(),
+    );
     let mut id = 0;
     // Requests read in the first cell, and how many of them stay there to be written.
     let mut near = |rig: &mut Rig, hang: bool| {
@@ -333,7 +410,10 @@
     let before = near(&mut rig, false);
     near(&mut rig, true);
     let after = near(&mut rig, false);
-    assert!((1..=before / 2).contains(&after), "{before} near before, {after} after");
+    assert!(
+        (1..=before / 2).contains(&after),
+        "{before} near before, {after} after"
+    );
 }
 
 #[test]
@@ -347,11 +427,18 @@
         _ => assert!(sends(&after).iter().all(|w| *w == "w2" || *w == "w3")),
     }
     let mut rig = Rig::fleet(settings());
-    rig.ask_with(Ask { request: RequestId(1), deadline: rig.now + 60 * SECOND, ..ask(rig.now, "cell") });
+    rig.ask_with(Ask {
+        request: RequestId(1),
+        deadline: rig.now + 60 * SECOND,
+        ..ask(rig.now, "cell")
+    });
     rig.end(1, 0, Outcome::Read);
     rig.now += 6 * SECOND;
     let late = rig.end(1, 1, Outcome::NoAnswer);
-    assert!(sends(&late).is_empty(), "the workers have forgotten it: {late:?}");
+    assert!(
+        sends(&late).is_empty(),
+        "the workers have forgotten it: {late:?}"
+    );
     assert!(late.iter().any(is_failure_of(1)));
 }
 
@@ -359,17 +446,33 @@
 #[test]
 fn a_repeat_carries_the_moment_by_which_it_has_to_be_written() {
     let limit = |actions: &[Action]| {
-        actions
-            .iter()
-            .find_map(|a| if let Action::Send { permit, .. } = a { Some(permit.send_by()) } else { None })
+        actions.iter().find_map(|a| {
+            if let Action::Send { permit, .. } = a {
+                Some(permit.send_by())
+            } else {
+                None
+            }
+        })
     };
     let mut rig = Rig::fleet(settings());
-    let window = settings().classes.iter().find(|c| c.name == "cell").unwrap().repeat_window;
+    let window = settings()
+        .classes
+        .iter()
+        .find(|c| c.name == "cell")
+        .unwrap()
+        .repeat_window;
     assert_eq!(limit(&rig.ask(1, "cell")), Some(None));
-    assert_eq!(limit(&rig.end(1, 0, Outcome::Read)), Some(None), "it can't have run yet");
+    assert_eq!(
+        limit(&rig.end(1, 0, Outcome::Read)),
+        Some(None),
+        "it can't have run yet"
+    );
     let first = rig.now;
     rig.now += 100 * MS;
-    assert_eq!(limit(&rig.end(1, 1, Outcome::Error)), Some(Some(first + window)));
+    assert_eq!(
+        limit(&rig.end(1, 1, Outcome::Error)),
+        Some(Some(first + window))
+    );
 }
 
 #[test]
@@ -377,7 +480,10 @@
     let mut rig = Rig::fleet(settings());
     rig.list(
         ListKind::Changes,
-        vec![entry("r1", 0, Status::Draining, None), entry("w1", 0, Status::Gone, None)],
+        vec![
+            entry("r1", 0, Status::Draining, None),
+            entry("w1", 0, Status::Gone, None),
+        ],
     );
     for id in 1..20 {
         rig.ask(id, "safe");
@@ -390,7 +496,13 @@
 #[test]
 fn a_worker_missing_from_a_full_list_is_gone() {
     let mut rig = Rig::fleet(settings());
-    rig.list(ListKind::Full, vec![entry("r2", 1, Status::Ready, None), entry("w2", 1, Status::Ready, None)]);
+    rig.list(
+        ListKind::Full,
+        vec![
+            entry("r2", 1, Status::Ready, None),
+            entry("w2", 1, Status::Ready, None),
+        ],
+    );
     for id in 1..10 {
         rig.ask(id, "safe");
         rig.end(id, 0, Outcome::Read);
@@ -404,22 +516,38 @@
     // Found in an incident: in a storm of retries the budget was measured by sends, not by what was done.
     let mut rig = Rig::fleet(settings());
     let started = rig.now;
-    rig.list(ListKind::Changes, vec![entry("r1", 0, Status::Ready, Some(started))]);
+    rig.list(
+        ListKind::Changes,
+        vec![entry("r1", 0, Status::Ready, Some(started))],
+    );
     for id in 1..200 {
         rig.ask(id, "safe");
         rig.end(id, 0, Outcome::TurnedAway);
         rig.now += 5 * MS;
     }
     let cold = sends(&rig.log).iter().filter(|w| **w == "r1").count();
-    assert!(cold <= 1, "{cold} sends within a second to a worker that just started");
+    assert!(
+        cold <= 1,
+        "{cold} sends within a second to a worker that just started"
+    );
 }
 
 #[test]
 fn a_fleet_that_restarted_as_a_whole_gets_its_promised_part() {
     // Found in an incident: with no warm peer left to measure by, nearly nothing was sent to anyone.
-    let tenants = vec![Tenant { name: "t".into(), quota_per_s: 40.0 }];
-    let mut rig = Rig::new(Settings { tenants, ..settings() });
-    let list = |started| ["r1", "r2", "w1", "w2"].map(|w| entry(w, 0, Status::Ready, started)).to_vec();
+    let tenants = vec![Tenant {
+        name: "t".into(),
+        quota_per_s: 40.0,
+    }];
+    let mut rig = Rig::new(Settings {
+        tenants,
+        ..settings()
+    });
+    let list = |started| {
+        ["r1", "r2", "w1", "w2"]
+            .map(|w| entry(w, 0, Status::Ready, started))
+            .to_vec()
+    };
     rig.list(ListKind::Saved, list(None));
     // A predecessor of this process may have sent until just before its start.
     rig.now += SLOW_START_PAUSE;
@@ -432,8 +560,14 @@
         rig.now += 10 * MS;
     }
     // This router's part: 2.5 x 0.33 x 40 a second / 2 routers / 2 readers = 8.25 a reader and second.
-    let reads = sends(&rig.log).iter().filter(|w| w.starts_with('r')).count();
-    assert!((8..=16).contains(&reads), "{reads} reads in the first second");
+    let reads = sends(&rig.log)
+        .iter()
+        .filter(|w| w.starts_with('r'))
+        .count();
+    assert!(
+        (8..=16).contains(&reads),
+        "{reads} reads in the first second"
+    );
 }
 
 #[test]
@@ -441,11 +575,19 @@
     let mut rig = Rig::fleet(settings());
     rig.ask(1, "safe");
     let gone = |w: &str, c| entry(w, c, Status::Draining, None);
-    rig.list(ListKind::Changes, vec![gone("w1", 0), gone("w2", 1), gone("w3", 1)]);
+    rig.list(
+        ListKind::Changes,
+        vec![gone("w1", 0), gone("w2", 1), gone("w3", 1)],
+    );
     rig.end(1, 0, Outcome::Read);
     let read_at = rig.now;
     let within = rig.pass(490 * MS);
-    assert_eq!(releases(&within), 1, "not released by {} us", rig.now - read_at);
+    assert_eq!(
+        releases(&within),
+        1,
+        "not released by {} us",
+        rig.now - read_at
+    );
 }
 
 /// Guards against a state held for as long as connections fail to come up, or sends that never arrive are waited for,
@@ -460,9 +602,16 @@
     #[case] before: &[(Outcome, Micros)],
     #[case] failures: u32,
 ) {
-    let mut rig = Rig::fleet(Settings { max_attempts: 9, ..settings() });
+    let mut rig = Rig::fleet(Settings {
+        max_attempts: 9,
+        ..settings()
+    });
     let deadline = rig.now + 9 * SECOND;
-    rig.ask_with(Ask { request: RequestId(1), deadline, ..ask(rig.now, "safe") });
+    rig.ask_with(Ask {
+        request: RequestId(1),
+        deadline,
+        ..ask(rig.now, "safe")
+    });
     rig.end(1, 0, Outcome::Read);
     let mut quiet_since = rig.now;
     let (mut attempt, mut done) = (0, Vec::new());
@@ -475,8 +624,16 @@
     for (outcome, after) in before {
         // Behind a send that is out for longer than the limit one release goes out in time.
         let expected = usize::from(after * MS > settings().release);
-        assert_eq!(releases(&end(&mut rig, *outcome, after * MS)), expected, "{outcome:?}");
-        quiet_since = if outcome.proves_arrival() || expected > 0 { rig.now } else { quiet_since };
+        assert_eq!(
+            releases(&end(&mut rig, *outcome, after * MS)),
+            expected,
+            "{outcome:?}"
+        );
+        quiet_since = if outcome.proves_arrival() || expected > 0 {
+            rig.now
+        } else {
+            quiet_since
+        };
     }
     // As the core has it: no connect may take more than half of the time that is left.
     for _ in 0..failures {
@@ -487,25 +644,44 @@
         done = end(&mut rig, Outcome::NoState, 2 * MS);
     }
     done.extend(rig.pass((quiet_since + settings().release).saturating_sub(rig.now)));
-    let release = done.iter().position(|a| matches!(a, Action::Release { .. })).expect("no release in time");
-    assert!(sends(&done[release..]).iter().all(|w| w.starts_with('r')), "read anew: {done:?}");
+    let release = done
+        .iter()
+        .position(|a| matches!(a, Action::Release { .. }))
+        .expect("no release in time");
+    assert!(
+        sends(&done[release..]).iter().all(|w| w.starts_with('r')),
+        "read anew: {done:?}"
+    );
 }
 
 /// Guards against the time that a state may be held being spent on one writer after the other of a zone that is cut
 /// off: what has just been heard from comes next.
 #[test]
 fn after_a_connection_failed_a_state_goes_to_where_something_just_came_from() {
-    let zone = |w: &str| if ["r1", "w1"].contains(&w) { "near" } else { "far" };
+    let zone = |w: &str| {
+        if ["r1", "w1"].contains(&w) {
+            "near"
+        } else {
+            "far"
+        }
+    };
     for seed in 0..20 {
         let mut rig = Rig::new(settings());
         rig.policy = module(settings(), seed);
         let list = ["r1", "w1", "w2", "w3", "w4", "w5", "w6"];
-        let entry = |w: &&str| Entry { zone: zone(w).into(), ..entry(w, 0, Status::Ready, None) };
+        let entry = |w: &&str| Entry {
+            zone: zone(w).into(),
+            ..entry(w, 0, Status::Ready, None)
+        };
         rig.list(ListKind::Saved, list.iter().map(entry).collect());
         rig.ask(1, "safe");
         if sends(&rig.end(1, 0, Outcome::Read)) != ["w1"] {
             rig.pass(200 * MS);
-            assert_eq!(sends(&rig.end(1, 1, Outcome::NoConnection)), ["w1"], "seed {seed}");
+            assert_eq!(
+                sends(&rig.end(1, 1, Outcome::NoConnection)),
+                ["w1"],
+                "seed {seed}"
+            );
         }
     }
 }
@@ -514,7 +690,9 @@
 fn a_read_that_ends_after_the_client_left_is_released() {
     let mut rig = Rig::fleet(settings());
     rig.ask(1, "safe");
-    rig.event(Event::Left { request: RequestId(1) });
+    rig.event(Event::Left {
+        request: RequestId(1),
+    });
     let after = rig.end(1, 0, Outcome::Read);
     assert_eq!(releases(&after), 1);
     assert!(sends(&after).is_empty());
@@ -537,7 +715,10 @@
         }
         rig.now += 10 * MS;
     }
-    assert!(bad <= 4, "{bad} of 39 first sends went to the failing reader");
+    assert!(
+        bad <= 4,
+        "{bad} of 39 first sends went to the failing reader"
+    );
 }
 
 #[test]
@@ -549,19 +730,28 @@
         rig.end(id, 1, Outcome::Error);
         rig.now += 10 * MS;
     }
-    assert_eq!(sends(&rig.ask(50, "safe")).len(), 1, "someone is always asked");
+    assert_eq!(
+        sends(&rig.ask(50, "safe")).len(),
+        1,
+        "someone is always asked"
+    );
 }
 
 #[test]
 fn unreachable_readers_are_left_to_writers_that_read() {
     // Found in an incident: every reader died while the list still had them, and all was sent to them.
-    let mut rig = Rig::fleet(Settings { writers_read: true, ..settings() });
+    let mut rig = Rig::fleet(Settings {
+        writers_read: true,
+        ..settings()
+    });
     let mut to_writers = 0;
     for id in 1..30 {
         let mut actions = rig.ask(id, "safe");
         for attempt in 0..5 {
             match sends(&actions).first().copied() {
-                Some(w) if w.starts_with('r') => actions = rig.end(id, attempt, Outcome::NoConnection),
+                Some(w) if w.starts_with('r') => {
+                    actions = rig.end(id, attempt, Outcome::NoConnection)
+                }
                 Some(_) => {
                     to_writers += 1;
                     rig.end(id, attempt, Outcome::Served);
@@ -572,7 +762,10 @@
         }
         rig.now += 20 * MS;
     }
-    assert!(to_writers >= 20, "only {to_writers} of 29 were answered by writers");
+    assert!(
+        to_writers >= 20,
+        "only {to_writers} of 29 were answered by writers"
+    );
 }
 
 #[test]
@@ -602,9 +795,18 @@
     let asked = rig.now;
     rig.pass(SECOND);
     let refused = finals(&rig.log);
-    assert!(refused >= 14, "only {refused} were told within {} us", rig.now - asked);
+    assert!(
+        refused >= 14,
+        "only {refused} were told within {} us",
+        rig.now - asked
+    );
     let advice = |a: &Action| matches!(a, Action::Refuse { retry_after: Some(t), .. } if *t > 0);
-    assert!(rig.log.iter().filter(|a| matches!(a, Action::Refuse { .. })).all(advice));
+    assert!(
+        rig.log
+            .iter()
+            .filter(|a| matches!(a, Action::Refuse { .. }))
+            .all(advice)
+    );
 }
 
 #[test]
@@ -627,27 +829,51 @@
     }
     // One request of ours is out, so this one isn't needed to learn from.
     rig.ask(50, "safe");
-    let hasty = Ask { request: RequestId(51), deadline: rig.now + 150 * MS, ..ask(rig.now, "safe") };
+    let hasty = Ask {
+        request: RequestId(51),
+        deadline: rig.now + 150 * MS,
+        ..ask(rig.now, "safe")
+    };
     let actions = rig.ask_with(hasty);
-    assert_eq!((sends(&actions).len(), finals(&actions)), (0, 1), "{actions:?}");
+    assert_eq!(
+        (sends(&actions).len(), finals(&actions)),
+        (0, 1),
+        "{actions:?}"
+    );
 }
 
 #[test]
 fn mixed_workers_take_short_prompts_unread_and_long_ones_go_to_readers() {
     let mut rig = Rig::new(settings());
-    let list = ["r1", "m1"].map(|w| entry(w, 0, Status::Ready, None)).to_vec();
+    let list = ["r1", "m1"]
+        .map(|w| entry(w, 0, Status::Ready, None))
+        .to_vec();
     rig.list(ListKind::Full, list);
-    let of = |id, prompt_tokens, now| Ask { request: RequestId(id), prompt_tokens, ..ask(now, "safe") };
+    let of = |id, prompt_tokens, now| Ask {
+        request: RequestId(id),
+        prompt_tokens,
+        ..ask(now, "safe")
+    };
     assert_eq!(sends(&rig.ask_with(of(1, 1_000, rig.now))), ["m1"]);
     assert_eq!(sends(&rig.ask_with(of(2, 9_000, rig.now))), ["r1"]);
-    assert_eq!(sends(&rig.end(2, 0, Outcome::Read)), ["m1"], "a mixed worker answers what was read");
+    assert_eq!(
+        sends(&rig.end(2, 0, Outcome::Read)),
+        ["m1"],
+        "a mixed worker answers what was read"
+    );
     assert_eq!(sends(&rig.ask_with(of(3, 500, rig.now))), ["m1"]);
 }
 
 #[test]
 fn beyond_its_share_a_tenant_is_refused_when_others_wait() {
-    let tenants = vec![Tenant { name: "small".into(), quota_per_s: 2.0 }];
-    let mut rig = Rig::fleet(Settings { tenants, ..settings() });
+    let tenants = vec![Tenant {
+        name: "small".into(),
+        quota_per_s: 2.0,
+    }];
+    let mut rig = Rig::fleet(Settings {
+        tenants,
+        ..settings()
+    });
     for id in 1..5 {
         rig.ask(id, "safe");
         rig.now += 900 * MS;
@@ -664,20 +890,38 @@
     }
     for id in 10..40 {
         let tenant = Some("small".to_owned());
-        rig.ask_with(Ask { request: RequestId(id), tenant, ..ask(rig.now, "safe") });
+        rig.ask_with(Ask {
+            request: RequestId(id),
+            tenant,
+            ..ask(rig.now, "safe")
+        });
     }
     let refused = finals(&rig.log);
-    assert!(refused >= 10, "only {refused} of thirty at once, far past the share, were refused");
+    assert!(
+        refused >= 10,
+        "only {refused} of thirty at once, far past the share, were refused"
+    );
 }
 
 /// A hundred routers each see a few requests of a tenant: chance arrivals are no excess.
 #[test]
 fn a_few_requests_at_once_are_not_over_share_at_one_of_many_routers() {
-    let tenants = vec![Tenant { name: "small".into(), quota_per_s: 2.0 }];
-    let mut rig = Rig::fleet(Settings { routers: 200, tenants, ..settings() });
+    let tenants = vec![Tenant {
+        name: "small".into(),
+        quota_per_s: 2.0,
+    }];
+    let mut rig = Rig::fleet(Settings {
+        routers: 200,
+        tenants,
+        ..settings()
+    });
     for id in 1..6 {
         let tenant = Some("small".to_owned());
-        rig.ask_with(Ask { request: RequestId(id), tenant, ..ask(rig.now, "safe") });
+        rig.ask_with(Ask {
+            request: RequestId(id),
+            tenant,
+            ..ask(rig.now, "safe")
+        });
     }
     assert_eq!(finals(&rig.log), 0);
 }
@@ -687,27 +931,59 @@
 fn many_routers_start_a_cold_worker_one_after_another() {
     let mut first = Vec::new();
     for seed in 0..20 {
-        let set = Settings { routers: 100, ..settings() };
-        let mut rig = Rig { policy: module(set.clone(), seed), ..Rig::new(set) };
-        let warm = [entry("w1", 0, Status::Ready, None), entry("w2", 0, Status::Ready, None)];
+        let set = Settings {
+            routers: 100,
+            ..settings()
+        };
+        let mut rig = Rig {
+            policy: module(set.clone(), seed),
+            ..Rig::new(set)
+        };
+        let warm = [
+            entry("w1", 0, Status::Ready, None),
+            entry("w2", 0, Status::Ready, None),
+        ];
         rig.list(ListKind::Saved, warm.to_vec());
-        rig.list(ListKind::Changes, vec![entry("r1", 0, Status::Ready, Some(rig.now))]);
-        rig.ask_with(Ask { deadline: rig.now + 20 * SECOND, ..ask(rig.now, "safe") });
-        let sent = rig.log.iter().filter(|a| matches!(a, Action::Send { .. })).count();
+        rig.list(
+            ListKind::Changes,
+            vec![entry("r1", 0, Status::Ready, Some(rig.now))],
+        );
+        rig.ask_with(Ask {
+            deadline: rig.now + 20 * SECOND,
+            ..ask(rig.now, "safe")
+        });
+        let sent = rig
+            .log
+            .iter()
+            .filter(|a| matches!(a, Action::Send { .. }))
+            .count();
         first.push(sent);
     }
     let at_once: usize = first.iter().sum();
-    assert!(at_once <= 2, "{at_once} of 20 routers sent to the cold worker at once");
+    assert!(
+        at_once <= 2,
+        "{at_once} of 20 routers sent to the cold worker at once"
+    );
 }
 
 /// Four of six workers of a role have just started, at each of a hundred routers.
 fn renewed(seed: u64) -> Rig {
-    let set = Settings { routers: 100, index: Some(seed as u32), ..settings() };
-    let mut rig = Rig { policy: module(set.clone(), seed), ..Rig::new(set) };
+    let set = Settings {
+        routers: 100,
+        index: Some(seed as u32),
+        ..settings()
+    };
+    let mut rig = Rig {
+        policy: module(set.clone(), seed),
+        ..Rig::new(set)
+    };
     let of = |role| (1..7).map(move |i| (format!("{role}{i}"), i));
     let list = |started: Option<Micros>| {
         let born = |i| started.filter(|_| i > 2);
-        of("r").chain(of("w")).map(|(w, i)| entry(&w, 0, Status::Ready, born(i))).collect()
+        of("r")
+            .chain(of("w"))
+            .map(|(w, i)| entry(&w, 0, Status::Ready, born(i)))
+            .collect()
     };
     rig.list(ListKind::Saved, list(None));
     // A predecessor of this process may have sent until just before its start.
@@ -720,9 +996,16 @@
 /// A process that starts anew in the ramp of a worker: its predecessor may have spent the router's share just before.
 #[test]
 fn a_new_process_sends_nothing_to_workers_in_slow_start_for_a_window() {
-    let mut rig = Rig::new(Settings { index: Some(0), routers: 1, ..settings() });
+    let mut rig = Rig::new(Settings {
+        index: Some(0),
+        routers: 1,
+        ..settings()
+    });
     let started = rig.now - SECOND;
-    let list = vec![entry("w1", 0, Status::Ready, None), entry("r1", 0, Status::Ready, Some(started))];
+    let list = vec![
+        entry("w1", 0, Status::Ready, None),
+        entry("r1", 0, Status::Ready, Some(started)),
+    ];
     rig.list(ListKind::Saved, list);
     assert_eq!(sends(&rig.ask(1, "safe")).len(), 0);
     rig.now += SLOW_START_PAUSE - MS;
@@ -736,11 +1019,18 @@
 #[test]
 fn of_two_processes_of_a_router_one_at_most_sends_to_workers_in_slow_start() {
     let reads = |rig: &mut Rig, id| sends(&rig.ask(id, "safe")).len();
-    let mut rig = Rig::new(Settings { index: Some(0), routers: 1, ..settings() });
+    let mut rig = Rig::new(Settings {
+        index: Some(0),
+        routers: 1,
+        ..settings()
+    });
     rig.list(ListKind::Saved, vec![entry("w1", 0, Status::Ready, None)]);
     rig.now += 2 * SECOND;
     let started = rig.now;
-    rig.list(ListKind::Changes, vec![entry("r1", 0, Status::Ready, Some(started))]);
+    rig.list(
+        ListKind::Changes,
+        vec![entry("r1", 0, Status::Ready, Some(started))],
+    );
     assert_eq!(reads(&mut rig, 1), 1);
     rig.event(Event::SlowStart { allowed: false });
     rig.now += 2 * SECOND;
@@ -757,7 +1047,10 @@
 #[test]
 fn a_shared_text_has_few_homes_where_readers_are_many_and_one_where_they_are_few() {
     for (readers, homes) in [(6, 1..2), (32, 3..5)] {
-        let mut rig = Rig::new(Settings { routers: 100, ..settings() });
+        let mut rig = Rig::new(Settings {
+            routers: 100,
+            ..settings()
+        });
         let name = |i: usize| format!("r{i}");
         let list = (0..readers).map(|i| entry(&name(i), 0, Status::Ready, None));
         let list = list.chain([entry("w1", 0, Status::Ready, None)]).collect();
@@ -765,8 +1058,13 @@
         let mut seen = std::collections::BTreeSet::new();
         for id in 1..200 {
             let (session, prefix) = (Some(Arc::from(format!("s{id}"))), Some(Arc::from("hot")));
-            let asked =
-                Ask { request: RequestId(id), session, prefix, prefix_tokens: 1_900, ..ask(rig.now, "safe") };
+            let asked = Ask {
+                request: RequestId(id),
+                session,
+                prefix,
+                prefix_tokens: 1_900,
+                ..ask(rig.now, "safe")
+            };
             let to = rig.ask_with(asked).into_iter().find_map(|a| match a {
                 Action::Send { worker, .. } => Some(worker),
                 _ => None,
@@ -782,23 +1080,38 @@
 /// Guards against a try at each dead worker of a lost zone by each of many routers, until attempts are spent.
 #[test]
 fn after_two_workers_of_a_zone_were_not_reached_the_others_there_are_left_alone() {
-    let mut rig = Rig::new(Settings { routers: 100, max_attempts: 6, ..settings() });
-    let zone = |w: &str, zone: &str| Entry { zone: zone.into(), ..entry(w, 0, Status::Ready, None) };
+    let mut rig = Rig::new(Settings {
+        routers: 100,
+        max_attempts: 6,
+        ..settings()
+    });
+    let zone = |w: &str, zone: &str| Entry {
+        zone: zone.into(),
+        ..entry(w, 0, Status::Ready, None)
+    };
     let here = ["r1", "r2", "r3", "r4", "r5", "w1", "w2"].map(|w| zone(w, "z"));
-    let list = here.into_iter().chain([zone("r6", "far"), zone("w3", "far")]).collect();
+    let list = here
+        .into_iter()
+        .chain([zone("r6", "far"), zone("w3", "far")])
+        .collect();
     rig.list(ListKind::Saved, list);
     for id in 1..4 {
         rig.ask(id, "safe");
         while sends(&rig.log).last() != Some(&"r6") {
-            let attempt =
-                rig.log.iter().filter(|a| matches!(a, Action::Send { request, .. } if request.0 == id));
+            let attempt = rig
+                .log
+                .iter()
+                .filter(|a| matches!(a, Action::Send { request, .. } if request.0 == id));
             let attempt = attempt.count() as u32 - 1;
             assert!(attempt < 2, "{:?}", sends(&rig.log));
             rig.end(id, attempt, Outcome::NoConnection);
         }
     }
     rig.pass(5 * SECOND);
-    assert!((10..30).any(|id| sends(&rig.ask(id, "safe")).iter().any(|w| *w != "r6")), "tried again in time");
+    assert!(
+        (10..30).any(|id| sends(&rig.ask(id, "safe")).iter().any(|w| *w != "r6")),
+        "tried again in time"
+    );
 }
 
 /// Guards against cold readers that are kept busy for seconds by one long prompt, which its aim doesn't allow.
@@ -809,8 +1122,12 @@
         for (prompt_tokens, to) in [(16_000, &mut long), (300, &mut short)] {
             let mut rig = renewed(seed);
             let session = Some(Arc::from(format!("s{seed}")));
-            let asked =
-                Ask { session, prompt_tokens, deadline: rig.now + 20 * SECOND, ..ask(rig.now, "safe") };
+            let asked = Ask {
+                session,
+                prompt_tokens,
+                deadline: rig.now + 20 * SECOND,
+                ..ask(rig.now, "safe")
+            };
             to.push(sends(&rig.ask_with(asked))[0].to_owned());
         }
     }
@@ -823,11 +1140,26 @@
 #[test]
 fn a_read_is_waited_for_longer_while_many_readers_are_cold() {
     let wait = |rig: &mut Rig| {
-        let asked = rig.ask_with(Ask { deadline: rig.now + 20 * SECOND, ..ask(rig.now, "safe") });
-        let timeout = |a: &Action| if let Action::Send { timeout, .. } = a { *timeout } else { None };
-        asked.iter().find_map(timeout).expect("a read with a time-out")
+        let asked = rig.ask_with(Ask {
+            deadline: rig.now + 20 * SECOND,
+            ..ask(rig.now, "safe")
+        });
+        let timeout = |a: &Action| {
+            if let Action::Send { timeout, .. } = a {
+                *timeout
+            } else {
+                None
+            }
+        };
+        asked
+            .iter()
+            .find_map(timeout)
+            .expect("a read with a time-out")
     };
-    let warm = wait(&mut Rig::fleet(Settings { routers: 100, ..settings() }));
+    let warm = wait(&mut Rig::fleet(Settings {
+        routers: 100,
+        ..settings()
+    }));
     assert!(wait(&mut renewed(1)) > 2 * warm);
 }
 
@@ -860,7 +1192,12 @@
     }
     let mut rig = Rig::new(settings());
     let list = ["r1", "w1", "w2", "w3", "w4", "w5"];
-    rig.list(ListKind::Saved, list.iter().map(|w| entry(w, 0, Status::Ready, None)).collect());
+    rig.list(
+        ListKind::Saved,
+        list.iter()
+            .map(|w| entry(w, 0, Status::Ready, None))
+            .collect(),
+    );
     let mut writers = Vec::new();
     for (id, class) in (1..).zip(["safe", "once", "once", "once", "once"]) {
         rig.ask(id, class);
@@ -876,13 +1213,28 @@
 fn the_next_turn_at_another_router_goes_where_the_first_was_read() {
     let mut readers = Vec::new();
     for seed in 0..8 {
-        let set = Settings { routers: 100, ..settings() };
-        let mut rig = Rig { policy: module(set.clone(), seed), ..Rig::new(set) };
+        let set = Settings {
+            routers: 100,
+            ..settings()
+        };
+        let mut rig = Rig {
+            policy: module(set.clone(), seed),
+            ..Rig::new(set)
+        };
         let list = [("r1", 0), ("r2", 1), ("r3", 1), ("w1", 0)];
-        rig.list(ListKind::Saved, list.iter().map(|(w, c)| entry(w, *c, Status::Ready, None)).collect());
+        rig.list(
+            ListKind::Saved,
+            list.iter()
+                .map(|(w, c)| entry(w, *c, Status::Ready, None))
+                .collect(),
+        );
         let session = Some(Arc::from("s"));
         let prompt_tokens = 2_000 + seed * 500;
-        let read = rig.ask_with(Ask { session, prompt_tokens, ..ask(rig.now, "safe") });
+        let read = rig.ask_with(Ask {
+            session,
+            prompt_tokens,
+            ..ask(rig.now, "safe")
+        });
         readers.push(sends(&read)[0].to_owned());
     }
     assert!(readers.iter().all(|r| *r == readers[0]), "{readers:?}");
@@ -893,10 +1245,28 @@
 fn a_lone_writer_beside_many_readers_is_not_given_all_their_states() {
     let mut near = 0;
     for seed in 0..40 {
-        let set = Settings { routers: 100, ..settings() };
-        let mut rig = Rig { policy: module(set.clone(), seed), ..Rig::new(set) };
-        let list = [("r1", 0), ("r2", 0), ("r3", 0), ("w1", 0), ("w2", 1), ("w3", 1)];
-        rig.list(ListKind::Saved, list.iter().map(|(w, c)| entry(w, *c, Status::Ready, None)).collect());
+        let set = Settings {
+            routers: 100,
+            ..settings()
+        };
+        let mut rig = Rig {
+            policy: module(set.clone(), seed),
+            ..Rig::new(set)
+        };
+        let list = [
+            ("r1", 0),
+            ("r2", 0),
+            ("r3", 0),
+            ("w1", 0),
+            ("w2", 1),
+            ("w3", 1),
+        ];
+        rig.list(
+            ListKind::Saved,
+            list.iter()
+                .map(|(w, c)| entry(w, *c, Status::Ready, None))
+                .collect(),
+        );
         rig.ask(seed, "safe");
         near += usize::from(sends(&rig.end(seed, 0, Outcome::Read)) == ["w1"]);
     }
@@ -909,10 +1279,23 @@
 fn routers_that_start_together_ask_for_the_list_one_by_one_and_after_failures_ever_more_seldom() {
     let mut calls: Vec<Vec<Micros>> = vec![Vec::new(); 2];
     for seed in 0..50 {
-        let many = Settings { list_on_request: true, routers: 50, ..settings() };
-        let mut rig = Rig { policy: module(many.clone(), seed), ..Rig::new(many) };
-        for (kind, calls) in [ListKind::Saved, ListKind::Failed].into_iter().zip(&mut calls) {
-            assert!(!rig.list(kind, Vec::new()).contains(&Action::Subscribe), "not at once");
+        let many = Settings {
+            list_on_request: true,
+            routers: 50,
+            ..settings()
+        };
+        let mut rig = Rig {
+            policy: module(many.clone(), seed),
+            ..Rig::new(many)
+        };
+        for (kind, calls) in [ListKind::Saved, ListKind::Failed]
+            .into_iter()
+            .zip(&mut calls)
+        {
+            assert!(
+                !rig.list(kind, Vec::new()).contains(&Action::Subscribe),
+                "not at once"
+            );
             let told = rig.now;
             let mut asked = 0;
             while asked == 0 && rig.now < told + 60 * SECOND {
@@ -924,7 +1307,9 @@
         }
     }
     for (calls, seconds) in calls.iter().zip([1, 2]) {
-        let most = (0..seconds).map(|s| calls.iter().filter(|at| **at / SECOND == s).count()).max();
+        let most = (0..seconds)
+            .map(|s| calls.iter().filter(|at| **at / SECOND == s).count())
+            .max();
         assert!(most < Some(75 / seconds as usize), "{most:?} in a second");
         assert!(calls.iter().all(|at| *at <= seconds * SECOND + SECOND / 5));
     }
@@ -933,10 +1318,22 @@
 #[test]
 fn absurd_news_costs_no_panic_and_no_rule() {
     let mut rig = Rig::fleet(settings());
-    let absurd =
-        Ask { prompt_tokens: u64::MAX, prefix_tokens: u64::MAX, max_tokens: u64::MAX, ..ask(rig.now, "?") };
-    rig.ask_with(Ask { hint: Some(u64::MAX), ..absurd });
-    rig.ask_with(Ask { request: RequestId(2), prompt_tokens: 0, deadline: 0, ..ask(rig.now, "safe") });
+    let absurd = Ask {
+        prompt_tokens: u64::MAX,
+        prefix_tokens: u64::MAX,
+        max_tokens: u64::MAX,
+        ..ask(rig.now, "?")
+    };
+    rig.ask_with(Ask {
+        hint: Some(u64::MAX),
+        ..absurd
+    });
+    rig.ask_with(Ask {
+        request: RequestId(2),
+        prompt_tokens: 0,
+        deadline: 0,
+        ..ask(rig.now, "safe")
+    });
     rig.event(Event::Ended(Ended {
         request: RequestId(0),
         attempt: AttemptIndex(0),
@@ -952,8 +1349,13 @@
     }));
     rig.end(77, 0, Outcome::Read);
     rig.end(0, 99, Outcome::Read);
-    rig.event(Event::Left { request: RequestId(99) });
-    let twice = vec![entry("r1", 0, Status::Ready, Some(u64::MAX)), entry("r1", 5, Status::Draining, None)];
+    rig.event(Event::Left {
+        request: RequestId(99),
+    });
+    let twice = vec![
+        entry("r1", 0, Status::Ready, Some(u64::MAX)),
+        entry("r1", 5, Status::Draining, None),
+    ];
     rig.list(ListKind::Full, twice);
     rig.ask(5, "safe");
     rig.pass(6 * SECOND);
@@ -966,7 +1368,15 @@
         let mut rig = Rig::fleet(settings());
         for id in 1..30 {
             rig.ask(id, if id % 3 == 0 { "once" } else { "safe" });
-            rig.end(id, 0, if id % 7 == 0 { Outcome::Error } else { Outcome::Read });
+            rig.end(
+                id,
+                0,
+                if id % 7 == 0 {
+                    Outcome::Error
+                } else {
+                    Outcome::Read
+                },
+            );
             rig.pass(30 * MS);
         }
         rig.log
@@ -979,9 +1389,15 @@
 fn equal_writers_are_chosen_differently_by_routers_that_know_nothing() {
     let mut chosen = std::collections::BTreeSet::new();
     for seed in 0..16 {
-        let mut rig = Rig { policy: module(settings(), seed), ..Rig::new(settings()) };
+        let mut rig = Rig {
+            policy: module(settings(), seed),
+            ..Rig::new(settings())
+        };
         let list = [("r1", 0), ("w1", 1), ("w2", 1), ("w3", 1)];
-        let entries = list.iter().map(|(w, cell)| entry(w, *cell, Status::Ready, None)).collect();
+        let entries = list
+            .iter()
+            .map(|(w, cell)| entry(w, *cell, Status::Ready, None))
+            .collect();
         rig.list(ListKind::Saved, entries);
         rig.ask(1, "safe");
         chosen.insert(sends(&rig.end(1, 0, Outcome::Read))[0].to_owned());
@@ -1011,11 +1427,22 @@
 #[test]
 fn one_late_answer_does_not_make_a_worker_slow() {
     let timeout = |actions: &[Action]| {
-        actions.iter().find_map(|a| if let Action::Send { timeout, .. } = a { *timeout } else { None })
+        actions.iter().find_map(|a| {
+            if let Action::Send { timeout, .. } = a {
+                *timeout
+            } else {
+                None
+            }
+        })
     };
     let mut rig = Rig::new(settings());
     let list = [("r1", 0), ("r3", 0), ("w1", 0), ("w2", 0)];
-    rig.list(ListKind::Saved, list.iter().map(|(w, c)| entry(w, *c, Status::Ready, None)).collect());
+    rig.list(
+        ListKind::Saved,
+        list.iter()
+            .map(|(w, c)| entry(w, *c, Status::Ready, None))
+            .collect(),
+    );
     for id in 10..20 {
         rig.ask(id, "safe");
         rig.end(id, 0, Outcome::Read);
@@ -1025,7 +1452,11 @@
     let mut seen = Vec::new();
     for id in 100..140 {
         let session = Some(Arc::from(format!("s{id}")));
-        let read = rig.ask_with(Ask { request: RequestId(id), session, ..ask(rig.now, "safe") });
+        let read = rig.ask_with(Ask {
+            request: RequestId(id),
+            session,
+            ..ask(rig.now, "safe")
+        });
         let new = sends(&read) == ["r2"];
         if new {
             seen.push(timeout(&read));
@@ -1044,8 +1475,13 @@
             break;
         }
     }
-    let [Some(before), Some(after)] = seen[..] else { panic!("{seen:?}") };
-    assert!(after < before * 3, "as if it were slow: {before} then {after}");
+    let [Some(before), Some(after)] = seen[..] else {
+        panic!("{seen:?}")
+    };
+    assert!(
+        after < before * 3,
+        "as if it were slow: {before} then {after}"
+    );
 }
 
 /// Settings that state zero or a thousand routers, a tenant that they don't name, reports that make no sense.
@@ -1053,12 +1489,28 @@
 fn odd_settings_and_reports_cost_no_answer() {
     for routers in [0, 1, 1_000] {
         for may in [false, true] {
-            let tenants = vec![Tenant { name: "t".into(), quota_per_s: 0.0 }];
-            let set = Settings { routers, tenants, may_tell: may, may_probe: may, ..settings() };
-            let mut rig = Rig::fleet(Settings { reports: Reports::Answers, ..set });
+            let tenants = vec![Tenant {
+                name: "t".into(),
+                quota_per_s: 0.0,
+            }];
+            let set = Settings {
+                routers,
+                tenants,
+                may_tell: may,
+                may_probe: may,
+                ..settings()
+            };
+            let mut rig = Rig::fleet(Settings {
+                reports: Reports::Answers,
+                ..set
+            });
             for id in 1..30 {
                 let tenant = Some(if id % 2 == 0 { "t" } else { "stranger" }.to_owned());
-                rig.ask_with(Ask { request: RequestId(id), tenant, ..ask(rig.now, "safe") });
+                rig.ask_with(Ask {
+                    request: RequestId(id),
+                    tenant,
+                    ..ask(rig.now, "safe")
+                });
                 let report = Some(Report {
                     memory_share: Some(f64::NAN),
                     tokens_waiting: Some(if id % 3 == 0 { -1.0 } else { 1e300 }),
@@ -1066,7 +1518,11 @@
                 });
                 for name in ["r1", "r2", "w1", "nobody"] {
                     let worker = WorkerId(Arc::from(name));
-                    rig.event(Event::Probed { worker, outcome: Outcome::NoAnswer, report });
+                    rig.event(Event::Probed {
+                        worker,
+                        outcome: Outcome::NoAnswer,
+                        report,
+                    });
                 }
                 rig.pass(20 * MS);
             }
@@ -1095,7 +1551,11 @@
         }
         far
     });
-    let again = rig.end(far.expect("some states leave the cell of the lone writer"), 1, Outcome::NoAnswer);
+    let again = rig.end(
+        far.expect("some states leave the cell of the lone writer"),
+        1,
+        Outcome::NoAnswer,
+    );
     assert_eq!(sends(&again), ["w1"], "the state still waits at r1");
     for id in 200..230 {
         let writer = write(&mut rig, id);
@@ -1111,9 +1571,14 @@
         let mut rig = Rig::fleet(settings());
         rig.ask(1, "once");
         let then = rig.end(1, 0, outcome);
-        let release = then.iter().position(|a| matches!(a, Action::Release { .. }));
+        let release = then
+            .iter()
+            .position(|a| matches!(a, Action::Release { .. }));
         let send = then.iter().position(|a| matches!(a, Action::Send { .. }));
-        assert!(release.is_some() && send.is_none_or(|send| release < Some(send)), "{outcome:?}: {then:?}");
+        assert!(
+            release.is_some() && send.is_none_or(|send| release < Some(send)),
+            "{outcome:?}: {then:?}"
+        );
     }
 }
 
@@ -1122,17 +1587,29 @@
 fn a_crowded_holder_gives_work_to_readers_that_idle() {
     let mut rig = Rig::new(settings());
     let list = ["r1", "r2", "r3", "r4", "r5", "r6", "w1", "w2"];
-    rig.list(ListKind::Saved, list.iter().map(|w| entry(w, 0, Status::Ready, None)).collect());
+    rig.list(
+        ListKind::Saved,
+        list.iter()
+            .map(|w| entry(w, 0, Status::Ready, None))
+            .collect(),
+    );
     let prefix = |id, now| Ask {
         request: RequestId(id),
         prefix: Some(Arc::from("p")),
         prefix_tokens: 1_900,
         ..ask(now, "safe")
     };
-    let readers: Vec<String> =
-        (0..16).map(|id| sends(&rig.ask_with(prefix(id, rig.now))).join(" ")).collect();
-    assert!(readers[..4].iter().all(|r| *r == readers[0]), "its holder first: {readers:?}");
-    assert!(readers.iter().any(|r| *r != readers[0]), "others idle: {readers:?}");
+    let readers: Vec<String> = (0..16)
+        .map(|id| sends(&rig.ask_with(prefix(id, rig.now))).join(" "))
+        .collect();
+    assert!(
+        readers[..4].iter().all(|r| *r == readers[0]),
+        "its holder first: {readers:?}"
+    );
+    assert!(
+        readers.iter().any(|r| *r != readers[0]),
+        "others idle: {readers:?}"
+    );
 }
 
 /// Answers that are lost on the way tell nothing of the worker that has answered a later send; those that time
@@ -1152,13 +1629,20 @@
             home = sends(&rig.ask_with(prefix(id, rig.now)))[0].to_owned();
             rig.now += MS;
         }
-        let (answered, lost) = if overtaken { (4, [1, 2, 3]) } else { (1, [2, 3, 4]) };
+        let (answered, lost) = if overtaken {
+            (4, [1, 2, 3])
+        } else {
+            (1, [2, 3, 4])
+        };
         rig.end(answered, 0, Outcome::Read);
         rig.now += 900 * MS;
         for id in lost {
             rig.end(id, 0, Outcome::NoAnswer);
         }
-        assert_eq!(sends(&rig.ask_with(prefix(9, rig.now))) == [home.as_str()], overtaken);
+        assert_eq!(
+            sends(&rig.ask_with(prefix(9, rig.now))) == [home.as_str()],
+            overtaken
+        );
     }
 }
 
@@ -1167,7 +1651,12 @@
 fn a_class_whose_answers_are_lost_at_a_worker_goes_elsewhere_and_the_others_stay() {
     let mut rig = Rig::new(settings());
     let list = ["r1", "r2", "r3", "r4", "r5", "r6", "w1", "w2"];
-    rig.list(ListKind::Saved, list.iter().map(|w| entry(w, 0, Status::Ready, None)).collect());
+    rig.list(
+        ListKind::Saved,
+        list.iter()
+            .map(|w| entry(w, 0, Status::Ready, None))
+            .collect(),
+    );
     let prefix = |id, now, class| Ask {
         request: RequestId(id),
         prefix: Some(Arc::from("p")),
@@ -1176,21 +1665,37 @@
     };
     let home = sends(&rig.ask_with(prefix(1, rig.now, "safe"))).join(" ");
     rig.now += MS;
-    assert_eq!(sends(&rig.ask_with(prefix(2, rig.now, "safe"))), [home.as_str()]);
+    assert_eq!(
+        sends(&rig.ask_with(prefix(2, rig.now, "safe"))),
+        [home.as_str()]
+    );
     rig.now += MS;
-    assert_eq!(sends(&rig.ask_with(prefix(3, rig.now, "once"))), [home.as_str()]);
+    assert_eq!(
+        sends(&rig.ask_with(prefix(3, rig.now, "once"))),
+        [home.as_str()]
+    );
     rig.end(3, 0, Outcome::Read);
     rig.now += 600 * MS;
     rig.end(1, 0, Outcome::NoAnswer);
     rig.end(2, 0, Outcome::NoAnswer);
-    assert_ne!(sends(&rig.ask_with(prefix(4, rig.now, "safe"))), [home.as_str()]);
-    assert_eq!(sends(&rig.ask_with(prefix(5, rig.now, "once"))), [home.as_str()]);
+    assert_ne!(
+        sends(&rig.ask_with(prefix(4, rig.now, "safe"))),
+        [home.as_str()]
+    );
+    assert_eq!(
+        sends(&rig.ask_with(prefix(5, rig.now, "once"))),
+        [home.as_str()]
+    );
     // Nothing is known of the text any more, nor of what was lost.
     rig.pass(40 * SECOND);
     for (id, attempt) in [(4, 0), (5, 0)] {
         rig.end(id, attempt, Outcome::Dropped);
     }
-    assert_eq!(sends(&rig.ask_with(prefix(6, rig.now, "safe"))), [home.as_str()], "it is tried again");
+    assert_eq!(
+        sends(&rig.ask_with(prefix(6, rig.now, "safe"))),
+        [home.as_str()],
+        "it is tried again"
+    );
 }
 
 /// The same for writers, of which one that answers no request of a class looks full to it.
@@ -1198,7 +1703,12 @@
 fn a_class_whose_answers_are_lost_at_a_writer_goes_to_another() {
     let mut rig = Rig::new(settings());
     let list = ["r1", "w1", "w2"];
-    rig.list(ListKind::Saved, list.iter().map(|w| entry(w, 0, Status::Ready, None)).collect());
+    rig.list(
+        ListKind::Saved,
+        list.iter()
+            .map(|w| entry(w, 0, Status::Ready, None))
+            .collect(),
+    );
     let write = |rig: &mut Rig, id: u64, class| {
         rig.now += MS;
         rig.ask(id, class);
@@ -1206,7 +1716,10 @@
     };
     // One at each writer; then another class is answered by w1, and what waits there longer is not.
     let first = [write(&mut rig, 1, "safe"), write(&mut rig, 2, "safe")];
-    let lost = 1 + first.iter().position(|w| w == "w1").expect("the emptier one is taken") as u64;
+    let lost = 1 + first
+        .iter()
+        .position(|w| w == "w1")
+        .expect("the emptier one is taken") as u64;
     let answered = (10..100).find(|id| {
         let there = write(&mut rig, *id, "cell") == "w1";
         rig.end(*id, 1, Outcome::Served);
@@ -1214,7 +1727,11 @@
     });
     assert!(answered.is_some());
     rig.pass(600 * MS);
-    assert_eq!(sends(&rig.end(lost, 1, Outcome::NoAnswer)), ["w2"], "the state may still wait");
+    assert_eq!(
+        sends(&rig.end(lost, 1, Outcome::NoAnswer)),
+        ["w2"],
+        "the state may still wait"
+    );
     rig.end(lost, 2, Outcome::Served);
     rig.end(3 - lost, 1, Outcome::Served);
     let to_w1 = |rig: &mut Rig, ids: std::ops::Range<u64>, class| {
@@ -1235,18 +1752,28 @@
 fn a_writer_whose_streams_last_much_longer_is_left_for_others() {
     let mut rig = Rig::new(settings());
     let list = [("r1", 0), ("w1", 0), ("w2", 0), ("w3", 1)];
-    let list = list.iter().map(|(w, cell)| entry(w, *cell, Status::Ready, None));
+    let list = list
+        .iter()
+        .map(|(w, cell)| entry(w, *cell, Status::Ready, None));
     rig.list(ListKind::Saved, list.collect());
     let write = |rig: &mut Rig, id: u64| {
         rig.now += MS;
         rig.ask(id, "safe");
         let writer = sends(&rig.end(id, 0, Outcome::Read))[0].to_owned();
         let (request, attempt) = (RequestId(id), AttemptIndex(1));
-        rig.event(Event::Started { request, attempt, elapsed: 20 * MS });
+        rig.event(Event::Started {
+            request,
+            attempt,
+            elapsed: 20 * MS,
+        });
         writer
     };
     let to: Vec<(u64, String)> = (1..20).map(|id| (id, write(&mut rig, id))).collect();
-    assert!(["w1", "w2", "w3"].iter().all(|name| to.iter().any(|(_, w)| w == name)));
+    assert!(
+        ["w1", "w2", "w3"]
+            .iter()
+            .all(|name| to.iter().any(|(_, w)| w == name))
+    );
     for (wait, crawls) in [(500 * MS, false), (8 * SECOND, true)] {
         rig.pass(wait);
         for (id, _) in to.iter().filter(|(_, w)| (w == "w1") == crawls) {
@@ -1267,18 +1794,26 @@
 fn before_any_stream_has_ended_none_is_long() {
     let mut rig = Rig::new(settings());
     let list = [("r1", 0), ("r2", 1), ("w1", 0), ("w2", 1)];
-    let list = list.iter().map(|(w, cell)| entry(w, *cell, Status::Ready, None));
+    let list = list
+        .iter()
+        .map(|(w, cell)| entry(w, *cell, Status::Ready, None));
     rig.list(ListKind::Saved, list.collect());
     for id in 1..5 {
         rig.now += 200 * MS;
-        let reader =
-            sends(&rig.ask_with(Ask { request: RequestId(id), prompt_tokens: 500, ..ask(rig.now, "safe") }))
-                [0]
+        let reader = sends(&rig.ask_with(Ask {
+            request: RequestId(id),
+            prompt_tokens: 500,
+            ..ask(rig.now, "safe")
+        }))[0]
             .to_owned();
         let near = reader.replace('r', "w");
         assert_eq!(sends(&rig.end(id, 0, Outcome::Read)), [near.as_str()]);
         let (request, attempt) = (RequestId(id), AttemptIndex(1));
-        rig.event(Event::Started { request, attempt, elapsed: 20 * MS });
+        rig.event(Event::Started {
+            request,
+            attempt,
+            elapsed: 20 * MS,
+        });
     }
 }
 
@@ -1286,12 +1821,24 @@
 /// 350 routers.
 #[test]
 fn a_router_of_many_takes_a_list_of_a_thousand_workers_and_a_change_of_it() {
-    let mut rig = Rig::new(Settings { routers: 350, index: Some(349), ..settings() });
+    let mut rig = Rig::new(Settings {
+        routers: 350,
+        index: Some(349),
+        ..settings()
+    });
     let list = |status, started| {
         let of = |role: &'static str| (0..512).map(move |i| (format!("{role}{i}"), i / 6));
-        of("r").chain(of("w")).map(|(w, cell)| entry(&w, cell, status, started)).collect::<Vec<_>>()
+        of("r")
+            .chain(of("w"))
+            .map(|(w, cell)| entry(&w, cell, status, started))
+            .collect::<Vec<_>>()
+    };
+    let sent = |actions: &[Action]| {
+        actions
+            .iter()
+            .filter(|a| matches!(a, Action::Send { .. }))
+            .count()
     };
-    let sent = |actions: &[Action]| actions.iter().filter(|a| matches!(a, Action::Send { .. })).count();
     rig.list(ListKind::Saved, list(Status::Ready, None));
     for id in 1..=64 {
         assert_eq!(sent(&rig.ask(id, "safe")), 1, "request {id}");
@@ -1320,12 +1867,21 @@
     for id in 100..200 {
         rig.ask(id, "safe");
     }
-    rig.list(ListKind::Changes, ["r1", "r2"].map(|w| entry(w, 0, Status::Ready, None)).to_vec());
+    rig.list(
+        ListKind::Changes,
+        ["r1", "r2"]
+            .map(|w| entry(w, 0, Status::Ready, None))
+            .to_vec(),
+    );
     let mut at_once = Vec::new();
     for id in 0..10 {
         at_once.extend(rig.end(id, 0, Outcome::Read));
     }
-    let to_readers = |actions: &[Action]| sends(actions).iter().filter(|w| w.starts_with('r')).count();
+    let to_readers =
+        |actions: &[Action]| sends(actions).iter().filter(|w| w.starts_with('r')).count();
     assert_eq!(to_readers(&at_once), 0);
-    assert!(to_readers(&rig.pass(10 * MS)) > 0, "not gone on with in time");
+    assert!(
+        to_readers(&rig.pass(10 * MS)) > 0,
+        "not gone on with in time"
+    );
 }
--- a/tests/presence.rs
+++ b/tests/presence.rs
@@ -46,7 +46,9 @@
 }
 
 fn reset(client: TcpStream) -> Option<TcpStream> {
-    SockRef::from(&client).set_linger(Some(Duration::ZERO)).unwrap();
+    SockRef::from(&client)
+        .set_linger(Some(Duration::ZERO))
+        .unwrap();
     None
 }
 
@@ -76,9 +78,14 @@
     let conductor = Conductor::start(&operator_file(&[host.address], &[host.address], ""));
     let mut client = conductor.connect();
     // Much is not taken at all where it is not read.
-    client.set_write_timeout(Some(Duration::from_millis(500))).unwrap();
+    client
+        .set_write_timeout(Some(Duration::from_millis(500)))
+        .unwrap();
     let request = request("id-1", "explain", "hello");
-    let behind = behind.replace(MUCH, &format!("GET / HTTP/1.1\r\n{}", "a: b\r\n".repeat(2_000_000)));
+    let behind = behind.replace(
+        MUCH,
+        &format!("GET / HTTP/1.1\r\n{}", "a: b\r\n".repeat(2_000_000)),
+    );
     if at_once {
         let _ = client.write_all(format!("{request}{behind}").as_bytes());
         told.recv_timeout(STUCK).unwrap();
@@ -105,14 +112,17 @@
     let mut clients: Vec<_> = (0..100).map(|_| conductor.connect()).collect();
     for (i, client) in clients.iter_mut().enumerate() {
         let request = request(&format!("gone-{i}"), "explain", "hello");
-        client.write_all(format!("{request}{behind}").as_bytes()).unwrap();
+        client
+            .write_all(format!("{request}{behind}").as_bytes())
+            .unwrap();
     }
     let _open: Vec<_> = clients.into_iter().map(go).collect();
     assert_eq!(conductor.ask("id-1", "send").status(), 200);
     // All that was taken has ended, in one way or the other.
     let settled = loop {
         let now = counters(&conductor);
-        let [taken, served, left] = ["taken", "answered_stream", "clients_left"].map(|c| now.get(c));
+        let [taken, served, left] =
+            ["taken", "answered_stream", "clients_left"].map(|c| now.get(c));
         if now.get("connections_in") == 101 && served + left >= taken {
             break now;
         }
@@ -146,15 +156,21 @@
     let conductor = Conductor::start(&file);
     conductor.limit_descriptors(256);
     let holding = idle(&conductor, 250);
-    let (reads, writes) =
-        (entry("prompt-0", "prompt", reader.address), entry("answer-9", "answer", new.address));
+    let (reads, writes) = (
+        entry("prompt-0", "prompt", reader.address),
+        entry("answer-9", "answer", new.address),
+    );
     let discovery = Peer::start_at(at, move |message, conn| {
         if message.line.contains("watch") {
             conn.begin_stream();
             conn.chunk(&format!("{{\"seq\":7,\"hosts\":[{reads},{writes}]}}\n"));
             return !conn.is_closed();
         }
-        conn.answer("200 OK", "", &format!("{{\"seq\":1,\"whole\":true,\"hosts\":[{reads}]}}"));
+        conn.answer(
+            "200 OK",
+            "",
+            &format!("{{\"seq\":1,\"whole\":true,\"hosts\":[{reads}]}}"),
+        );
         true
     });
     let discovery = discovery.unwrap();
@@ -165,7 +181,12 @@
     while conductor.ask("id-1", "send").status() != 200 {}
     drop((holding, more));
     let counters = conductor.stop();
-    assert_eq!(["reloads", "reloads_failed"].map(|c| counters.get(c)), [1, 0], "{}", counters.0);
+    assert_eq!(
+        ["reloads", "reloads_failed"].map(|c| counters.get(c)),
+        [1, 0],
+        "{}",
+        counters.0
+    );
     drop(discovery);
 }
 
@@ -187,7 +208,10 @@
 #[test]
 fn a_start_is_seen_to_be_ready_under_a_flood_while_discovery_is_silent() {
     let (reader, writer, silent) = (Peer::reader(), writer(), Silent::start());
-    let more = format!("discovery = \"{}\"\nlimits = {{ sockets = 256, memory_mb = 64 }}", silent.address);
+    let more = format!(
+        "discovery = \"{}\"\nlimits = {{ sockets = 256, memory_mb = 64 }}",
+        silent.address
+    );
     let conductor = Conductor::start(&operator_file(&[reader.address], &[writer.address], &more));
     let (address, over) = (conductor.address, Arc::new(AtomicBool::new(false)));
     let ends = over.clone();
@@ -200,7 +224,11 @@
             }
         }
     });
-    while conductor.raw(b"GET /healthz HTTP/1.1\r\nhost: a\r\n\r\n").status() != 200 {}
+    while conductor
+        .raw(b"GET /healthz HTTP/1.1\r\nhost: a\r\n\r\n")
+        .status()
+        != 200
+    {}
     while conductor.ask("id-1", "send").status() != 200 {}
     // It ends under the flood, too.
     assert!(conductor.stop().get("connections_evicted") > 0);
@@ -238,10 +266,13 @@
     let reader = Peer::reader();
     let conductor = Conductor::start(&operator_file(&[reader.address], &[writer.address], ""));
     let mut slow = conductor.connect();
-    slow.write_all(request("slow", "send", "hello").as_bytes()).unwrap();
+    slow.write_all(request("slow", "send", "hello").as_bytes())
+        .unwrap();
     fills.recv_timeout(STUCK).unwrap();
     let mut client = conductor.connect();
-    client.write_all(request("id-1", "send", "hello").as_bytes()).unwrap();
+    client
+        .write_all(request("id-1", "send", "hello").as_bytes())
+        .unwrap();
     let mut come = Vec::new();
     for i in 0..40 {
         let wanted = format!("event-{i}-");
--- a/tests/releases.rs
+++ b/tests/releases.rs
@@ -53,7 +53,8 @@
     });
     let conductor = Conductor::start(&operator_file(&[host.address], &[host.address], ""));
     assert_eq!(conductor.ask("id-1", "send").status(), 502);
-    told.recv_timeout(STUCK).expect("the state is held for good");
+    told.recv_timeout(STUCK)
+        .expect("the state is held for good");
     assert_eq!(conductor.stop().get("releases_failed"), 0);
 }
 
@@ -79,14 +80,19 @@
     let conductor = Conductor::start(&operator_file(&[host.address], &[host.address], ""));
     assert_eq!(conductor.ask("id-1", "send").status(), 502);
     conductor.stop();
-    told.try_recv().expect("the process ended before its release was taken");
+    told.try_recv()
+        .expect("the process ended before its release was taken");
 }
 
 /// The permit of a module's first send to a worker.
 fn permit_to_send_to(entry: Entry) -> SendPermit {
     let settings = Settings {
         routers: 1,
-        classes: vec![Class { name: "chat".into(), aim: 1_000_000, ..Class::default() }],
+        classes: vec![Class {
+            name: "chat".into(),
+            aim: 1_000_000,
+            ..Class::default()
+        }],
         max_attempts: 6,
         release: 500_000,
         ..Settings::default()
@@ -104,9 +110,22 @@
         tenant: None,
     };
     let (mut module, mut actions) = (whinhaven::Policy::new(settings, 1), Vec::new());
-    module.handle(0, Event::List { kind: ListKind::Full, entries: vec![entry] }, &mut actions);
+    module.handle(
+        0,
+        Event::List {
+            kind: ListKind::Full,
+            entries: vec![entry],
+        },
+        &mut actions,
+    );
     module.handle(0, Event::Ask(ask), &mut actions);
-    let permit = |action| if let Action::Send { permit, .. } = action { Some(permit) } else { None };
+    let permit = |action| {
+        if let Action::Send { permit, .. } = action {
+            Some(permit)
+        } else {
+            None
+        }
+    };
     actions.into_iter().find_map(permit).expect("a send")
 }
 
@@ -127,7 +146,10 @@
         conn.answer("202 Accepted", "", r#"{"cached_tokens":0}"#);
         true
     });
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     let outcome = tokio::task::LocalSet::new().block_on(&runtime, async {
         let (core, mut queue) = CoreHandle::channel(Clock::start());
         let (counters, directory) = (Rc::<Counts>::default(), Rc::<Directory>::default());
@@ -142,7 +164,11 @@
             weight: 1.0,
             started: None,
         };
-        directory.apply(&Listing { seq: 1, whole: true, entries: vec![(entry.clone(), Some(peer.address))] });
+        directory.apply(&Listing {
+            seq: 1,
+            whole: true,
+            entries: vec![(entry.clone(), Some(peer.address))],
+        });
         let wait = Duration::from_secs(5);
         let hosts = Hosts {
             directory,
@@ -153,7 +179,11 @@
             pending: Rc::default(),
             late_arrivals: Rc::default(),
         };
-        let (id, target, body) = ("id-1".to_owned(), "/".to_owned(), Bytes::from_static(b"hello"));
+        let (id, target, body) = (
+            "id-1".to_owned(),
+            "/".to_owned(),
+            Bytes::from_static(b"hello"),
+        );
         let (_cancel, cancelled) = oneshot::channel();
         hosts.send(Attempt {
             request: RequestId(1),
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -19,13 +19,19 @@
 
 /// An operator's file with these classes, from one in which `explain` is safe and `send` is not.
 fn with_classes(file: &str, classes: &[String]) -> String {
-    let (begin, end) = (file.find("[[settings.classes]]").unwrap(), file.find("[known]").unwrap());
+    let (begin, end) = (
+        file.find("[[settings.classes]]").unwrap(),
+        file.find("[known]").unwrap(),
+    );
     format!("{}{}{}", &file[..begin], classes.concat(), &file[end..])
 }
 
 fn with_attempts(file: &str, attempts: &str) -> String {
     assert!(file.contains("max_attempts = 6\n"));
-    file.replace("max_attempts = 6\n", &format!("max_attempts = {attempts}\n"))
+    file.replace(
+        "max_attempts = 6\n",
+        &format!("max_attempts = {attempts}\n"),
+    )
 }
 
 /// A writer that answers all requests.
@@ -73,7 +79,12 @@
                 true
             })
         };
-        Breaking { peers: (0..4).map(peer).collect(), sends: sends.clone(), begins, go }
+        Breaking {
+            peers: (0..4).map(peer).collect(),
+            sends: sends.clone(),
+            begins,
+            go,
+        }
     }
 
     fn file(&self, reader: &Peer) -> String {
@@ -88,7 +99,9 @@
 
 fn begin(conductor: &Conductor, id: &str, class: &str) -> TcpStream {
     let mut client = conductor.connect();
-    client.write_all(request(id, class, "hello").as_bytes()).unwrap();
+    client
+        .write_all(request(id, class, "hello").as_bytes())
+        .unwrap();
     client
 }
 
@@ -103,9 +116,15 @@
     let conductor = Conductor::start(&file);
     assert_eq!(conductor.ask("id-1", "send").status(), 200);
     assert_eq!(conductor.ask("id-2", "plan").status(), 400);
-    conductor.reload(&with_classes(&file, &[class("explain", "read_like"), class("plan", "read_like")]));
+    conductor.reload(&with_classes(
+        &file,
+        &[class("explain", "read_like"), class("plan", "read_like")],
+    ));
     let line = conductor.wait_for("reload: new settings");
-    assert!(line.contains("class plan added, class send dropped"), "{line}");
+    assert!(
+        line.contains("class plan added, class send dropped"),
+        "{line}"
+    );
     assert_eq!(conductor.ask("id-3", "plan").status(), 200);
     assert_eq!(conductor.ask("id-4", "explain").status(), 200);
     assert_eq!(conductor.ask("id-5", "send").status(), 400);
@@ -114,7 +133,10 @@
     conductor.wait_for("reload: new settings");
     assert_eq!(conductor.ask("id-6", "send").status(), 200);
     let counters = conductor.stop();
-    assert_eq!(["reloads", "bad_requests", "taken"].map(|c| counters.get(c)), [2, 2, 4]);
+    assert_eq!(
+        ["reloads", "bad_requests", "taken"].map(|c| counters.get(c)),
+        [2, 2, 4]
+    );
 }
 
 /// Guards against open requests that go by the new rules: an unsafe one that may have run would be sent again
@@ -135,7 +157,10 @@
     let conductor = Conductor::start(&file);
     let client = begin(&conductor, "id-1", name);
     writers.begins.recv().unwrap();
-    let classes: Vec<String> = classes.iter().map(|(name, effect)| class(name, effect)).collect();
+    let classes: Vec<String> = classes
+        .iter()
+        .map(|(name, effect)| class(name, effect))
+        .collect();
     conductor.reload(&with_classes(&file, &classes));
     conductor.wait_for("reload: new settings");
     writers.go.send(()).unwrap();
@@ -193,7 +218,10 @@
         let more = format!("discovery = \"{discovery}\"");
         operator_file(&[reader.address], &[writer.address], &more)
     };
-    let (nowhere, classes) = (Peer::nobody(), [class("explain", "read_like"), class("plan", "read_like")]);
+    let (nowhere, classes) = (
+        Peer::nobody(),
+        [class("explain", "read_like"), class("plan", "read_like")],
+    );
     let conductor = Conductor::start(&file(nowhere));
     let good = with_classes(&file(elsewhere.address), &classes);
     let without = |line: &str| {
@@ -203,14 +231,29 @@
     let bad = [
         (String::new(), "missing"),
         (good[..good.len() - 1].to_owned(), "cut short"),
-        (good[..good.find("[known]").unwrap()].to_owned(), "known is missing"),
+        (
+            good[..good.find("[known]").unwrap()].to_owned(),
+            "known is missing",
+        ),
         (without("my_zone = \"here\"\n"), "my_zone"),
         (without("cold_us = 9000000\n"), "cold_us"),
-        (without("answer_slack_us = 16000\n"), "settings.rules.answer_slack_us is missing"),
+        (
+            without("answer_slack_us = 16000\n"),
+            "settings.rules.answer_slack_us is missing",
+        ),
         (without("give_up_us = 6000000\n"), "give_up_us"),
-        (good.replace("give_up_us = 6000000", "give_up_us = 0"), "0 is no number above 0"),
-        (good.replace("give_up_us = 6000000", "give_up_us = \"soon\""), "give_up_us"),
-        (with_attempts(&good, "0"), "max_attempts: 0 is no number above 0"),
+        (
+            good.replace("give_up_us = 6000000", "give_up_us = 0"),
+            "0 is no number above 0",
+        ),
+        (
+            good.replace("give_up_us = 6000000", "give_up_us = \"soon\""),
+            "give_up_us",
+        ),
+        (
+            with_attempts(&good, "0"),
+            "max_attempts: 0 is no number above 0",
+        ),
         (with_attempts(&good, "-1"), "max_attempts"),
         (with_attempts(&good, "\"many\""), "max_attempts"),
         (good.replace("read_like", "harmless"), "effect"),
@@ -219,7 +262,10 @@
     for (text, why) in &bad {
         conductor.reload(text);
         let line = conductor.wait_for("the configuration held stands");
-        assert!(line.contains("reload: ") && line.contains(why), "{why}: {line}");
+        assert!(
+            line.contains("reload: ") && line.contains(why),
+            "{why}: {line}"
+        );
         assert_eq!(conductor.ask("id-1", "plan").status(), 400);
     }
     assert_eq!(conductor.ask("id-2", "send").status(), 200);
@@ -228,7 +274,10 @@
     conductor.wait_for("reload: discovery is now at");
     assert_eq!(conductor.ask("id-3", "plan").status(), 200);
     let counters = conductor.stop();
-    assert_eq!([counters.get("reloads"), counters.get("reloads_failed")], [1, bad.len() as u64]);
+    assert_eq!(
+        [counters.get("reloads"), counters.get("reloads_failed")],
+        [1, bad.len() as u64]
+    );
 }
 
 /// Guards against a new value that seems to be in force where it counts from a start only.
@@ -237,11 +286,13 @@
     let (reader, writer) = (Peer::reader(), writer());
     let file = operator_file(&[reader.address], &[writer.address], "");
     let conductor = Conductor::start(&file);
-    let new = with_attempts(&file, "3").replace("connect_timeout_us = 250000", "connect_timeout_us = 99000");
+    let new = with_attempts(&file, "3")
+        .replace("connect_timeout_us = 250000", "connect_timeout_us = 99000");
     for _ in 0..2 {
         conductor.reload(&new);
-        conductor
-            .wait_for("reload: a new settings.permissions.connect_timeout_us counts from the next start on");
+        conductor.wait_for(
+            "reload: a new settings.permissions.connect_timeout_us counts from the next start on",
+        );
     }
     conductor.wait_for("reload: discovery stays");
 }
--- a/tests/silent_hosts.rs
+++ b/tests/silent_hosts.rs
@@ -37,7 +37,9 @@
 
 fn request_id(message: &Message) -> String {
     let path = message.path().strip_prefix("/internal/reservations/");
-    path.or(message.header("x-request-id")).unwrap_or("").to_owned()
+    path.or(message.header("x-request-id"))
+        .unwrap_or("")
+        .to_owned()
 }
 
 /// Whether hosts are silent, for all of them and the test.
@@ -58,7 +60,11 @@
     }
 
     fn wait_until_over(&self) {
-        drop(self.over.wait_while(self.is_on.lock().unwrap(), |is_on| *is_on).unwrap());
+        drop(
+            self.over
+                .wait_while(self.is_on.lock().unwrap(), |is_on| *is_on)
+                .unwrap(),
+        );
     }
 }
 
@@ -102,21 +108,32 @@
     let (report, seen) = Report::new();
     let silent = Arc::<Silence>::default();
     let readers: Vec<Peer> = (0..2).map(|_| reader(report.clone())).collect();
-    let writers: Vec<Peer> = (0..3).map(|_| writer(silent.clone(), report.clone())).collect();
+    let writers: Vec<Peer> = (0..3)
+        .map(|_| writer(silent.clone(), report.clone()))
+        .collect();
     let addresses = |peers: &[Peer]| peers.iter().map(|p| p.address).collect::<Vec<_>>();
-    let conductor = Conductor::start(&operator_file(&addresses(&readers), &addresses(&writers), ""));
+    let conductor = Conductor::start(&operator_file(
+        &addresses(&readers),
+        &addresses(&writers),
+        "",
+    ));
     // So that connections are kept that look alive.
     for warm in 0..12 {
         assert_eq!(conductor.ask(&format!("warm-{warm}"), class).status(), 200);
     }
     silent.set(true);
     let mut client = conductor.connect();
-    client.write_all(request("lost-1", class, "hello").as_bytes()).unwrap();
+    client
+        .write_all(request("lost-1", class, "hello").as_bytes())
+        .unwrap();
     let mut released = BTreeSet::new();
     let id = "lost-1".to_owned();
     let mut buffered = 0;
     loop {
-        match seen.recv_timeout(STUCK).expect("neither released nor closed") {
+        match seen
+            .recv_timeout(STUCK)
+            .expect("neither released nor closed")
+        {
             Seen::Buffered(at) if at == id => {
                 buffered += 1;
                 released.remove(&id);
@@ -162,15 +179,23 @@
     let readers = [late_reader(silent.clone(), report.clone())];
     let writers = [writer(Arc::default(), report.clone())];
     let addresses = |peers: &[Peer]| peers.iter().map(|p| p.address).collect::<Vec<_>>();
-    let conductor = Conductor::start(&operator_file(&addresses(&readers), &addresses(&writers), ""));
+    let conductor = Conductor::start(&operator_file(
+        &addresses(&readers),
+        &addresses(&writers),
+        "",
+    ));
     assert_eq!(conductor.ask("warm-1", "explain").status(), 200);
     silent.set(true);
-    let late = request("late-1", "explain", "hello").replace("x-deadline: 8000m", "x-deadline: 700m");
+    let late =
+        request("late-1", "explain", "hello").replace("x-deadline: 8000m", "x-deadline: 700m");
     assert_eq!(conductor.raw(late.as_bytes()).status(), 503);
     silent.set(false);
     let mut was_read = false;
     loop {
-        match seen.recv_timeout(STUCK).expect("the late read is never released") {
+        match seen
+            .recv_timeout(STUCK)
+            .expect("the late read is never released")
+        {
             Seen::Read(id) if id == "late-1" => was_read = true,
             Seen::Released(id) if id == "late-1" && was_read => break,
             _ => {}
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -10,7 +10,8 @@
 
 impl Scratch {
     fn new(name: &str) -> Self {
-        let path = std::env::temp_dir().join(format!("whinhaven-store-{}-{name}", std::process::id()));
+        let path =
+            std::env::temp_dir().join(format!("whinhaven-store-{}-{name}", std::process::id()));
         let _ = std::fs::remove_dir_all(&path);
         Scratch(path)
     }
@@ -28,13 +29,20 @@
 /// Any record tells its index, so that one in the wrong place is seen.
 fn record(index: u64) -> Vec<u8> {
     let length = [8, 90, 700, 5000][index as usize % 4];
-    index.to_le_bytes().into_iter().cycle().take(length).collect()
+    index
+        .to_le_bytes()
+        .into_iter()
+        .cycle()
+        .take(length)
+        .collect()
 }
 
 /// The child of the tests below: appends until it is killed or its disk is full, and says what was acknowledged.
 #[test]
 fn child() {
-    let Ok(directory) = std::env::var(DIRECTORY) else { return };
+    let Ok(directory) = std::env::var(DIRECTORY) else {
+        return;
+    };
     let (mut store, restored) = Store::open(Path::new(&directory), Settings::default()).unwrap();
     // A snapshot makes room, so that the disk would never fill.
     let snapshots = std::env::var(FILL).is_err();
@@ -87,7 +95,10 @@
     let last = restored.first + restored.records.len() as u64 - 1;
     assert!(last >= index, "{index} acknowledged, {last} there");
     if let Some((at, data)) = restored.snapshot {
-        assert_eq!((restored.first, data), (at + 1, (at + 1).to_le_bytes().to_vec()));
+        assert_eq!(
+            (restored.first, data),
+            (at + 1, (at + 1).to_le_bytes().to_vec())
+        );
     }
     last
 }
@@ -102,12 +113,19 @@
         let mut left = 1 + kill * 7 % 20;
         while left > 0 {
             line.clear();
-            assert!(out.read_line(&mut line).unwrap() > 0, "the child ended by itself");
+            assert!(
+                out.read_line(&mut line).unwrap() > 0,
+                "the child ended by itself"
+            );
             left -= acknowledged(&line).is_some() as u64;
         }
         child.kill().unwrap();
         child.wait().unwrap();
-        let told = out.lines().map_while(Result::ok).filter_map(|line| acknowledged(&line)).last();
+        let told = out
+            .lines()
+            .map_while(Result::ok)
+            .filter_map(|line| acknowledged(&line))
+            .last();
         let told = told.or(acknowledged(&line)).unwrap();
         assert!(told > last, "it went on from where it was");
         last = holds(&scratch.0, told);
@@ -119,12 +137,23 @@
 fn a_disk_that_fills_refuses_and_keeps_what_it_has() {
     let scratch = Scratch::new("full");
     // A limit on the file's size stands for the disk's.
-    let (mut child, out) =
-        start(&scratch.0, "export WHINHAVEN_STORE_FILL=1; trap '' XFSZ; ulimit -f 40; exec \"$@\"");
+    let (mut child, out) = start(
+        &scratch.0,
+        "export WHINHAVEN_STORE_FILL=1; trap '' XFSZ; ulimit -f 40; exec \"$@\"",
+    );
     let lines: Vec<_> = out.lines().map(Result::unwrap).collect();
     assert!(child.wait().unwrap().success());
-    let told = lines.iter().rev().find_map(|line| acknowledged(line)).unwrap();
-    assert!(lines.iter().any(|line| line.starts_with("refused, full: true")), "{lines:?}");
+    let told = lines
+        .iter()
+        .rev()
+        .find_map(|line| acknowledged(line))
+        .unwrap();
+    assert!(
+        lines
+            .iter()
+            .any(|line| line.starts_with("refused, full: true")),
+        "{lines:?}"
+    );
     assert_eq!(holds(&scratch.0, told), told);
 }
 
@@ -135,10 +164,17 @@
     let (mut store, first) = Store::open(&scratch.0, settings.clone()).unwrap();
     store.append(1, &[record(1)]).unwrap();
     let second = Store::open(&scratch.0, settings.clone()).unwrap_err();
-    assert!(matches!(&second, StoreError::InUse(path) if *path == scratch.0), "{second}");
+    assert!(
+        matches!(&second, StoreError::InUse(path) if *path == scratch.0),
+        "{second}"
+    );
     let (mut child, out) = start(&scratch.0, "exec \"$@\" 2>&1");
     assert!(!child.wait().unwrap().success());
-    assert!(out.lines().map(Result::unwrap).any(|line| line.contains("InUse")));
+    assert!(
+        out.lines()
+            .map(Result::unwrap)
+            .any(|line| line.contains("InUse"))
+    );
     drop(store);
     // A process that another test is just starting has a copy of the lock until it runs its own program.
     let (store, again) = loop {
@@ -147,7 +183,10 @@
             opened => break opened.unwrap(),
         }
     };
-    assert_eq!((first.fresh, again.fresh, again.store_id), (true, false, first.store_id));
+    assert_eq!(
+        (first.fresh, again.fresh, again.store_id),
+        (true, false, first.store_id)
+    );
     assert_eq!(again.records, [record(1)]);
     drop(store);
     std::fs::remove_dir_all(&scratch.0).unwrap();
--- a/tests/support/agenda.rs
+++ b/tests/support/agenda.rs
@@ -27,7 +27,11 @@
 
 impl<T> Agenda<T> {
     pub fn new() -> Self {
-        Agenda { times: BinaryHeap::new(), what: BTreeMap::new(), count: 0 }
+        Agenda {
+            times: BinaryHeap::new(),
+            what: BTreeMap::new(),
+            count: 0,
+        }
     }
 
     /// A number that was not given before.
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -12,8 +12,10 @@
 
 /// An operator's file: readers, writers, and whatever follows.
 pub fn operator_file(readers: &[SocketAddr], writers: &[SocketAddr], more: &str) -> String {
-    let mut text =
-        format!("name = \"test\"\nlisten = \"127.0.0.1:0\"\n{}\n", more.split("---").next().unwrap_or(""));
+    let mut text = format!(
+        "name = \"test\"\nlisten = \"127.0.0.1:0\"\n{}\n",
+        more.split("---").next().unwrap_or("")
+    );
     text += whinhaven_lab::fleet::SETTINGS;
     text += "[known]\nseq = 1\nwhole = true\n";
     for (kind, all) in [("prompt", readers), ("answer", writers)] {
@@ -46,7 +48,8 @@
     pub fn launch(operator_file: &str, temporary: &std::path::Path) -> Conductor {
         static NUMBER: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(0);
         let number = NUMBER.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
-        let file = std::env::temp_dir().join(format!("whinhaven-{}-{number}.toml", std::process::id()));
+        let file =
+            std::env::temp_dir().join(format!("whinhaven-{}-{number}.toml", std::process::id()));
         std::fs::write(&file, operator_file).unwrap();
         let mut child = Command::new(env!("CARGO_BIN_EXE_whinhaven"))
             .args(["serve", file.to_str().unwrap()])
@@ -56,19 +59,42 @@
             .unwrap();
         let stderr = BufReader::new(child.stderr.take().unwrap());
         let (lines, log) = mpsc::channel();
-        thread::spawn(move || stderr.lines().map_while(Result::ok).all(|line| lines.send(line).is_ok()));
-        Conductor { child, address: "127.0.0.1:1".parse().unwrap(), ops: None, log, file }
+        thread::spawn(move || {
+            stderr
+                .lines()
+                .map_while(Result::ok)
+                .all(|line| lines.send(line).is_ok())
+        });
+        Conductor {
+            child,
+            address: "127.0.0.1:1".parse().unwrap(),
+            ops: None,
+            log,
+            file,
+        }
     }
 
     /// Waits until it serves.
     pub fn serving(mut self) -> Conductor {
-        let has_door = std::fs::read_to_string(&self.file).unwrap().lines().any(|l| l.starts_with("ops ="));
+        let has_door = std::fs::read_to_string(&self.file)
+            .unwrap()
+            .lines()
+            .any(|l| l.starts_with("ops ="));
         if has_door {
             let line = self.wait_for("the operators' door is at ");
-            self.ops = line.rsplit(' ').next().and_then(|address| address.parse().ok());
+            self.ops = line
+                .rsplit(' ')
+                .next()
+                .and_then(|address| address.parse().ok());
         }
         let line = self.wait_for("serves on ");
-        let address = line.split("serves on ").nth(1).unwrap().split(',').next().unwrap();
+        let address = line
+            .split("serves on ")
+            .nth(1)
+            .unwrap()
+            .split(',')
+            .next()
+            .unwrap();
         self.address = address.parse().unwrap();
         self
     }
@@ -81,8 +107,10 @@
     /// Waits for a line of the log.
     pub fn wait_for(&self, text: &str) -> String {
         loop {
-            let line =
-                self.log.recv_timeout(STUCK).unwrap_or_else(|_| panic!("no line with {text:?} in the log"));
+            let line = self
+                .log
+                .recv_timeout(STUCK)
+                .unwrap_or_else(|_| panic!("no line with {text:?} in the log"));
             if line.contains(text) {
                 return line;
             }
@@ -97,13 +125,28 @@
 
     pub fn signal(&self, name: &str) {
         let pid = self.child.id().to_string();
-        assert!(Command::new("kill").args([name, &pid]).status().unwrap().success());
+        assert!(
+            Command::new("kill")
+                .args([name, &pid])
+                .status()
+                .unwrap()
+                .success()
+        );
     }
 
     /// Sets how many descriptors the system lets it have.
     pub fn limit_descriptors(&self, most: u32) {
-        let (pid, most) = (self.child.id().to_string(), format!("--nofile={most}:{most}"));
-        assert!(Command::new("prlimit").args(["--pid", &pid, &most]).status().unwrap().success());
+        let (pid, most) = (
+            self.child.id().to_string(),
+            format!("--nofile={most}:{most}"),
+        );
+        assert!(
+            Command::new("prlimit")
+                .args(["--pid", &pid, &most])
+                .status()
+                .unwrap()
+                .success()
+        );
     }
 
     /// Ends it in order; its counters.
@@ -170,14 +213,20 @@
 }
 
 pub fn rpc_request(body: &str) -> String {
-    format!("POST /rpc HTTP/1.1\r\nhost: a\r\ncontent-length: {}\r\n\r\n{body}", body.len())
+    format!(
+        "POST /rpc HTTP/1.1\r\nhost: a\r\ncontent-length: {}\r\n\r\n{body}",
+        body.len()
+    )
 }
 
 pub struct Counters(pub String);
 
 impl Counters {
     pub fn get(&self, name: &str) -> u64 {
-        let found = self.0.split(' ').find_map(|p| p.strip_prefix(name)?.strip_prefix('=')?.parse().ok());
+        let found = self
+            .0
+            .split(' ')
+            .find_map(|p| p.strip_prefix(name)?.strip_prefix('=')?.parse().ok());
         found.unwrap_or_else(|| panic!("no counter {name} in {}", self.0))
     }
 }
--- a/tests/tools.rs
+++ b/tests/tools.rs
@@ -37,7 +37,11 @@
             let key = message.header("idempotency-key").unwrap().to_owned();
             assert!(message.text().contains(&format!(r#""id":"{key}""#)));
             *count.lock().unwrap().entry(key.clone()).or_insert(0) += 1;
-            conn.answer("200 OK", "", &format!(r#"{{"jsonrpc":"2.0","id":"{key}",{}}}"#, act()));
+            conn.answer(
+                "200 OK",
+                "",
+                &format!(r#"{{"jsonrpc":"2.0","id":"{key}",{}}}"#, act()),
+            );
             true
         });
         Tool { peer, runs }
@@ -55,7 +59,10 @@
     }
 
     fn take(&self, id: &str) -> String {
-        let mut all = self.1.wait_while(self.0.lock().unwrap(), |all| !all.contains_key(id)).unwrap();
+        let mut all = self
+            .1
+            .wait_while(self.0.lock().unwrap(), |all| !all.contains_key(id))
+            .unwrap();
         all.remove(id).unwrap()
     }
 }
@@ -98,7 +105,12 @@
     "'error':{'code':-32014",
     "error"
 )]
-#[case::arguments_too_long(r#""result":1"#, "max_call_bytes = 20", "'error':{'code':-32013", "error")]
+#[case::arguments_too_long(
+    r#""result":1"#,
+    "max_call_bytes = 20",
+    "'error':{'code':-32013",
+    "error"
+)]
 #[case::too_many(r#""result":1"#, "max_calls = 0", "'error':{'code':-32015", "error")]
 fn a_call_goes_out_its_outcome_comes_back_and_the_stream_goes_on(
     #[case] tool: &'static str,
@@ -109,39 +121,73 @@
     let tool = Tool::start(move || tool.to_owned());
     let writer = writer(CALL);
     let reader = Peer::reader();
-    let file = operator_file(&[reader.address], &[writer.address], &tools(tool.peer.address, limits));
+    let file = operator_file(
+        &[reader.address],
+        &[writer.address],
+        &tools(tool.peer.address, limits),
+    );
     let conductor = Conductor::start(&file);
     let answer = conductor.rpc(&ask("r1", ""));
-    assert_eq!((answer.status(), answer.whole), (200, true), "{}", answer.text());
+    assert_eq!(
+        (answer.status(), answer.whole),
+        (200, true),
+        "{}",
+        answer.text()
+    );
     let lines: Vec<String> = answer.text().lines().map(str::to_owned).collect();
     assert_eq!(lines.len(), 5, "{lines:?}");
-    assert_eq!(lines[0], r#"{"jsonrpc":"2.0","method":"delta","params":{"request":"r1","text":"before "}}"#);
+    assert_eq!(
+        lines[0],
+        r#"{"jsonrpc":"2.0","method":"delta","params":{"request":"r1","text":"before "}}"#
+    );
     assert!(lines[1].contains(r#""ordinal":0,"state":"calling""#));
     assert!(lines[2].contains(&format!(r#""ordinal":0,"state":"{state}""#)));
-    assert!(lines[3].contains(&format!("'id':'w-1',{to_writer}")), "{}", lines[3]);
+    assert!(
+        lines[3].contains(&format!("'id':'w-1',{to_writer}")),
+        "{}",
+        lines[3]
+    );
     assert!(
         lines[4].contains(r#""id":1,"result":{"request":"r1","finish":"stop","calls":1"#),
         "{}",
         lines[4]
     );
-    assert_eq!(tool.runs.lock().unwrap().len(), usize::from(limits.contains("result") || limits.is_empty()));
+    assert_eq!(
+        tool.runs.lock().unwrap().len(),
+        usize::from(limits.contains("result") || limits.is_empty())
+    );
 }
 
 #[rstest]
 #[case::never_reached(false, "'code':-32010")]
 #[case::silent_after_the_call(true, "'code':-32011")]
-fn a_tool_that_does_not_answer_is_an_explicit_error(#[case] listens: bool, #[case] to_writer: &str) {
+fn a_tool_that_does_not_answer_is_an_explicit_error(
+    #[case] listens: bool,
+    #[case] to_writer: &str,
+) {
     let silent = Peer::start(|_, conn| !conn.is_closed());
-    let dial = if listens { silent.address } else { Peer::nobody() };
+    let dial = if listens {
+        silent.address
+    } else {
+        Peer::nobody()
+    };
     let (writer, reader) = (writer(CALL), Peer::reader());
-    let file = operator_file(&[reader.address], &[writer.address], &tools(dial, "call_timeout_ms = 300"));
+    let file = operator_file(
+        &[reader.address],
+        &[writer.address],
+        &tools(dial, "call_timeout_ms = 300"),
+    );
     let conductor = Conductor::start(&file);
     let answer = conductor.rpc(&ask("r1", "")).text();
     assert!(answer.contains(to_writer), "{answer}");
 }
 
 #[rstest]
-#[case::not_json("{", 400, r#"{"jsonrpc":"2.0","id":null,"error":{"code":-32700,"message":"parse error"}}"#)]
+#[case::not_json(
+    "{",
+    400,
+    r#"{"jsonrpc":"2.0","id":null,"error":{"code":-32700,"message":"parse error"}}"#
+)]
 #[case::not_a_request(
     "[1]",
     200,
@@ -180,20 +226,41 @@
     r#"{"jsonrpc":"2.0","id":null,"result":false}"#
 )]
 fn json_rpc_is_kept_to_the_letter(#[case] body: &str, #[case] status: u16, #[case] wanted: &str) {
-    let file = operator_file(&[Peer::nobody()], &[Peer::nobody()], &tools(Peer::nobody(), ""));
+    let file = operator_file(
+        &[Peer::nobody()],
+        &[Peer::nobody()],
+        &tools(Peer::nobody(), ""),
+    );
     let answer = Conductor::start(&file).rpc(body);
-    assert_eq!((answer.status(), answer.text().trim_end()), (status, wanted));
+    assert_eq!(
+        (answer.status(), answer.text().trim_end()),
+        (status, wanted)
+    );
 }
 
 #[test]
 fn a_batch_is_answered_in_one_array() {
     let tool = Tool::start(|| r#""result":1"#.into());
     let (writer, reader) = (writer(CALL), Peer::reader());
-    let conductor =
-        Conductor::start(&operator_file(&[reader.address], &[writer.address], &tools(tool.peer.address, "")));
-    let answer = conductor.rpc(&format!("[{},{{}},{}]", ask("b1", ""), ask("b2", ""))).text();
-    assert_eq!(answer.matches(r#""finish":"stop","calls":1,"text":"before "#).count(), 2, "{answer}");
-    assert!(answer.contains(r#"{"jsonrpc":"2.0","id":null,"error":{"code":-32600"#), "{answer}");
+    let conductor = Conductor::start(&operator_file(
+        &[reader.address],
+        &[writer.address],
+        &tools(tool.peer.address, ""),
+    ));
+    let answer = conductor
+        .rpc(&format!("[{},{{}},{}]", ask("b1", ""), ask("b2", "")))
+        .text();
+    assert_eq!(
+        answer
+            .matches(r#""finish":"stop","calls":1,"text":"before "#)
+            .count(),
+        2,
+        "{answer}"
+    );
+    assert!(
+        answer.contains(r#"{"jsonrpc":"2.0","id":null,"error":{"code":-32600"#),
+        "{answer}"
+    );
 }
 
 #[test]
@@ -209,10 +276,15 @@
         false
     });
     let reader = Peer::reader();
-    let conductor =
-        Conductor::start(&operator_file(&[reader.address], &[writer.address], &tools(Peer::nobody(), "")));
+    let conductor = Conductor::start(&operator_file(
+        &[reader.address],
+        &[writer.address],
+        &tools(Peer::nobody(), ""),
+    ));
     let mut stream = conductor.connect();
-    stream.write_all(rpc_request(&ask("c1", "")).as_bytes()).unwrap();
+    stream
+        .write_all(rpc_request(&ask("c1", "")).as_bytes())
+        .unwrap();
     let mut from = BufReader::new(stream);
     let mut line = String::new();
     while !line.contains("delta") {
@@ -222,7 +294,9 @@
     // The same name again, while its stream runs, is no second request.
     assert_eq!(conductor.rpc(&ask("c1", "")).status(), 409);
     assert_eq!(
-        conductor.rpc(r#"{"jsonrpc":"2.0","method":"cancel","params":{"request":"c1"}}"#).status(),
+        conductor
+            .rpc(r#"{"jsonrpc":"2.0","method":"cancel","params":{"request":"c1"}}"#)
+            .status(),
         204
     );
     while !line.contains("cancelled") {
@@ -252,7 +326,14 @@
         Never,
     }
     use Point::*;
-    let points = [CallHalfWritten, CallWritten, ToolAtWork, ToolHeld, ResultReceived, ResultTaken];
+    let points = [
+        CallHalfWritten,
+        CallWritten,
+        ToolAtWork,
+        ToolHeld,
+        ResultReceived,
+        ResultTaken,
+    ];
     let point = Arc::new(Mutex::new(Never));
     let (mail, kills) = (Arc::new(Mailbox::default()), Arc::new(AtomicU32::new(0)));
     let (at_work, tool_at_work) = mpsc::channel();
@@ -269,7 +350,12 @@
         let (point, mail, kills) = (point.clone(), mail.clone(), kills.clone());
         let (tool_at_work, gate) = (tool_at_work.clone(), gate.clone());
         Peer::start(move |message, conn| {
-            if let Some(id) = message.line.split(' ').nth(1).unwrap().strip_prefix("/internal/tool-results/")
+            if let Some(id) = message
+                .line
+                .split(' ')
+                .nth(1)
+                .unwrap()
+                .strip_prefix("/internal/tool-results/")
             {
                 mail.put(id, message.text());
                 // Counted before anybody can hear of it: a resume that comes at once must not die of the same point.
@@ -327,7 +413,11 @@
     };
     let (writers, reader) = ([start(), start(), start()], Peer::reader());
     let all = writers.each_ref().map(|w| w.address);
-    let conductor = Conductor::start(&operator_file(&[reader.address], &all, &tools(tool.peer.address, "")));
+    let conductor = Conductor::start(&operator_file(
+        &[reader.address],
+        &all,
+        &tools(tool.peer.address, ""),
+    ));
     for i in 0..KILLS {
         let name = format!("kill-{i}");
         while tool_at_work.lock().unwrap().try_recv().is_ok() {}
@@ -335,18 +425,30 @@
         *gate.0.lock().unwrap() = next == ToolHeld;
         *point.lock().unwrap() = next;
         let first = conductor.rpc(&ask(&name, ""));
-        assert!(!first.whole && first.text().contains("before "), "{i}: {}", first.text());
+        assert!(
+            !first.whole && first.text().contains("before "),
+            "{i}: {}",
+            first.text()
+        );
         let mut rest = Message::default();
         // The writers that died are set aside for a while; their client comes back until it is served.
         while rest.status() != 200 {
             rest = conductor.rpc(&ask(&name, r#","resume":{"calls":0,"text":"before "}"#));
         }
-        assert!(rest.whole && rest.text().contains(r#""text":"after""#), "{i}: {}", rest.text());
+        assert!(
+            rest.whole && rest.text().contains(r#""text":"after""#),
+            "{i}: {}",
+            rest.text()
+        );
     }
     assert_eq!(kills.load(Ordering::SeqCst), KILLS);
     let runs = tool.runs.lock().unwrap();
     let twice = runs.values().filter(|n| **n > 1).count();
-    assert_eq!((runs.len(), twice), (KILLS as usize, 0), "keys, and keys that ran more than once");
+    assert_eq!(
+        (runs.len(), twice),
+        (KILLS as usize, 0),
+        "keys, and keys that ran more than once"
+    );
 }
 
 #[test]
@@ -355,7 +457,13 @@
     let calls = Arc::new(AtomicU32::new(0));
     let mail = Arc::new(Mailbox::default());
     let writer = Peer::start(move |message, conn| {
-        if let Some(id) = message.line.split(' ').nth(1).unwrap().strip_prefix("/internal/tool-results/") {
+        if let Some(id) = message
+            .line
+            .split(' ')
+            .nth(1)
+            .unwrap()
+            .strip_prefix("/internal/tool-results/")
+        {
             mail.put(id, message.text());
             conn.answer("204 No Content", "", "");
             return true;
@@ -375,10 +483,15 @@
         !first
     });
     let reader = Peer::reader();
-    let conductor =
-        Conductor::start(&operator_file(&[reader.address], &[writer.address], &tools(tool.peer.address, "")));
+    let conductor = Conductor::start(&operator_file(
+        &[reader.address],
+        &[writer.address],
+        &tools(tool.peer.address, ""),
+    ));
     assert!(!conductor.rpc(&ask("k1", "")).whole);
-    let rest = conductor.rpc(&ask("k1", r#","resume":{"calls":0,"text":""}"#)).text();
+    let rest = conductor
+        .rpc(&ask("k1", r#","resume":{"calls":0,"text":""}"#))
+        .text();
     assert!(rest.contains("'code':-32012"), "{rest}");
     assert_eq!(tool.runs.lock().unwrap().values().sum::<u32>(), 1);
 }
--- a/tests/two_customers.rs
+++ b/tests/two_customers.rs
@@ -19,23 +19,44 @@
     order: [usize; 3],
 }
 
-const NOTES: Customer = Customer { names: ["draft", "publish", "fill"], order: [0, 1, 2] };
-const FORMS: Customer = Customer { names: ["ask", "sign", "save"], order: [2, 0, 1] };
+const NOTES: Customer = Customer {
+    names: ["draft", "publish", "fill"],
+    order: [0, 1, 2],
+};
+const FORMS: Customer = Customer {
+    names: ["ask", "sign", "save"],
+    order: [2, 0, 1],
+};
 
 impl Customer {
     /// The same customer with its classes in the next order of their six.
     fn reordered(self, step: u64) -> Self {
         let [a, b, c] = self.order;
-        Customer { order: if step.is_multiple_of(2) { [b, a, c] } else { [a, c, b] }, ..self }
+        Customer {
+            order: if step.is_multiple_of(2) {
+                [b, a, c]
+            } else {
+                [a, c, b]
+            },
+            ..self
+        }
     }
 
     /// The name under which a request of a class comes; a fourth class is named in no settings.
     fn name(&self, class: usize) -> String {
-        self.names.get(class).copied().unwrap_or("unheard-of").to_owned()
+        self.names
+            .get(class)
+            .copied()
+            .unwrap_or("unheard-of")
+            .to_owned()
     }
 
     fn settings(&self) -> Settings {
-        let kind = |name: &str, role| Kind { name: name.into(), role, memory_tokens: Some(150_000) };
+        let kind = |name: &str, role| Kind {
+            name: name.into(),
+            role,
+            memory_tokens: Some(150_000),
+        };
         let class = |i: usize| {
             let (effect, aim, worth) = [
                 (Effect::Safe, SECOND, 1.0),
@@ -59,7 +80,10 @@
             zone: "z".into(),
             kinds: vec![kind("r", Role::Reader), kind("w", Role::Writer)],
             classes: self.order.map(class).to_vec(),
-            tenants: vec![Tenant { name: "small".into(), quota_per_s: 4.0 }],
+            tenants: vec![Tenant {
+                name: "small".into(),
+                quota_per_s: 4.0,
+            }],
             over_share_worth: 0.1,
             max_attempts: 5,
             may_drop: true,
@@ -82,12 +106,27 @@
 fn entry(name: &str, status: Status) -> Entry {
     let cell = u64::from(name.as_bytes()[1]) % 2;
     let worker = WorkerId(Arc::from(name));
-    Entry { worker, zone: "z".into(), kind: name[..1].to_owned(), cell, status, weight: 1.0, started: None }
+    Entry {
+        worker,
+        zone: "z".into(),
+        kind: name[..1].to_owned(),
+        cell,
+        status,
+        weight: 1.0,
+        started: None,
+    }
 }
 
 fn list() -> Event {
-    let entries = READERS.iter().chain(&WRITERS).map(|w| entry(w, Status::Ready)).collect();
-    Event::List { kind: ListKind::Saved, entries }
+    let entries = READERS
+        .iter()
+        .chain(&WRITERS)
+        .map(|w| entry(w, Status::Ready))
+        .collect();
+    Event::List {
+        kind: ListKind::Saved,
+        entries,
+    }
 }
 
 /// A request of some class; its client's name for that class is still to be filled in.
@@ -109,7 +148,15 @@
 fn ended(id: u64, attempt: u32, outcome: Outcome, elapsed: Micros) -> Event {
     let (request, attempt) = (RequestId(id), AttemptIndex(attempt));
     let settled = outcome == Outcome::Served;
-    Event::Ended(Ended { request, attempt, outcome, elapsed, settled, kept: 0, report: None })
+    Event::Ended(Ended {
+        request,
+        attempt,
+        outcome,
+        elapsed,
+        settled,
+        kept: 0,
+        report: None,
+    })
 }
 
 /// An attempt that is out.
@@ -142,7 +189,16 @@
         let modules = customers.map(|c| Policy::new(c.settings(), 7));
         let (timers, out, asked) = (BTreeSet::new(), Vec::new(), BTreeMap::new());
         let (random, now) = (seed * 0x9E37_79B9 + 1, 100 * SECOND);
-        let mut pair = Pair { customers, modules, random, now, timers, out, asked, seen: [[0; 2]; 4] };
+        let mut pair = Pair {
+            customers,
+            modules,
+            random,
+            now,
+            timers,
+            out,
+            asked,
+            seen: [[0; 2]; 4],
+        };
         pair.both(&list());
         pair
     }
@@ -158,11 +214,14 @@
     fn both(&mut self, event: &Event) {
         let (asked, now) = (&self.asked, self.now);
         let mut acts = [Vec::new(), Vec::new()];
-        for ((module, customer), acts) in self.modules.iter_mut().zip(&self.customers).zip(&mut acts) {
+        for ((module, customer), acts) in
+            self.modules.iter_mut().zip(&self.customers).zip(&mut acts)
+        {
             let event = match event {
-                Event::Ask(ask) => {
-                    Event::Ask(Ask { class: customer.name(asked[&ask.request.0].0), ..ask.clone() })
-                }
+                Event::Ask(ask) => Event::Ask(Ask {
+                    class: customer.name(asked[&ask.request.0].0),
+                    ..ask.clone()
+                }),
                 other => other.clone(),
             };
             module.handle(now, event, acts);
@@ -171,14 +230,31 @@
         assert_eq!(one, other, "at {now} after {event:?}");
         for action in one {
             match action {
-                Action::Send { request: RequestId(id), worker, .. } => {
+                Action::Send {
+                    request: RequestId(id),
+                    worker,
+                    ..
+                } => {
                     let sends = &mut self.asked.get_mut(&id).expect("it was asked").1;
                     let (attempt, worker) = (*sends, worker.0.to_string());
                     *sends += 1;
-                    self.out.push(Out { id, attempt, worker, sent: now, begun: false, dropped: false });
+                    self.out.push(Out {
+                        id,
+                        attempt,
+                        worker,
+                        sent: now,
+                        begun: false,
+                        dropped: false,
+                    });
                 }
-                Action::Drop { request: RequestId(id), attempt } => {
-                    let dropped = self.out.iter_mut().filter(|o| o.id == id && o.attempt == attempt.0);
+                Action::Drop {
+                    request: RequestId(id),
+                    attempt,
+                } => {
+                    let dropped = self
+                        .out
+                        .iter_mut()
+                        .filter(|o| o.id == id && o.attempt == attempt.0);
                     dropped.for_each(|o| o.dropped = true);
                 }
                 Action::Timer { at, timer } => {
@@ -201,14 +277,29 @@
     }
 
     fn ask(&mut self) {
-        let (id, class) = (self.asked.len() as u64, [0, 0, 1, 1, 2, 2, 3][self.draw(7) as usize]);
+        let (id, class) = (
+            self.asked.len() as u64,
+            [0, 0, 1, 1, 2, 2, 3][self.draw(7) as usize],
+        );
         self.asked.insert(id, (class, 0));
         let patience = (1 + self.draw(6)) * SECOND;
-        let prefix = Some(self.draw(6)).filter(|p| *p < 4).map(|p| Arc::from(format!("text-{p}")));
-        let session = Some(self.draw(40)).filter(|s| *s < 30).map(|s| Arc::from(format!("session-{s}")));
-        let tenant = Some(self.draw(3)).filter(|t| *t == 0).map(|_| "small".to_owned());
+        let prefix = Some(self.draw(6))
+            .filter(|p| *p < 4)
+            .map(|p| Arc::from(format!("text-{p}")));
+        let session = Some(self.draw(40))
+            .filter(|s| *s < 30)
+            .map(|s| Arc::from(format!("session-{s}")));
+        let tenant = Some(self.draw(3))
+            .filter(|t| *t == 0)
+            .map(|_| "small".to_owned());
         let prefix_tokens = if prefix.is_some() { 1_500 } else { 0 };
-        let ask = Ask { session, prefix, prefix_tokens, tenant, ..ask(id, self.now, patience) };
+        let ask = Ask {
+            session,
+            prefix,
+            prefix_tokens,
+            tenant,
+            ..ask(id, self.now, patience)
+        };
         self.both(&Event::Ask(ask));
     }
 
@@ -227,8 +318,12 @@
             _ if out.dropped => Outcome::Dropped,
             0 if out.begun => Outcome::ConnectionLost,
             _ if out.begun => Outcome::Served,
-            0 => [Outcome::Error, Outcome::NoConnection, Outcome::NotSent, Outcome::TurnedAway]
-                [self.draw(4) as usize],
+            0 => [
+                Outcome::Error,
+                Outcome::NoConnection,
+                Outcome::NotSent,
+                Outcome::TurnedAway,
+            ][self.draw(4) as usize],
             // One host of each stage has no room for a class, and the answers of another are lost.
             1..7 if at == class => Outcome::TurnedAway,
             1..7 if at == (class + 1) % 4 => Outcome::NoAnswer,
@@ -237,7 +332,11 @@
                 out.begun = true;
                 self.out.push(out);
                 let (request, attempt) = (RequestId(id), AttemptIndex(attempt));
-                return self.both(&Event::Started { request, attempt, elapsed });
+                return self.both(&Event::Started {
+                    request,
+                    attempt,
+                    elapsed,
+                });
             }
         };
         self.seen[class][0] += u32::from(outcome == Outcome::TurnedAway);
@@ -246,9 +345,20 @@
     }
 
     fn host_changes(&mut self) {
-        let host = READERS.iter().chain(&WRITERS).nth(self.draw(8) as usize).expect("eight hosts");
-        let status = if self.draw(3) == 0 { Status::Draining } else { Status::Ready };
-        self.both(&Event::List { kind: ListKind::Changes, entries: vec![entry(host, status)] });
+        let host = READERS
+            .iter()
+            .chain(&WRITERS)
+            .nth(self.draw(8) as usize)
+            .expect("eight hosts");
+        let status = if self.draw(3) == 0 {
+            Status::Draining
+        } else {
+            Status::Ready
+        };
+        self.both(&Event::List {
+            kind: ListKind::Changes,
+            entries: vec![entry(host, status)],
+        });
     }
 
     fn run(&mut self, steps: u64) {
@@ -269,7 +379,11 @@
 
     fn assert_much_was_seen(&self) {
         assert!(self.asked.len() > 400, "{} requests", self.asked.len());
-        assert!(self.seen[..3].iter().flatten().all(|n| *n > 10), "{:?}", self.seen);
+        assert!(
+            self.seen[..3].iter().flatten().all(|n| *n > 10),
+            "{:?}",
+            self.seen
+        );
     }
 }
 
@@ -301,23 +415,34 @@
 #[rstest]
 #[case::no_room(Outcome::TurnedAway)]
 #[case::answers_lost(Outcome::NoAnswer)]
-fn what_was_seen_of_a_class_is_not_held_against_the_one_that_takes_its_place(#[case] outcome: Outcome) {
+fn what_was_seen_of_a_class_is_not_held_against_the_one_that_takes_its_place(
+    #[case] outcome: Outcome,
+) {
     let mut policy = Policy::new(NOTES.settings(), 7);
     let mut now = 100 * SECOND;
     let mut tell = |policy: &mut Policy, time: Micros, event: &dyn Fn(Micros) -> Event| {
         now += time;
         let mut out = Vec::new();
         policy.handle(now, event(now), &mut out);
-        let to = out
-            .into_iter()
-            .find_map(|a| if let Action::Send { worker, .. } = a { Some(worker) } else { None });
+        let to = out.into_iter().find_map(|a| {
+            if let Action::Send { worker, .. } = a {
+                Some(worker)
+            } else {
+                None
+            }
+        });
         to.map(|w| w.0.to_string())
     };
     let of = |id: u64, class: usize| {
         move |now: Micros| {
             let prefix = Some(Arc::from("text"));
             let class = NOTES.name(class);
-            Event::Ask(Ask { prefix, prefix_tokens: 1_900, class, ..ask(id, now, 4 * SECOND) })
+            Event::Ask(Ask {
+                prefix,
+                prefix_tokens: 1_900,
+                class,
+                ..ask(id, now, 4 * SECOND)
+            })
         }
     };
     tell(&mut policy, 0, &|_| list());
@@ -329,7 +454,17 @@
     for id in [1, 2] {
         tell(&mut policy, 300 * MS, &|_| ended(id, 0, outcome, 600 * MS));
     }
-    assert_ne!(tell(&mut policy, 0, &of(4, 0)), home, "it is known of its own class");
-    policy.set(Customer { order: [1, 0, 2], ..NOTES }.settings());
+    assert_ne!(
+        tell(&mut policy, 0, &of(4, 0)),
+        home,
+        "it is known of its own class"
+    );
+    policy.set(
+        Customer {
+            order: [1, 0, 2],
+            ..NOTES
+        }
+        .settings(),
+    );
     assert_eq!(tell(&mut policy, 0, &of(5, 1)), home);
 }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -24,17 +24,26 @@
 
 impl Service {
     fn new(name: &str) -> Service {
-        let folder = std::env::temp_dir().join(format!("whinhaven-upgrade-{}-{name}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("whinhaven-upgrade-{}-{name}", std::process::id()));
         fs::create_dir_all(&folder).unwrap();
         // The system gives a port that was just free to nobody else for a while.
-        let address = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+        let address = TcpListener::bind("127.0.0.1:0")
+            .unwrap()
+            .local_addr()
+            .unwrap();
         let writer = Peer::start(|_, conn| {
             conn.begin_stream();
             conn.delta("one");
             conn.end_stream();
             true
         });
-        Service { address, folder, reader: Peer::reader(), writer }
+        Service {
+            address,
+            folder,
+            reader: Peer::reader(),
+            writer,
+        }
     }
 
     fn file(&self, readers: &[SocketAddr], writers: &[SocketAddr]) -> String {
@@ -43,11 +52,15 @@
 
     /// Starts a process that can serve.
     fn launch(&self) -> Conductor {
-        Conductor::launch(&self.file(&[self.reader.address], &[self.writer.address]), &self.folder)
+        Conductor::launch(
+            &self.file(&[self.reader.address], &[self.writer.address]),
+            &self.folder,
+        )
     }
 
     fn seat(&self, number: usize) -> PathBuf {
-        self.folder.join(format!("whinhaven-{}.seat{number}", self.address))
+        self.folder
+            .join(format!("whinhaven-{}.seat{number}", self.address))
     }
 }
 
@@ -67,11 +80,18 @@
 
 impl Clients {
     fn start(address: SocketAddr) -> Clients {
-        let (stop, answered) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU64::new(0)));
+        let (stop, answered) = (
+            Arc::new(AtomicBool::new(false)),
+            Arc::new(AtomicU64::new(0)),
+        );
         let client = |number: u64| {
             let (stop, answered) = (stop.clone(), answered.clone());
             thread::spawn(move || {
-                let mut client = Client { address, keeps: number.is_multiple_of(2), kept: None };
+                let mut client = Client {
+                    address,
+                    keeps: number.is_multiple_of(2),
+                    kept: None,
+                };
                 for turn in 0.. {
                     if stop.load(Ordering::SeqCst) {
                         return;
@@ -82,14 +102,21 @@
             })
         };
         let threads = (0..CLIENTS).map(client).collect();
-        Clients { stop, answered, threads }
+        Clients {
+            stop,
+            answered,
+            threads,
+        }
     }
 
     /// Waits until some more requests have been answered.
     fn go_on(&self) {
         let until = self.answered.load(Ordering::SeqCst) + 20 * CLIENTS;
         while self.answered.load(Ordering::SeqCst) < until {
-            assert!(self.threads.iter().all(|t| !t.is_finished()), "a client has failed");
+            assert!(
+                self.threads.iter().all(|t| !t.is_finished()),
+                "a client has failed"
+            );
             thread::yield_now();
         }
     }
@@ -111,7 +138,10 @@
     fn ask(&mut self, id: &str) {
         let request = request(id, "explain", "hello");
         // A connection that was closed between two requests leads to a new one, as the protocol has it.
-        let kept = self.kept.take().and_then(|kept| Self::try_ask(kept, &request));
+        let kept = self
+            .kept
+            .take()
+            .and_then(|kept| Self::try_ask(kept, &request));
         let (answer, connection) = kept.unwrap_or_else(|| {
             let new = TcpStream::connect(self.address).expect("let in");
             new.set_read_timeout(Some(STUCK)).unwrap();
@@ -161,7 +191,9 @@
     let running = service.launch().serving();
     let mut kept = BufReader::new(running.connect());
     let mut ask = || {
-        kept.get_mut().write_all(b"GET /healthz HTTP/1.1\r\nhost: a\r\n\r\n").unwrap();
+        kept.get_mut()
+            .write_all(b"GET /healthz HTTP/1.1\r\nhost: a\r\n\r\n")
+            .unwrap();
         Message::read(&mut kept).unwrap()
     };
     assert_eq!(ask().status(), 200);
@@ -169,7 +201,10 @@
     running.signal("-TERM");
     running.wait_for("stopping: another process serves");
     let answer = ask();
-    assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
+    assert_eq!(
+        (answer.status(), answer.header("connection")),
+        (200, Some("close"))
+    );
 }
 
 /// Guards against requests that the system hands to a process with nowhere to send them.
@@ -180,7 +215,10 @@
     let new = Conductor::launch(&service.file(&[], &[]), &service.folder);
     new.wait_for("two processes share the limits");
     for number in 0..32 {
-        assert_eq!(running.ask(&format!("id-{number}"), "explain").status(), 200);
+        assert_eq!(
+            running.ask(&format!("id-{number}"), "explain").status(),
+            200
+        );
     }
     new.signal("-TERM");
     assert!(new.ends_well());
