--- /dev/null
+++ b/tests/golden/messages.rs
@@ -0,0 +1,279 @@
+//! One example of every message between members, with different values in all fields of one message.
+
+use super::log::{entries, voters};
+use super::{Example, lease_name, member, site};
+use std::collections::BTreeSet;
+use whinhaven::fleet::message::Message;
+use whinhaven::fleet::{Incarnation, Index, Term, Token, group, renewal, view};
+
+pub fn examples() -> Vec<Example<Message>> {
+    let mut examples = view_examples();
+    examples.extend(group_examples());
+    examples.extend(renewal_examples());
+    examples
+}
+
+fn view_examples() -> Vec<Example<Message>> {
+    vec![
+        ("view-ping", view(view::Kind::Ping { probe: 401 })),
+        ("view-ping-request", view(ping_request())),
+        ("view-ack", view(view::Kind::Ack { probe: 403 })),
+        ("view-nack", view(view::Kind::Nack { probe: 404 })),
+        ("view-sync", view(sync())),
+        ("view-leave", view(view::Kind::Leave)),
+    ]
+}
+
+fn view(kind: view::Kind) -> Message {
+    Message::View(view::Message {
+        sender: view::Record {
+            site: site("north"),
+            address: "127.0.0.1:7101".parse().unwrap(),
+            incarnation: Incarnation(1_700_000_000_000_001),
+            refutation: 3,
+        },
+        kind,
+        news: vec![suspect()],
+    })
+}
+
+fn ping_request() -> view::Kind {
+    view::Kind::PingRequest {
+        probe: 402,
+        target: member("c4"),
+        address: "[::1]:7104".parse().unwrap(),
+    }
+}
+
+fn sync() -> view::Kind {
+    view::Kind::Sync {
+        table: vec![alive(), suspect(), dead(), left()],
+        answer: true,
+    }
+}
+
+fn alive() -> view::News {
+    view::News {
+        member: member("c5"),
+        incarnation: Incarnation(21),
+        refutation: 31,
+        claim: view::Claim::Alive {
+            site: site("south"),
+            address: "[2001:db8::5]:7105".parse().unwrap(),
+        },
+    }
+}
+
+fn suspect() -> view::News {
+    view::News {
+        member: member("c2"),
+        incarnation: Incarnation(22),
+        refutation: 32,
+        claim: view::Claim::Suspect { by: member("c3") },
+    }
+}
+
+fn dead() -> view::News {
+    view::News {
+        member: member("c6"),
+        incarnation: Incarnation(23),
+        refutation: 33,
+        claim: view::Claim::Dead,
+    }
+}
+
+fn left() -> view::News {
+    view::News {
+        member: member("c7"),
+        incarnation: Incarnation(24),
+        refutation: 34,
+        claim: view::Claim::Left,
+    }
+}
+
+fn group_examples() -> Vec<Example<Message>> {
+    let examples = [
+        ("group-ask", ask()),
+        ("group-pledge", group::Body::Pledge { granted: true }),
+        ("group-vote", vote()),
+        ("group-vote-forced", vote_forced()),
+        ("group-voted", voted()),
+        ("group-voted-granted", voted_granted()),
+        ("group-append", append()),
+        ("group-install", group::Body::Install(part())),
+        ("group-appended-stale", appended(group::Outcome::Stale)),
+        ("group-appended-matched", appended(matched())),
+        ("group-appended-conflict", appended(conflict())),
+        ("group-appended-taking", appended(taking())),
+        ("group-pull", pull()),
+        ("group-pulled", pulled()),
+        ("group-pulled-part", group::Body::PulledPart(part())),
+        ("group-propose-data", propose_data()),
+        ("group-propose-voters", propose_voters()),
+        ("group-stand", group::Body::Stand),
+    ];
+    examples.map(|(name, body)| (name, group(body))).to_vec()
+}
+
+fn group(body: group::Body) -> Message {
+    Message::Group(group::Message {
+        store: 901,
+        to_store: 902,
+        founded: true,
+        term: Term(77),
+        body,
+    })
+}
+
+fn names() -> BTreeSet<whinhaven::fleet::MemberName> {
+    BTreeSet::from([member("c1"), member("c2"), member("c3")])
+}
+
+fn ask() -> group::Body {
+    group::Body::Ask { voters: names() }
+}
+
+fn vote() -> group::Body {
+    group::Body::Vote {
+        pre: true,
+        last: Index(501),
+        last_term: Term(71),
+        forced: false,
+    }
+}
+
+fn vote_forced() -> group::Body {
+    group::Body::Vote {
+        pre: false,
+        last: Index(502),
+        last_term: Term(72),
+        forced: true,
+    }
+}
+
+fn voted() -> group::Body {
+    group::Body::Voted {
+        pre: true,
+        vote_term: Term(78),
+        granted: false,
+    }
+}
+
+fn voted_granted() -> group::Body {
+    group::Body::Voted {
+        pre: false,
+        vote_term: Term(79),
+        granted: true,
+    }
+}
+
+fn append() -> group::Body {
+    group::Body::Append {
+        before: Index(503),
+        before_term: Term(73),
+        entries: entries(),
+        commit: Index(499),
+    }
+}
+
+fn part() -> group::Part {
+    group::Part {
+        index: Index(504),
+        term: Term(74),
+        voters: voters(),
+        total: 4096,
+        offset: 1024,
+        data: vec![1, 2, 3, 250],
+    }
+}
+
+fn appended(outcome: group::Outcome) -> group::Body {
+    group::Body::Appended(outcome)
+}
+
+fn matched() -> group::Outcome {
+    group::Outcome::Matched(Index(505))
+}
+
+fn conflict() -> group::Outcome {
+    group::Outcome::Conflict {
+        before: Index(506),
+        term: Some(Term(75)),
+        first: Index(480),
+    }
+}
+
+fn taking() -> group::Outcome {
+    group::Outcome::Taking {
+        index: Index(507),
+        offset: 2048,
+    }
+}
+
+fn pull() -> group::Body {
+    group::Body::Pull {
+        next: Index(508),
+        taking: Some((Index(509), 3072)),
+    }
+}
+
+fn pulled() -> group::Body {
+    group::Body::Pulled {
+        entries: entries(),
+        commit: Index(510),
+        leader: Some(member("c2")),
+    }
+}
+
+fn propose_data() -> group::Body {
+    group::Body::Propose(group::Proposed::Data(vec![9, 8, 7]))
+}
+
+fn propose_voters() -> group::Body {
+    group::Body::Propose(group::Proposed::Voters(names()))
+}
+
+fn renewal_examples() -> Vec<Example<Message>> {
+    let examples = [
+        ("renewal-renew", renew()),
+        (
+            "renewal-renewed",
+            renewal::Message::Renewed(vec![renewal()]),
+        ),
+        ("renewal-confirm", confirm()),
+        ("renewal-confirmed", confirmed()),
+    ];
+    let message = |(name, message)| (name, Message::Renewal(message));
+    examples.map(message).to_vec()
+}
+
+fn renewal() -> renewal::Renewal {
+    renewal::Renewal {
+        holder: member("c3"),
+        name: lease_name("discovery-refresh"),
+        token: Token(601),
+        number: 602,
+    }
+}
+
+fn renew() -> renewal::Message {
+    renewal::Message::Renew {
+        renewals: vec![renewal()],
+        relayed: true,
+    }
+}
+
+fn confirm() -> renewal::Message {
+    renewal::Message::Confirm {
+        term: Term(81),
+        round: 603,
+    }
+}
+
+fn confirmed() -> renewal::Message {
+    renewal::Message::Confirmed {
+        term: Term(82),
+        round: 604,
+        store: 905,
+    }
+}
