--- a/examples/store_bench.rs
+++ b/examples/store_bench.rs
@@ -5,7 +5,7 @@
 
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
-use whinhaven::store::{Settings, Store};
+use whinhaven::storage::{Settings, Store};
 
 /// How long each row is measured.
 const SPAN: Duration = Duration::from_secs(3);
--- a/lab/src/experiments/view.rs
+++ b/lab/src/experiments/view.rs
@@ -9,8 +9,8 @@
 use plotters::prelude::*;
 use std::error::Error;
 use std::path::{Path, PathBuf};
-use whinhaven::fleet::view::{Settings, Status};
-use whinhaven::interface::Micros;
+use whinhaven::fleet::membership::{Settings, Status};
+use whinhaven::routing::types::Micros;
 
 /// What is measured.
 #[derive(Args, Clone, Debug)]
--- a/lab/src/scale/decisions.rs
+++ b/lab/src/scale/decisions.rs
@@ -5,7 +5,7 @@
 use std::io;
 use std::time::{Duration, Instant};
 use whinhaven::Policy;
-use whinhaven::interface::*;
+use whinhaven::routing::types::*;
 
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
--- a/lab/src/scale/hollow.rs
+++ b/lab/src/scale/hollow.rs
@@ -6,11 +6,11 @@
 use crate::sim::world::{Machine, Outbox};
 use std::net::SocketAddr;
 use std::sync::Arc;
+use whinhaven::fleet::membership::{self, Status};
 use whinhaven::fleet::message::Message;
 use whinhaven::fleet::node::{Action, Event, Node, Settings, Start};
-use whinhaven::fleet::view::{self, Status};
-use whinhaven::fleet::{Incarnation, MemberName, group};
-use whinhaven::interface::Micros;
+use whinhaven::fleet::{Incarnation, MemberName, raft};
+use whinhaven::routing::types::Micros;
 
 /// Bytes that a message's frame adds: 21 of header, two names, the MAC, and IP with UDP or TCP below.
 const FRAME: usize = views::FRAME;
@@ -63,7 +63,7 @@
         names: Arc<Vec<MemberName>>,
         now: Micros,
     ) -> Self {
-        let me = view::Me {
+        let me = membership::Me {
             name: names[node].clone(),
             site: layout.site(node),
             address: views::address(node),
@@ -73,7 +73,7 @@
             me,
             store: 1 + node as u64 + life * names.len() as u64,
             voters: names[..layout.voters()].iter().cloned().collect(),
-            restored: group::Restored::default(),
+            restored: raft::Restored::default(),
             seed: node as u64 * 7_919 + life,
             relays: layout
                 .relays_of(node)
@@ -100,7 +100,7 @@
                     reliable,
                     ..
                 } => self.send(&to, message, reliable, out),
-                Action::Persist(group::Write::Entries { entries, .. }) => {
+                Action::Persist(raft::Write::Entries { entries, .. }) => {
                     self.counts.entries += entries.len() as u64;
                 }
                 Action::View(change) => {
--- a/lab/src/scale/layout.rs
+++ b/lab/src/scale/layout.rs
@@ -1,7 +1,7 @@
 //! Where simulated members are: zones in regions, and how long messages take between them.
 
 use whinhaven::fleet::SiteName;
-use whinhaven::interface::Micros;
+use whinhaven::routing::types::Micros;
 
 /// Zones of the fleet to design for.
 pub const ZONES: usize = 24;
--- a/lab/src/scale/simulated.rs
+++ b/lab/src/scale/simulated.rs
@@ -8,10 +8,10 @@
 use crate::sim::world::World;
 use std::collections::BTreeSet;
 use std::sync::Arc;
+use whinhaven::fleet::membership::Status;
 use whinhaven::fleet::node::{Event, Settings};
-use whinhaven::fleet::view::Status;
 use whinhaven::fleet::{Index, LeaseName, MemberName};
-use whinhaven::interface::Micros;
+use whinhaven::routing::types::Micros;
 
 const SECOND: Micros = 1_000_000;
 /// How closely the moment of a change or a death is looked at.
--- a/lab/src/sim/bed.rs
+++ b/lab/src/sim/bed.rs
@@ -2,8 +2,8 @@
 
 use super::network::{Link, Traffic};
 use super::views::Fleet;
-use whinhaven::fleet::view::Status;
-use whinhaven::interface::Micros;
+use whinhaven::fleet::membership::Status;
+use whinhaven::routing::types::Micros;
 
 /// A fleet on the test bed.
 pub trait Bed {
@@ -110,8 +110,9 @@
 
     fn heard(&mut self) -> Vec<(Micros, usize, usize, Status)> {
         let notes = self.world.take_notes();
-        let node =
-            |change: &whinhaven::fleet::view::Change| self.names.binary_search(&change.member).ok();
+        let node = |change: &whinhaven::fleet::membership::Change| {
+            self.names.binary_search(&change.member).ok()
+        };
         notes
             .into_iter()
             .filter_map(|(at, by, change)| Some((at, by, node(&change)?, change.to)))
--- a/lab/src/sim/faults.rs
+++ b/lab/src/sim/faults.rs
@@ -5,7 +5,7 @@
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use whinhaven::interface::Micros;
+use whinhaven::routing::types::Micros;
 
 /// One fault, or the end of one.
 #[derive(Clone, Debug, PartialEq)]
--- a/lab/src/sim/foca.rs
+++ b/lab/src/sim/foca.rs
@@ -15,8 +15,8 @@
 use std::net::SocketAddr;
 use std::num::{NonZeroU32, NonZeroUsize};
 use std::time::Duration;
-use whinhaven::fleet::view::{Settings, Status};
-use whinhaven::interface::Micros;
+use whinhaven::fleet::membership::{Settings, Status};
+use whinhaven::routing::types::Micros;
 
 /// Who a member is: the same facts as in a view's record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
--- a/lab/src/sim/network.rs
+++ b/lab/src/sim/network.rs
@@ -3,7 +3,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BTreeSet};
-use whinhaven::interface::Micros;
+use whinhaven::routing::types::Micros;
 
 /// What a link does to messages.
 #[derive(Clone, Debug, PartialEq)]
--- a/lab/src/sim/views.rs
+++ b/lab/src/sim/views.rs
@@ -5,11 +5,11 @@
 use super::world::{Machine, Outbox, World};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
-use whinhaven::fleet::view::{
+use whinhaven::fleet::membership::{
     self, Action, Change, Event, Kind, Me, Message, Settings, Status, View,
 };
 use whinhaven::fleet::{Incarnation, MemberName, SiteName};
-use whinhaven::interface::Micros;
+use whinhaven::routing::types::Micros;
 
 /// What a frame and the layers below add to a message: 28 bytes of UDP and IP, and the transport's header with its MAC.
 pub const FRAME: usize = 28 + 72;
@@ -89,22 +89,22 @@
         for peer in self.view.peers().filter(|peer| peer.name != *me) {
             let (member, incarnation, refutation) =
                 (peer.name.clone(), peer.incarnation, peer.refutation);
-            let claim = view::Claim::Dead;
-            let mut news = view::News {
+            let claim = membership::Claim::Dead;
+            let mut news = membership::News {
                 member,
                 incarnation,
                 refutation,
                 claim,
             };
             if self.broken == Broken::Raves {
-                let alive = view::Claim::Alive {
+                let alive = membership::Claim::Alive {
                     site: site(to),
                     address: address(to),
                 };
                 match refutation.wrapping_add(to as u32) % 4 {
                     0 => (news.refutation, news.claim) = (u32::MAX, alive),
                     1 => (news.incarnation, news.claim) = (Incarnation(u64::MAX), alive),
-                    2 => news.claim = view::Claim::Left,
+                    2 => news.claim = membership::Claim::Left,
                     _ => (news.member, news.claim) = (name(90_000 + to), alive),
                 }
             }
--- a/lab/src/sim/world.rs
+++ b/lab/src/sim/world.rs
@@ -2,7 +2,7 @@
 
 use super::network::{Arrived, Network, Sent};
 use std::collections::{BTreeSet, VecDeque};
-use whinhaven::interface::Micros;
+use whinhaven::routing::types::Micros;
 
 /// A machine as the simulation runs it: it takes messages and the time, and sends.
 pub trait Machine {
--- a/lab/tests/group/mod.rs
+++ b/lab/tests/group/mod.rs
@@ -1,7 +1,7 @@
 //! What must hold of the group, whoever drives it: the simulation and the model checker share this.
 
 use std::collections::BTreeMap;
-use whinhaven::fleet::group::{Entry, Group, Role, VoterId};
+use whinhaven::fleet::raft::{Entry, Group, Role, VoterId};
 use whinhaven::fleet::{Index, MemberName, Term};
 
 pub fn name(i: usize) -> MemberName {
--- a/lab/tests/model_group.rs
+++ b/lab/tests/model_group.rs
@@ -16,7 +16,7 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::sync::Arc;
 use std::time::Instant;
-use whinhaven::fleet::group::{
+use whinhaven::fleet::raft::{
     Action, Body, Event, Group, HardState, Message, Payload, Restored, Role, Settings, VoterId,
     Voters, Write,
 };
@@ -622,7 +622,7 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         fn data(state: &State) -> bool {
-            let data = |e: &whinhaven::fleet::group::Entry| matches!(e.payload, Payload::Data(_));
+            let data = |e: &whinhaven::fleet::raft::Entry| matches!(e.payload, Payload::Data(_));
             state.nodes.iter().any(|n| {
                 n.group
                     .entries()
--- a/lab/tests/model_lease.rs
+++ b/lab/tests/model_lease.rs
@@ -16,7 +16,7 @@
 use whinhaven::fleet::renewal::Renewal;
 use whinhaven::fleet::state::{Command, Effect, FleetState, Outbox, Proposal, Retry};
 use whinhaven::fleet::{Incarnation, Index, LeaseName, MemberName, Token, Who};
-use whinhaven::interface::Micros;
+use whinhaven::routing::types::Micros;
 
 const UNIT: Micros = 1_000_000;
 /// A property of models with such renewals.
--- a/lab/tests/model_takeover.rs
+++ b/lab/tests/model_takeover.rs
@@ -7,8 +7,8 @@
 
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
-use whinhaven::fleet::hands::{Action, Event, Hands, Ticket, Verdict};
-use whinhaven::fleet::takeover::*;
+use whinhaven::fleet::work::recorder::{Action, Event, Hands, Ticket, Verdict};
+use whinhaven::fleet::work::*;
 use whinhaven::fleet::{Incarnation, Index, MemberName, Who};
 use whinhaven_lab::explore::explore;
 
--- a/lab/tests/model_view.rs
+++ b/lab/tests/model_view.rs
@@ -4,9 +4,9 @@
 use stateright::{Checker, Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
-use whinhaven::fleet::view::{Action, Event, Me, Message, Settings, Status, View};
+use whinhaven::fleet::membership::{Action, Event, Me, Message, Settings, Status, View};
 use whinhaven::fleet::{Incarnation, MemberName, SiteName};
-use whinhaven::interface::Micros;
+use whinhaven::routing::types::Micros;
 use whinhaven_lab::sim::views::{address, name};
 
 const PERIOD_MS: u64 = 10;
--- a/lab/tests/sim_group.rs
+++ b/lab/tests/sim_group.rs
@@ -9,7 +9,7 @@
 use rand_chacha::ChaCha8Rng;
 use rstest::rstest;
 use std::collections::{BTreeMap, BTreeSet};
-use whinhaven::fleet::group::{
+use whinhaven::fleet::raft::{
     Action, Event, Group, Message, Payload, Restored, Role, Settings, VoterId, Voters,
 };
 use whinhaven::fleet::{Index, MemberName, Term};
--- a/lab/tests/sim_lease.rs
+++ b/lab/tests/sim_lease.rs
@@ -11,8 +11,10 @@
 use whinhaven::fleet::message::Message;
 use whinhaven::fleet::node::{Action, Event, Node, Settings, Start};
 use whinhaven::fleet::state::Effect;
-use whinhaven::fleet::{Incarnation, LeaseName, MemberName, SiteName, Token, Who, group, view};
-use whinhaven::interface::Micros;
+use whinhaven::fleet::{
+    Incarnation, LeaseName, MemberName, SiteName, Token, Who, membership, raft,
+};
+use whinhaven::routing::types::Micros;
 
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
@@ -34,11 +36,11 @@
 
 struct Place {
     name: MemberName,
-    me: view::Me,
+    me: membership::Me,
     /// Its clock: where it begins, and its rate in millionths.
     offset: Micros,
     rate: u64,
-    disk: group::Restored,
+    disk: raft::Restored,
     body: Option<Body>,
     lives: u64,
 }
@@ -81,7 +83,7 @@
         let place = |n: usize, rng: &mut ChaCha8Rng| {
             let address = SocketAddr::from(([127, 0, 0, 1], 7001 + n as u16));
             let site = SiteName::try_from("here").expect("a name");
-            let me = view::Me {
+            let me = membership::Me {
                 name: name(n),
                 site,
                 address,
@@ -99,7 +101,7 @@
                 me,
                 offset,
                 rate,
-                disk: group::Restored::default(),
+                disk: raft::Restored::default(),
                 body: None,
                 lives: 0,
             }
--- a/lab/tests/sim_view.rs
+++ b/lab/tests/sim_view.rs
@@ -3,7 +3,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rstest::rstest;
-use whinhaven::fleet::view::{
+use whinhaven::fleet::membership::{
     Action, Claim, Event, Kind, Me, Message, News, Record, Settings, Status, View,
 };
 use whinhaven::fleet::{Incarnation, SiteName};
--- a/src/config.rs
+++ b/src/config.rs
@@ -3,8 +3,8 @@
 use crate::fleet::config::FleetConfig;
 use crate::fleet::policy_content;
 use crate::fleet::sites::describe::Fleet as Sites;
-use crate::interface::Settings;
 use crate::net::discovery::{ListMessage, Listing};
+use crate::routing::types::Settings;
 use crate::wire::read_settings;
 use serde::Deserialize;
 use serde_json::Value;
--- a/src/config/replacement.rs
+++ b/src/config/replacement.rs
@@ -4,7 +4,7 @@
 //! that was cut short or lost a key would quietly put defaults in the place of what served until then.
 
 use super::{Config, ConfigError};
-use crate::interface::Settings;
+use crate::routing::types::Settings;
 use serde_json::{Map, Value};
 
 /// A configuration file as it was read, for the next one to be compared with.
--- a/src/config/replacement/tests.rs
+++ b/src/config/replacement/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::interface::Effect;
+use crate::routing::types::Effect;
 use proptest::prelude::*;
 use proptest::sample::Index;
 use proptest::test_runner::RngSeed;
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -7,9 +7,9 @@
 
 use crate::counters::Counters;
 use crate::exchange::{AnswerHandle, Call, Feed, ServerSide, open};
-use crate::interface::*;
-use crate::policy::Policy;
-use crate::policy::call_permission::ReleaseHistory;
+use crate::routing::policy::Policy;
+use crate::routing::policy::call_permission::ReleaseHistory;
+use crate::routing::types::*;
 use monitor::{Monitor, Violation};
 use std::cell::Cell;
 use std::cmp::Reverse;
--- a/src/core/monitor.rs
+++ b/src/core/monitor.rs
@@ -1,10 +1,10 @@
 //! Checks at run time, by its own account of each request, that what the decision module orders keeps the rules.
 //!
-//! The module decides by [`crate::policy::permission`] and [`crate::policy::held_state`]; this is the second opinion. It
+//! The module decides by [`crate::routing::policy::permission`] and [`crate::routing::policy::held_state`]; this is the second opinion. It
 //! sees the same orders and ends and knows nothing of the reasons. A violation is counted and logged by the driver, in
 //! builds with debug assertions also a panic, unless it is one that a process held up by its machine may show.
 
-use crate::interface::{Effect, Micros, Outcome};
+use crate::routing::types::{Effect, Micros, Outcome};
 
 /// How long a process may be held up between a decision and the next look at it.
 const HELD_UP: Micros = 150_000;
--- a/src/exchange.rs
+++ b/src/exchange.rs
@@ -4,7 +4,7 @@
 //! ends it. The handle is consumed by its use, so there is one final answer by construction; dropped unused,
 //! it fails the request rather than losing it.
 
-use crate::interface::Micros;
+use crate::routing::types::Micros;
 use bytes::Bytes;
 use hyper::HeaderMap;
 use std::any::Any;
--- a/src/fleet/config.rs
+++ b/src/fleet/config.rs
@@ -1,7 +1,7 @@
 //! The `[fleet]`, `[store]`, `[takeover]` and `[policy]` tables of an operator's file.
 
-use super::net::admin::ADMINISTRATOR;
 use super::policy_epoch::MOST_CONTENT;
+use super::transport::admin::ADMINISTRATOR;
 use super::{MOST_NAME, MemberName, SiteName, lease, node};
 use crate::config::{ConfigError, Limits};
 use serde::de::DeserializeOwned;
--- a/src/fleet/lease.rs
+++ b/src/fleet/lease.rs
@@ -20,7 +20,7 @@
 
 use crate::fleet::state::Retry;
 use crate::fleet::{LeaseName, MOST_NAME, MemberName};
-use crate::interface::Micros;
+use crate::routing::types::Micros;
 use serde::{Deserialize, Serialize};
 
 /// What the names of life leases begin with.
--- a/src/fleet/lease/holder.rs
+++ b/src/fleet/lease/holder.rs
@@ -6,7 +6,7 @@
 use crate::fleet::renewal::Renewal;
 use crate::fleet::state::{self, Answer, Origin, Outbox, Proposal};
 use crate::fleet::{LeaseName, Token, Who};
-use crate::interface::Micros;
+use crate::routing::types::Micros;
 use std::collections::{BTreeMap, VecDeque};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
--- a/src/fleet/lease/rights.rs
+++ b/src/fleet/lease/rights.rs
@@ -2,7 +2,7 @@
 
 use super::life;
 use crate::fleet::{LeaseName, Token, Who};
-use crate::interface::Micros;
+use crate::routing::types::Micros;
 use serde::Serialize;
 use std::collections::BTreeMap;
 
--- a/src/fleet/lease/watch.rs
+++ b/src/fleet/lease/watch.rs
@@ -2,7 +2,7 @@
 
 use super::{Command, Grant, Settings, Table};
 use crate::fleet::{LeaseName, Token};
-use crate::interface::Micros;
+use crate::routing::types::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
--- a/src/fleet/view.rs
+++ b/src/fleet/membership.rs
@@ -15,7 +15,7 @@
 //! - **Of one held dead or left** nothing is believed but that it lives, once it has refuted.
 
 use super::{Incarnation, MemberName, SiteName};
-use crate::interface::Micros;
+use crate::routing::types::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/src/fleet/message.rs
+++ b/src/fleet/message.rs
@@ -1,15 +1,15 @@
 //! What members say to each other.
 
-use crate::fleet::{group, renewal, view};
+use crate::fleet::{membership, raft, renewal};
 use serde::{Deserialize, Serialize};
 
 /// One message between members. Variants are only ever added at the end: members of two versions run side by side.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Message {
     /// Of the view.
-    View(view::Message),
+    View(membership::Message),
     /// Of the group; proposals travel in it to the leader.
-    Group(group::Message),
+    Group(raft::Message),
     /// About renewals of leases.
     Renewal(renewal::Message),
 }
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -1,23 +1,22 @@
 //! Many conductors as one fleet, also while parts of it fail.
 //!
 //! Each machine here decides without input or output: it takes an event and the time, and appends actions. So the same
-//! code runs in the process, in the simulation, in the model checker and in property tests. [`net`] and
-//! [`crate::store`] carry out. Words and promises: `docs/fleet.md`.
+//! code runs in the process, in the simulation, in the model checker and in property tests. [`transport`] and
+//! [`crate::storage`] carry out. Words and promises: `docs/fleet.md`.
 
 pub mod config;
-pub mod group;
-pub mod hands;
 pub mod lease;
+pub mod membership;
 pub mod message;
-pub mod net;
 pub mod node;
 pub mod policy_content;
 pub mod policy_epoch;
+pub mod raft;
 pub mod renewal;
 pub mod sites;
 pub mod state;
-pub mod takeover;
-pub mod view;
+pub mod transport;
+pub mod work;
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
--- a/src/fleet/node.rs
+++ b/src/fleet/node.rs
@@ -5,16 +5,16 @@
 //! [`Event::Tick`]. Who may act is asked of [`lease::Rights`], which the driver keeps by [`Action::Lease`] as it comes
 //! to it, with the clock read just before the act.
 
-use crate::fleet::group::{self, Group};
 use crate::fleet::lease::{self, Holder, LeaseChange, Watch};
+use crate::fleet::membership::{self, View};
 use crate::fleet::message::Message;
+use crate::fleet::raft::{self, Group};
 use crate::fleet::renewal::{self, Confirmation, Gathering, Renewal};
 use crate::fleet::state::{Answer, Bounds, Command, Effect, FleetState, Proposal};
-use crate::fleet::view::{self, View};
 use crate::fleet::{
-    Incarnation, Index, LeaseName, MemberName, SiteName, Term, Token, Who, policy_epoch, takeover,
+    Incarnation, Index, LeaseName, MemberName, SiteName, Term, Token, Who, policy_epoch, work,
 };
-use crate::interface::Micros;
+use crate::routing::types::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -25,9 +25,9 @@
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
     /// Of the view.
-    pub view: view::Settings,
+    pub view: membership::Settings,
     /// Of the group.
-    pub group: group::Settings,
+    pub group: raft::Settings,
     /// Of the leases.
     pub lease: lease::Settings,
     /// Of the state's tables; a leader puts its own in force.
@@ -68,13 +68,13 @@
 #[derive(Clone, Debug)]
 pub struct Start {
     /// This member, in this life.
-    pub me: view::Me,
+    pub me: membership::Me,
     /// The number that its store drew when it was formatted.
     pub store: u64,
     /// The voters of the first configuration, from the operator's file.
     pub voters: BTreeSet<MemberName>,
     /// What its disk holds of the group.
-    pub restored: group::Restored,
+    pub restored: raft::Restored,
     /// The seed of all that is drawn.
     pub seed: u64,
     /// Members to learn from and to renew through before the voters, the nearest first.
@@ -130,9 +130,9 @@
         reliable: bool,
     },
     /// Write to the store before anything that follows.
-    Persist(group::Write),
+    Persist(raft::Write),
     /// The view of a member changed.
-    View(view::Change),
+    View(membership::Change),
     /// This member's own standing to a lease changed: carry it to [`lease::Rights`] and into the history.
     Lease(LeaseChange),
     /// Who leads the group, as far as this member knows.
@@ -167,7 +167,7 @@
         index: Index,
     },
     /// The group refused what was asked of it. Proposals are sent again by themselves.
-    Refused(group::Refusal),
+    Refused(raft::Refusal),
 }
 
 /// Why there is no answer to a proposal.
@@ -247,7 +247,7 @@
 /// One member: see the module.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Node {
-    me: view::Me,
+    me: membership::Me,
     who: Who,
     bounds: Bounds,
     limits: Limits,
@@ -264,7 +264,7 @@
     may_act: bool,
     life_ended: bool,
     leaving: bool,
-    keeper: takeover::Keeper,
+    keeper: work::Keeper,
     /// When the leader looks next for records that may be forgotten.
     keep_at: Micros,
     /// The proposal of a policy that this leader has seen under way, and when it ends it.
@@ -298,7 +298,7 @@
             incarnation: me.incarnation,
         };
         let draw = |part: u64| xxh3_64_with_seed(&part.to_le_bytes(), seed);
-        let voter = group::VoterId {
+        let voter = raft::VoterId {
             name: me.name.clone(),
             store,
         };
@@ -320,7 +320,7 @@
             may_act: false,
             life_ended: false,
             leaving: false,
-            keeper: takeover::Keeper::default(),
+            keeper: work::Keeper::default(),
             keep_at: now.saturating_add(KEEP),
             policy_due: None,
             relays,
@@ -338,25 +338,25 @@
         self.say_rights(now, out);
         match event {
             Event::Tick => {
-                self.look(now, view::Event::Tick, out);
-                asks.push_back(group::Event::Tick);
+                self.look(now, membership::Event::Tick, out);
+                asks.push_back(raft::Event::Tick);
                 self.end_leases(now, &mut asks);
                 self.forget_work(now, &mut asks);
                 self.end_policy(now, &mut asks);
                 self.give_up(now, out);
             }
-            Event::Join { seeds } => self.look(now, view::Event::Join { seeds }, out),
+            Event::Join { seeds } => self.look(now, membership::Event::Join { seeds }, out),
             Event::Message {
                 from,
                 message: Message::View(message),
             } => {
-                self.look(now, view::Event::Message { from, message }, out);
+                self.look(now, membership::Event::Message { from, message }, out);
             }
             Event::Message {
                 from,
                 message: Message::Renewal(message),
             } => {
-                self.look(now, view::Event::Reached(from.clone()), out);
+                self.look(now, membership::Event::Reached(from.clone()), out);
                 self.hear_renewal(now, from, message, &mut asks, out);
             }
             Event::Message {
@@ -367,8 +367,8 @@
                 from,
                 message: Message::Group(message),
             } => {
-                self.look(now, view::Event::Reached(from.clone()), out);
-                asks.push_back(group::Event::Message { from, message });
+                self.look(now, membership::Event::Reached(from.clone()), out);
+                asks.push_back(raft::Event::Message { from, message });
             }
             Event::Want(name) => self.hold(now, lease::Event::Want(name), &mut asks, out),
             Event::Unwant(name) => self.hold(now, lease::Event::Unwant(name), &mut asks, out),
@@ -384,12 +384,12 @@
                     self.tickets.insert(seq, (ticket, give_up));
                 }
             }
-            Event::ChangeVoters(names) => asks.push_back(group::Event::ChangeVoters(names)),
+            Event::ChangeVoters(names) => asks.push_back(raft::Event::ChangeVoters(names)),
             Event::Leave => {
                 self.leaving = true;
                 self.hold(now, lease::Event::Leave, &mut asks, out);
-                self.look(now, view::Event::Leave, out);
-                asks.push_back(group::Event::HandOver);
+                self.look(now, membership::Event::Leave, out);
+                asks.push_back(raft::Event::HandOver);
             }
         }
         self.work(now, asks, out);
@@ -454,7 +454,7 @@
             (false, Some(_)) => "acting",
             (false, None) => "waiting",
         };
-        let member = |peer: &view::Peer| StatusMember {
+        let member = |peer: &membership::Peer| StatusMember {
             name: peer.name.clone(),
             site: peer.site.clone(),
             incarnation: peer.incarnation,
@@ -487,11 +487,11 @@
 
     // ------------------------------------------------------------ the parts
 
-    fn look(&mut self, now: Micros, event: view::Event, out: &mut Vec<Action>) {
+    fn look(&mut self, now: Micros, event: membership::Event, out: &mut Vec<Action>) {
         let mut actions = Vec::new();
         self.view.handle(now, event, &mut actions);
         out.extend(actions.into_iter().map(|action| match action {
-            view::Action::Send {
+            membership::Action::Send {
                 to,
                 address,
                 message,
@@ -502,7 +502,7 @@
                 message: Message::View(message),
                 reliable,
             },
-            view::Action::Changed(change) => Action::View(change),
+            membership::Action::Changed(change) => Action::View(change),
         }));
     }
 
@@ -510,7 +510,7 @@
         &mut self,
         now: Micros,
         event: lease::Event,
-        asks: &mut VecDeque<group::Event>,
+        asks: &mut VecDeque<raft::Event>,
         out: &mut Vec<Action>,
     ) {
         let mut actions = Vec::new();
@@ -522,13 +522,13 @@
     fn held(
         &mut self,
         actions: Vec<lease::Action>,
-        asks: &mut VecDeque<group::Event>,
+        asks: &mut VecDeque<raft::Event>,
         out: &mut Vec<Action>,
     ) {
         for action in actions {
             match action {
                 lease::Action::Propose(proposal) => {
-                    asks.push_back(group::Event::Propose {
+                    asks.push_back(raft::Event::Propose {
                         payload: proposal.encode(),
                     });
                 }
@@ -541,7 +541,7 @@
         }
     }
 
-    fn propose(&mut self, now: Micros, command: Command, asks: &mut VecDeque<group::Event>) -> u64 {
+    fn propose(&mut self, now: Micros, command: Command, asks: &mut VecDeque<raft::Event>) -> u64 {
         let mut actions = Vec::new();
         let seq = self.holder.propose(now, command, &mut actions);
         self.held(actions, asks, &mut Vec::new());
@@ -549,15 +549,15 @@
     }
 
     /// Gives the group what there is for it, until nothing more comes of it.
-    fn work(&mut self, now: Micros, mut asks: VecDeque<group::Event>, out: &mut Vec<Action>) {
+    fn work(&mut self, now: Micros, mut asks: VecDeque<raft::Event>, out: &mut Vec<Action>) {
         let mut compacted = false;
         while let Some(event) = asks.pop_front() {
             let mut actions = Vec::new();
             self.group.handle(now, event, &mut actions);
             for action in actions {
                 match action {
-                    group::Action::Persist(write) => out.push(Action::Persist(write)),
-                    group::Action::Send { to, message } => {
+                    raft::Action::Persist(write) => out.push(Action::Persist(write)),
+                    raft::Action::Send { to, message } => {
                         let address = self.view.peer(&to).map(|peer| peer.address);
                         out.push(Action::Send {
                             to,
@@ -566,18 +566,18 @@
                             reliable: true,
                         });
                     }
-                    group::Action::Apply(entry) => self.apply(now, entry, &mut asks, out),
-                    group::Action::Restore(snapshot) => self.restore(now, snapshot, &mut asks, out),
-                    group::Action::Leading(leader, term) => {
+                    raft::Action::Apply(entry) => self.apply(now, entry, &mut asks, out),
+                    raft::Action::Restore(snapshot) => self.restore(now, snapshot, &mut asks, out),
+                    raft::Action::Leading(leader, term) => {
                         self.lead(now, leader, term, &mut asks, out)
                     }
-                    group::Action::Refused(refusal) => out.push(Action::Refused(refusal)),
+                    raft::Action::Refused(refusal) => out.push(Action::Refused(refusal)),
                 }
             }
             if asks.is_empty() && !compacted && self.group.wants_snapshot() {
                 compacted = true;
                 let (index, data) = (self.state.applied(), self.state.encode());
-                asks.push_back(group::Event::Compact { index, data });
+                asks.push_back(raft::Event::Compact { index, data });
             }
         }
     }
@@ -585,12 +585,12 @@
     fn apply(
         &mut self,
         now: Micros,
-        entry: group::Entry,
-        asks: &mut VecDeque<group::Event>,
+        entry: raft::Entry,
+        asks: &mut VecDeque<raft::Event>,
         out: &mut Vec<Action>,
     ) {
         let proposal = match &entry.payload {
-            group::Payload::Data(payload) => Proposal::decode(payload),
+            raft::Payload::Data(payload) => Proposal::decode(payload),
             _ => None,
         };
         let mut effects = Vec::new();
@@ -631,8 +631,8 @@
     fn restore(
         &mut self,
         now: Micros,
-        snapshot: group::Snapshot,
-        asks: &mut VecDeque<group::Event>,
+        snapshot: raft::Snapshot,
+        asks: &mut VecDeque<raft::Event>,
         out: &mut Vec<Action>,
     ) {
         let Some(state) = FleetState::decode(&snapshot.data) else {
@@ -668,7 +668,7 @@
         now: Micros,
         leader: Option<MemberName>,
         term: Term,
-        asks: &mut VecDeque<group::Event>,
+        asks: &mut VecDeque<raft::Event>,
         out: &mut Vec<Action>,
     ) {
         let leading = leader.as_ref() == Some(&self.who.name);
@@ -698,7 +698,7 @@
         now: Micros,
         from: MemberName,
         message: renewal::Message,
-        asks: &mut VecDeque<group::Event>,
+        asks: &mut VecDeque<raft::Event>,
         out: &mut Vec<Action>,
     ) {
         match message {
@@ -719,7 +719,7 @@
             renewal::Message::Confirmed { term, round, store } => {
                 if self.leading && term == self.group.term() {
                     self.confirmation
-                        .confirmed(group::VoterId { name: from, store }, round);
+                        .confirmed(raft::VoterId { name: from, store }, round);
                 }
             }
         }
@@ -759,7 +759,7 @@
         &mut self,
         now: Micros,
         renewals: Vec<Renewal>,
-        asks: &mut VecDeque<group::Event>,
+        asks: &mut VecDeque<raft::Event>,
         out: &mut Vec<Action>,
     ) {
         for renewal in renewals {
@@ -831,7 +831,7 @@
         let lives = |name: &&MemberName| {
             self.view
                 .peer(name)
-                .is_some_and(|peer| peer.status == view::Status::Alive)
+                .is_some_and(|peer| peer.status == membership::Status::Alive)
         };
         let ways: Vec<&MemberName> = self
             .relays
@@ -854,7 +854,7 @@
     }
 
     /// As leader, asks the log to end what has run out by this member's clock.
-    fn end_leases(&mut self, now: Micros, asks: &mut VecDeque<group::Event>) {
+    fn end_leases(&mut self, now: Micros, asks: &mut VecDeque<raft::Event>) {
         let mut commands = Vec::new();
         if self.leading {
             self.watch.expire(now, &mut commands);
@@ -872,7 +872,7 @@
     }
 
     /// As leader, asks the log to forget records that have rested for the time set by this member's clock.
-    fn forget_work(&mut self, now: Micros, asks: &mut VecDeque<group::Event>) {
+    fn forget_work(&mut self, now: Micros, asks: &mut VecDeque<raft::Event>) {
         if !self.leading {
             return self.keeper.clear();
         }
@@ -904,7 +904,7 @@
     }
 
     /// As leader, ends a proposal of a policy whose time is up.
-    fn end_policy(&mut self, now: Micros, asks: &mut VecDeque<group::Event>) {
+    fn end_policy(&mut self, now: Micros, asks: &mut VecDeque<raft::Event>) {
         let Some((proposal, _)) = self.policy_due.filter(|(_, at)| *at <= now) else {
             return;
         };
@@ -953,8 +953,8 @@
 }
 
 /// Whether it asks for the end of a lease. Only a leader may, of itself: it alone knows which renewals it has answered.
-fn ends_a_lease(message: &group::Message) -> bool {
-    let group::Body::Propose(group::Proposed::Data(payload)) = &message.body else {
+fn ends_a_lease(message: &raft::Message) -> bool {
+    let raft::Body::Propose(raft::Proposed::Data(payload)) = &message.body else {
         return false;
     };
     let command = Proposal::decode(payload).map(|proposal| proposal.command);
--- a/src/fleet/node/tests.rs
+++ b/src/fleet/node/tests.rs
@@ -17,13 +17,13 @@
     fn new(voter: &str) -> Alone {
         let site = SiteName::try_from("here").expect("a name");
         let address = SocketAddr::from((Ipv4Addr::LOCALHOST, 7001));
-        let me = view::Me {
+        let me = membership::Me {
             name: member("c1"),
             site,
             address,
             incarnation: Incarnation(1),
         };
-        let (voters, restored) = (BTreeSet::from([member(voter)]), group::Restored::default());
+        let (voters, restored) = (BTreeSet::from([member(voter)]), raft::Restored::default());
         let start = Start {
             me,
             store: 1,
@@ -207,9 +207,9 @@
         settled: 1,
         command: Command::Lease(command),
     };
-    let body = group::Body::Propose(group::Proposed::Data(proposal.encode()));
+    let body = raft::Body::Propose(raft::Proposed::Data(proposal.encode()));
     let (term, commit) = (alone.node.group().term(), alone.node.group().commit());
-    let message = group::Message {
+    let message = raft::Message {
         store: 2,
         to_store: 0,
         founded: true,
--- a/src/fleet/policy_content.rs
+++ b/src/fleet/policy_content.rs
@@ -4,7 +4,7 @@
 //! errors are one line that names the field.
 
 use crate::config::read_table;
-use crate::interface::Settings;
+use crate::routing::types::Settings;
 use serde_json::{Map, Value};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/src/fleet/group.rs
+++ b/src/fleet/raft.rs
@@ -16,7 +16,7 @@
 mod log;
 
 use super::{Index, MemberName, Term};
-use crate::interface::Micros;
+use crate::routing::types::Micros;
 use elect::Ballot;
 use follow::Incoming;
 use lead::{Lead, Learner};
--- a/src/fleet/renewal.rs
+++ b/src/fleet/renewal.rs
@@ -5,9 +5,9 @@
 //! term: so whoever leads later was elected after the request was sent, and counts the whole time from then on. Grants
 //! and ends stay in the log. Why two holders still never act at once: `docs/design/leases.md`.
 
-use crate::fleet::group::{VoterId, Voters};
+use crate::fleet::raft::{VoterId, Voters};
 use crate::fleet::{LeaseName, MemberName, Term, Token};
-use crate::interface::Micros;
+use crate::routing::types::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/src/fleet/sites/describe.rs
+++ b/src/fleet/sites/describe.rs
@@ -1,6 +1,6 @@
 //! What an operator's `[sites]` tables say: sites, hosts, links, usual demand, guaranteed shares.
 
-use crate::interface::{Role, Settings as ModuleSettings};
+use crate::routing::types::{Role, Settings as ModuleSettings};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
--- a/src/fleet/sites/member.rs
+++ b/src/fleet/sites/member.rs
@@ -5,7 +5,7 @@
 use super::ramp::{self, Measured, Ramp};
 use super::refuse::Orders;
 use super::watch::{self, Change, Status, Watch};
-use crate::interface::Micros;
+use crate::routing::types::Micros;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// All conductors of a site see much the same at once; one of them is enough to say it.
--- a/src/fleet/sites/ramp.rs
+++ b/src/fleet/sites/ramp.rs
@@ -5,7 +5,7 @@
 
 use super::describe::{Fleet, RampSettings};
 use super::epoch::{Command, Standing, Table};
-use crate::interface::Micros;
+use crate::routing::types::Micros;
 
 /// A part of outcomes that chance alone rarely explains lies this many standard deviations over the allowed one.
 const DEVIATIONS: f64 = 3.0;
--- a/src/fleet/sites/refuse.rs
+++ b/src/fleet/sites/refuse.rs
@@ -1,7 +1,7 @@
 //! At the door: who is refused, the same at all conductors of a site, and what each conductor may take at the most.
 
 use super::plan::{Course, Plans};
-use crate::interface::{Entry, Micros, Role, Status};
+use crate::routing::types::{Entry, Micros, Role, Status};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
 /// Levels and parts are counted in millionths.
--- a/src/fleet/sites/watch.rs
+++ b/src/fleet/sites/watch.rs
@@ -14,7 +14,7 @@
 
 use super::describe::WatchSettings;
 use super::plan::Missing;
-use crate::interface::Micros;
+use crate::routing::types::Micros;
 
 /// Something seen.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
--- a/src/fleet/state.rs
+++ b/src/fleet/state.rs
@@ -5,9 +5,9 @@
 //! to [`Command`], [`Answer`] and [`Effect`], a field to [`FleetState`], and one arm in [`FleetState::apply`].
 
 use crate::fleet::{
-    Incarnation, Index, LeaseName, MemberName, Who, lease, policy_epoch, sites, takeover,
+    Incarnation, Index, LeaseName, MemberName, Who, lease, policy_epoch, sites, work,
 };
-use crate::interface::Micros;
+use crate::routing::types::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -55,7 +55,7 @@
     /// About a lease.
     Lease(lease::Command),
     /// About work in hand.
-    Takeover(takeover::Command),
+    Takeover(work::Command),
     /// About a lost or a returning site.
     Sites(sites::epoch::Command),
     /// About the policy.
@@ -72,7 +72,7 @@
     /// What the table of leases says.
     Lease(lease::Outcome),
     /// What the records of work in hand say.
-    Takeover(takeover::Reply),
+    Takeover(work::Reply),
     /// What came of a command about the policy.
     Policy(policy_epoch::Reply),
 }
@@ -103,7 +103,7 @@
     /// A lease changed.
     Lease(lease::Change),
     /// A record of work in hand changed in a way that others wait for.
-    Takeover(takeover::Notice),
+    Takeover(work::Notice),
     /// The policy, or a proposal of one, went on.
     Policy(policy_epoch::Notice),
     /// Other bounds are in force.
@@ -155,7 +155,7 @@
     /// The highest life that was forgotten to make room; lives up to it are refused of members not remembered.
     forgotten: Incarnation,
     leases: lease::Table,
-    work: takeover::Table,
+    work: work::Table,
     policy: policy_epoch::Table,
     applied: Index,
     sites: sites::epoch::Table,
@@ -183,7 +183,7 @@
     }
 
     /// The records of work in hand.
-    pub fn work(&self) -> &takeover::Table {
+    pub fn work(&self) -> &work::Table {
         &self.work
     }
 
--- a/src/fleet/net/admin.rs
+++ b/src/fleet/transport/admin.rs
@@ -5,8 +5,8 @@
 };
 use super::{ADMIN, bounds, draw, within};
 use crate::fleet::config::FleetConfig;
-use crate::fleet::group::VoterId;
 use crate::fleet::node::Status;
+use crate::fleet::raft::VoterId;
 use crate::fleet::{Incarnation, MemberName, Who, policy_epoch};
 use crate::net::stream::SteadyStream;
 use serde::{Deserialize, Serialize};
--- a/src/fleet/net/disk.rs
+++ b/src/fleet/transport/disk.rs
@@ -1,8 +1,8 @@
 //! The member's store: what the group writes, in the form that it is kept in.
 
-use crate::fleet::group::{HardState, Restored, Write};
-use crate::fleet::{Incarnation, Index, group};
-use crate::store::{self, Store, StoreError};
+use crate::fleet::raft::{HardState, Restored, Write};
+use crate::fleet::{Incarnation, Index, raft};
+use crate::storage::{self, Store, StoreError};
 use serde::{Deserialize, Serialize};
 use std::path::Path;
 
@@ -68,13 +68,13 @@
     /// What the group had written.
     pub restored: Restored,
     /// What a crash had left half-written.
-    pub torn: Option<store::Torn>,
+    pub torn: Option<storage::Torn>,
 }
 
 impl Disk {
     /// Opens the store for a new life, and makes that life durable: the one after the last, at `now` (microseconds
     /// since 1970) or later. Blocks.
-    pub fn open(path: &Path, settings: store::Settings, now: u64) -> Result<Found, DiskError> {
+    pub fn open(path: &Path, settings: storage::Settings, now: u64) -> Result<Found, DiskError> {
         let (store, found) = Store::open(path, settings)?;
         let kept = match &found.hard_state {
             Some(bytes) => read::<Kept>(bytes, "the hard state")?,
@@ -88,10 +88,10 @@
             .as_ref()
             .map(|(_, data)| read(data, "the snapshot"))
             .transpose()?;
-        let entries: Result<Vec<group::Entry>, _> =
+        let entries: Result<Vec<raft::Entry>, _> =
             found.records.iter().map(|r| read(r, "a record")).collect();
         let entries = entries?;
-        let follows = |(i, e): (usize, &group::Entry)| e.index == Index(found.first + i as u64);
+        let follows = |(i, e): (usize, &raft::Entry)| e.index == Index(found.first + i as u64);
         if !entries.iter().enumerate().all(follows) {
             return Err(DiskError::Foreign("a record's place"));
         }
@@ -157,13 +157,13 @@
     fn flush(&mut self, forms: &mut Vec<Form>) -> Result<(), DiskError> {
         let forms = std::mem::take(forms);
         let writes = forms.iter().map(|form| match form {
-            Form::Hard(state) => store::Write::HardState(state),
-            Form::Append(first, records) => store::Write::Append {
+            Form::Hard(state) => storage::Write::HardState(state),
+            Form::Append(first, records) => storage::Write::Append {
                 first: *first,
                 records,
             },
         });
-        let writes: Vec<store::Write> = writes.collect();
+        let writes: Vec<storage::Write> = writes.collect();
         if !writes.is_empty() {
             self.store.write(&writes)?;
         }
--- a/src/fleet/net/drive.rs
+++ b/src/fleet/transport/drive.rs
@@ -10,14 +10,14 @@
 use super::seal::{Bucket, Refused, Sealer, most_frame};
 use super::{Fleet, MESSAGE, admin, bounds, store_settings};
 use crate::fleet::config::FleetConfig;
-use crate::fleet::group::{MOST_VOTERS, Role};
 use crate::fleet::lease::{Standing, What, life};
 use crate::fleet::message::Message;
 use crate::fleet::node::{Action, Event, Lost, Node, Start};
+use crate::fleet::raft::{MOST_VOTERS, Role};
 use crate::fleet::sites::epoch::Table;
 use crate::fleet::state::{Answer, Command, Effect, FleetState};
-use crate::fleet::{Index, LeaseName, MemberName, Who, group, policy_epoch, view};
-use crate::interface::Micros;
+use crate::fleet::{Index, LeaseName, MemberName, Who, membership, policy_epoch, raft};
+use crate::routing::types::Micros;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -58,7 +58,7 @@
     /// A life begins: nothing that was told of the state before counts any more.
     Life(&'a Who),
     /// A belief about a member changed.
-    View(&'a view::Change),
+    View(&'a membership::Change),
     /// The conductor gained or lost its right to act as itself.
     MayAct(bool),
     /// The log did something.
@@ -279,7 +279,7 @@
         self.fleet.tell(&Told::Life(&who));
         let key = [who.incarnation.0.to_le_bytes(), store_id.to_le_bytes()].concat();
         let seed = xxh3_64_with_seed(&key, self.seed);
-        let me = view::Me {
+        let me = membership::Me {
             name: who.name.clone(),
             site: self.config.site.clone(),
             address: self.config.peer,
@@ -524,7 +524,7 @@
     }
 
     /// Hands a write to the blocking thread, with those that follow it directly.
-    fn write(&self, life: &mut Life, first: group::Write) {
+    fn write(&self, life: &mut Life, first: raft::Write) {
         let mut writes = vec![first];
         while matches!(life.waiting.front(), Some(Action::Persist(_))) {
             if let Some(Action::Persist(write)) = life.waiting.pop_front() {
@@ -590,7 +590,7 @@
                     self.fleet.tell(&Told::Sites(life.node.state().sites()));
                 }
             }
-            Action::Refused(group::Refusal::FirstVotersDiffer) => {
+            Action::Refused(raft::Refusal::FirstVotersDiffer) => {
                 life.history
                     .note("another first voter names other first voters: the group can't start");
             }
--- a/src/fleet/net/history.rs
+++ b/src/fleet/transport/history.rs
@@ -5,8 +5,8 @@
 
 use crate::fleet::lease::{Cause, LeaseChange, Standing};
 use crate::fleet::sites::{epoch::Standing as Agreed, watch};
-use crate::fleet::{Index, LeaseName, MemberName, Term, Token, Who, view};
-use crate::interface::Micros;
+use crate::fleet::{Index, LeaseName, MemberName, Term, Token, Who, membership};
+use crate::routing::types::Micros;
 use std::net::SocketAddr;
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -103,18 +103,18 @@
     }
 
     /// A belief about a member changed.
-    pub fn view(&self, change: &view::Change) {
+    pub fn view(&self, change: &membership::Change) {
         let (peer, life, to) = (
             change.member.as_str(),
             change.incarnation.0,
             change.to.as_str(),
         );
         let (from, cause) = (
-            change.from.map_or("unknown", view::Status::as_str),
+            change.from.map_or("unknown", membership::Status::as_str),
             change.cause.as_str(),
         );
         let by = match &change.cause {
-            view::Cause::Told(by) | view::Cause::Refuted(by) => Some(by.as_str()),
+            membership::Cause::Told(by) | membership::Cause::Refuted(by) => Some(by.as_str()),
             _ => None,
         };
         let site = change.site.as_str();
--- a/src/fleet/net/mod.rs
+++ b/src/fleet/transport/mod.rs
@@ -24,7 +24,7 @@
 use crate::fleet::node::Lost;
 use crate::fleet::state::{Answer, Command};
 use crate::fleet::{LeaseName, Token, Who};
-use crate::store;
+use crate::storage;
 pub use drive::Told;
 use drive::{Ask, Driver};
 use history::History;
@@ -235,9 +235,9 @@
     }
 }
 
-fn store_settings(config: &FleetConfig) -> store::Settings {
+fn store_settings(config: &FleetConfig) -> storage::Settings {
     let most_record = config.settings.group.most_payload_bytes.max(64 * 1024) + 64 * 1024;
-    store::Settings {
+    storage::Settings {
         most_bytes: config.store.most_bytes,
         most_record_bytes: u32::try_from(most_record).unwrap_or(u32::MAX),
     }
--- a/src/fleet/net/policy.rs
+++ b/src/fleet/transport/policy.rs
@@ -12,8 +12,8 @@
 use crate::fleet::policy_content as content;
 use crate::fleet::policy_epoch::{Command, Notice, Refusal, Reply, Table, digest};
 use crate::fleet::state::{self, Answer, Effect};
-use crate::interface::{Class, Micros};
 use crate::live_settings::LiveSettings;
+use crate::routing::types::{Class, Micros};
 use serde_json::Value;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -378,7 +378,7 @@
 
 /// Names of the classes in which a request must not run twice.
 pub fn once(classes: &[Class]) -> impl Iterator<Item = &Class> {
-    use crate::interface::{Effect as Of, Group};
+    use crate::routing::types::{Effect as Of, Group};
     classes
         .iter()
         .filter(|c| !matches!(c.effect, Of::Safe | Of::Keyed(Group::All)))
--- a/src/fleet/net/refusals.rs
+++ b/src/fleet/transport/refusals.rs
@@ -3,7 +3,7 @@
 use super::history::History;
 use super::seal::Refused;
 use crate::counters::{Count, FleetCounters};
-use crate::interface::Micros;
+use crate::routing::types::Micros;
 use std::collections::BTreeMap;
 use std::net::IpAddr;
 
--- a/src/fleet/net/seal.rs
+++ b/src/fleet/transport/seal.rs
@@ -20,7 +20,7 @@
 //! refutation; what must not be repeated goes over connections.
 
 use crate::fleet::{Incarnation, MOST_NAME, MemberName, Who};
-use crate::interface::Micros;
+use crate::routing::types::Micros;
 use hmac::{Hmac, Mac};
 use serde::{Deserialize, Serialize};
 use sha2::Sha256;
--- a/src/fleet/net/sites.rs
+++ b/src/fleet/transport/sites.rs
@@ -9,16 +9,16 @@
 use super::{Fleet, Told};
 use crate::core::{Clock, CoreHandle, Input};
 use crate::fleet::MemberName;
+use crate::fleet::membership;
 use crate::fleet::sites::describe;
 use crate::fleet::sites::epoch::{self, Table};
 use crate::fleet::sites::member::{Action, Event, Member};
 use crate::fleet::sites::plan::{PlanError, Plans};
 use crate::fleet::sites::watch;
 use crate::fleet::state::{Command, Effect};
-use crate::fleet::view;
-use crate::interface::{Entry, Kind, ListKind, Role, Status, WorkerId};
 use crate::net::discovery::Directory;
 use crate::net::stream::SteadyStream;
+use crate::routing::types::{Entry, Kind, ListKind, Role, Status, WorkerId};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -204,7 +204,7 @@
     }
 
     /// A belief about a member changed.
-    fn seen(self: &Rc<Self>, change: &view::Change) {
+    fn seen(self: &Rc<Self>, change: &membership::Change) {
         let Some(site) = self
             .names
             .iter()
@@ -212,7 +212,10 @@
         else {
             return;
         };
-        let alive = matches!(change.to, view::Status::Alive | view::Status::Suspect);
+        let alive = matches!(
+            change.to,
+            membership::Status::Alive | membership::Status::Suspect
+        );
         let alive = {
             let mut conductors = self.conductors.borrow_mut();
             conductors.insert(change.member.clone(), (site, alive));
--- a/src/fleet/net/work.rs
+++ b/src/fleet/transport/work.rs
@@ -1,6 +1,6 @@
 //! Work in hand, carried out: asks the fleet before something goes out, and releases what ended lives have left.
 //!
-//! [`Work`] drives [`Hands`](crate::fleet::hands::Hands) with the program's clock and proposals. [`Recording`] stands
+//! [`Work`] drives [`Hands`](crate::fleet::work::recorder::Hands) with the program's clock and proposals. [`Recording`] stands
 //! between the core and the client side: what goes to a model host is written down first, and taken off the record when
 //! nothing of its request is left.
 
@@ -10,11 +10,11 @@
 use crate::exchange::Call;
 use crate::fleet::Who;
 use crate::fleet::config::TakeoverConfig;
-use crate::fleet::hands::{Action, Event, Hands, Ticket, Verdict};
 use crate::fleet::state::{Answer, Command, Effect, Refusal as Unlooked};
-use crate::fleet::takeover::{self, Bounds, MOST_OVER, Notice, Refusal, Reply};
-use crate::interface::{Micros, Outcome, ReleasePermit, ReleaseReason, WorkerId};
-use crate::policy::call_permission::ReleaseHistory;
+use crate::fleet::work::recorder::{Action, Event, Hands, Ticket, Verdict};
+use crate::fleet::work::{self, Bounds, MOST_OVER, Notice, Refusal, Reply};
+use crate::routing::policy::call_permission::ReleaseHistory;
+use crate::routing::types::{Micros, Outcome, ReleasePermit, ReleaseReason, WorkerId};
 use bytes::Bytes;
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
@@ -111,7 +111,7 @@
     }
 
     /// Asks whether something may go out, and waits for the answer until `until` at the latest.
-    pub async fn ask(self: &Rc<Self>, command: takeover::Command, until: Micros) -> Verdict {
+    pub async fn ask(self: &Rc<Self>, command: work::Command, until: Micros) -> Verdict {
         let ticket = self.ticket();
         let (answer, answered) = oneshot::channel();
         self.verdicts.borrow_mut().insert(ticket, answer);
@@ -130,13 +130,13 @@
     }
 
     /// Asks, with the time that the settings give a record to be written.
-    pub async fn ask_soon(self: &Rc<Self>, command: takeover::Command) -> Verdict {
+    pub async fn ask_soon(self: &Rc<Self>, command: work::Command) -> Verdict {
         let until = self.clock.now() + self.settings.record_within_ms * 1_000;
         self.ask(command, until).await
     }
 
     /// Asks, with the time that a client may wait for a conductor that may be dying, and not past its deadline.
-    pub async fn ask_for(self: &Rc<Self>, command: takeover::Command, deadline: Micros) -> Verdict {
+    pub async fn ask_for(self: &Rc<Self>, command: work::Command, deadline: Micros) -> Verdict {
         let within = self.clock.now() + self.settings.claim_within_ms * 1_000;
         self.ask(command, within.min(deadline)).await
     }
@@ -144,7 +144,7 @@
     /// Asks, with a wait of the asker's beside the time that a record takes.
     pub async fn ask_within(
         self: &Rc<Self>,
-        command: takeover::Command,
+        command: work::Command,
         patience: Duration,
     ) -> Verdict {
         let record = Duration::from_millis(self.settings.record_within_ms);
@@ -153,7 +153,7 @@
     }
 
     /// Tells the group until it is written, and waits for that no longer than a record may take.
-    pub async fn told_soon(self: &Rc<Self>, command: takeover::Command) {
+    pub async fn told_soon(self: &Rc<Self>, command: work::Command) {
         let (written, told) = oneshot::channel();
         let ticket = self.ticket();
         self.written.borrow_mut().insert(ticket, written);
@@ -164,7 +164,7 @@
     }
 
     /// Tells the group; nobody waits.
-    pub fn tell(self: &Rc<Self>, command: takeover::Command) {
+    pub fn tell(self: &Rc<Self>, command: work::Command) {
         let ticket = self.ticket();
         self.handle(Event::Tell { ticket, command });
     }
@@ -197,7 +197,7 @@
         self.woken.notify_one();
     }
 
-    fn propose(self: &Rc<Self>, ticket: Ticket, command: takeover::Command) {
+    fn propose(self: &Rc<Self>, ticket: Ticket, command: work::Command) {
         let work = self.clone();
         let me = self.fleet.who();
         tokio::task::spawn_local(async move {
@@ -290,7 +290,7 @@
             }
             let answer = self
                 .fleet
-                .propose(Command::Takeover(takeover::Command::Adopt {
+                .propose(Command::Takeover(work::Command::Adopt {
                     dead: dead.clone(),
                 }))
                 .await;
@@ -333,7 +333,7 @@
             }
         }
         for ids in over.chunks(MOST_OVER) {
-            self.tell(takeover::Command::Over { ids: ids.to_vec() });
+            self.tell(work::Command::Over { ids: ids.to_vec() });
         }
     }
 
@@ -446,8 +446,7 @@
                 });
             }
             for ids in over.chunks(MOST_OVER) {
-                self.work
-                    .tell(takeover::Command::Over { ids: ids.to_vec() });
+                self.work.tell(work::Command::Over { ids: ids.to_vec() });
             }
         }
     }
@@ -461,7 +460,7 @@
 }
 
 impl Going {
-    async fn send(self, mut attempt: Attempt, command: takeover::Command) {
+    async fn send(self, mut attempt: Attempt, command: work::Command) {
         let most = attempt.until;
         let within = self.core.clock.now() + self.work.settings.record_within_ms * 1_000;
         let verdict = tokio::select! {
@@ -511,7 +510,7 @@
         if noted && call.name.is_none() {
             return self.inner.send(attempt);
         }
-        let command = takeover::Command::Send {
+        let command = work::Command::Send {
             id: call.id.clone(),
             worker: attempt.worker.0.to_string(),
             name: call.name.clone(),
--- a/src/fleet/takeover.rs
+++ b/src/fleet/work.rs
@@ -17,6 +17,8 @@
 //! named requests by effect and stage, at once and alike everywhere. What it left at model hosts is adopted by one
 //! member, [`Command::Adopt`], which releases it; should the adopter die, what is left is adopted again.
 
+pub mod recorder;
+
 use super::{Index, Who};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
--- a/src/fleet/hands.rs
+++ b/src/fleet/work/recorder.rs
@@ -1,13 +1,13 @@
 //! A conductor's side of work in hand: what may go out now, what has to wait, and what is given up.
 //!
 //! The front and the client side ask before they act; this machine puts the question to the group
-//! ([`super::takeover`]), waits where waiting helps (a request whose owner may be dying, a call whose outcome is on its
+//! ([`super`]), waits where waiting helps (a request whose owner may be dying, a call whose outcome is on its
 //! way), and gives one [`Verdict`] for each question, by a given time at the latest. What comes after that time
 //! frees what nobody will act on any more. Without a valid life lease no verdict lets anything out.
 
-use super::Who;
-use super::takeover::{CallStage, Command, Final, Named, Notice, Refusal, Reply};
-use crate::interface::Micros;
+use super::{CallStage, Command, Final, Named, Notice, Refusal, Reply};
+use crate::fleet::Who;
+use crate::routing::types::Micros;
 use std::collections::BTreeMap;
 
 /// Names a question; the asker's own, never used twice.
--- a/src/fleet/hands/tests.rs
+++ b/src/fleet/work/recorder/tests.rs
@@ -1,4 +1,4 @@
-use super::super::takeover::Bounds;
+use super::super::Bounds;
 use super::*;
 use crate::fleet::{Incarnation, MemberName};
 use rstest::rstest;
--- a/src/front/ledger.rs
+++ b/src/front/ledger.rs
@@ -6,8 +6,8 @@
 use super::record::Claim;
 use crate::config::ToolSettings;
 use crate::counters::Counters;
-use crate::interface::{CallState, WorkerId, permit_call};
 use crate::net::pool::{Pool, Target};
+use crate::routing::types::{CallState, WorkerId, permit_call};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::Request;
--- a/src/front/platform.rs
+++ b/src/front/platform.rs
@@ -1,7 +1,7 @@
 //! The platform's protocol: headers into what the module is told, answers into responses.
 
 use crate::exchange::{Answer, Feed, Frame, Presence, is_plain_id};
-use crate::interface::{Ask, Micros, RequestId};
+use crate::routing::types::{Ask, Micros, RequestId};
 use bytes::Bytes;
 use hyper::HeaderMap;
 use hyper::body::{Body, Frame as BodyFrame, SizeHint};
--- a/src/front/record.rs
+++ b/src/front/record.rs
@@ -1,10 +1,10 @@
 //! The tool-call front's side of the fleet's records: a claim to a named request, and what is written under it.
 
 use super::ledger::{NEVER_RAN, NO_ROOM, Outcome, REUSED, ToolError, UNKNOWN};
-use crate::fleet::hands::Verdict;
-use crate::fleet::net::work::Work;
-use crate::fleet::takeover::{CallStage, Command, Final, Named, Refusal};
-use crate::interface::Micros;
+use crate::fleet::transport::work::Work;
+use crate::fleet::work::recorder::Verdict;
+use crate::fleet::work::{CallStage, Command, Final, Named, Refusal};
+use crate::routing::types::Micros;
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 use std::cell::Cell;
--- a/src/front/shared.rs
+++ b/src/front/shared.rs
@@ -2,9 +2,9 @@
 
 use crate::core::CoreHandle;
 use crate::counters::Counters;
-use crate::fleet::net::policy::{Gate, Pass, Shut, once};
-use crate::interface::{Class, Micros};
+use crate::fleet::transport::policy::{Gate, Pass, Shut, once};
 use crate::ops::figures::Figures;
+use crate::routing::types::{Class, Micros};
 use std::cell::{Cell, RefCell};
 use std::collections::HashSet;
 use std::rc::Rc;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -6,11 +6,11 @@
 //!
 //! [`Policy`] is a state machine without input or output of its own: the caller hands it events with the time,
 //! and carries out the actions that it appends. The same events always give the same actions. Settings, events
-//! and actions are in [`interface`]; [`wire`] speaks the simulator's wire.
+//! and actions are in [`routing::types`]; [`wire`] speaks the simulator's wire.
 //!
 //! ```
 //! use whinhaven::Policy;
-//! use whinhaven::interface::*;
+//! use whinhaven::routing::types::*;
 //!
 //! let kind = |name: &str, role| Kind { name: name.into(), role, memory_tokens: Some(200_000) };
 //! let settings = Settings {
@@ -60,13 +60,11 @@
 pub mod fleet;
 pub mod front;
 pub mod haproxy;
-pub mod interface;
 pub mod live_settings;
 pub mod net;
 pub mod ops;
-pub mod policy;
-mod state;
-pub mod store;
+pub mod routing;
+pub mod storage;
 pub mod wire;
 
-pub use policy::Policy;
+pub use routing::policy::Policy;
--- a/src/live_settings.rs
+++ b/src/live_settings.rs
@@ -3,7 +3,7 @@
 //! A policy epoch of the fleet and a configuration read at SIGHUP both end in [`LiveSettings::replace`].
 
 use crate::core::{CoreHandle, Input};
-use crate::interface::Settings;
+use crate::routing::types::Settings;
 use std::cell::RefCell;
 use std::rc::Rc;
 
--- a/src/logs.rs
+++ b/src/logs.rs
@@ -4,7 +4,7 @@
 use log::kv::{Error, Key, Value, VisitSource, VisitValue};
 use serde_json::{Map, Value as Json};
 use std::io::Write;
-use whinhaven::fleet::net::history::{ACTS, BEGINS, RENEWALS, WORK};
+use whinhaven::fleet::transport::history::{ACTS, BEGINS, RENEWALS, WORK};
 
 /// How log lines are written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
--- a/src/main.rs
+++ b/src/main.rs
@@ -13,7 +13,7 @@
 use std::process::ExitCode;
 use whinhaven::config::ConfigError;
 use whinhaven::fleet::MemberName;
-use whinhaven::fleet::net::admin::{self, Reply, Request};
+use whinhaven::fleet::transport::admin::{self, Reply, Request};
 
 fn main() -> ExitCode {
     let cli = match cli::parse() {
--- a/src/net/answer.rs
+++ b/src/net/answer.rs
@@ -1,7 +1,7 @@
 //! What a model host's answer says about the attempt that it ends.
 
 use super::events::Events;
-use crate::interface::{Outcome, Report};
+use crate::routing::types::{Outcome, Report};
 use crate::wire::read_report;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Limited};
--- a/src/net/client.rs
+++ b/src/net/client.rs
@@ -7,7 +7,7 @@
 use crate::core::{Attempt, Clock, CoreHandle, Input, Outbound, Releasing};
 use crate::counters::Counters;
 use crate::exchange::{Call, FeedSource, Frame, Reply, feed};
-use crate::interface::{
+use crate::routing::types::{
     AttemptIndex, CallRefusal, CallState, Micros, Outcome, ReleasePermit, RequestId, SendRefusal,
     WorkerId, WritePermit, WriteState, permit_call,
 };
--- a/src/net/client/tests.rs
+++ b/src/net/client/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
-use crate::interface::{Entry, SendPermit, Status};
 use crate::net::discovery::Listing;
+use crate::routing::types::{Entry, SendPermit, Status};
 use rstest::rstest;
 use std::cell::RefCell;
 use std::net::SocketAddr;
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -10,7 +10,7 @@
 use super::stream::SteadyStream;
 use crate::core::{CoreHandle, Input};
 use crate::counters::Counters;
-use crate::interface::{Entry, Kind, ListKind, Micros, Role, Status, WorkerId};
+use crate::routing::types::{Entry, Kind, ListKind, Micros, Role, Status, WorkerId};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty};
 use hyper::HeaderMap;
--- a/src/net/host_starts.rs
+++ b/src/net/host_starts.rs
@@ -12,7 +12,7 @@
 //! monotonic one, is the one by which lists are read. Where no answer carries it, a process that starts with its clock an
 //! hour ahead takes hosts in slow start for warm ones.
 
-use crate::interface::{Micros, WorkerId};
+use crate::routing::types::{Micros, WorkerId};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{SystemTime, UNIX_EPOCH};
 
--- a/src/net/late_arrivals.rs
+++ b/src/net/late_arrivals.rs
@@ -8,7 +8,7 @@
 //! not, it is asked again and again; when it answers, all requests remembered are released there, and once more after
 //! what has just arrived may have been read.
 
-use crate::interface::WorkerId;
+use crate::routing::types::WorkerId;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 use tokio::time::Instant;
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -8,7 +8,7 @@
 use super::reach::Reach;
 use super::stream::{self, uninterrupted};
 use crate::counters::Counters;
-use crate::interface::{CallPermit, WorkerId, WritePermit};
+use crate::routing::types::{CallPermit, WorkerId, WritePermit};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::Incoming;
--- a/src/net/reach.rs
+++ b/src/net/reach.rs
@@ -7,7 +7,7 @@
 //! table keeps, per host, when a connection to it last came up (or an answer came whole) and when one last failed
 //! to, so that hosts just heard from are asked first and those that just failed last.
 
-use crate::interface::WorkerId;
+use crate::routing::types::WorkerId;
 use std::collections::HashMap;
 use std::time::Duration;
 use tokio::time::Instant;
--- a/src/net/release.rs
+++ b/src/net/release.rs
@@ -11,7 +11,7 @@
 //! yet. Where a wave comes late, the second one holds: more hosts at once would only add to the work of a process that has
 //! too much already. And where some host has answered another call since the last wave, that one is asked alone: it runs.
 
-use crate::interface::WorkerId;
+use crate::routing::types::WorkerId;
 use std::collections::BTreeSet;
 use std::time::Duration;
 use tokio::time::Instant;
--- a/src/net/releases.rs
+++ b/src/net/releases.rs
@@ -6,7 +6,7 @@
 use super::release::{Fanout, HEDGE};
 use crate::core::{Attempt, Releasing};
 use crate::exchange::Call;
-use crate::interface::{CallState, Outcome, ReleasePermit, WorkerId};
+use crate::routing::types::{CallState, Outcome, ReleasePermit, WorkerId};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::Request;
--- a/src/ops/figures.rs
+++ b/src/ops/figures.rs
@@ -5,7 +5,7 @@
 //! it, it is counted.
 
 use crate::counters::Count;
-use crate::interface::Class;
+use crate::routing::types::Class;
 use hyper::StatusCode;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
--- a/src/policies.rs
+++ b/src/policies.rs
@@ -6,9 +6,9 @@
 use std::path::Path;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use whinhaven::fleet::config::FleetConfig;
-use whinhaven::fleet::net::admin::{self, Policies, Reply, Request};
 use whinhaven::fleet::policy_content as content;
 use whinhaven::fleet::policy_epoch::{self as epoch, Command, Outcome, Past};
+use whinhaven::fleet::transport::admin::{self, Policies, Reply, Request};
 
 /// Between two looks at how a proposal goes.
 const LOOK: Duration = Duration::from_millis(100);
--- a/src/state.rs
+++ b/src/routing/model.rs
@@ -1,14 +1,14 @@
-//! Plain data that the decisions in `src/policy.rs` keep. No decision and no tuned value is made here.
+//! Plain data that the decisions in `src/routing/policy.rs` keep. No decision and no tuned value is made here.
 
 mod prefix_table;
 
 pub(crate) use prefix_table::PrefixTable;
 
-use crate::interface::{
+use crate::routing::policy::held_state::HeldState;
+use crate::routing::types::{
     Ask, Class, Effect, Micros, Outcome, Report, Role, Settings, Status, Tenant,
 };
-use crate::interface::{RequestId, WorkerId};
-use crate::policy::held_state::HeldState;
+use crate::routing::types::{RequestId, WorkerId};
 use std::collections::{BTreeMap, VecDeque};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
--- a/src/state/prefix_table.rs
+++ b/src/routing/model/prefix_table.rs
@@ -1,8 +1,8 @@
 //! The prefix table: which readers are taken to keep which shared texts and sessions, and how often each text is
-//! asked for. Entries age; what follows from them is decided in `src/policy.rs`.
+//! asked for. Entries age; what follows from them is decided in `src/routing/policy.rs`.
 
 use super::Fading;
-use crate::interface::{Ask, Micros, WorkerId};
+use crate::routing::types::{Ask, Micros, WorkerId};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
--- a/src/state/prefix_table/tests.rs
+++ b/src/routing/model/prefix_table/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::interface::RequestId;
+use crate::routing::types::RequestId;
 
 const SECOND: Micros = 1_000_000;
 const HALF_LIFE: Micros = 30 * SECOND;
--- a/src/policy.rs
+++ b/src/routing/policy.rs
@@ -1,4 +1,4 @@
-//! The decisions. Settings, events and actions: `src/interface.rs`. Why it is built so: `docs/design.md`.
+//! The decisions. Settings, events and actions: `src/routing/types.rs`. Why it is built so: `docs/design.md`.
 //!
 //! Preble's E2 decides the ordinary path; everything else answers a trouble and says which.
 
@@ -14,8 +14,8 @@
 mod sending;
 mod slow_start;
 
-use crate::interface::*;
-use crate::state::*;
+use crate::routing::model::*;
+use crate::routing::types::*;
 use std::collections::{BTreeMap, BTreeSet};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
--- a/src/policy/call_permission.rs
+++ b/src/routing/policy/call_permission.rs
@@ -4,7 +4,7 @@
 //! for it when the connection is up: what was known when the call was decided may not hold any more by then.
 //! When a release begins is decided here as well ([`ReleaseHistory::permit`]).
 
-use crate::interface::{Outcome, ReleaseReason};
+use crate::routing::types::{Outcome, ReleaseReason};
 
 /// Permission to begin releasing all that is held for one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/src/policy/held_state.rs
+++ b/src/routing/policy/held_state.rs
@@ -8,7 +8,7 @@
 //! has not, the release is what keeps the limit.
 
 use super::Policy;
-use crate::interface::{Action, Micros, Outcome, ReleaseReason, RequestId, WorkerId};
+use crate::routing::types::{Action, Micros, Outcome, ReleaseReason, RequestId, WorkerId};
 
 /// Sweeps before the release limit at which what no writer has taken is released.
 pub(super) const SWEEPS_BEFORE_RELEASE: Micros = 2;
--- a/src/policy/permission.rs
+++ b/src/routing/policy/permission.rs
@@ -12,8 +12,8 @@
 //! not arrived where that is (held state, see [`super::held_state`]).
 
 use super::Policy;
-use crate::interface::{Class, Effect, Group, Micros, RequestId, Status, WorkerId};
-use crate::state::{Phase, Request, Worker};
+use crate::routing::model::{Phase, Request, Worker};
+use crate::routing::types::{Class, Effect, Group, Micros, RequestId, Status, WorkerId};
 
 /// Permission to send one attempt to one worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/src/interface.rs
+++ b/src/routing/types.rs
@@ -2,10 +2,10 @@
 //!
 //! Everything here is plain data in the words of the domain. Times are microseconds on the caller's clock.
 
-pub use crate::policy::call_permission::{
+pub use crate::routing::policy::call_permission::{
     CallPermit, CallRefusal, CallState, ReleasePermit, permit_call,
 };
-pub use crate::policy::permission::{SendPermit, SendRefusal, WritePermit, WriteState};
+pub use crate::routing::policy::permission::{SendPermit, SendRefusal, WritePermit, WriteState};
 use std::sync::Arc;
 
 /// Microseconds: a moment on the caller's monotonic clock, or a length of time.
--- a/src/run.rs
+++ b/src/run.rs
@@ -15,13 +15,12 @@
 use whinhaven::core::{Clock, Core, CoreHandle, Outbound};
 use whinhaven::counters::Counters;
 use whinhaven::fleet::LeaseName;
-use whinhaven::fleet::net::policy::Gate;
-use whinhaven::fleet::net::sites::{Seen, Sites};
-use whinhaven::fleet::net::work::{Recording, Work};
-use whinhaven::fleet::net::{self, Fleet};
+use whinhaven::fleet::transport::policy::Gate;
+use whinhaven::fleet::transport::sites::{Seen, Sites};
+use whinhaven::fleet::transport::work::{Recording, Work};
+use whinhaven::fleet::transport::{self, Fleet};
 use whinhaven::front::jsonrpc::Front;
 use whinhaven::front::shared::Shared;
-use whinhaven::interface::{ListKind, Role, WorkerId};
 use whinhaven::live_settings::LiveSettings;
 use whinhaven::net::client::{Hosts, Pending};
 use whinhaven::net::discovery::{Directory, Follower, Weigh};
@@ -34,6 +33,7 @@
 use whinhaven::net::upgrade::{self, Place, Sharing};
 use whinhaven::ops::door::{DOOR_SOCKETS, Door};
 use whinhaven::ops::figures::Figures;
+use whinhaven::routing::types::{ListKind, Role, WorkerId};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// After SIGTERM new connections keep coming for up to 0.4 s; they are accepted for longer than that.
@@ -218,7 +218,7 @@
         _ => None,
     };
     let fleet = match &config.fleet {
-        Some(settings) => Some(net::start(settings, clock, config.seed).await?),
+        Some(settings) => Some(transport::start(settings, clock, config.seed).await?),
         None => None,
     };
     let sites = match (&fleet, plans) {
--- a/src/store/tests/faulty.rs
+++ b/src/storage/tests/faulty.rs
@@ -1,6 +1,6 @@
 //! A disk in memory that loses what a real one may lose.
 
-use crate::store::disk::Disk;
+use crate::storage::disk::Disk;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind};
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -2,8 +2,8 @@
 //!
 //! Nothing is decided here and nothing is shared between the hosted instances.
 
-use crate::interface::*;
-use crate::policy::Policy;
+use crate::routing::policy::Policy;
+use crate::routing::types::*;
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, Write};
 use std::panic::{AssertUnwindSafe, catch_unwind};
--- a/tests/fairness.rs
+++ b/tests/fairness.rs
@@ -10,7 +10,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use whinhaven::Policy;
-use whinhaven::interface::*;
+use whinhaven::routing::types::*;
 
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -14,7 +14,7 @@
 use std::sync::mpsc;
 use std::time::Duration;
 use support::*;
-use whinhaven::fleet::net::seal::{Bounds, Keys, Sealer};
+use whinhaven::fleet::transport::seal::{Bounds, Keys, Sealer};
 use whinhaven::fleet::{Incarnation, MemberName, Who};
 
 const KEY: &str = "00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff";
--- a/tests/golden/commands.rs
+++ b/tests/golden/commands.rs
@@ -4,7 +4,7 @@
 use whinhaven::fleet::sites::epoch as sites;
 use whinhaven::fleet::sites::plan::Missing;
 use whinhaven::fleet::state::{Bounds, Command, Effect, FleetState, Origin, Proposal};
-use whinhaven::fleet::{Index, Token, Who, lease, policy_epoch, takeover};
+use whinhaven::fleet::{Index, Token, Who, lease, policy_epoch, work};
 
 pub fn examples() -> Vec<Example<Proposal>> {
     let mut examples = vec![("bounds", Command::Bounds(bounds()))];
@@ -85,11 +85,11 @@
         ("takeover-call-not-made", call_ended("order-7", 46, None)),
         (
             "takeover-answer-failed",
-            answer("order-7", 47, takeover::Final::Failed),
+            answer("order-7", 47, work::Final::Failed),
         ),
         (
             "takeover-answer-cancelled",
-            answer("order-7", 48, takeover::Final::Cancelled),
+            answer("order-7", 48, work::Final::Cancelled),
         ),
         ("takeover-answer-done", answer("order-7", 49, done())),
         ("takeover-let-go", let_go("order-7", 50)),
@@ -99,15 +99,15 @@
     ]
 }
 
-fn work_bounds() -> takeover::Bounds {
-    takeover::Bounds {
+fn work_bounds() -> work::Bounds {
+    work::Bounds {
         records: 1_001,
         bytes: 1_000_002,
     }
 }
 
 fn claim(name: &str, once: bool, resumes: bool) -> Command {
-    Command::Takeover(takeover::Command::Claim {
+    Command::Takeover(work::Command::Claim {
         name: name.into(),
         once,
         resumes,
@@ -116,7 +116,7 @@
 }
 
 fn send(id: &str, name: Option<(&str, u64)>) -> Command {
-    Command::Takeover(takeover::Command::Send {
+    Command::Takeover(work::Command::Send {
         id: id.into(),
         worker: "writer-1".into(),
         name: name.map(|(name, generation)| (name.into(), generation)),
@@ -127,14 +127,14 @@
 }
 
 fn began(name: &str, generation: u64) -> Command {
-    Command::Takeover(takeover::Command::Began {
+    Command::Takeover(work::Command::Began {
         name: name.into(),
         generation,
     })
 }
 
 fn call(name: &str, generation: u64, ordinal: u32) -> Command {
-    Command::Takeover(takeover::Command::Call {
+    Command::Takeover(work::Command::Call {
         name: name.into(),
         generation,
         ordinal,
@@ -144,30 +144,30 @@
 }
 
 fn call_ended(name: &str, ordinal: u32, outcome: Option<Vec<u8>>) -> Command {
-    Command::Takeover(takeover::Command::CallEnded {
+    Command::Takeover(work::Command::CallEnded {
         name: name.into(),
         ordinal,
         outcome,
     })
 }
 
-fn answer(name: &str, generation: u64, answer: takeover::Final) -> Command {
-    Command::Takeover(takeover::Command::Answer {
+fn answer(name: &str, generation: u64, answer: work::Final) -> Command {
+    Command::Takeover(work::Command::Answer {
         name: name.into(),
         generation,
         answer,
     })
 }
 
-fn done() -> takeover::Final {
-    takeover::Final::Done {
+fn done() -> work::Final {
+    work::Final::Done {
         text: Some("the answer".into()),
         last: vec![123, 125],
     }
 }
 
 fn let_go(name: &str, generation: u64) -> Command {
-    Command::Takeover(takeover::Command::LetGo {
+    Command::Takeover(work::Command::LetGo {
         name: name.into(),
         generation,
         harmless: true,
@@ -176,15 +176,15 @@
 
 fn over(ids: &[&str]) -> Command {
     let ids = ids.iter().map(|id| (*id).to_owned()).collect();
-    Command::Takeover(takeover::Command::Over { ids })
+    Command::Takeover(work::Command::Over { ids })
 }
 
 fn adopt(dead: Who) -> Command {
-    Command::Takeover(takeover::Command::Adopt { dead })
+    Command::Takeover(work::Command::Adopt { dead })
 }
 
 fn forget(name: &str, changed: u64) -> Command {
-    Command::Takeover(takeover::Command::Forget {
+    Command::Takeover(work::Command::Forget {
         name: name.into(),
         changed: Index(changed),
     })
--- a/tests/golden/log.rs
+++ b/tests/golden/log.rs
@@ -2,7 +2,7 @@
 
 use super::{Example, member};
 use std::collections::{BTreeMap, BTreeSet};
-use whinhaven::fleet::group::{Entry, HardState, Payload, Snapshot, VoterId, Voters};
+use whinhaven::fleet::raft::{Entry, HardState, Payload, Snapshot, VoterId, Voters};
 use whinhaven::fleet::{Index, Term};
 
 fn voter(name: &str, store: u64) -> VoterId {
--- a/tests/golden/messages.rs
+++ b/tests/golden/messages.rs
@@ -4,7 +4,7 @@
 use super::{Example, lease_name, member, site};
 use std::collections::BTreeSet;
 use whinhaven::fleet::message::Message;
-use whinhaven::fleet::{Incarnation, Index, Term, Token, group, renewal, view};
+use whinhaven::fleet::{Incarnation, Index, Term, Token, membership, raft, renewal};
 
 pub fn examples() -> Vec<Example<Message>> {
     let mut examples = view_examples();
@@ -15,18 +15,18 @@
 
 fn view_examples() -> Vec<Example<Message>> {
     vec![
-        ("view-ping", view(view::Kind::Ping { probe: 401 })),
+        ("view-ping", view(membership::Kind::Ping { probe: 401 })),
         ("view-ping-request", view(ping_request())),
-        ("view-ack", view(view::Kind::Ack { probe: 403 })),
-        ("view-nack", view(view::Kind::Nack { probe: 404 })),
+        ("view-ack", view(membership::Kind::Ack { probe: 403 })),
+        ("view-nack", view(membership::Kind::Nack { probe: 404 })),
         ("view-sync", view(sync())),
-        ("view-leave", view(view::Kind::Leave)),
+        ("view-leave", view(membership::Kind::Leave)),
     ]
 }
 
-fn view(kind: view::Kind) -> Message {
-    Message::View(view::Message {
-        sender: view::Record {
+fn view(kind: membership::Kind) -> Message {
+    Message::View(membership::Message {
+        sender: membership::Record {
             site: site("north"),
             address: "127.0.0.1:7101".parse().unwrap(),
             incarnation: Incarnation(1_700_000_000_000_001),
@@ -37,86 +37,86 @@
     })
 }
 
-fn ping_request() -> view::Kind {
-    view::Kind::PingRequest {
+fn ping_request() -> membership::Kind {
+    membership::Kind::PingRequest {
         probe: 402,
         target: member("c4"),
         address: "[::1]:7104".parse().unwrap(),
     }
 }
 
-fn sync() -> view::Kind {
-    view::Kind::Sync {
+fn sync() -> membership::Kind {
+    membership::Kind::Sync {
         table: vec![alive(), suspect(), dead(), left()],
         answer: true,
     }
 }
 
-fn alive() -> view::News {
-    view::News {
+fn alive() -> membership::News {
+    membership::News {
         member: member("c5"),
         incarnation: Incarnation(21),
         refutation: 31,
-        claim: view::Claim::Alive {
+        claim: membership::Claim::Alive {
             site: site("south"),
             address: "[2001:db8::5]:7105".parse().unwrap(),
         },
     }
 }
 
-fn suspect() -> view::News {
-    view::News {
+fn suspect() -> membership::News {
+    membership::News {
         member: member("c2"),
         incarnation: Incarnation(22),
         refutation: 32,
-        claim: view::Claim::Suspect { by: member("c3") },
+        claim: membership::Claim::Suspect { by: member("c3") },
     }
 }
 
-fn dead() -> view::News {
-    view::News {
+fn dead() -> membership::News {
+    membership::News {
         member: member("c6"),
         incarnation: Incarnation(23),
         refutation: 33,
-        claim: view::Claim::Dead,
+        claim: membership::Claim::Dead,
     }
 }
 
-fn left() -> view::News {
-    view::News {
+fn left() -> membership::News {
+    membership::News {
         member: member("c7"),
         incarnation: Incarnation(24),
         refutation: 34,
-        claim: view::Claim::Left,
+        claim: membership::Claim::Left,
     }
 }
 
 fn group_examples() -> Vec<Example<Message>> {
     let examples = [
         ("group-ask", ask()),
-        ("group-pledge", group::Body::Pledge { granted: true }),
+        ("group-pledge", raft::Body::Pledge { granted: true }),
         ("group-vote", vote()),
         ("group-vote-forced", vote_forced()),
         ("group-voted", voted()),
         ("group-voted-granted", voted_granted()),
         ("group-append", append()),
-        ("group-install", group::Body::Install(part())),
-        ("group-appended-stale", appended(group::Outcome::Stale)),
+        ("group-install", raft::Body::Install(part())),
+        ("group-appended-stale", appended(raft::Outcome::Stale)),
         ("group-appended-matched", appended(matched())),
         ("group-appended-conflict", appended(conflict())),
         ("group-appended-taking", appended(taking())),
         ("group-pull", pull()),
         ("group-pulled", pulled()),
-        ("group-pulled-part", group::Body::PulledPart(part())),
+        ("group-pulled-part", raft::Body::PulledPart(part())),
         ("group-propose-data", propose_data()),
         ("group-propose-voters", propose_voters()),
-        ("group-stand", group::Body::Stand),
+        ("group-stand", raft::Body::Stand),
     ];
     examples.map(|(name, body)| (name, group(body))).to_vec()
 }
 
-fn group(body: group::Body) -> Message {
-    Message::Group(group::Message {
+fn group(body: raft::Body) -> Message {
+    Message::Group(raft::Message {
         store: 901,
         to_store: 902,
         founded: true,
@@ -129,12 +129,12 @@
     BTreeSet::from([member("c1"), member("c2"), member("c3")])
 }
 
-fn ask() -> group::Body {
-    group::Body::Ask { voters: names() }
+fn ask() -> raft::Body {
+    raft::Body::Ask { voters: names() }
 }
 
-fn vote() -> group::Body {
-    group::Body::Vote {
+fn vote() -> raft::Body {
+    raft::Body::Vote {
         pre: true,
         last: Index(501),
         last_term: Term(71),
@@ -142,8 +142,8 @@
     }
 }
 
-fn vote_forced() -> group::Body {
-    group::Body::Vote {
+fn vote_forced() -> raft::Body {
+    raft::Body::Vote {
         pre: false,
         last: Index(502),
         last_term: Term(72),
@@ -151,24 +151,24 @@
     }
 }
 
-fn voted() -> group::Body {
-    group::Body::Voted {
+fn voted() -> raft::Body {
+    raft::Body::Voted {
         pre: true,
         vote_term: Term(78),
         granted: false,
     }
 }
 
-fn voted_granted() -> group::Body {
-    group::Body::Voted {
+fn voted_granted() -> raft::Body {
+    raft::Body::Voted {
         pre: false,
         vote_term: Term(79),
         granted: true,
     }
 }
 
-fn append() -> group::Body {
-    group::Body::Append {
+fn append() -> raft::Body {
+    raft::Body::Append {
         before: Index(503),
         before_term: Term(73),
         entries: entries(),
@@ -176,8 +176,8 @@
     }
 }
 
-fn part() -> group::Part {
-    group::Part {
+fn part() -> raft::Part {
+    raft::Part {
         index: Index(504),
         term: Term(74),
         voters: voters(),
@@ -187,50 +187,50 @@
     }
 }
 
-fn appended(outcome: group::Outcome) -> group::Body {
-    group::Body::Appended(outcome)
+fn appended(outcome: raft::Outcome) -> raft::Body {
+    raft::Body::Appended(outcome)
 }
 
-fn matched() -> group::Outcome {
-    group::Outcome::Matched(Index(505))
+fn matched() -> raft::Outcome {
+    raft::Outcome::Matched(Index(505))
 }
 
-fn conflict() -> group::Outcome {
-    group::Outcome::Conflict {
+fn conflict() -> raft::Outcome {
+    raft::Outcome::Conflict {
         before: Index(506),
         term: Some(Term(75)),
         first: Index(480),
     }
 }
 
-fn taking() -> group::Outcome {
-    group::Outcome::Taking {
+fn taking() -> raft::Outcome {
+    raft::Outcome::Taking {
         index: Index(507),
         offset: 2048,
     }
 }
 
-fn pull() -> group::Body {
-    group::Body::Pull {
+fn pull() -> raft::Body {
+    raft::Body::Pull {
         next: Index(508),
         taking: Some((Index(509), 3072)),
     }
 }
 
-fn pulled() -> group::Body {
-    group::Body::Pulled {
+fn pulled() -> raft::Body {
+    raft::Body::Pulled {
         entries: entries(),
         commit: Index(510),
         leader: Some(member("c2")),
     }
 }
 
-fn propose_data() -> group::Body {
-    group::Body::Propose(group::Proposed::Data(vec![9, 8, 7]))
+fn propose_data() -> raft::Body {
+    raft::Body::Propose(raft::Proposed::Data(vec![9, 8, 7]))
 }
 
-fn propose_voters() -> group::Body {
-    group::Body::Propose(group::Proposed::Voters(names()))
+fn propose_voters() -> raft::Body {
+    raft::Body::Propose(raft::Proposed::Voters(names()))
 }
 
 fn renewal_examples() -> Vec<Example<Message>> {
--- a/tests/golden_config.rs
+++ b/tests/golden_config.rs
@@ -10,7 +10,7 @@
 use whinhaven::config::Config;
 use whinhaven::fleet::sites::describe::Fleet;
 use whinhaven::haproxy;
-use whinhaven::interface::{Effect, Group, Reports, Role, Settings, Status};
+use whinhaven::routing::types::{Effect, Group, Reports, Role, Settings, Status};
 
 const OPERATOR: &str = include_str!("../deploy/operator.toml");
 const SITES: &str = include_str!("../deploy/sites.toml");
--- a/tests/golden_fleet.rs
+++ b/tests/golden_fleet.rs
@@ -11,14 +11,14 @@
 use std::path::{Path, PathBuf};
 use whinhaven::config::Config;
 use whinhaven::fleet::config::{FleetConfig, PolicyConfig, TakeoverConfig, WhenCutOff};
-use whinhaven::fleet::group::{Entry, HardState, Restored, Snapshot};
 use whinhaven::fleet::lease::RenewalPath;
 use whinhaven::fleet::message::Message;
-use whinhaven::fleet::net::disk::{Disk, Found};
-use whinhaven::fleet::net::seal;
+use whinhaven::fleet::raft::{Entry, HardState, Restored, Snapshot};
 use whinhaven::fleet::state::{Answer, Effect, FleetState, Proposal};
-use whinhaven::fleet::{Incarnation, lease, node, policy_epoch, sites, takeover};
-use whinhaven::store;
+use whinhaven::fleet::transport::disk::{Disk, Found};
+use whinhaven::fleet::transport::seal;
+use whinhaven::fleet::{Incarnation, lease, node, policy_epoch, sites, work};
+use whinhaven::storage;
 
 const MESSAGES: &str = include_str!("golden/fleet/messages.hex");
 const PROPOSALS: &str = include_str!("golden/fleet/proposals.hex");
@@ -139,7 +139,7 @@
             answer,
             Answer::Refused(_)
                 | Answer::Lease(lease::Outcome::Refused(_) | lease::Outcome::Void)
-                | Answer::Takeover(takeover::Reply::Refused(_))
+                | Answer::Takeover(work::Reply::Refused(_))
                 | Answer::Policy(policy_epoch::Reply::Refused(_))
         ),
         Effect::Sites(effect) => matches!(effect, sites::epoch::Effect::Refused(_)),
@@ -210,7 +210,7 @@
     }
 
     fn open(&self) -> Found {
-        Disk::open(&self.0, store::Settings::default(), 0).unwrap()
+        Disk::open(&self.0, storage::Settings::default(), 0).unwrap()
     }
 }
 
@@ -240,7 +240,7 @@
 #[test]
 fn default_settings_keep_their_names_and_values() {
     assert_eq!(json(&node::Settings::default()), SETTINGS);
-    assert_eq!(json(&store::Settings::default()), STORE_SETTINGS);
+    assert_eq!(json(&storage::Settings::default()), STORE_SETTINGS);
     assert_eq!(json(&seal::Bounds::default()), SEAL_BOUNDS);
 }
 
@@ -248,8 +248,8 @@
 fn kept_settings_are_read() {
     let settings: node::Settings = serde_json::from_str(SETTINGS).unwrap();
     assert_eq!(settings, node::Settings::default());
-    let store: store::Settings = serde_json::from_str(STORE_SETTINGS).unwrap();
-    assert_eq!(store, store::Settings::default());
+    let store: storage::Settings = serde_json::from_str(STORE_SETTINGS).unwrap();
+    assert_eq!(store, storage::Settings::default());
     let bounds: seal::Bounds = serde_json::from_str(SEAL_BOUNDS).unwrap();
     assert_eq!(bounds, seal::Bounds::default());
 }
--- a/tests/golden_protocol.rs
+++ b/tests/golden_protocol.rs
@@ -14,8 +14,8 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::sync::{Mutex, mpsc};
 use support::*;
-use whinhaven::interface::{Entry, Status, WorkerId};
 use whinhaven::net::discovery::{ListMessage, Listing};
+use whinhaven::routing::types::{Entry, Status, WorkerId};
 
 /// The body of a client's request.
 const PROMPT: &str = r#"{"model":"chat","stream":true,"messages":[]}"#;
--- a/tests/held.rs
+++ b/tests/held.rs
@@ -10,7 +10,7 @@
 use tokio::time::{sleep, sleep_until, timeout};
 use whinhaven::core::{Attempt, Clock, Core, CoreHandle, Input, Outbound, Releasing};
 use whinhaven::exchange::{Answer, Call, Frame, feed};
-use whinhaven::interface::*;
+use whinhaven::routing::types::*;
 
 const MS: Micros = 1_000;
 const RELEASE: Micros = 500 * MS;
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -47,13 +47,13 @@
 /// Guards against decisions outside of the files that are named to the operators.
 #[test]
 fn every_file_of_decisions_is_named_in_the_deploy_file() {
-    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("src/policy");
-    let mut found = vec!["src/policy.rs".to_owned()];
+    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("src/routing/policy");
+    let mut found = vec!["src/routing/policy.rs".to_owned()];
     for entry in fs::read_dir(folder).unwrap() {
         let entry = entry.unwrap();
         if entry.file_type().unwrap().is_file() {
             found.push(format!(
-                "src/policy/{}",
+                "src/routing/policy/{}",
                 entry.file_name().to_str().unwrap()
             ));
         }
@@ -67,9 +67,9 @@
 #[test]
 fn policy_names_its_interface_in_its_first_lines() {
     assert!(
-        read("src/policy.rs")
+        read("src/routing/policy.rs")
             .lines()
             .take(3)
-            .any(|l| l.contains("src/interface.rs"))
+            .any(|l| l.contains("src/routing/types.rs"))
     );
 }
--- a/tests/list_calls.rs
+++ b/tests/list_calls.rs
@@ -2,7 +2,7 @@
 
 use rstest::rstest;
 use whinhaven::Policy;
-use whinhaven::interface::*;
+use whinhaven::routing::types::*;
 
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -3,7 +3,7 @@
 use rstest::rstest;
 use std::sync::Arc;
 use whinhaven::Policy;
-use whinhaven::interface::*;
+use whinhaven::routing::types::*;
 
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
--- a/tests/releases.rs
+++ b/tests/releases.rs
@@ -14,10 +14,10 @@
 use whinhaven::core::{Attempt, Clock, CoreHandle, Input, Outbound};
 use whinhaven::counters::Counters as Counts;
 use whinhaven::exchange::Call;
-use whinhaven::interface::*;
 use whinhaven::net::client::Hosts;
 use whinhaven::net::discovery::{Directory, Listing};
 use whinhaven::net::pool::Pool;
+use whinhaven::routing::types::*;
 
 /// A host of both kinds: reads what it is sent, fails what it is to write, and lets `release` answer a release.
 fn host(release: impl Fn(&mut Conn) -> bool + Send + Sync + 'static) -> Peer {
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -3,7 +3,7 @@
 use std::io::{BufRead, BufReader, Write as _};
 use std::path::{Path, PathBuf};
 use std::process::{Child, ChildStdout, Command, Stdio};
-use whinhaven::store::{Settings, Store, StoreError};
+use whinhaven::storage::{Settings, Store, StoreError};
 
 /// Removed at the end of a test.
 struct Scratch(PathBuf);
--- a/tests/support/agenda.rs
+++ b/tests/support/agenda.rs
@@ -2,7 +2,7 @@
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
-use whinhaven::interface::Micros;
+use whinhaven::routing::types::Micros;
 
 /// SplitMix64.
 pub struct Random(pub u64);
