--- a/lab/src/checker/facts.rs
+++ b/lab/src/checker/facts.rs
@@ -224,7 +224,7 @@
     /// Faults have stopped.
     #[serde(rename = "lab.quiet")]
     Quiet {
-        /// Who runs and is reachable.
+        /// MemberInstance runs and is reachable.
         alive: Vec<String>,
         /// How long views may take to agree, in microseconds.
         #[serde(default)]
--- a/lab/src/checker/mod.rs
+++ b/lab/src/checker/mod.rs
@@ -47,7 +47,7 @@
     pub order: u64,
     /// When it happened, in microseconds since 1970.
     pub at_us: u64,
-    /// Who did it.
+    /// MemberInstance did it.
     pub source: String,
     /// In which life, for members; 0 for all others.
     pub incarnation: u64,
--- a/lab/src/fleet.rs
+++ b/lab/src/fleet.rs
@@ -566,7 +566,7 @@
         agreed.ok_or_else(how)
     }
 
-    /// Who acted last under a lease, by the history.
+    /// MemberInstance acted last under a lease, by the history.
     pub fn holder(&self, lease: &str) -> Option<String> {
         let records = self.history.records();
         let acted = records
--- a/lab/src/history.rs
+++ b/lab/src/history.rs
@@ -32,7 +32,7 @@
     /// When it happened by the clock of whoever did it, in microseconds since 1970.
     #[serde(default)]
     pub at_us: u64,
-    /// Who did it: a conductor's name, `host/reader-1`, `tool`, `client`, `lab`.
+    /// MemberInstance did it: a conductor's name, `host/reader-1`, `tool`, `client`, `lab`.
     #[serde(default)]
     pub source: String,
     /// What happened; `log` for a line of a conductor that is no event.
--- a/lab/tests/model_lease.rs
+++ b/lab/tests/model_lease.rs
@@ -15,7 +15,7 @@
 };
 use whinhaven::fleet::renewal::Renewal;
 use whinhaven::fleet::state::{Command, Effect, FleetState, Outbox, Proposal, Retry};
-use whinhaven::fleet::{Incarnation, Index, LeaseName, MemberName, Token, Who};
+use whinhaven::fleet::{Incarnation, Index, LeaseName, MemberInstance, MemberName, Token};
 use whinhaven::routing::types::Micros;
 
 const UNIT: Micros = 1_000_000;
@@ -293,9 +293,9 @@
     }
 }
 
-fn who(person: &Person) -> Who {
+fn who(person: &Person) -> MemberInstance {
     let name = MemberName::try_from(person.name).expect("a name");
-    Who {
+    MemberInstance {
         name,
         incarnation: Incarnation(person.incarnation),
     }
--- a/lab/tests/model_policy.rs
+++ b/lab/tests/model_policy.rs
@@ -8,7 +8,7 @@
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::BTreeSet;
 use whinhaven::fleet::policy_epoch::{Command, Notice, Table};
-use whinhaven::fleet::{Incarnation, MemberName, Who};
+use whinhaven::fleet::{Incarnation, MemberInstance, MemberName};
 use whinhaven_lab::explore::explore;
 
 const MEMBERS: usize = 3;
@@ -29,10 +29,10 @@
 struct World {
     table: Table,
     /// The lives that stand in the log.
-    living: BTreeSet<Who>,
+    living: BTreeSet<MemberInstance>,
     members: Vec<Member>,
     /// On their way to the log, in no order.
-    said: Vec<(Who, Command)>,
+    said: Vec<(MemberInstance, Command)>,
     /// The highest epoch under which any request was begun, and whether one began under a lower one after.
     begun: u64,
     fell: bool,
@@ -82,9 +82,9 @@
     flaw: Flaw,
 }
 
-fn who(member: usize, life: u64) -> Who {
+fn who(member: usize, life: u64) -> MemberInstance {
     let name = MemberName::try_from(["c1", "c2", "c3"][member]).unwrap();
-    Who {
+    MemberInstance {
         name,
         incarnation: Incarnation(life),
     }
@@ -106,7 +106,7 @@
         }
     }
 
-    fn apply(&mut self, who: &Who, command: Command) {
+    fn apply(&mut self, who: &MemberInstance, command: Command) {
         let mut notices = Vec::new();
         self.table.apply(who, &self.living, command, &mut notices);
         self.deliver(notices);
@@ -156,7 +156,7 @@
     type Action = Doing;
 
     fn init_states(&self) -> Vec<World> {
-        let living: BTreeSet<Who> = (0..MEMBERS).map(|m| who(m, 1)).collect();
+        let living: BTreeSet<MemberInstance> = (0..MEMBERS).map(|m| who(m, 1)).collect();
         let mut table = Table::default();
         table.apply(&who(0, 1), &living, propose(0, 0), &mut Vec::new());
         let member = Member {
--- a/lab/tests/model_takeover.rs
+++ b/lab/tests/model_takeover.rs
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use whinhaven::fleet::work::recorder::{Action, Event, Hands, Ticket, Verdict};
 use whinhaven::fleet::work::*;
-use whinhaven::fleet::{Incarnation, Index, MemberName, Who};
+use whinhaven::fleet::{Incarnation, Index, MemberInstance, MemberName};
 use whinhaven_lab::explore::explore;
 
 /// Nothing is forgotten here, so places in the log need not differ, which keeps states few.
@@ -19,9 +19,9 @@
     bytes: 1_000_000,
 };
 
-fn who(conductor: usize) -> Who {
+fn who(conductor: usize) -> MemberInstance {
     let name = MemberName::try_from(["c1", "c2", "c3"][conductor]).unwrap();
-    Who {
+    MemberInstance {
         name,
         incarnation: Incarnation(1),
     }
--- a/lab/tests/model_view.rs
+++ b/lab/tests/model_view.rs
@@ -129,7 +129,7 @@
         self.event(state, at, Event::Join { seeds });
     }
 
-    /// Who ticks next, and when.
+    /// MemberInstance ticks next, and when.
     fn due(&self, state: &State) -> Option<(Micros, usize)> {
         let timeout = |at: usize| Some((state.views[at].as_ref()?.timeout()?.max(state.now), at));
         (0..self.members).filter_map(timeout).min()
--- a/lab/tests/sim_lease.rs
+++ b/lab/tests/sim_lease.rs
@@ -12,7 +12,7 @@
 use whinhaven::fleet::node::{Action, Event, Node, Settings, Start};
 use whinhaven::fleet::state::Effect;
 use whinhaven::fleet::{
-    Incarnation, LeaseName, MemberName, SiteName, Token, Who, membership, raft,
+    Incarnation, LeaseName, MemberInstance, MemberName, SiteName, Token, membership, raft,
 };
 use whinhaven::routing::types::Micros;
 
@@ -60,10 +60,10 @@
     cut: BTreeSet<(usize, usize)>,
     looked: Micros,
     /// The last token seen acting, by lease.
-    acted: BTreeMap<LeaseName, (Token, Who)>,
+    acted: BTreeMap<LeaseName, (Token, MemberInstance)>,
     /// Grants that the log has ended, as some member has applied.
     over: BTreeSet<(LeaseName, Token)>,
-    granted: BTreeMap<LeaseName, (Token, Who)>,
+    granted: BTreeMap<LeaseName, (Token, MemberInstance)>,
     grants: u64,
     acts: u64,
 }
@@ -254,7 +254,7 @@
         }
     }
 
-    /// Who could act now, stopped ones included: continued, they might.
+    /// MemberInstance could act now, stopped ones included: continued, they might.
     fn look(&mut self) {
         self.looked = self.now;
         let lives = self
@@ -272,7 +272,8 @@
                 let token = body.rights.may_act(body.node.who(), &name, self.clock(n))?;
                 Some((token, body.node.who().clone()))
             };
-            let actors: Vec<(Token, Who)> = (0..self.places.len()).filter_map(may).collect();
+            let actors: Vec<(Token, MemberInstance)> =
+                (0..self.places.len()).filter_map(may).collect();
             assert!(
                 actors.len() <= 1,
                 "at {} two may act under {name}: {actors:?}",
--- a/src/fleet/config.rs
+++ b/src/fleet/config.rs
@@ -2,7 +2,7 @@
 
 use super::policy_epoch::MOST_CONTENT;
 use super::transport::admin::ADMINISTRATOR;
-use super::{MOST_NAME, MemberName, SiteName, lease, node};
+use super::{MAX_NAME_LENGTH, MemberName, SiteName, lease, node};
 use crate::config::{ConfigError, Limits};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -119,7 +119,7 @@
 const OWN_SOCKETS: usize = 12;
 /// What is around entries in a message, and a member's row in a table that members exchange.
 const AROUND: usize = 8 * 1024;
-const ROW: usize = 2 * MOST_NAME + 64;
+const ROW: usize = 2 * MAX_NAME_LENGTH + 64;
 /// The longest payload of an entry, and bytes of entries in a message, unless the file says otherwise.
 const PAYLOAD: usize = 96 * 1024;
 
--- a/src/fleet/lease.rs
+++ b/src/fleet/lease.rs
@@ -19,7 +19,7 @@
 pub use watch::Watch;
 
 use crate::fleet::state::Retry;
-use crate::fleet::{LeaseName, MOST_NAME, MemberName};
+use crate::fleet::{LeaseName, MAX_NAME_LENGTH, MemberName};
 use crate::routing::types::Micros;
 use serde::{Deserialize, Serialize};
 
@@ -31,7 +31,7 @@
 }
 
 /// The longest name of a member that can have a life lease, in bytes.
-pub const MOST_MEMBER_NAME: usize = MOST_NAME - LIFE.len();
+pub const MOST_MEMBER_NAME: usize = MAX_NAME_LENGTH - LIFE.len();
 
 /// How a holder renews.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
--- a/src/fleet/lease/holder.rs
+++ b/src/fleet/lease/holder.rs
@@ -5,7 +5,7 @@
 use super::{LIFE, RenewalPath, Settings, life};
 use crate::fleet::renewal::Renewal;
 use crate::fleet::state::{self, Answer, Origin, Outbox, Proposal};
-use crate::fleet::{LeaseName, Token, Who};
+use crate::fleet::{LeaseName, MemberInstance, Token};
 use crate::routing::types::Micros;
 use std::collections::{BTreeMap, VecDeque};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -80,7 +80,7 @@
 /// It owns the member's [`Outbox`]: other parts propose through [`Holder::propose`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Holder {
-    me: Who,
+    me: MemberInstance,
     settings: Settings,
     seed: u64,
     life: Option<LeaseName>,
@@ -95,7 +95,7 @@
 
 impl Holder {
     /// A new life: it wants its life lease from the start. At most `most_wants` leases are held or asked for at once.
-    pub fn new(me: Who, settings: Settings, most_wants: usize, seed: u64) -> Self {
+    pub fn new(me: MemberInstance, settings: Settings, most_wants: usize, seed: u64) -> Self {
         let life = life(&me.name);
         let outbox = Outbox::new(me.clone(), settings.retry.clone(), seed);
         let mine = life
--- a/src/fleet/lease/rights.rs
+++ b/src/fleet/lease/rights.rs
@@ -1,7 +1,7 @@
 //! How a member stands to its leases, and the rights that follow from it.
 
 use super::life;
-use crate::fleet::{LeaseName, Token, Who};
+use crate::fleet::{LeaseName, MemberInstance, Token};
 use crate::routing::types::Micros;
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -46,7 +46,7 @@
     /// Under which grant, if it holds or held one.
     pub token: Option<Token>,
     /// This member.
-    pub holder: Who,
+    pub holder: MemberInstance,
     /// How it stood.
     pub from: Standing,
     /// How it stands.
@@ -79,7 +79,7 @@
     }
 
     /// The token to act under, if `who` may act under this lease at `now`: its own clock, read just before the act.
-    pub fn may_act(&self, who: &Who, name: &LeaseName, now: Micros) -> Option<Token> {
+    pub fn may_act(&self, who: &MemberInstance, name: &LeaseName, now: Micros) -> Option<Token> {
         let good = |name: &LeaseName| {
             self.good
                 .get(name)
--- a/src/fleet/lease/table.rs
+++ b/src/fleet/lease/table.rs
@@ -2,7 +2,7 @@
 
 use super::{LIFE, life};
 use crate::fleet::state::{Bounds, Origin};
-use crate::fleet::{Incarnation, Index, LeaseName, MemberName, Token, Who};
+use crate::fleet::{Incarnation, Index, LeaseName, MemberInstance, MemberName, Token};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -77,7 +77,7 @@
     /// Under which grant.
     pub token: Token,
     /// Whose it is or was.
-    pub holder: Who,
+    pub holder: MemberInstance,
     /// What happened.
     pub what: What,
 }
@@ -104,7 +104,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Grant {
     /// Who holds it.
-    pub holder: Who,
+    pub holder: MemberInstance,
     /// Its token: the index of the entry that granted it, so that tokens rise with no memory of past grants.
     pub token: Token,
     /// For how long each request of the holder's makes it good, in milliseconds.
@@ -121,7 +121,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Waiter {
     /// The member.
-    pub who: Who,
+    pub who: MemberInstance,
     /// For how long it wants it, in milliseconds.
     pub granted_for_ms: u64,
     /// Its request.
@@ -166,7 +166,7 @@
     }
 
     /// Whether the log has ended this life; it can't come back.
-    pub fn ended(&self, who: &Who) -> bool {
+    pub fn ended(&self, who: &MemberInstance) -> bool {
         who.incarnation <= self.ended.get(&who.name).copied().unwrap_or(self.forgotten)
     }
 
@@ -231,7 +231,7 @@
     }
 
     /// A life lease is for the member itself, in a life that has not ended; all others are for the living.
-    fn may_hold(&self, name: &LeaseName, who: &Who) -> Result<(), Refusal> {
+    fn may_hold(&self, name: &LeaseName, who: &MemberInstance) -> Result<(), Refusal> {
         if let Some(member) = name.as_str().strip_prefix(LIFE) {
             let later = self
                 .grant(name)
@@ -332,7 +332,7 @@
         }
     }
 
-    fn remember_end(&mut self, who: &Who, bounds: &Bounds) {
+    fn remember_end(&mut self, who: &MemberInstance, bounds: &Bounds) {
         let last = self
             .ended
             .entry(who.name.clone())
--- a/src/fleet/membership.rs
+++ b/src/fleet/membership.rs
@@ -305,7 +305,7 @@
     },
     /// It did not answer that member.
     Suspect {
-        /// Who suspects it.
+        /// MemberInstance suspects it.
         by: MemberName,
     },
     /// It did not refute in time.
@@ -477,7 +477,7 @@
 struct Suspicion {
     begun: Micros,
     until: Micros,
-    /// Who suspects, and who told so: each of either counts once, so one liar is one confirmation.
+    /// MemberInstance suspects, and who told so: each of either counts once, so one liar is one confirmation.
     by: Vec<(MemberName, MemberName)>,
     /// What follows: dead or left.
     then: Status,
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -23,9 +23,9 @@
 use std::sync::Arc;
 
 /// The longest name of a member, a site or a lease, in bytes.
-pub const MOST_NAME: usize = 64;
+pub const MAX_NAME_LENGTH: usize = 64;
 
-/// A name can't be used: empty, longer than [`MOST_NAME`] bytes, or with other characters than letters, digits,
+/// A name can't be used: empty, longer than [`MAX_NAME_LENGTH`] bytes, or with other characters than letters, digits,
 /// `.`, `_`, `-` and `/`.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("not a name: {0:?} (1 to 64 letters, digits, '.', '_', '-' or '/')")]
@@ -50,8 +50,8 @@
 
             fn try_from(text: &str) -> Result<Self, NameError> {
                 let plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '.' | '_' | '-' | '/');
-                if text.is_empty() || text.len() > MOST_NAME || !text.chars().all(plain) {
-                    return Err(NameError(text.chars().take(MOST_NAME).collect()));
+                if text.is_empty() || text.len() > MAX_NAME_LENGTH || !text.chars().all(plain) {
+                    return Err(NameError(text.chars().take(MAX_NAME_LENGTH).collect()));
                 }
                 Ok($name(text.into()))
             }
@@ -101,14 +101,14 @@
 
 /// A member in one of its lives.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Who {
+pub struct MemberInstance {
     /// Its name.
     pub name: MemberName,
     /// Which life.
     pub incarnation: Incarnation,
 }
 
-impl fmt::Display for Who {
+impl fmt::Display for MemberInstance {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(f, "{}@{}", self.name, self.incarnation.0)
     }
--- a/src/fleet/node.rs
+++ b/src/fleet/node.rs
@@ -12,7 +12,8 @@
 use crate::fleet::renewal::{self, Confirmation, Gathering, Renewal};
 use crate::fleet::state::{Answer, Bounds, Command, Effect, FleetState, Proposal};
 use crate::fleet::{
-    Incarnation, Index, LeaseName, MemberName, SiteName, Term, Token, Who, policy_epoch, work,
+    Incarnation, Index, LeaseName, MemberInstance, MemberName, SiteName, Term, Token, policy_epoch,
+    work,
 };
 use crate::routing::types::Micros;
 use serde::{Deserialize, Serialize};
@@ -189,7 +190,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
     /// This member.
-    pub me: Who,
+    pub me: MemberInstance,
     /// Its site.
     pub site: SiteName,
     /// How it stands to its life lease: `acting`, `waiting` or `ended`.
@@ -233,7 +234,7 @@
     /// Its name.
     pub name: LeaseName,
     /// Who holds it.
-    pub holder: Who,
+    pub holder: MemberInstance,
     /// Under which token.
     pub token: Token,
     /// How often it was renewed.
@@ -248,7 +249,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Node {
     me: membership::Me,
-    who: Who,
+    who: MemberInstance,
     bounds: Bounds,
     limits: Limits,
     view: View,
@@ -293,7 +294,7 @@
             seed,
             relays,
         } = start;
-        let who = Who {
+        let who = MemberInstance {
             name: me.name.clone(),
             incarnation: me.incarnation,
         };
@@ -416,7 +417,7 @@
     }
 
     /// This member, in its life.
-    pub fn who(&self) -> &Who {
+    pub fn who(&self) -> &MemberInstance {
         &self.who
     }
 
--- a/src/fleet/node/tests.rs
+++ b/src/fleet/node/tests.rs
@@ -197,7 +197,7 @@
         token: grant.token,
         renewals: grant.renewals,
     };
-    let who = Who {
+    let who = MemberInstance {
         name: member("c2"),
         incarnation: Incarnation(1),
     };
--- a/src/fleet/policy_epoch.rs
+++ b/src/fleet/policy_epoch.rs
@@ -6,7 +6,7 @@
 //! log has ended is waited for no longer: it had stopped acting before. So none begins a request under the old epoch
 //! after any other has begun one under the new.
 
-use super::Who;
+use super::MemberInstance;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeSet, VecDeque};
 use xxhash_rust::xxh3::xxh3_64;
@@ -85,7 +85,7 @@
         /// Its number.
         proposal: u64,
         /// Whose it is.
-        by: Who,
+        by: MemberInstance,
     },
     /// It was made over another epoch.
     #[error("it was made over epoch {base}, and epoch {epoch} is in force")]
@@ -145,7 +145,7 @@
     /// Drawn by whoever asked.
     pub mark: u64,
     /// Who proposed.
-    pub by: Who,
+    pub by: MemberInstance,
     /// When, in microseconds since 1970 by the proposer's clock.
     pub at_us: u64,
     /// The content.
@@ -157,9 +157,9 @@
     /// Whether all have voted yes.
     pub closing: bool,
     /// Who has voted yes.
-    pub votes: BTreeSet<Who>,
-    /// Who begins nothing any more.
-    pub closed: BTreeSet<Who>,
+    pub votes: BTreeSet<MemberInstance>,
+    /// MemberInstance begins nothing any more.
+    pub closed: BTreeSet<MemberInstance>,
 }
 
 /// A proposal that is over.
@@ -170,7 +170,7 @@
     /// Drawn by whoever asked.
     pub mark: u64,
     /// Who proposed.
-    pub by: Who,
+    pub by: MemberInstance,
     /// When, in microseconds since 1970 by the proposer's clock.
     pub at_us: u64,
     /// Of its content.
@@ -198,7 +198,7 @@
     epoch: u64,
     content: String,
     /// Members that have said that they have gone over.
-    over: BTreeSet<Who>,
+    over: BTreeSet<MemberInstance>,
     last: u64,
     open: Option<Open>,
     past: VecDeque<Past>,
@@ -221,7 +221,7 @@
     }
 
     /// Who has said that it has gone over to the epoch in force.
-    pub fn over(&self) -> &BTreeSet<Who> {
+    pub fn over(&self) -> &BTreeSet<MemberInstance> {
         &self.over
     }
 
@@ -236,7 +236,7 @@
     }
 
     /// Living members whose word is waited for.
-    pub fn missing(&self, living: &BTreeSet<Who>) -> Vec<Who> {
+    pub fn missing(&self, living: &BTreeSet<MemberInstance>) -> Vec<MemberInstance> {
         let Some(open) = &self.open else {
             return Vec::new();
         };
@@ -253,8 +253,8 @@
     /// Applies a command of `who`; `living` are the members whose life leases are in force.
     pub fn apply(
         &mut self,
-        who: &Who,
-        living: &BTreeSet<Who>,
+        who: &MemberInstance,
+        living: &BTreeSet<MemberInstance>,
         command: Command,
         out: &mut Vec<Notice>,
     ) -> Reply {
@@ -378,7 +378,7 @@
     }
 
     /// Goes on as far as the living members' words allow; also to be called when a life has ended.
-    pub fn settle(&mut self, living: &BTreeSet<Who>, out: &mut Vec<Notice>) {
+    pub fn settle(&mut self, living: &BTreeSet<MemberInstance>, out: &mut Vec<Notice>) {
         let Some(mut open) = self.open.take() else {
             return;
         };
--- a/src/fleet/policy_epoch/tests.rs
+++ b/src/fleet/policy_epoch/tests.rs
@@ -2,14 +2,14 @@
 use crate::fleet::{Incarnation, MemberName};
 use rstest::rstest;
 
-fn who(name: &str) -> Who {
-    Who {
+fn who(name: &str) -> MemberInstance {
+    MemberInstance {
         name: MemberName::try_from(name).unwrap(),
         incarnation: Incarnation(1),
     }
 }
 
-fn living(names: &[&str]) -> BTreeSet<Who> {
+fn living(names: &[&str]) -> BTreeSet<MemberInstance> {
     names.iter().map(|n| who(n)).collect()
 }
 
@@ -31,7 +31,7 @@
 };
 
 /// Epoch 1 in force and proposal 2 of c1 under way, among c1, c2 and c3.
-struct Side(Table, BTreeSet<Who>, Vec<Notice>);
+struct Side(Table, BTreeSet<MemberInstance>, Vec<Notice>);
 
 impl Side {
     fn start() -> Side {
@@ -110,7 +110,7 @@
     }
     side.tell("c1", word.clone());
     side.tell("c3", word.clone());
-    let again = Who {
+    let again = MemberInstance {
         incarnation: Incarnation(2),
         ..who("c3")
     };
--- a/src/fleet/raft/follow.rs
+++ b/src/fleet/raft/follow.rs
@@ -247,7 +247,7 @@
             return;
         }
         if !self.is_voter() {
-            // One that knows of no leader and has no news may be as far behind: another one is asked then. Who
+            // One that knows of no leader and has no news may be as far behind: another one is asked then. MemberInstance
             // shall vote needs the leader.
             let news = entries.last().is_some_and(|e| e.index > self.commit);
             if leader.is_some() || (news && !self.shall_vote()) {
--- a/src/fleet/renewal/tests.rs
+++ b/src/fleet/renewal/tests.rs
@@ -48,7 +48,7 @@
         out
     }
 
-    /// Who is answered.
+    /// MemberInstance is answered.
     fn answered(&mut self, now: Micros) -> Vec<(String, Vec<u64>)> {
         let numbers = |renewals: &[Renewal]| renewals.iter().map(|r| r.number).collect();
         let answer = |out: &Outgoing| match &out.message {
--- a/src/fleet/state.rs
+++ b/src/fleet/state.rs
@@ -5,7 +5,7 @@
 //! to [`Command`], [`Answer`] and [`Effect`], a field to [`FleetState`], and one arm in [`FleetState::apply`].
 
 use crate::fleet::{
-    Incarnation, Index, LeaseName, MemberName, Who, lease, policy_epoch, sites, work,
+    Incarnation, Index, LeaseName, MemberInstance, MemberName, lease, policy_epoch, sites, work,
 };
 use crate::routing::types::Micros;
 use serde::{Deserialize, Serialize};
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Origin {
     /// The proposing member in its life.
-    pub who: Who,
+    pub who: MemberInstance,
     /// Counted from 1 in each life.
     pub seq: u64,
 }
@@ -193,7 +193,7 @@
     }
 
     /// The members whose life leases are in force.
-    pub fn living(&self) -> BTreeSet<Who> {
+    pub fn living(&self) -> BTreeSet<MemberInstance> {
         let of_life = |(name, grant): (&LeaseName, &lease::Grant)| {
             lease::life(&grant.holder.name)
                 .is_some_and(|life| life == *name)
@@ -317,7 +317,7 @@
 
     /// Lets each proposal through once, and none of an older life.
     fn admit(&mut self, index: Index, origin: &Origin, settled: u64) -> Result<(), Refusal> {
-        let Who { name, incarnation } = &origin.who;
+        let MemberInstance { name, incarnation } = &origin.who;
         if self.decided(origin) {
             let same = self
                 .sessions
@@ -402,7 +402,7 @@
 /// A member's proposals that wait for their answers, each sent again until then under its one number.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Outbox {
-    who: Who,
+    who: MemberInstance,
     retry: Retry,
     seed: u64,
     draws: u64,
@@ -412,7 +412,7 @@
 
 impl Outbox {
     /// An empty one for this life of a member.
-    pub fn new(who: Who, retry: Retry, seed: u64) -> Self {
+    pub fn new(who: MemberInstance, retry: Retry, seed: u64) -> Self {
         Outbox {
             who,
             retry,
--- a/src/fleet/transport/admin.rs
+++ b/src/fleet/transport/admin.rs
@@ -7,7 +7,7 @@
 use crate::fleet::config::FleetConfig;
 use crate::fleet::node::Status;
 use crate::fleet::raft::VoterId;
-use crate::fleet::{Incarnation, MemberName, Who, policy_epoch};
+use crate::fleet::{Incarnation, MemberInstance, MemberName, policy_epoch};
 use crate::net::stream::SteadyStream;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
@@ -54,12 +54,12 @@
 /// The policy as a member has it from the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Policies {
-    /// Who tells.
-    pub me: Who,
+    /// MemberInstance tells.
+    pub me: MemberInstance,
     /// Epochs and proposals.
     pub table: policy_epoch::Table,
     /// Members that may act.
-    pub living: BTreeSet<Who>,
+    pub living: BTreeSet<MemberInstance>,
 }
 
 /// A member's status, and its place in the group.
@@ -143,7 +143,7 @@
     let mut session = [0; 16];
     stream.read_exact(&mut session).await?;
     let own = MemberName::try_from(ADMINISTRATOR).map_err(io::Error::other)?;
-    let me = Who {
+    let me = MemberInstance {
         name: own.clone(),
         incarnation: Incarnation(1),
     };
--- a/src/fleet/transport/drive.rs
+++ b/src/fleet/transport/drive.rs
@@ -16,7 +16,7 @@
 use crate::fleet::raft::{MOST_VOTERS, Role};
 use crate::fleet::sites::epoch::Table;
 use crate::fleet::state::{Answer, Command, Effect, FleetState};
-use crate::fleet::{Index, LeaseName, MemberName, Who, membership, policy_epoch, raft};
+use crate::fleet::{Index, LeaseName, MemberInstance, MemberName, membership, policy_epoch, raft};
 use crate::routing::types::Micros;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -56,7 +56,7 @@
 /// is on this member's disk.
 pub enum Told<'a> {
     /// A life begins: nothing that was told of the state before counts any more.
-    Life(&'a Who),
+    Life(&'a MemberInstance),
     /// A belief about a member changed.
     View(&'a membership::Change),
     /// The conductor gained or lost its right to act as itself.
@@ -118,7 +118,7 @@
 
 /// One life of the member.
 struct Life {
-    who: Who,
+    who: MemberInstance,
     history: History,
     node: Node,
     sealer: Sealer,
@@ -265,7 +265,7 @@
             restored,
             torn,
         } = found;
-        let who = Who {
+        let who = MemberInstance {
             name: self.config.name.clone(),
             incarnation: disk.incarnation(),
         };
--- a/src/fleet/transport/history.rs
+++ b/src/fleet/transport/history.rs
@@ -5,7 +5,7 @@
 
 use crate::fleet::lease::{Cause, LeaseChange, Standing};
 use crate::fleet::sites::{epoch::Standing as Agreed, watch};
-use crate::fleet::{Index, LeaseName, MemberName, Term, Token, Who, membership};
+use crate::fleet::{Index, LeaseName, MemberInstance, MemberName, Term, Token, membership};
 use crate::routing::types::Micros;
 use std::net::SocketAddr;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -34,7 +34,7 @@
 
 /// Writes the history of one life.
 #[derive(Clone, Debug)]
-pub struct History(pub Who);
+pub struct History(pub MemberInstance);
 
 impl History {
     /// A life begins.
@@ -89,7 +89,7 @@
     }
 
     /// This member releases what an ended life has left.
-    pub fn adopted(&self, dead: &Who, sends: usize) {
+    pub fn adopted(&self, dead: &MemberInstance, sends: usize) {
         let (peer, life) = (dead.name.as_str(), dead.incarnation.0);
         event!(self, info, TARGET, "work.adopted", at unix_us(),
             { peer = peer, peer_incarnation = life, sends = sends },
@@ -189,7 +189,7 @@
     }
 
     /// The log has ended a life of a member.
-    pub fn death(&self, who: &Who, index: Index) {
+    pub fn death(&self, who: &MemberInstance, index: Index) {
         let (peer, life, index) = (who.name.as_str(), who.incarnation.0, index.0);
         event!(self, info, TARGET, "life.ended", at unix_us(),
             { peer = peer, peer_incarnation = life, index = index }, "life: {who} has ended, entry {index}");
--- a/src/fleet/transport/links.rs
+++ b/src/fleet/transport/links.rs
@@ -6,7 +6,7 @@
 use super::seal::{Bounds, Keys, Session, StreamSealer, length_prefix};
 use super::{MESSAGE, within};
 use crate::counters::FleetCounters;
-use crate::fleet::{MemberName, Who};
+use crate::fleet::{MemberInstance, MemberName};
 use crate::net::stream::SteadyStream;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
@@ -36,7 +36,7 @@
 #[derive(Clone, Debug)]
 pub struct Terms {
     /// This member, in this life.
-    pub me: Who,
+    pub me: MemberInstance,
     /// The shared keys.
     pub keys: Keys,
     /// Of frames.
--- a/src/fleet/transport/mod.rs
+++ b/src/fleet/transport/mod.rs
@@ -23,7 +23,7 @@
 use crate::fleet::lease::{Rights, life};
 use crate::fleet::node::Lost;
 use crate::fleet::state::{Answer, Command};
-use crate::fleet::{LeaseName, Token, Who};
+use crate::fleet::{LeaseName, MemberInstance, Token};
 use crate::storage;
 pub use drive::Told;
 use drive::{Ask, Driver};
@@ -53,7 +53,7 @@
 struct Shared {
     clock: Clock,
     when_cut_off: WhenCutOff,
-    who: RefCell<Who>,
+    who: RefCell<MemberInstance>,
     life: LeaseName,
     rights: RefCell<Rights>,
     asks: mpsc::Sender<Ask>,
@@ -85,7 +85,7 @@
     }
 
     /// This conductor in its present life.
-    pub fn who(&self) -> Who {
+    pub fn who(&self) -> MemberInstance {
         self.0.who.borrow().clone()
     }
 
@@ -174,7 +174,7 @@
     let found = disk::Disk::open(&path, settings, history::unix_us())
         .map_err(|e| wrong("store.path", format!("{}: {e}", path.display())))?;
     let life = life(&config.name).ok_or_else(|| wrong("fleet.name", "too long".to_owned()))?;
-    let who = Who {
+    let who = MemberInstance {
         name: config.name.clone(),
         incarnation: found.disk.incarnation(),
     };
--- a/src/fleet/transport/policy.rs
+++ b/src/fleet/transport/policy.rs
@@ -7,7 +7,7 @@
 use super::history::{History, unix_us};
 use super::{Fleet, Told};
 use crate::core::CoreHandle;
-use crate::fleet::Who;
+use crate::fleet::MemberInstance;
 use crate::fleet::config::PolicyConfig;
 use crate::fleet::policy_content as content;
 use crate::fleet::policy_epoch::{Command, Notice, Refusal, Reply, Table, digest};
@@ -52,8 +52,8 @@
     waiting: Cell<usize>,
     changed: Notify,
     /// The life and proposal that this member has voted on, and closed for.
-    voted: RefCell<Option<(Who, u64)>>,
-    closed: RefCell<Option<(Who, u64)>>,
+    voted: RefCell<Option<(MemberInstance, u64)>>,
+    closed: RefCell<Option<(MemberInstance, u64)>>,
 }
 
 /// A request let through. To be dropped once the core has the request.
--- a/src/fleet/transport/reception.rs
+++ b/src/fleet/transport/reception.rs
@@ -10,7 +10,7 @@
 use crate::core::Clock;
 use crate::counters::FleetCounters;
 use crate::fleet::message::Message;
-use crate::fleet::{MemberName, Who};
+use crate::fleet::{MemberInstance, MemberName};
 use crate::net::fault::pause_after_accept;
 use crate::net::stream::SteadyStream;
 use std::cell::{Cell, RefCell};
@@ -45,7 +45,7 @@
 /// What all connections share.
 pub struct Reception {
     /// This member, in its present life.
-    pub me: RefCell<Who>,
+    pub me: RefCell<MemberInstance>,
     /// The shared keys.
     pub keys: Keys,
     /// Of frames.
--- a/src/fleet/transport/seal.rs
+++ b/src/fleet/transport/seal.rs
@@ -19,7 +19,7 @@
 //! comes before the first fresh one of that sender. The view bears that, its news being ordered by incarnation and
 //! refutation; what must not be repeated goes over connections.
 
-use crate::fleet::{Incarnation, MOST_NAME, MemberName, Who};
+use crate::fleet::{Incarnation, MAX_NAME_LENGTH, MemberInstance, MemberName};
 use crate::routing::types::Micros;
 use hmac::{Hmac, Mac};
 use serde::{Deserialize, Serialize};
@@ -255,8 +255,8 @@
 /// An opened frame.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Opened<'a> {
-    /// Who sent it, in which life.
-    pub from: Who,
+    /// MemberInstance sent it, in which life.
+    pub from: MemberInstance,
     /// What the payload is; the transport's affair.
     pub kind: u8,
     /// The sender's count of its datagrams, or of the connection's frames.
@@ -268,7 +268,7 @@
 #[allow(clippy::too_many_arguments)]
 fn seal(
     keys: &Keys,
-    me: &Who,
+    me: &MemberInstance,
     to: &MemberName,
     channel: u8,
     session: &[u8],
@@ -291,7 +291,7 @@
 /// Seals a member's datagrams. One for each life of the member, since it counts them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Sealer {
-    me: Who,
+    me: MemberInstance,
     keys: Keys,
     most: usize,
     next: u64,
@@ -299,7 +299,7 @@
 
 impl Sealer {
     /// Of this member in this life.
-    pub fn new(me: Who, keys: Keys, bounds: &Bounds) -> Self {
+    pub fn new(me: MemberInstance, keys: Keys, bounds: &Bounds) -> Self {
         Sealer {
             me,
             keys,
@@ -331,7 +331,7 @@
 /// Seals the frames of one connection, opened by this member to another.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StreamSealer {
-    me: Who,
+    me: MemberInstance,
     to: MemberName,
     keys: Keys,
     most: usize,
@@ -341,7 +341,13 @@
 
 impl StreamSealer {
     /// For the connection whose acceptor began with `session`.
-    pub fn new(me: Who, to: MemberName, keys: Keys, bounds: &Bounds, session: Session) -> Self {
+    pub fn new(
+        me: MemberInstance,
+        to: MemberName,
+        keys: Keys,
+        bounds: &Bounds,
+        session: Session,
+    ) -> Self {
         StreamSealer {
             me,
             to,
@@ -390,14 +396,14 @@
 /// Bytes of the longest frame that carries a payload of `most` bytes; a buffer for datagrams needs one byte more to
 /// tell a longer one.
 pub const fn most_frame(most: usize) -> usize {
-    FIXED + 2 * MOST_NAME + most + MAC_BYTES
+    FIXED + 2 * MAX_NAME_LENGTH + most + MAC_BYTES
 }
 
 /// The acceptor's side of a connection: who sends on it, and what comes next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Inbound {
     session: Session,
-    from: Option<Who>,
+    from: Option<MemberInstance>,
     next: u64,
 }
 
@@ -411,8 +417,8 @@
         }
     }
 
-    /// Who sends, once a frame was opened.
-    pub fn from(&self) -> Option<&Who> {
+    /// MemberInstance sends, once a frame was opened.
+    pub fn from(&self) -> Option<&MemberInstance> {
         self.from.as_ref()
     }
 }
@@ -504,7 +510,7 @@
 
 /// A frame whose MAC has been checked.
 struct Vouched<'a> {
-    from: Who,
+    from: MemberInstance,
     kind: u8,
     sequence: u64,
     payload: &'a [u8],
@@ -639,7 +645,7 @@
             return Err(Refused::OwnName);
         }
         let integer = |at: usize| u64::from_le_bytes(head[at..at + 8].try_into().expect("8 bytes"));
-        let from = Who {
+        let from = MemberInstance {
             name,
             incarnation: Incarnation(integer(5)),
         };
@@ -652,7 +658,7 @@
     }
 
     /// What is known of the sender, as a copy that [`Self::opened`] puts in place once all else is settled.
-    fn sender(&self, now: Micros, from: &Who) -> Result<Sender, Refused> {
+    fn sender(&self, now: Micros, from: &MemberInstance) -> Result<Sender, Refused> {
         match self.senders.get(&from.name) {
             Some(known) if from.incarnation < known.incarnation => Err(Refused::OldIncarnation),
             Some(known) if from.incarnation == known.incarnation => Ok(known.clone()),
--- a/src/fleet/transport/seal/tests.rs
+++ b/src/fleet/transport/seal/tests.rs
@@ -8,8 +8,8 @@
     MemberName::try_from(text).unwrap()
 }
 
-fn who(text: &str, life: u64) -> Who {
-    Who {
+fn who(text: &str, life: u64) -> MemberInstance {
+    MemberInstance {
         name: name(text),
         incarnation: Incarnation(life),
     }
--- a/src/fleet/transport/sites.rs
+++ b/src/fleet/transport/sites.rs
@@ -36,7 +36,7 @@
 pub struct Seen {
     /// Where they are.
     pub directory: Rc<Directory>,
-    /// Who chooses among them.
+    /// MemberInstance chooses among them.
     pub core: CoreHandle,
     /// What they do, by their kinds.
     pub kinds: Vec<Kind>,
--- a/src/fleet/transport/work.rs
+++ b/src/fleet/transport/work.rs
@@ -8,7 +8,7 @@
 use super::{Fleet, Told};
 use crate::core::{Attempt, Clock, CoreHandle, Input, Outbound, Releasing};
 use crate::exchange::Call;
-use crate::fleet::Who;
+use crate::fleet::MemberInstance;
 use crate::fleet::config::TakeoverConfig;
 use crate::fleet::state::{Answer, Command, Effect, Refusal as Unlooked};
 use crate::fleet::work::recorder::{Action, Event, Hands, Ticket, Verdict};
@@ -49,7 +49,7 @@
     woken: Notify,
     moved: RefCell<Vec<Moved>>,
     /// Ended lives whose things wait to be adopted, as far as heard.
-    orphaned: RefCell<VecDeque<Who>>,
+    orphaned: RefCell<VecDeque<MemberInstance>>,
     orphans: Notify,
 }
 
@@ -264,7 +264,7 @@
         }
     }
 
-    fn orphan(&self, dead: Who) {
+    fn orphan(&self, dead: MemberInstance) {
         let mut orphaned = self.orphaned.borrow_mut();
         if !orphaned.contains(&dead) {
             orphaned.push_back(dead);
--- a/src/fleet/work.rs
+++ b/src/fleet/work.rs
@@ -19,7 +19,7 @@
 
 pub mod recorder;
 
-use super::{Index, Who};
+use super::{Index, MemberInstance};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -125,7 +125,7 @@
     /// Takes over what an ended life left at model hosts.
     Adopt {
         /// The ended life.
-        dead: Who,
+        dead: MemberInstance,
     },
     /// Forgets a record that has not changed since.
     Forget {
@@ -191,7 +191,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Call {
     /// The life that made it.
-    pub by: Who,
+    pub by: MemberInstance,
     /// A digest of its method and arguments.
     pub arguments: u128,
     /// How far it has come.
@@ -202,7 +202,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Named {
     /// The life that has it, if any.
-    pub owner: Option<Who>,
+    pub owner: Option<MemberInstance>,
     /// Rises each time it changes hands.
     pub generation: u64,
     /// Whether its class must not run twice.
@@ -243,7 +243,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Sent {
     /// The life that has to release it: the sender, or who adopted it.
-    pub owner: Who,
+    pub owner: MemberInstance,
     /// The host it went to last.
     pub worker: String,
     /// Whether it was adopted: its owner releases it and does nothing else with it.
@@ -275,7 +275,7 @@
     /// The asker's life has ended.
     LifeEnded,
     /// Another life has the request.
-    InHand(Who),
+    InHand(MemberInstance),
     /// The request has changed hands, or is not known any more.
     Superseded,
     /// No room; nothing that is recorded is dropped to make some.
@@ -300,9 +300,9 @@
         /// The request's name.
         name: String,
         /// Who had it.
-        from: Who,
+        from: MemberInstance,
         /// Who has it.
-        to: Who,
+        to: MemberInstance,
     },
     /// A tool call's outcome is there, or known to be unknown.
     CallEnded {
@@ -324,16 +324,16 @@
     /// An ended life has left things at model hosts, and nobody has adopted them yet.
     Orphaned {
         /// The ended life.
-        dead: Who,
+        dead: MemberInstance,
         /// How many.
         sends: u64,
     },
     /// They were adopted.
     Adopted {
         /// The ended life.
-        dead: Who,
+        dead: MemberInstance,
         /// Who releases them.
-        adopter: Who,
+        adopter: MemberInstance,
     },
 }
 
@@ -342,7 +342,7 @@
 pub struct Table {
     named: BTreeMap<String, Named>,
     sent: BTreeMap<String, Sent>,
-    orphans: BTreeMap<Who, u64>,
+    orphans: BTreeMap<MemberInstance, u64>,
     bytes: u64,
 }
 
@@ -363,7 +363,7 @@
     }
 
     /// Ended lives whose things nobody has adopted yet.
-    pub fn orphaned(&self) -> impl Iterator<Item = &Who> {
+    pub fn orphaned(&self) -> impl Iterator<Item = &MemberInstance> {
         self.orphans.keys()
     }
 
@@ -386,7 +386,7 @@
     pub fn apply(
         &mut self,
         at: Index,
-        who: &Who,
+        who: &MemberInstance,
         alive: bool,
         command: Command,
         out: &mut Vec<Notice>,
@@ -486,7 +486,7 @@
 
     /// A life has ended, by the log: its named requests are settled by effect and stage, its calls without an outcome
     /// are unknown for good, and what it left at model hosts waits to be adopted.
-    pub fn life_ended(&mut self, at: Index, dead: &Who, out: &mut Vec<Notice>) {
+    pub fn life_ended(&mut self, at: Index, dead: &MemberInstance, out: &mut Vec<Notice>) {
         for (name, r) in &mut self.named {
             let mut changed = false;
             for (ordinal, call) in r.calls.iter_mut().filter(|(_, c)| c.by == *dead) {
@@ -532,7 +532,7 @@
     fn change(
         &mut self,
         name: &str,
-        who: &Who,
+        who: &MemberInstance,
         generation: u64,
         change: impl FnOnce(&mut Named) -> Result<Reply, Refusal>,
     ) -> Result<Reply, Refusal> {
@@ -553,7 +553,7 @@
     fn claim(
         &mut self,
         at: Index,
-        who: &Who,
+        who: &MemberInstance,
         name: String,
         once: bool,
         resumes: bool,
@@ -617,7 +617,7 @@
     fn send(
         &mut self,
         at: Index,
-        who: &Who,
+        who: &MemberInstance,
         id: String,
         worker: String,
         name: Option<(String, u64)>,
@@ -670,7 +670,7 @@
     fn call(
         &mut self,
         at: Index,
-        who: &Who,
+        who: &MemberInstance,
         name: &str,
         generation: u64,
         ordinal: u32,
@@ -702,7 +702,7 @@
     fn call_ended(
         &mut self,
         at: Index,
-        who: &Who,
+        who: &MemberInstance,
         name: String,
         ordinal: u32,
         outcome: Option<Vec<u8>>,
@@ -725,7 +725,12 @@
         Ok(Reply::Done)
     }
 
-    fn adopt(&mut self, who: &Who, dead: Who, out: &mut Vec<Notice>) -> Result<Reply, Refusal> {
+    fn adopt(
+        &mut self,
+        who: &MemberInstance,
+        dead: MemberInstance,
+        out: &mut Vec<Notice>,
+    ) -> Result<Reply, Refusal> {
         self.orphans.remove(&dead).ok_or(Refusal::Nothing)?;
         let mut adopted = Vec::new();
         for (id, sent) in self.sent.iter_mut().filter(|(_, s)| s.owner == dead) {
--- a/src/fleet/work/recorder.rs
+++ b/src/fleet/work/recorder.rs
@@ -6,7 +6,7 @@
 //! frees what nobody will act on any more. Without a valid life lease no verdict lets anything out.
 
 use super::{CallStage, Command, Final, Named, Notice, Refusal, Reply};
-use crate::fleet::Who;
+use crate::fleet::MemberInstance;
 use crate::routing::types::Micros;
 use std::collections::BTreeMap;
 
@@ -82,7 +82,7 @@
     /// The request has this final answer already.
     Ended(Final),
     /// Another life has the request, and has not let go of it in time.
-    InHand(Who),
+    InHand(MemberInstance),
     /// It is written down and may go out now.
     Go,
     /// The call was made before: its outcome, or that it is unknown for good.
@@ -101,7 +101,7 @@
     /// The group's answer.
     Reply,
     /// Whoever has the request lets go of it, or its life ends.
-    Open(Who),
+    Open(MemberInstance),
     /// The outcome of a call that is out.
     Outcome,
 }
@@ -133,7 +133,7 @@
 /// The machine.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Hands {
-    me: Who,
+    me: MemberInstance,
     may_act: bool,
     most: usize,
     open: BTreeMap<Ticket, Question>,
@@ -147,7 +147,7 @@
 
 impl Hands {
     /// A machine for one life of a member, with at most `most` questions open and as many given up.
-    pub fn new(me: Who, most: usize) -> Self {
+    pub fn new(me: MemberInstance, most: usize) -> Self {
         Hands {
             me,
             may_act: false,
--- a/src/fleet/work/recorder/tests.rs
+++ b/src/fleet/work/recorder/tests.rs
@@ -8,8 +8,8 @@
     bytes: u64::MAX,
 };
 
-fn who(name: &str) -> Who {
-    Who {
+fn who(name: &str) -> MemberInstance {
+    MemberInstance {
         name: MemberName::try_from(name).unwrap(),
         incarnation: Incarnation(1),
     }
--- a/src/fleet/work/tests.rs
+++ b/src/fleet/work/tests.rs
@@ -7,8 +7,8 @@
     bytes: 100_000,
 };
 
-fn who(name: &str) -> Who {
-    Who {
+fn who(name: &str) -> MemberInstance {
+    MemberInstance {
         name: MemberName::try_from(name).unwrap(),
         incarnation: Incarnation(1),
     }
@@ -20,7 +20,7 @@
     table: Table,
     index: u64,
     notices: Vec<Notice>,
-    ended: Vec<Who>,
+    ended: Vec<MemberInstance>,
 }
 
 impl Log {
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 use support::*;
 use whinhaven::fleet::transport::seal::{Bounds, Keys, Sealer};
-use whinhaven::fleet::{Incarnation, MemberName, Who};
+use whinhaven::fleet::{Incarnation, MemberInstance, MemberName};
 
 const KEY: &str = "00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff";
 const OTHER_KEY: &str = "ff112233445566778899aabbccddeeff00112233445566778899aabbccddeeff";
@@ -173,7 +173,7 @@
             .unwrap()
     }
 
-    /// Starts all, and waits until somebody acts under the duty's lease and all may act. Who, and under which token.
+    /// Starts all, and waits until somebody acts under the duty's lease and all may act. MemberInstance, and under which token.
     fn settle(&mut self) -> (usize, u64) {
         (0..self.members.len()).for_each(|at| self.start(at));
         let mut living = vec![false; self.members.len()];
@@ -366,7 +366,7 @@
     fleet.settle();
     let peer = fleet.members[0].peer;
     let bounds = Bounds::default();
-    let me = Who {
+    let me = MemberInstance {
         name: MemberName::try_from("c7").unwrap(),
         incarnation: Incarnation(7),
     };
--- a/tests/fleet_state.rs
+++ b/tests/fleet_state.rs
@@ -7,7 +7,7 @@
 use whinhaven::fleet::state::{
     Answer, Bounds, Command, Effect, FleetState, Origin, Proposal, Refusal,
 };
-use whinhaven::fleet::{Incarnation, Index, LeaseName, MemberName, Token, Who};
+use whinhaven::fleet::{Incarnation, Index, LeaseName, MemberInstance, MemberName, Token};
 
 fn bounds() -> Bounds {
     Bounds {
@@ -39,7 +39,7 @@
     });
     let who = (prop::sample::select(vec!["a", "b", "c", "d"]), 1..4u64);
     (who, 1..30u64, 0..30u64, command).prop_map(|((name, life), seq, settled, command)| {
-        let who = Who {
+        let who = MemberInstance {
             name: MemberName::try_from(name).unwrap(),
             incarnation: Incarnation(life),
         };
@@ -56,7 +56,7 @@
     #[test]
     fn any_commands_keep_the_bounds_and_raise_the_tokens(proposals in prop::collection::vec(proposal(), 1..80)) {
         let mut state = FleetState::new();
-        let who = Who { name: MemberName::try_from("a").unwrap(), incarnation: Incarnation(1) };
+        let who = MemberInstance { name: MemberName::try_from("a").unwrap(), incarnation: Incarnation(1) };
         let first = Proposal { origin: Origin { who, seq: 0 }, settled: 0, command: Command::Bounds(bounds()) };
         state.apply(Index(1), first, &mut Vec::new());
         prop_assert_eq!(state.bounds(), &bounds());
@@ -110,7 +110,7 @@
 fn an_older_life_proposes_nothing_once_a_later_one_has() {
     let mut state = FleetState::new();
     let mut answer = |index, incarnation, seq| {
-        let who = Who {
+        let who = MemberInstance {
             name: MemberName::try_from("a").unwrap(),
             incarnation: Incarnation(incarnation),
         };
--- a/tests/golden/commands.rs
+++ b/tests/golden/commands.rs
@@ -4,7 +4,7 @@
 use whinhaven::fleet::sites::epoch as sites;
 use whinhaven::fleet::sites::plan::Missing;
 use whinhaven::fleet::state::{Bounds, Command, Effect, FleetState, Origin, Proposal};
-use whinhaven::fleet::{Index, Token, Who, lease, policy_epoch, work};
+use whinhaven::fleet::{Index, MemberInstance, Token, lease, policy_epoch, work};
 
 pub fn examples() -> Vec<Example<Proposal>> {
     let mut examples = vec![("bounds", Command::Bounds(bounds()))];
@@ -16,7 +16,7 @@
     examples.into_iter().map(proposal).collect()
 }
 
-fn proposal(who: Who, seq: u64, settled: u64, command: Command) -> Proposal {
+fn proposal(who: MemberInstance, seq: u64, settled: u64, command: Command) -> Proposal {
     Proposal {
         origin: Origin { who, seq },
         settled,
@@ -179,7 +179,7 @@
     Command::Takeover(work::Command::Over { ids })
 }
 
-fn adopt(dead: Who) -> Command {
+fn adopt(dead: MemberInstance) -> Command {
     Command::Takeover(work::Command::Adopt { dead })
 }
 
@@ -291,7 +291,7 @@
 }
 
 /// Commands of members, in the log's order, that leave something in every table.
-fn history() -> Vec<(Who, Command)> {
+fn history() -> Vec<(MemberInstance, Command)> {
     let (c1, c2, c3) = (|| who("c1", 11), || who("c2", 12), || who("c3", 13));
     vec![
         (c1(), Command::Bounds(bounds())),
--- a/tests/golden/mod.rs
+++ b/tests/golden/mod.rs
@@ -4,7 +4,7 @@
 pub mod log;
 pub mod messages;
 
-use whinhaven::fleet::{Incarnation, LeaseName, MemberName, SiteName, Who};
+use whinhaven::fleet::{Incarnation, LeaseName, MemberInstance, MemberName, SiteName};
 
 /// A value with the name of its line in a data file.
 pub type Example<T> = (&'static str, T);
@@ -21,8 +21,8 @@
     LeaseName::try_from(name).unwrap()
 }
 
-pub fn who(name: &str, incarnation: u64) -> Who {
-    Who {
+pub fn who(name: &str, incarnation: u64) -> MemberInstance {
+    MemberInstance {
         name: member(name),
         incarnation: Incarnation(incarnation),
     }
