--- a/lab/src/fleet.rs
+++ b/lab/src/fleet.rs
@@ -58,6 +58,8 @@
     pub folder: Option<PathBuf>,
     /// What each conductor finds in its environment.
     pub environment: Vec<(&'static str, OsString)>,
+    /// The program that the conductors run at first; `None`: the one built from these sources.
+    pub program: Option<PathBuf>,
 }
 
 impl Default for FleetSettings {
@@ -77,6 +79,7 @@
             seed: 1,
             folder: None,
             environment: Vec::new(),
+            program: None,
         }
     }
 }
@@ -221,6 +224,7 @@
             let mut conductor =
                 Conductor::new(name, file, &["--log-format", "json"], fleet.history.clone());
             conductor.environment = fleet.settings.environment.clone();
+            conductor.program = fleet.settings.program.clone();
             fleet.conductors.insert(name.clone(), conductor);
         }
         fleet.history.note(
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -13,6 +13,7 @@
 pub mod play;
 pub mod plot;
 pub mod process;
+pub mod rolling_upgrade;
 pub mod scale;
 pub mod script;
 pub mod sim;
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -7,6 +7,7 @@
 use whinhaven_lab::experiments::Experiment;
 use whinhaven_lab::history;
 use whinhaven_lab::play::Play;
+use whinhaven_lab::rolling_upgrade::{self, RollingUpgradeArgs};
 use whinhaven_lab::scale::{self, ScaleArgs};
 use whinhaven_lab::soak::{self, SoakArgs};
 
@@ -37,6 +38,8 @@
     Soak(SoakArgs),
     /// Measures what each part costs against its size: hollow members, real processes, the deciding module.
     Scale(ScaleArgs),
+    /// Replaces the conductors of a fleet under load, one by one, by another build and back; exits 1 where anything is lost.
+    RollingUpgrade(RollingUpgradeArgs),
 }
 
 fn main() -> ExitCode {
@@ -53,6 +56,7 @@
         },
         Task::Soak(args) => soak::run(&args).map_err(|e| e.to_string()),
         Task::Scale(args) => scale::run(&args).map(|()| true).map_err(|e| e.to_string()),
+        Task::RollingUpgrade(args) => rolling_upgrade::run(&args).map_err(|e| e.to_string()),
         Task::Experiment { which } => which.run().map(|()| true).map_err(|e| e.to_string()),
     };
     match done {
--- a/lab/src/process.rs
+++ b/lab/src/process.rs
@@ -226,6 +226,8 @@
     pub name: String,
     /// What it finds in its environment besides the lab's own.
     pub environment: Vec<(&'static str, OsString)>,
+    /// The program that its next start runs; `None`: the one that [`program`] finds.
+    pub program: Option<PathBuf>,
     file: PathBuf,
     arguments: Vec<String>,
     history: History,
@@ -240,6 +242,7 @@
         Conductor {
             name,
             environment,
+            program: None,
             file,
             arguments,
             history,
@@ -289,7 +292,7 @@
     /// The program can't be started.
     pub fn spawn(&self) -> std::io::Result<()> {
         self.kill();
-        let mut command = Command::new(program());
+        let mut command = Command::new(self.program.as_deref().unwrap_or_else(|| program()));
         command.arg("serve").arg(&self.file).args(&self.arguments);
         command
             .stdin(Stdio::null())
