--- a/examples/store_bench.rs
+++ b/examples/store_bench.rs
@@ -5,7 +5,7 @@
 
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
-use whinhaven::storage::{Settings, Store};
+use whinhaven::storage::{Store, StoreConfig};
 
 /// How long each row is measured.
 const SPAN: Duration = Duration::from_secs(3);
@@ -26,15 +26,15 @@
         for batch in [1, 8, 64] {
             let (mut store, _) = Store::open(
                 &directory.join(format!("{bytes}-{batch}")),
-                Settings::default(),
+                StoreConfig::default(),
             )?;
             let records = vec![vec![7; bytes]; batch];
             let mut took = Vec::new();
             let begin = Instant::now();
             while begin.elapsed() < SPAN {
-                let next = store.next();
+                let next = store.next_index();
                 // As the group does: a snapshot from time to time, not counted here.
-                if store.bytes() > 8 << 20 {
+                if store.log_length() > 8 << 20 {
                     store.install_snapshot(next - 1, &records[0])?;
                 }
                 let call = Instant::now();
@@ -52,7 +52,7 @@
         }
     }
     let path = directory.join("snapshot");
-    let (mut store, _) = Store::open(&path, Settings::default())?;
+    let (mut store, _) = Store::open(&path, StoreConfig::default())?;
     let records: Vec<_> = (0..2000).map(|_| vec![7; 1000]).collect();
     store.append(1, &records)?;
     for bytes in [64 << 10, 1 << 20, 8 << 20] {
@@ -65,7 +65,7 @@
     }
     drop(store);
     let call = Instant::now();
-    let (_, restored) = Store::open(&path, Settings::default())?;
+    let (_, restored) = Store::open(&path, StoreConfig::default())?;
     println!(
         "opening that with {} records: {} us",
         restored.records.len(),
--- a/src/fleet/transport/disk.rs
+++ b/src/fleet/transport/disk.rs
@@ -40,7 +40,7 @@
     /// Whether the folder may be well again later.
     pub fn may_pass(&self) -> bool {
         match self {
-            DiskError::Store(error) => error.may_pass(),
+            DiskError::Store(error) => error.is_transient(),
             DiskError::Stalled(_) | DiskError::Gone => true,
             DiskError::Foreign(_) => false,
         }
@@ -68,13 +68,13 @@
     /// What the group had written.
     pub restored: Restored,
     /// What a crash had left half-written.
-    pub torn: Option<storage::Torn>,
+    pub torn: Option<storage::TornTail>,
 }
 
 impl Disk {
     /// Opens the store for a new life, and makes that life durable: the one after the last, at `now` (microseconds
     /// since 1970) or later. Blocks.
-    pub fn open(path: &Path, settings: storage::Settings, now: u64) -> Result<Found, DiskError> {
+    pub fn open(path: &Path, settings: storage::StoreConfig, now: u64) -> Result<Found, DiskError> {
         let (store, found) = Store::open(path, settings)?;
         let kept = match &found.hard_state {
             Some(bytes) => read::<Kept>(bytes, "the hard state")?,
@@ -91,12 +91,13 @@
         let entries: Result<Vec<raft::Entry>, _> =
             found.records.iter().map(|r| read(r, "a record")).collect();
         let entries = entries?;
-        let follows = |(i, e): (usize, &raft::Entry)| e.index == Index(found.first + i as u64);
+        let follows =
+            |(i, e): (usize, &raft::Entry)| e.index == Index(found.first_index + i as u64);
         if !entries.iter().enumerate().all(follows) {
             return Err(DiskError::Foreign("a record's place"));
         }
         let incarnation = Incarnation(now.max(kept.incarnation.0 + 1));
-        let next = found.first + entries.len() as u64;
+        let next = found.first_index + entries.len() as u64;
         let mut disk = Disk {
             store,
             incarnation,
@@ -112,9 +113,9 @@
         Ok(Found {
             disk,
             store_id: found.store_id,
-            fresh: found.fresh,
+            fresh: found.newly_formatted,
             restored,
-            torn: found.torn,
+            torn: found.torn_tail,
         })
     }
 
@@ -157,13 +158,13 @@
     fn flush(&mut self, forms: &mut Vec<Form>) -> Result<(), DiskError> {
         let forms = std::mem::take(forms);
         let writes = forms.iter().map(|form| match form {
-            Form::Hard(state) => storage::Write::HardState(state),
-            Form::Append(first, records) => storage::Write::Append {
+            Form::Hard(state) => storage::WriteOperation::HardState(state),
+            Form::Append(first, records) => storage::WriteOperation::Append {
                 first: *first,
                 records,
             },
         });
-        let writes: Vec<storage::Write> = writes.collect();
+        let writes: Vec<storage::WriteOperation> = writes.collect();
         if !writes.is_empty() {
             self.store.write(&writes)?;
         }
--- a/src/fleet/transport/mod.rs
+++ b/src/fleet/transport/mod.rs
@@ -235,11 +235,11 @@
     }
 }
 
-fn store_settings(config: &FleetConfig) -> storage::Settings {
+fn store_settings(config: &FleetConfig) -> storage::StoreConfig {
     let most_record = config.settings.group.most_payload_bytes.max(64 * 1024) + 64 * 1024;
-    storage::Settings {
-        most_bytes: config.store.most_bytes,
-        most_record_bytes: u32::try_from(most_record).unwrap_or(u32::MAX),
+    storage::StoreConfig {
+        max_bytes: config.store.most_bytes,
+        max_record_bytes: u32::try_from(most_record).unwrap_or(u32::MAX),
     }
 }
 
--- a/src/storage/disk.rs
+++ b/src/storage/disk.rs
@@ -1,4 +1,4 @@
-//! The few file operations that the store needs, and the real ones.
+//! File operations that the store needs, and their implementation on a real directory.
 
 use std::collections::BTreeMap;
 use std::fs::{self, File, OpenOptions, TryLockError};
@@ -6,55 +6,58 @@
 use std::os::unix::fs::FileExt;
 use std::path::{Path, PathBuf};
 
-/// One directory of files, held by one process. What was written outlives a crash only after [`Disk::sync`]; a new name
-/// or a removal only after [`Disk::sync_names`]; until then any part of it may.
+/// One directory of files, held by one process. Written data survives a crash only after [`Disk::sync`]; a new name or a
+/// removal only after [`Disk::sync_directory`]. Before that, any part of it may survive.
 pub trait Disk {
-    /// The names of the files that are there, in any order.
-    fn names(&mut self) -> io::Result<Vec<String>>;
-    /// Makes an empty file, in the place of one of that name.
+    /// Names of all files, in any order.
+    fn file_names(&mut self) -> io::Result<Vec<String>>;
+    /// Creates an empty file, replacing one of that name.
     fn create(&mut self, name: &str) -> io::Result<()>;
-    /// The length of a file, in bytes.
+    /// Length of a file, in bytes.
     fn length(&mut self, name: &str) -> io::Result<u64>;
-    /// Fills `bytes` with what is at `offset`; an error if the file ends before.
+    /// Fills `bytes` from `offset`; an error if the file ends before.
     fn read(&mut self, name: &str, offset: u64, bytes: &mut [u8]) -> io::Result<()>;
     /// Writes `bytes` at `offset`. After an error any part may have been written.
     fn write(&mut self, name: &str, offset: u64, bytes: &[u8]) -> io::Result<()>;
     /// Cuts a file off.
-    fn cut(&mut self, name: &str, length: u64) -> io::Result<()>;
-    /// Makes what a file holds durable.
+    fn truncate(&mut self, name: &str, length: u64) -> io::Result<()>;
+    /// Makes a file's data durable.
     fn sync(&mut self, name: &str) -> io::Result<()>;
-    /// Gives a file another name, in the place of one of that name, in one step.
+    /// Renames a file atomically, replacing one of that name.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
     /// Removes a file.
     fn remove(&mut self, name: &str) -> io::Result<()>;
-    /// Makes all creations, renamings and removals durable.
-    fn sync_names(&mut self) -> io::Result<()>;
-    /// A number that no other store has: 64 random bits.
-    fn draw(&mut self) -> io::Result<u64>;
+    /// Makes all creations, renames and removals durable.
+    fn sync_directory(&mut self) -> io::Result<()>;
+    /// 64 random bits, for a store's id.
+    fn random_u64(&mut self) -> io::Result<u64>;
 }
 
-/// Real files in a real directory, with a lock against a second process (and a second store in this one).
+/// A directory of the file system, locked against other processes and other stores of this process.
 #[derive(Debug)]
 pub struct Directory {
     path: PathBuf,
     directory: File,
     files: BTreeMap<String, File>,
-    /// Unlocked when it is closed, also by the process's death.
+    /// Released by the system when the file is closed, also when the process dies.
     _lock: File,
 }
 
 impl Directory {
-    /// The name of the lock file.
-    pub const LOCK: &str = "lock";
+    /// Name of the lock file.
+    pub const LOCK_FILE: &str = "lock";
 
-    /// Opens a directory, makes it if need be, and locks it. `Ok(None)`: another store holds it.
+    /// Opens a directory, creating it if necessary, and locks it. `Ok(None)`: another store holds the lock.
+    ///
+    /// # Errors
+    /// The directory or its lock file can't be opened.
     pub fn open(path: &Path) -> io::Result<Option<Self>> {
-        make(path)?;
+        create_durably(path)?;
         let lock = OpenOptions::new()
             .create(true)
             .truncate(false)
             .write(true)
-            .open(path.join(Self::LOCK))?;
+            .open(path.join(Self::LOCK_FILE))?;
         match lock.try_lock() {
             Ok(()) => {}
             Err(TryLockError::WouldBlock) => return Ok(None),
@@ -81,8 +84,8 @@
     }
 }
 
-/// Makes a directory whose name is durable, and its parents.
-fn make(path: &Path) -> io::Result<()> {
+/// Creates a directory and its parents, and makes their names durable.
+fn create_durably(path: &Path) -> io::Result<()> {
     if path.is_dir() {
         return Ok(());
     }
@@ -90,7 +93,7 @@
         .parent()
         .filter(|parent| !parent.as_os_str().is_empty())
         .unwrap_or(Path::new("."));
-    make(parent)?;
+    create_durably(parent)?;
     match fs::create_dir(path) {
         Err(error) if error.kind() != io::ErrorKind::AlreadyExists => return Err(error),
         _ => {}
@@ -99,7 +102,7 @@
 }
 
 impl Disk for Directory {
-    fn names(&mut self) -> io::Result<Vec<String>> {
+    fn file_names(&mut self) -> io::Result<Vec<String>> {
         let entries = fs::read_dir(&self.path)?;
         entries
             .map(|entry| Ok(entry?.file_name().to_string_lossy().into_owned()))
@@ -130,7 +133,7 @@
         self.file(name)?.write_all_at(bytes, offset)
     }
 
-    fn cut(&mut self, name: &str, length: u64) -> io::Result<()> {
+    fn truncate(&mut self, name: &str, length: u64) -> io::Result<()> {
         self.file(name)?.set_len(length)
     }
 
@@ -152,11 +155,11 @@
         fs::remove_file(self.path.join(name))
     }
 
-    fn sync_names(&mut self) -> io::Result<()> {
+    fn sync_directory(&mut self) -> io::Result<()> {
         self.directory.sync_all()
     }
 
-    fn draw(&mut self) -> io::Result<u64> {
+    fn random_u64(&mut self) -> io::Result<u64> {
         let mut bytes = [0; 8];
         File::open("/dev/urandom")?.read_exact(&mut bytes)?;
         Ok(u64::from_le_bytes(bytes))
--- a/src/storage/tests/faulty.rs
+++ b/src/storage/tests/faulty.rs
@@ -7,11 +7,11 @@
 use std::rc::Rc;
 
 /// Numbers that depend on a seed only.
-pub struct Draw(pub u64, u64);
+pub struct RandomSource(pub u64, u64);
 
-impl Draw {
+impl RandomSource {
     pub fn new(seed: u64) -> Self {
-        Draw(seed, 0)
+        RandomSource(seed, 0)
     }
 
     pub fn below(&mut self, bound: usize) -> usize {
@@ -125,9 +125,9 @@
 
     /// What may be there after the power was lost: what was synced, and of the rest a beginning of each file and of the
     /// names. Of the write it ends in: either a beginning, or any of its sectors with the file as long as it would be.
-    pub fn after_power_loss(&self, draw: &mut Draw) -> Image {
+    pub fn after_power_loss(&self, random: &mut RandomSource) -> Image {
         let state = self.0.borrow();
-        let kept = draw.below(state.unsynced_names.len() + 1);
+        let kept = random.below(state.unsynced_names.len() + 1);
         let names = if kept == 0 {
             &state.durable_names
         } else {
@@ -135,20 +135,20 @@
         };
         let mut survivor = |file: &File| {
             let mut bytes = file.durable.clone();
-            let kept = draw.below(file.unsynced.len() + 1);
+            let kept = random.below(file.unsynced.len() + 1);
             file.unsynced[..kept]
                 .iter()
                 .for_each(|c| change(&mut bytes, c));
             if let Some(Change::Write(at, new)) = file.unsynced.get(kept) {
-                let cut = draw.below(new.len());
-                if draw.below(2) == 0 {
+                let cut = random.below(new.len());
+                if random.below(2) == 0 {
                     change(&mut bytes, &Change::Write(*at, new[..cut].to_vec()));
                 } else {
                     let mut written = bytes.clone();
                     change(&mut written, &Change::Write(*at, new.clone()));
                     bytes.resize(written.len(), 0);
                     for (old, new) in bytes.chunks_mut(512).zip(written.chunks(512)) {
-                        if draw.below(2) == 0 {
+                        if random.below(2) == 0 {
                             old.copy_from_slice(new);
                         }
                     }
@@ -207,7 +207,7 @@
 }
 
 impl Disk for Faulty {
-    fn names(&mut self) -> io::Result<Vec<String>> {
+    fn file_names(&mut self) -> io::Result<Vec<String>> {
         let mut state = self.0.borrow_mut();
         state.step()?;
         Ok(state.names.keys().cloned().collect())
@@ -259,7 +259,7 @@
         }
     }
 
-    fn cut(&mut self, name: &str, length: u64) -> io::Result<()> {
+    fn truncate(&mut self, name: &str, length: u64) -> io::Result<()> {
         let mut state = self.0.borrow_mut();
         state.step()?;
         state.change(name, Change::Cut(length as usize))
@@ -302,7 +302,7 @@
         Ok(())
     }
 
-    fn sync_names(&mut self) -> io::Result<()> {
+    fn sync_directory(&mut self) -> io::Result<()> {
         let mut state = self.0.borrow_mut();
         state.step()?;
         state.durable_names = state.names.clone();
@@ -310,7 +310,7 @@
         Ok(())
     }
 
-    fn draw(&mut self) -> io::Result<u64> {
+    fn random_u64(&mut self) -> io::Result<u64> {
         let mut state = self.0.borrow_mut();
         state.step()?;
         state.draws += 1;
--- a/src/storage/tests/mod.rs
+++ b/src/storage/tests/mod.rs
@@ -1,16 +1,19 @@
-//! Promise 3, on a disk in memory: every cut, every flipped bit, every size of disk.
+//! Durability of the store on a simulated disk: power cuts at every byte, flipped bits, full disks, failed syncs.
 
 mod faulty;
 
-use super::*;
-use faulty::{Draw, Faulty, Image};
+use super::frame::FILE_HEADER_BYTES;
+use super::store::log_file_name;
+use super::sync_hint::{SYNC_HINT_BYTES, SYNC_HINT_FILE};
+use super::{RecoveredState, Store, StoreConfig, StoreError, WriteOperation};
+use faulty::{Faulty, Image, RandomSource};
 use rstest::rstest;
 use std::collections::BTreeMap;
 
-fn settings() -> Settings {
-    Settings {
-        most_bytes: 1 << 20,
-        most_record_bytes: 2048,
+fn settings() -> StoreConfig {
+    StoreConfig {
+        max_bytes: 1 << 20,
+        max_record_bytes: 2048,
     }
 }
 
@@ -28,8 +31,8 @@
         Call::Hard(state) => store.set_hard_state(state),
         Call::Append(first, records) => store.append(*first, records),
         Call::Both(state, first, records) => store.write(&[
-            Write::HardState(state),
-            Write::Append {
+            WriteOperation::HardState(state),
+            WriteOperation::Append {
                 first: *first,
                 records,
             },
@@ -80,11 +83,11 @@
         model
     }
 
-    fn of(restored: &Restored) -> Model {
+    fn of(restored: &RecoveredState) -> Model {
         Model {
             hard: restored.hard_state.clone(),
             snapshot: restored.snapshot.clone(),
-            records: (restored.first..)
+            records: (restored.first_index..)
                 .zip(restored.records.iter().cloned())
                 .collect(),
         }
@@ -92,31 +95,36 @@
 }
 
 /// Bytes, more or less long, some of them zeros all through.
-fn some_bytes(draw: &mut Draw) -> Vec<u8> {
-    let length = [0, 1, 9, 40, 40, 200, 1300][draw.below(7)];
-    let zeros = draw.below(4) == 0;
+fn random_bytes(random: &mut RandomSource) -> Vec<u8> {
+    let length = [0, 1, 9, 40, 40, 200, 1300][random.below(7)];
+    let zeros = random.below(4) == 0;
     (0..length)
-        .map(|_| if zeros { 0 } else { draw.below(256) as u8 })
+        .map(|_| if zeros { 0 } else { random.below(256) as u8 })
         .collect()
 }
 
 fn history(seed: u64, calls: usize) -> Vec<Call> {
-    let mut draw = Draw::new(seed);
+    let mut random = RandomSource::new(seed);
     let mut model = Model::default();
     let mut history: Vec<Call> = Vec::new();
     for _ in 0..calls {
         let first = model.snapshot.as_ref().map_or(1, |s| s.0 + 1);
-        let back = draw.below((model.next() - first).min(3) as usize + 1) as u64;
-        let at = if draw.below(3) == 0 {
+        let back = random.below((model.next() - first).min(3) as usize + 1) as u64;
+        let at = if random.below(3) == 0 {
             model.next() - back
         } else {
             model.next()
         };
-        let records = (0..draw.below(4)).map(|_| some_bytes(&mut draw)).collect();
-        let next = match draw.below(8) {
-            0 | 1 => Call::Hard(some_bytes(&mut draw)),
-            2 => Call::Both(some_bytes(&mut draw), at, records),
-            3 => Call::Snapshot(at - 1 + 2 * draw.below(2) as u64, some_bytes(&mut draw)),
+        let records = (0..random.below(4))
+            .map(|_| random_bytes(&mut random))
+            .collect();
+        let next = match random.below(8) {
+            0 | 1 => Call::Hard(random_bytes(&mut random)),
+            2 => Call::Both(random_bytes(&mut random), at, records),
+            3 => Call::Snapshot(
+                at - 1 + 2 * random.below(2) as u64,
+                random_bytes(&mut random),
+            ),
             _ => Call::Append(at, records),
         };
         model = model.then(&next);
@@ -125,41 +133,42 @@
     history
 }
 
-struct Ran {
+struct RunResult {
     disk: Faulty,
     /// The id, once an opening was acknowledged.
     store_id: Option<u64>,
     acknowledged: Model,
     /// What would be there with the call that failed, if one did.
-    or: Model,
+    with_failed_call: Model,
 }
 
 /// Runs a history until a call fails.
-fn run(disk: Faulty, history: &[Call]) -> Ran {
-    let (mut acknowledged, mut or, mut store_id) = (Model::default(), Model::default(), None);
+fn run(disk: Faulty, history: &[Call]) -> RunResult {
+    let (mut acknowledged, mut with_failed_call, mut store_id) =
+        (Model::default(), Model::default(), None);
     if let Ok((mut store, restored)) = Store::open_on(disk.clone(), settings()) {
         store_id = Some(restored.store_id);
         for next in history {
-            or = acknowledged.then(next);
+            with_failed_call = acknowledged.then(next);
             if call(&mut store, next).is_err() {
                 break;
             }
-            acknowledged = or.clone();
+            acknowledged = with_failed_call.clone();
         }
     }
-    Ran {
+    RunResult {
         disk,
         store_id,
         acknowledged,
-        or,
+        with_failed_call,
     }
 }
 
 #[rstest]
-#[case::a_few_calls_at_every_byte(1, 6, 1)]
-#[case::a_few_others_at_every_byte(2, 6, 1)]
-#[case::many_calls(3, 40, 97)]
-fn what_was_acknowledged_is_there_after_a_cut_at_any_byte(
+#[case::few_calls_cut_at_every_byte(1, 6, 1)]
+#[case::other_calls_cut_at_every_byte(2, 6, 1)]
+#[case::many_calls_cut_at_some_bytes(3, 40, 97)]
+fn acknowledged_writes_survive_a_crash_at_any_byte(
     #[case] seed: u64,
     #[case] calls: usize,
     #[case] step: usize,
@@ -168,17 +177,24 @@
     let steps = run(Faulty::default(), &history).disk.spent();
     assert_eq!(
         run(Faulty::default(), &history).acknowledged,
-        run(Faulty::default(), &history).or
+        run(Faulty::default(), &history).with_failed_call
     );
     let (mut torn, mut fresh) = (0, 0);
     for cut in (0..=steps).step_by(step) {
         let ran = run(Faulty::default().power(cut), &history);
-        let mut draw = Draw::new(seed << 32 | cut);
-        for image in [ran.disk.after_kill(), ran.disk.after_power_loss(&mut draw)] {
+        let mut random = RandomSource::new(seed << 32 | cut);
+        for image in [
+            ran.disk.after_kill(),
+            ran.disk.after_power_loss(&mut random),
+        ] {
             // The opening may be cut too, and once more.
-            let again = Faulty::with(&image).power(draw.below(40) as u64);
+            let again = Faulty::with(&image).power(random.below(40) as u64);
             let _ = Store::open_on(again.clone(), settings());
-            for image in [image, again.after_kill(), again.after_power_loss(&mut draw)] {
+            for image in [
+                image,
+                again.after_kill(),
+                again.after_power_loss(&mut random),
+            ] {
                 let disk = Faulty::with(&image);
                 let (mut store, restored) = Store::open_on(disk.clone(), settings())
                     .unwrap_or_else(|error| {
@@ -186,25 +202,28 @@
                     });
                 let model = Model::of(&restored);
                 assert!(
-                    model == ran.acknowledged || model == ran.or,
+                    model == ran.acknowledged || model == ran.with_failed_call,
                     "seed {seed}, cut at {cut}: {model:?}"
                 );
                 if let Some(id) = ran.store_id {
                     assert_eq!(
-                        (restored.store_id, restored.fresh),
+                        (restored.store_id, restored.newly_formatted),
                         (id, false),
                         "cut at {cut}"
                     );
                 }
-                torn += restored.torn.is_some() as u32;
-                fresh += restored.fresh as u32;
+                torn += restored.torn_tail.is_some() as u32;
+                fresh += restored.newly_formatted as u32;
                 // It goes on from there, and the next opening finds nothing torn any more.
-                let more = Call::Append(store.next(), vec![b"after".to_vec()]);
+                let more = Call::Append(store.next_index(), vec![b"after".to_vec()]);
                 call(&mut store, &more).unwrap();
                 drop(store);
                 let (_, again) =
                     Store::open_on(Faulty::with(&disk.after_kill()), settings()).unwrap();
-                assert_eq!((Model::of(&again), again.torn), (model.then(&more), None));
+                assert_eq!(
+                    (Model::of(&again), again.torn_tail),
+                    (model.then(&more), None)
+                );
             }
         }
     }
@@ -213,17 +232,17 @@
 }
 
 /// A disk with some history and no crash, and where each frame of its log begins.
-fn at_rest(seed: u64) -> (Image, Restored, Vec<u64>) {
+fn idle_disk(seed: u64) -> (Image, RecoveredState, Vec<u64>) {
     let disk = Faulty::default();
     let (mut store, _) = Store::open_on(disk.clone(), settings()).unwrap();
-    let mut begins = vec![0, HEAD];
+    let mut begins = vec![0, FILE_HEADER_BYTES];
     let last = Call::Append(1, vec![vec![0; 1700], b"x".to_vec()]);
     for next in history(seed, 16)
         .iter()
         .filter(|c| !matches!(c, Call::Snapshot(..)))
         .chain([&last])
     {
-        let begin = store.bytes();
+        let begin = store.log_length();
         if call(&mut store, next).is_ok() {
             begins.push(begin);
         }
@@ -235,7 +254,7 @@
 }
 
 /// The opening must refuse the image by this name and offset, and leave it as it is.
-fn is_refused(image: &Image, name: &str, offset: u64, what: &str) {
+fn assert_reported_corrupt(image: &Image, name: &str, offset: u64, what: &str) {
     let disk = Faulty::with(image);
     match Store::open_on(disk.clone(), settings()) {
         Err(StoreError::Corrupt {
@@ -250,13 +269,13 @@
 }
 
 #[rstest]
-#[case::with_the_hint(true)]
-#[case::without(false)]
-fn every_flipped_bit_is_refused_by_name_and_offset(#[case] hint: bool) {
-    let (mut image, restored, begins) = at_rest(4);
-    let name = log_name(1);
+#[case::with_sync_hint(true)]
+#[case::without_sync_hint(false)]
+fn flipped_bit_is_reported_by_file_and_offset(#[case] hint: bool) {
+    let (mut image, restored, begins) = idle_disk(4);
+    let name = log_file_name(1);
     if !hint {
-        image.insert(SYNCED.into(), vec![0; SYNCED_BYTES as usize]);
+        image.insert(SYNC_HINT_FILE.into(), vec![0; SYNC_HINT_BYTES as usize]);
     }
     for byte in 0..image[&name].len() {
         let begin = *begins
@@ -266,22 +285,22 @@
             .unwrap();
         for bit in 0..8 {
             image.get_mut(&name).unwrap()[byte] ^= 1 << bit;
-            is_refused(&image, &name, begin, &format!("bit {bit} of byte {byte}"));
+            assert_reported_corrupt(&image, &name, begin, &format!("bit {bit} of byte {byte}"));
             image.get_mut(&name).unwrap()[byte] ^= 1 << bit;
         }
     }
-    for byte in 0..SYNCED_BYTES as usize {
-        image.get_mut(SYNCED).unwrap()[byte] ^= 1 << (byte % 8);
+    for byte in 0..SYNC_HINT_BYTES as usize {
+        image.get_mut(SYNC_HINT_FILE).unwrap()[byte] ^= 1 << (byte % 8);
         let (_, again) = Store::open_on(Faulty::with(&image), settings()).unwrap();
         assert_eq!(again, restored, "byte {byte} of the hint");
-        image.get_mut(SYNCED).unwrap()[byte] ^= 1 << (byte % 8);
+        image.get_mut(SYNC_HINT_FILE).unwrap()[byte] ^= 1 << (byte % 8);
     }
 }
 
 #[test]
-fn sectors_and_files_that_are_gone_are_refused_and_an_emptied_disk_is_another_store() {
-    let (image, restored, begins) = at_rest(5);
-    let name = log_name(1);
+fn missing_sectors_and_files_are_reported_and_an_emptied_disk_gets_a_new_id() {
+    let (image, restored, begins) = idle_disk(5);
+    let name = log_file_name(1);
     let log = &image[&name];
     let begin_of = |byte: usize| {
         *begins
@@ -294,7 +313,7 @@
         let mut image = image.clone();
         image.insert(name.clone(), log);
         if !hint {
-            image.remove(SYNCED);
+            image.remove(SYNC_HINT_FILE);
         }
         image
     };
@@ -306,7 +325,7 @@
             continue;
         }
         let changed = (at..end).find(|byte| log[*byte] != 0).unwrap();
-        is_refused(
+        assert_reported_corrupt(
             &with(zeroed.clone(), true),
             &name,
             begin_of(changed),
@@ -314,7 +333,7 @@
         );
         // Without the hint, the last frame's sectors tell no more than that they were not written.
         if end as u64 <= *begins.last().unwrap() {
-            is_refused(
+            assert_reported_corrupt(
                 &with(zeroed, false),
                 &name,
                 begin_of(changed),
@@ -325,11 +344,11 @@
     for length in 0..log.len() {
         let begin = begin_of(length);
         let at = match length as u64 {
-            length if length < HEAD => 0,
+            length if length < FILE_HEADER_BYTES => 0,
             length if length == begin => length,
             _ => begin,
         };
-        is_refused(
+        assert_reported_corrupt(
             &with(log[..length].to_vec(), true),
             &name,
             at,
@@ -342,18 +361,16 @@
         .err()
         .unwrap();
     assert!(
-        matches!(&error, StoreError::Missing { file } if *file == name),
+        matches!(&error, StoreError::MissingFile { file } if *file == name),
         "{error}"
     );
     let (_, emptied) = Store::open_on(Faulty::with(&Image::new()), settings()).unwrap();
-    assert!(emptied.fresh && !restored.fresh && emptied.records.is_empty());
+    assert!(emptied.newly_formatted && !restored.newly_formatted && emptied.records.is_empty());
 }
 
 /// Guards against taking for durable at the next opening what a failed sync has left in memory alone.
 #[rstest]
-fn what_an_opening_tells_outlives_a_loss_of_power_though_a_sync_had_failed(
-    #[values(1, 2, 3)] failing: u64,
-) {
+fn recovered_state_survives_power_loss_after_a_failed_sync(#[values(1, 2, 3)] failing: u64) {
     let disk = Faulty::default();
     let (mut store, _) = Store::open_on(disk.clone(), settings()).unwrap();
     store.append(1, &[b"acknowledged".to_vec()]).unwrap();
@@ -365,14 +382,14 @@
     let (_, restored) = opened.expect("the last one succeeds");
     assert_eq!(restored.records.first(), Some(&b"acknowledged".to_vec()));
     for seed in 0..20 {
-        let image = disk.after_power_loss(&mut Draw::new(seed));
+        let image = disk.after_power_loss(&mut RandomSource::new(seed));
         let (_, after) = Store::open_on(Faulty::with(&image), settings()).expect("seed {seed}");
         assert_eq!(after.records, restored.records, "seed {seed}");
     }
 }
 
 #[rstest]
-fn a_full_disk_takes_nothing_more_and_loses_nothing(#[values(6, 7)] seed: u64) {
+fn full_disk_rejects_writes_and_keeps_acknowledged_data(#[values(6, 7)] seed: u64) {
     let history = history(seed, 14);
     let most = run(Faulty::default(), &history).disk.most_bytes();
     let mut refused = 0;
@@ -385,14 +402,14 @@
         for next in &history {
             match call(&mut store, next) {
                 Ok(()) => model = model.then(next),
-                Err(StoreError::Gap { .. }) => {}
+                Err(StoreError::IndexGap { .. }) => {}
                 Err(error) => {
                     refused += 1;
-                    assert!(error.is_full() && !store.is_broken(), "{error}");
+                    assert!(error.is_out_of_space() && !store.needs_reopen(), "{error}");
                     let (_, restored) =
                         Store::open_on(Faulty::with(&disk.after_kill()), settings()).unwrap();
                     assert_eq!(
-                        (Model::of(&restored), restored.torn),
+                        (Model::of(&restored), restored.torn_tail),
                         (model.clone(), None),
                         "room {room}"
                     );
@@ -401,7 +418,7 @@
         }
         // With room again, it goes on.
         let disk = disk.room(None);
-        let more = Call::Append(store.next(), vec![vec![1; 2000]]);
+        let more = Call::Append(store.next_index(), vec![vec![1; 2000]]);
         call(&mut store, &more).unwrap();
         let (_, restored) = Store::open_on(Faulty::with(&disk.after_kill()), settings()).unwrap();
         assert_eq!(Model::of(&restored), model.then(&more));
@@ -411,16 +428,16 @@
 }
 
 #[test]
-fn the_store_stays_within_its_bytes_keeps_room_for_hard_states_and_a_snapshot_makes_more() {
-    let settings = Settings {
-        most_bytes: 20_000,
-        most_record_bytes: 500,
+fn store_respects_its_size_limit_and_reserves_space_for_hard_states() {
+    let settings = StoreConfig {
+        max_bytes: 20_000,
+        max_record_bytes: 500,
     };
     let disk = Faulty::default();
     let (mut store, _) = Store::open_on(disk.clone(), settings.clone()).unwrap();
     let mut model = Model::default();
     let fill = |store: &mut Store<Faulty>, model: &mut Model| loop {
-        let next = Call::Append(store.next(), vec![vec![3; 200]]);
+        let next = Call::Append(store.next_index(), vec![vec![3; 200]]);
         match call(store, &next) {
             Ok(()) => *model = model.then(&next),
             Err(error) => break assert!(matches!(error, StoreError::Full { .. }), "{error}"),
@@ -433,14 +450,14 @@
         call(&mut store, &next).unwrap();
         model = model.then(&next);
     }
-    let before = store.next();
+    let before = store.next_index();
     let error = call(&mut store, &Call::Snapshot(before - 2, vec![5; 12_000])).unwrap_err();
-    assert!(error.is_full());
+    assert!(error.is_out_of_space());
     let snapshot = Call::Snapshot(before - 2, vec![5; 1000]);
     call(&mut store, &snapshot).unwrap();
     model = model.then(&snapshot);
     // A log that is rewritten over and over takes no more than one that isn't.
-    let (end, records) = (store.next(), vec![vec![4; 200]]);
+    let (end, records) = (store.next_index(), vec![vec![4; 200]]);
     for _ in 0..200 {
         let next = Call::Append(end - 1, records.clone());
         call(&mut store, &next).unwrap();
@@ -448,26 +465,26 @@
     }
     fill(&mut store, &mut model);
     assert!(
-        store.next() > before + 15 && disk.most_bytes() <= 20_000,
+        store.next_index() > before + 15 && disk.most_bytes() <= 20_000,
         "{}",
         disk.most_bytes()
     );
     let (_, restored) = Store::open_on(Faulty::with(&disk.after_kill()), settings).unwrap();
     assert_eq!(Model::of(&restored), model);
 
-    let (first, next) = (store.first, store.next());
+    let (first, next) = (store.first_index, store.next_index());
     for (index, records) in [(first - 1, 1), (next + 1, 1), (0, 0), (u64::MAX, 1)] {
         let error = store.append(index, &vec![vec![]; records]).unwrap_err();
-        assert!(matches!(error, StoreError::Gap { .. }), "{error}");
+        assert!(matches!(error, StoreError::IndexGap { .. }), "{error}");
     }
     for index in [0, first - 2, u64::MAX] {
         assert!(matches!(
             store.install_snapshot(index, b"").unwrap_err(),
-            StoreError::Gap { .. }
+            StoreError::IndexGap { .. }
         ));
     }
     assert!(matches!(
         store.append(next, &[vec![0; 501]]).unwrap_err(),
-        StoreError::TooLong { .. }
+        StoreError::RecordTooLarge { .. }
     ));
 }
--- a/tests/golden_fleet.rs
+++ b/tests/golden_fleet.rs
@@ -210,7 +210,7 @@
     }
 
     fn open(&self) -> Found {
-        Disk::open(&self.0, storage::Settings::default(), 0).unwrap()
+        Disk::open(&self.0, storage::StoreConfig::default(), 0).unwrap()
     }
 }
 
@@ -240,7 +240,7 @@
 #[test]
 fn default_settings_keep_their_names_and_values() {
     assert_eq!(json(&node::Settings::default()), SETTINGS);
-    assert_eq!(json(&storage::Settings::default()), STORE_SETTINGS);
+    assert_eq!(json(&storage::StoreConfig::default()), STORE_SETTINGS);
     assert_eq!(json(&seal::Bounds::default()), SEAL_BOUNDS);
 }
 
@@ -248,8 +248,8 @@
 fn kept_settings_are_read() {
     let settings: node::Settings = serde_json::from_str(SETTINGS).unwrap();
     assert_eq!(settings, node::Settings::default());
-    let store: storage::Settings = serde_json::from_str(STORE_SETTINGS).unwrap();
-    assert_eq!(store, storage::Settings::default());
+    let store: storage::StoreConfig = serde_json::from_str(STORE_SETTINGS).unwrap();
+    assert_eq!(store, storage::StoreConfig::default());
     let bounds: seal::Bounds = serde_json::from_str(SEAL_BOUNDS).unwrap();
     assert_eq!(bounds, seal::Bounds::default());
 }
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -1,9 +1,9 @@
-//! Promise 3 on real files: processes that are killed while they write, a full disk, two processes on one directory.
+//! Durability of the store on real files: killed processes, a full disk, two processes on one directory.
 
 use std::io::{BufRead, BufReader, Write as _};
 use std::path::{Path, PathBuf};
 use std::process::{Child, ChildStdout, Command, Stdio};
-use whinhaven::storage::{Settings, Store, StoreError};
+use whinhaven::storage::{Store, StoreConfig, StoreError};
 
 /// Removed at the end of a test.
 struct Scratch(PathBuf);
@@ -43,11 +43,11 @@
     let Ok(directory) = std::env::var(DIRECTORY) else {
         return;
     };
-    let (mut store, restored) = Store::open(Path::new(&directory), Settings::default()).unwrap();
+    let (mut store, restored) = Store::open(Path::new(&directory), StoreConfig::default()).unwrap();
     // A snapshot makes room, so that the disk would never fill.
     let snapshots = std::env::var(FILL).is_err();
     let mut out = std::io::stdout();
-    let mut next = restored.first + restored.records.len() as u64;
+    let mut next = restored.first_index + restored.records.len() as u64;
     loop {
         let records: Vec<_> = (next..=next + next % 3).map(record).collect();
         let wrote = store.append(next, &records).and_then(|()| {
@@ -61,7 +61,7 @@
             }
         });
         if let Err(error) = wrote {
-            writeln!(out, "refused, full: {}, {error}", error.is_full()).unwrap();
+            writeln!(out, "refused, full: {}, {error}", error.is_out_of_space()).unwrap();
             return;
         }
     }
@@ -87,16 +87,16 @@
 
 /// Everything up to `index` must be there, in its place; returns up to where it is.
 fn holds(directory: &Path, index: u64) -> u64 {
-    let (_, restored) = Store::open(directory, Settings::default()).unwrap();
-    assert!(!restored.fresh);
-    for (index, found) in (restored.first..).zip(&restored.records) {
+    let (_, restored) = Store::open(directory, StoreConfig::default()).unwrap();
+    assert!(!restored.newly_formatted);
+    for (index, found) in (restored.first_index..).zip(&restored.records) {
         assert_eq!(*found, record(index), "record {index}");
     }
-    let last = restored.first + restored.records.len() as u64 - 1;
+    let last = restored.first_index + restored.records.len() as u64 - 1;
     assert!(last >= index, "{index} acknowledged, {last} there");
     if let Some((at, data)) = restored.snapshot {
         assert_eq!(
-            (restored.first, data),
+            (restored.first_index, data),
             (at + 1, (at + 1).to_le_bytes().to_vec())
         );
     }
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn what_a_process_was_told_is_there_whenever_it_is_killed() {
+fn acknowledged_records_survive_a_killed_process() {
     let scratch = Scratch::new("killed");
     let mut last = 0;
     for kill in 0..25u64 {
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn a_disk_that_fills_refuses_and_keeps_what_it_has() {
+fn full_disk_rejects_writes_and_keeps_records() {
     let scratch = Scratch::new("full");
     // A limit on the file's size stands for the disk's.
     let (mut child, out) = start(
@@ -158,9 +158,9 @@
 }
 
 #[test]
-fn one_process_holds_a_directory_and_an_emptied_one_is_another_store() {
+fn directory_is_locked_by_one_process_and_an_emptied_one_gets_a_new_id() {
     let scratch = Scratch::new("lock");
-    let settings = Settings::default();
+    let settings = StoreConfig::default();
     let (mut store, first) = Store::open(&scratch.0, settings.clone()).unwrap();
     store.append(1, &[record(1)]).unwrap();
     let second = Store::open(&scratch.0, settings.clone()).unwrap_err();
@@ -184,12 +184,14 @@
         }
     };
     assert_eq!(
-        (first.fresh, again.fresh, again.store_id),
+        (first.newly_formatted, again.newly_formatted, again.store_id),
         (true, false, first.store_id)
     );
     assert_eq!(again.records, [record(1)]);
     drop(store);
     std::fs::remove_dir_all(&scratch.0).unwrap();
     let (_, emptied) = Store::open(&scratch.0, settings).unwrap();
-    assert!(emptied.fresh && emptied.records.is_empty() && emptied.store_id != first.store_id);
+    assert!(
+        emptied.newly_formatted && emptied.records.is_empty() && emptied.store_id != first.store_id
+    );
 }
