--- a/lab/src/scale/decisions.rs
+++ b/lab/src/scale/decisions.rs
@@ -55,15 +55,15 @@
 ) -> io::Result<DecisionFigures> {
     let memory = resident_bytes()?;
     let mut module = Module::new(tenants);
-    let entries: Vec<Entry> = (0..hosts)
+    let entries: Vec<Endpoint> = (0..hosts)
         .map(|host| entry(host, with_slow_start))
         .collect();
     let in_slow_start = entries
         .iter()
         .filter(|entry| entry.started.is_some())
         .count();
-    let list_us = module.time(Event::List {
-        kind: ListKind::Full,
+    let list_us = module.time(Event::EndpointsUpdated {
+        kind: EndpointUpdate::Full,
         entries,
     }) as f64
         / 1e3;
@@ -76,8 +76,8 @@
         } else {
             Status::Ready
         };
-        let event = Event::List {
-            kind: ListKind::Changes,
+        let event = Event::EndpointsUpdated {
+            kind: EndpointUpdate::Incremental,
             entries: vec![changed],
         };
         changes.saturating_record(module.time(event));
@@ -109,14 +109,14 @@
 }
 
 /// A host of the list: one in three reads, by the operators' figures.
-fn entry(host: usize, with_slow_start: bool) -> Entry {
+fn entry(host: usize, with_slow_start: bool) -> Endpoint {
     let kind = if host.is_multiple_of(3) {
         "reader"
     } else {
         "writer"
     };
     let is_new = with_slow_start && host.is_multiple_of(ONE_IN_SLOW_START);
-    Entry {
+    Endpoint {
         worker: WorkerId(
             format!("10.{}.{}.{}:8000", host >> 16, host >> 8 & 255, host & 255).into(),
         ),
@@ -162,7 +162,7 @@
     fn request(&mut self, number: u64, tenants: usize) -> u64 {
         let text = number.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 40;
         let request = RequestId(number);
-        let ask = Ask {
+        let ask = RequestSpec {
             request,
             deadline: self.now + 10 * SECOND,
             session: Some(format!("session{}", text % 5_000).into()),
@@ -174,12 +174,12 @@
             class: "chat".into(),
             tenant: Some(format!("tenant{}", text as usize % tenants.max(1))),
         };
-        let (mut spent, mut actions) = self.handle(Event::Ask(ask));
+        let (mut spent, mut actions) = self.handle(Event::RequestArrived(ask));
         let mut attempt = 0;
         while let Some(writes) = self.next_send(&actions) {
             self.now += 20 * MS;
             if writes {
-                let started = Event::Started {
+                let started = Event::StreamStarted {
                     request,
                     attempt: AttemptIndex(attempt),
                     elapsed: 20 * MS,
@@ -187,9 +187,9 @@
                 spent += self.time(started);
             }
             let outcome = if writes {
-                Outcome::Served
+                AttemptOutcome::Served
             } else {
-                Outcome::Read
+                AttemptOutcome::Prefilled
             };
             let (time, next) = self.handle(ended(request, attempt, outcome));
             spent += time;
@@ -218,59 +218,59 @@
     }
 }
 
-fn ended(request: RequestId, attempt: u32, outcome: Outcome) -> Event {
-    let settled = outcome == Outcome::Served;
+fn ended(request: RequestId, attempt: u32, outcome: AttemptOutcome) -> Event {
+    let settled = outcome == AttemptOutcome::Served;
     let attempt = AttemptIndex(attempt);
     let (elapsed, kept, report) = (20 * MS, 4_000, None);
-    Event::Ended(Ended {
+    Event::AttemptCompleted(AttemptCompleted {
         request,
         attempt,
         outcome,
         elapsed,
-        settled,
-        kept,
+        request_finished: settled,
+        cached_tokens: kept,
         report,
     })
 }
 
-fn settings(tenants: usize) -> Settings {
-    let kind = |name: &str, role| Kind {
+fn settings(tenants: usize) -> RoutingConfig {
+    let kind = |name: &str, role| WorkerKind {
         name: name.to_owned(),
         role,
         memory_tokens: Some(3_800_000),
     };
-    let class = Class {
+    let class = RequestClass {
         name: "chat".to_owned(),
-        effect: Effect::Safe,
-        aim: 440 * MS,
-        aim_per_1000_tokens: 20 * MS,
-        token_aim: 65 * MS,
-        give_up: 10 * SECOND,
-        worth: 1.0,
-        late_share: 0.3,
-        ..Class::default()
+        idempotency: Idempotency::Idempotent,
+        ttft_objective: 440 * MS,
+        ttft_objective_per_1000_tokens: 20 * MS,
+        inter_token_objective: 65 * MS,
+        client_timeout: 10 * SECOND,
+        priority_weight: 1.0,
+        late_value_share: 0.3,
+        ..RequestClass::default()
     };
     let tenant = |number| Tenant {
         name: format!("tenant{number}"),
         quota_per_s: 35.0,
     };
-    Settings {
+    RoutingConfig {
         index: Some(7),
         routers: 1_400,
         zone: "zone00".to_owned(),
-        kinds: vec![kind("reader", Role::Reader), kind("writer", Role::Writer)],
+        kinds: vec![kind("reader", Role::Prefill), kind("writer", Role::Decode)],
         classes: vec![class],
         tenants: (0..tenants).map(tenant).collect(),
         max_attempts: 4,
-        retry_advice: true,
+        advises_retry_after: true,
         max_retry_after: 500 * MS,
-        release: 500 * MS,
-        tick: 2 * MS,
+        kv_state_hold_limit: 500 * MS,
+        batch_interval: 2 * MS,
         connect_timeout: 250 * MS,
-        cold: SLOW_START,
-        cold_from: 0.3,
-        fall: 3 * SECOND,
-        fall_multiple: 2.0,
-        ..Settings::default()
+        slow_start_duration: SLOW_START,
+        slow_start_initial_capacity: 0.3,
+        overload_window: 3 * SECOND,
+        overload_factor: 2.0,
+        ..RoutingConfig::default()
     }
 }
--- a/src/config.rs
+++ b/src/config.rs
@@ -4,7 +4,7 @@
 use crate::fleet::policy_content;
 use crate::fleet::sites::describe::Fleet as Sites;
 use crate::net::discovery::{ListMessage, Listing};
-use crate::routing::types::Settings;
+use crate::routing::types::RoutingConfig;
 use crate::wire::read_settings;
 use serde::Deserialize;
 use serde_json::Value;
@@ -153,7 +153,7 @@
     /// The model hosts as last held; may be old.
     pub known: Listing,
     /// The module's settings.
-    pub settings: Settings,
+    pub settings: RoutingConfig,
     /// The table they were read from.
     pub settings_table: Value,
     /// The whole file, for its replacement to be compared with.
@@ -345,7 +345,7 @@
 ///
 /// # Errors
 /// Names the field at fault.
-pub(crate) fn read_table(settings: &Value) -> Result<Settings, String> {
+pub(crate) fn read_table(settings: &Value) -> Result<RoutingConfig, String> {
     let mut pairs = Vec::new();
     flatten("", settings, &mut pairs);
     read_settings(pairs.iter().map(|(k, v)| (k.as_str(), v.as_str())))
--- a/src/config/replacement.rs
+++ b/src/config/replacement.rs
@@ -4,7 +4,7 @@
 //! that was cut short or lost a key would quietly put defaults in the place of what served until then.
 
 use super::{Config, ConfigError};
-use crate::routing::types::Settings;
+use crate::routing::types::RoutingConfig;
 use serde_json::{Map, Value};
 
 /// A configuration file as it was read, for the next one to be compared with.
@@ -23,7 +23,7 @@
     /// They are as before.
     None,
     /// These are to be put into force.
-    New(Box<Settings>),
+    New(Box<RoutingConfig>),
     /// They differ, but the settings in force come by the policy epochs of the fleet.
     LeftToFleetPolicy,
 }
@@ -72,28 +72,34 @@
 
 /// The settings that count from a start only, by their names in the file, and whether they differ. The same
 /// are each conductor's own in a fleet's policy.
-pub(super) fn fixed_differences(a: &Settings, b: &Settings) -> [(&'static str, bool); 12] {
-    let roles = |s: &Settings| s.kinds.iter().map(|k| k.role).collect::<Vec<_>>();
-    let memories = |s: &Settings| s.kinds.iter().map(|k| k.memory_tokens).collect::<Vec<_>>();
-    let names = |s: &Settings| s.kinds.iter().map(|k| k.name.clone()).collect::<Vec<_>>();
+pub(super) fn fixed_differences(
+    a: &RoutingConfig,
+    b: &RoutingConfig,
+) -> [(&'static str, bool); 12] {
+    let roles = |s: &RoutingConfig| s.kinds.iter().map(|k| k.role).collect::<Vec<_>>();
+    let memories = |s: &RoutingConfig| s.kinds.iter().map(|k| k.memory_tokens).collect::<Vec<_>>();
+    let names = |s: &RoutingConfig| s.kinds.iter().map(|k| k.name.clone()).collect::<Vec<_>>();
     [
         ("settings.self_index", a.index != b.index),
         ("settings.replicas_of_me", a.routers != b.routers),
         ("settings.my_zone", a.zone != b.zone),
         (
             "settings.registry_mode",
-            a.list_on_request != b.list_on_request,
+            a.endpoints_on_request != b.endpoints_on_request,
         ),
         ("settings.skus", names(a) != names(b)),
         ("settings.family_info.role_by_kind", roles(a) != roles(b)),
         ("settings.family_info.kv_tokens", memories(a) != memories(b)),
-        ("settings.family_info.release_us", a.release != b.release),
+        (
+            "settings.family_info.release_us",
+            a.kv_state_hold_limit != b.kv_state_hold_limit,
+        ),
         (
             "settings.family_info.self_prefill",
-            a.writers_read != b.writers_read,
+            a.decode_workers_prefill != b.decode_workers_prefill,
         ),
-        ("settings.load_report", a.reports != b.reports),
-        ("settings.tick_us", a.tick != b.tick),
+        ("settings.load_report", a.load_reporting != b.load_reporting),
+        ("settings.tick_us", a.batch_interval != b.batch_interval),
         (
             "settings.permissions.connect_timeout_us",
             a.connect_timeout != b.connect_timeout,
@@ -102,18 +108,18 @@
 }
 
 /// New settings with those of the fields that count from a start only as they are in force.
-fn keep_fixed(held: &Settings, new: Settings) -> Settings {
-    Settings {
+fn keep_fixed(held: &RoutingConfig, new: RoutingConfig) -> RoutingConfig {
+    RoutingConfig {
         index: held.index,
         routers: held.routers,
         zone: held.zone.clone(),
-        list_on_request: held.list_on_request,
+        endpoints_on_request: held.endpoints_on_request,
         kinds: held.kinds.clone(),
-        release: held.release,
-        writers_read: held.writers_read,
-        reports: held.reports,
+        kv_state_hold_limit: held.kv_state_hold_limit,
+        decode_workers_prefill: held.decode_workers_prefill,
+        load_reporting: held.load_reporting,
         connect_timeout: held.connect_timeout,
-        tick: held.tick,
+        batch_interval: held.batch_interval,
         ..new
     }
 }
@@ -192,12 +198,12 @@
 }
 
 /// What changes for new requests between two settings, for the log.
-pub fn describe_changes(from: &Settings, to: &Settings) -> String {
+pub fn describe_changes(from: &RoutingConfig, to: &RoutingConfig) -> String {
     let mut changes = Vec::new();
     for class in &to.classes {
         match from.classes.iter().find(|old| old.name == class.name) {
             None => changes.push(format!("class {} added", class.name)),
-            Some(old) if old.effect != class.effect => {
+            Some(old) if old.idempotency != class.idempotency => {
                 changes.push(format!("class {} has another effect", class.name));
             }
             Some(old) if old != class => changes.push(format!("class {} changed", class.name)),
--- a/src/config/replacement/tests.rs
+++ b/src/config/replacement/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::routing::types::Effect;
+use crate::routing::types::Idempotency;
 use proptest::prelude::*;
 use proptest::sample::Index;
 use proptest::test_runner::RngSeed;
@@ -106,10 +106,10 @@
     let effects: Vec<_> = settings
         .classes
         .iter()
-        .map(|c| (c.name.as_str(), c.effect))
+        .map(|c| (c.name.as_str(), c.idempotency))
         .collect();
-    assert_eq!(effects[0], ("explain", Effect::Unsafe));
-    assert_eq!(effects[2], ("plan", Effect::Safe));
+    assert_eq!(effects[0], ("explain", Idempotency::NonIdempotent));
+    assert_eq!(effects[2], ("plan", Idempotency::Idempotent));
     assert_eq!((effects.len(), settings.max_attempts), (3, 2));
     assert_eq!(
         describe_changes(&before, &settings),
@@ -218,7 +218,7 @@
     let before = held.settings.clone();
     assert_eq!(
         held.replace_with(new),
-        SettingsChange::New(Box::new(Settings {
+        SettingsChange::New(Box::new(RoutingConfig {
             max_attempts: 3,
             ..before
         }))
@@ -295,7 +295,7 @@
         if let Ok(new) = load(&format!("{}{rest}", &text[..from])) {
             prop_assert!(new.settings.max_attempts > 0);
             prop_assert!(!new.settings.classes.is_empty());
-            let whole = new.settings.classes.iter().all(|c| c.give_up > 0 && c.aim > 0 && !c.name.is_empty());
+            let whole = new.settings.classes.iter().all(|c| c.client_timeout > 0 && c.ttft_objective > 0 && !c.name.is_empty());
             prop_assert!(whole, "{:?}", new.settings.classes);
         }
     }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -143,7 +143,7 @@
     /// A request was taken.
     Ask {
         /// What the module is told.
-        ask: Ask,
+        ask: RequestSpec,
         /// What is passed on.
         call: Rc<Call>,
         /// For the final answer.
@@ -169,20 +169,20 @@
         /// The attempt.
         attempt: AttemptIndex,
         /// How.
-        outcome: Outcome,
+        outcome: AttemptOutcome,
         /// Prompt tokens found kept.
         kept: u64,
         /// The model host's load, if told.
-        report: Option<Report>,
+        report: Option<LoadReport>,
     },
     /// New requests begin under these settings; those in hand end under theirs.
-    Settings(Box<Settings>),
+    Settings(Box<RoutingConfig>),
     /// News of the list.
     List {
         /// How it came.
-        kind: ListKind,
+        kind: EndpointUpdate,
         /// Its entries.
-        entries: Vec<Entry>,
+        entries: Vec<Endpoint>,
     },
     /// Whether this process may send to model hosts in slow start.
     SlowStart {
@@ -222,7 +222,7 @@
     }
 
     /// Hands a request to the core; its number is filled in.
-    pub fn ask(&self, mut ask: Ask, call: Call) -> ServerSide {
+    pub fn ask(&self, mut ask: RequestSpec, call: Call) -> ServerSide {
         let request = RequestId(self.next.get());
         self.next.set(request.0 + 1);
         ask.request = request;
@@ -266,7 +266,7 @@
 struct Slot {
     sent: Micros,
     cancel: Option<oneshot::Sender<()>>,
-    outcome: Option<Outcome>,
+    outcome: Option<AttemptOutcome>,
     streaming: bool,
 }
 
@@ -286,7 +286,7 @@
 /// The driver of one module.
 pub struct Core {
     policy: Policy,
-    settings: Settings,
+    settings: RoutingConfig,
     clock: Clock,
     outbound: Rc<dyn Outbound>,
     counters: Rc<Counters>,
@@ -299,7 +299,7 @@
 impl Core {
     /// A core around a fresh module.
     pub fn new(
-        settings: Settings,
+        settings: RoutingConfig,
         seed: u64,
         clock: Clock,
         outbound: Rc<dyn Outbound>,
@@ -369,7 +369,7 @@
                 for slot in open.attempts.iter_mut().filter(|s| s.streaming) {
                     slot.cancel = None;
                 }
-                self.handle(Event::Left { request });
+                self.handle(Event::ClientDisconnected { request });
                 self.forget(request);
             }
             Input::First {
@@ -392,7 +392,7 @@
             }
             Input::List { kind, entries } => {
                 self.counters.lists.up();
-                self.handle(Event::List { kind, entries });
+                self.handle(Event::EndpointsUpdated { kind, entries });
             }
             Input::SlowStart { allowed } => self.handle(Event::SlowStart { allowed }),
             Input::CountAvoided(reply) => {
@@ -408,10 +408,16 @@
         }
     }
 
-    fn ask(&mut self, ask: Ask, call: Rc<Call>, answer: AnswerHandle, gone: Rc<Cell<bool>>) {
+    fn ask(
+        &mut self,
+        ask: RequestSpec,
+        call: Rc<Call>,
+        answer: AnswerHandle,
+        gone: Rc<Cell<bool>>,
+    ) {
         self.counters.taken.up();
         let class = self.settings.classes.iter().find(|c| c.name == ask.class);
-        let monitor = Monitor::new(class.map_or(Effect::Unsafe, |c| c.effect));
+        let monitor = Monitor::new(class.map_or(Idempotency::NonIdempotent, |c| c.idempotency));
         let (request, deadline) = (ask.request, ask.deadline);
         let most_attempts = self.settings.max_attempts;
         log::debug!("request {}: {ask:?}", call.id);
@@ -428,7 +434,7 @@
         };
         self.open.insert(request, open);
         self.due.push(Reverse((
-            deadline + self.settings.answer_slack,
+            deadline + self.settings.response_grace,
             Due::Guard(request),
         )));
         // Guards stand until their deadline, minutes away if the client says so, though most requests end long
@@ -439,7 +445,7 @@
                 Due::Guard(request) => self.open.contains_key(request),
             });
         }
-        self.handle(Event::Ask(ask));
+        self.handle(Event::RequestArrived(ask));
     }
 
     fn first(&mut self, request: RequestId, attempt: AttemptIndex, feed: Feed) {
@@ -466,7 +472,7 @@
             releasing.stop();
         }
         answer.stream(feed);
-        self.handle(Event::Started {
+        self.handle(Event::StreamStarted {
             request,
             attempt,
             elapsed,
@@ -477,9 +483,9 @@
         &mut self,
         request: RequestId,
         attempt: AttemptIndex,
-        outcome: Outcome,
+        outcome: AttemptOutcome,
         kept: u64,
-        report: Option<Report>,
+        report: Option<LoadReport>,
     ) {
         let Some(open) = self.open.get_mut(&request) else {
             return;
@@ -505,24 +511,24 @@
         open.release_history.attempt_ended(outcome);
         let c = &self.counters;
         let count = match outcome {
-            Outcome::Read => &c.ended_read,
-            Outcome::Served => &c.ended_served,
-            Outcome::TurnedAway | Outcome::NoState => &c.ended_turned_away,
-            Outcome::NoConnection => &c.ended_no_connection,
-            Outcome::ConnectionLost => &c.ended_lost,
-            Outcome::NoAnswer => &c.ended_no_answer,
-            Outcome::Error => &c.ended_error,
-            Outcome::Dropped => &c.ended_dropped,
-            Outcome::NotSent => &c.ended_not_sent,
+            AttemptOutcome::Prefilled => &c.ended_read,
+            AttemptOutcome::Served => &c.ended_served,
+            AttemptOutcome::Rejected | AttemptOutcome::KvStateMissing => &c.ended_turned_away,
+            AttemptOutcome::ConnectFailed => &c.ended_no_connection,
+            AttemptOutcome::ConnectionLost => &c.ended_lost,
+            AttemptOutcome::TimedOut => &c.ended_no_answer,
+            AttemptOutcome::Error => &c.ended_error,
+            AttemptOutcome::Cancelled => &c.ended_dropped,
+            AttemptOutcome::NotSent => &c.ended_not_sent,
         };
         count.up();
-        self.handle(Event::Ended(Ended {
+        self.handle(Event::AttemptCompleted(AttemptCompleted {
             request,
             attempt,
             outcome,
             elapsed,
-            settled,
-            kept,
+            request_finished: settled,
+            cached_tokens: kept,
             report,
         }));
         self.forget(request);
@@ -550,8 +556,8 @@
             answer.fail();
         }
         open.attempts.iter_mut().for_each(|s| s.cancel = None);
-        self.release(request, ReleaseReason::RequestOver);
-        self.handle(Event::Left { request });
+        self.release(request, ReleaseReason::RequestFinished);
+        self.handle(Event::ClientDisconnected { request });
         self.forget(request);
     }
 
@@ -593,7 +599,7 @@
                 timeout,
                 permit,
             } => self.send(request, worker, timeout, permit),
-            Action::SendRefused {
+            Action::SendDenied {
                 request,
                 worker,
                 refusal,
@@ -602,7 +608,7 @@
                 self.counters.sends_refused.up();
                 log::info!("request {id}: not sent to {}: {refusal}", worker.0);
             }
-            Action::Refuse {
+            Action::Reject {
                 request,
                 reason,
                 retry_after,
@@ -619,7 +625,7 @@
                 answer.fail();
                 self.ended.push(request);
             }
-            Action::Drop { request, attempt } => {
+            Action::Cancel { request, attempt } => {
                 let slot = self
                     .open
                     .get_mut(&request)
@@ -722,7 +728,7 @@
         let releasing = Rc::<Releasing>::default();
         self.counters.releases.up();
         match reason {
-            ReleaseReason::UnansweredSend => {
+            ReleaseReason::SendUnanswered => {
                 self.counters.releases_behind_sends.up();
                 log::info!(
                     "request {}: release ordered, its send is not answered yet",
@@ -738,7 +744,7 @@
 
     /// Looks whether anything is held beyond its time.
     fn check_held(&mut self) {
-        let (now, limit) = (self.clock.now(), self.settings.release);
+        let (now, limit) = (self.clock.now(), self.settings.kv_state_hold_limit);
         for open in self.open.values_mut() {
             if let Err(violation) = open.monitor.check_held(now, limit) {
                 report(&self.counters, &open.call.id, violation);
--- a/src/core/monitor.rs
+++ b/src/core/monitor.rs
@@ -4,7 +4,7 @@
 //! sees the same orders and ends and knows nothing of the reasons. A violation is counted and logged by the driver, in
 //! builds with debug assertions also a panic, unless it is one that a process held up by its machine may show.
 
-use crate::routing::types::{Effect, Micros, Outcome};
+use crate::routing::types::{AttemptOutcome, Idempotency, Micros};
 
 /// How long a process may be held up between a decision and the next look at it.
 const HELD_UP: Micros = 150_000;
@@ -36,7 +36,7 @@
 /// One attempt, as far as it matters here.
 struct Attempt {
     reads: bool,
-    outcome: Option<Outcome>,
+    outcome: Option<AttemptOutcome>,
 }
 
 impl Attempt {
@@ -44,13 +44,13 @@
         !self.reads
             && !self
                 .outcome
-                .is_some_and(Outcome::rules_out_a_run_at_a_writer)
+                .is_some_and(AttemptOutcome::rules_out_a_run_at_a_writer)
     }
 }
 
 /// The account of one request.
 pub(super) struct Monitor {
-    effect: Effect,
+    effect: Idempotency,
     attempts: Vec<Attempt>,
     /// Since when something may have been held with neither a release ordered nor an attempt known to have arrived.
     exposed_since: Option<Micros>,
@@ -60,7 +60,7 @@
 
 impl Monitor {
     /// The account of a request of a class with this effect.
-    pub fn new(effect: Effect) -> Self {
+    pub fn new(effect: Idempotency) -> Self {
         Monitor {
             effect,
             attempts: Vec::new(),
@@ -84,14 +84,14 @@
         if is_out {
             return Err(Violation::SecondCopy);
         }
-        if is_repeat && self.effect == Effect::Unsafe {
+        if is_repeat && self.effect == Idempotency::NonIdempotent {
             return Err(Violation::UnsafeRepeat);
         }
         Ok(())
     }
 
     /// An attempt has ended.
-    pub fn ended(&mut self, index: usize, outcome: Outcome, now: Micros) {
+    pub fn ended(&mut self, index: usize, outcome: AttemptOutcome, now: Micros) {
         let Some(attempt) = self.attempts.get_mut(index) else {
             return;
         };
@@ -99,8 +99,8 @@
         let reads = attempt.reads;
         let was_released = std::mem::take(&mut self.is_released);
         match outcome {
-            Outcome::Read => self.exposed_since = Some(now),
-            Outcome::Served => self.exposed_since = None,
+            AttemptOutcome::Prefilled => self.exposed_since = Some(now),
+            AttemptOutcome::Served => self.exposed_since = None,
             _ if reads => {}
             _ if outcome.proves_arrival() => self.exposed_since = self.exposed_since.map(|_| now),
             _ if was_released && outcome.may_have_arrived() => self.exposed_since = Some(now),
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -15,14 +15,14 @@
     let clock = Clock::start();
     let (handle, mut queue) = CoreHandle::channel(clock);
     let mut core = Core::new(
-        Settings::default(),
+        RoutingConfig::default(),
         1,
         clock,
         Rc::new(Nowhere),
         Rc::default(),
     );
     for _ in 0..5 * MOST_DUE {
-        let ask = Ask {
+        let ask = RequestSpec {
             request: RequestId(0),
             deadline: clock.now() + 600_000_000,
             session: None,
@@ -69,27 +69,27 @@
 async fn attempts_carry_the_number_that_their_request_began_under() {
     let clock = Clock::start();
     let (handle, mut queue) = CoreHandle::channel(clock);
-    let class = Class {
+    let class = RequestClass {
         name: "chat".into(),
-        aim: 1_000_000,
-        give_up: 8_000_000,
-        ..Class::default()
+        ttft_objective: 1_000_000,
+        client_timeout: 8_000_000,
+        ..RequestClass::default()
     };
-    let settings = |max_attempts| Settings {
+    let settings = |max_attempts| RoutingConfig {
         routers: 1,
-        kinds: vec![Kind {
+        kinds: vec![WorkerKind {
             name: "k".into(),
             role: Role::Mixed,
             memory_tokens: None,
         }],
         classes: vec![class.clone()],
         max_attempts,
-        release: 500_000,
-        ..Settings::default()
+        kv_state_hold_limit: 500_000,
+        ..RoutingConfig::default()
     };
     let sent = Rc::<Sent>::default();
     let mut core = Core::new(settings(6), 1, clock, sent.clone(), Rc::default());
-    let entries = (0..4).map(|i| Entry {
+    let entries = (0..4).map(|i| Endpoint {
         worker: WorkerId(format!("w{i}").into()),
         zone: String::new(),
         kind: "k".into(),
@@ -99,11 +99,11 @@
         started: None,
     });
     core.input(Input::List {
-        kind: ListKind::Full,
+        kind: EndpointUpdate::Full,
         entries: entries.collect(),
     });
     let ask = || {
-        let ask = Ask {
+        let ask = RequestSpec {
             request: RequestId(0),
             deadline: clock.now() + 8_000_000,
             session: None,
@@ -137,7 +137,7 @@
         .first()
         .map(|a| (a.request, a.attempt))
         .unwrap();
-    let outcome = Outcome::NoConnection;
+    let outcome = AttemptOutcome::ConnectFailed;
     core.input(Input::Ended {
         request,
         attempt,
--- a/src/fleet/policy_content.rs
+++ b/src/fleet/policy_content.rs
@@ -4,7 +4,7 @@
 //! errors are one line that names the field.
 
 use crate::config::read_table;
-use crate::routing::types::Settings;
+use crate::routing::types::RoutingConfig;
 use serde_json::{Map, Value};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -165,7 +165,7 @@
 ///
 /// # Errors
 /// One line that names the field at fault.
-pub fn read(content: &str, own: &Value) -> Result<Settings, String> {
+pub fn read(content: &str, own: &Value) -> Result<RoutingConfig, String> {
     let value: Value =
         serde_json::from_str(content).map_err(|e| format!("policy: cut short: {e}"))?;
     let Value::Object(policy) = &value else {
--- a/src/fleet/policy_content/tests.rs
+++ b/src/fleet/policy_content/tests.rs
@@ -15,7 +15,7 @@
     other["classes"][0]["value"] = 99.0.into();
     let settings = read(&content, &other).unwrap();
     assert_eq!(
-        (settings.zone.as_str(), settings.classes[0].worth),
+        (settings.zone.as_str(), settings.classes[0].priority_weight),
         ("south", 3.0)
     );
 }
--- a/src/fleet/sites/describe.rs
+++ b/src/fleet/sites/describe.rs
@@ -1,6 +1,6 @@
 //! What an operator's `[sites]` tables say: sites, hosts, links, usual demand, guaranteed shares.
 
-use crate::routing::types::{Role, Settings as ModuleSettings};
+use crate::routing::types::{Role, RoutingConfig as ModuleSettings};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -393,7 +393,7 @@
             let row = format!("hosts {} at {}", h.kind, h.site);
             let at = site(&row, &h.site)?;
             let role = role(h, settings).map_err(DescribeError)?;
-            let (reads, writes) = (role != Role::Writer, role != Role::Reader);
+            let (reads, writes) = (role != Role::Decode, role != Role::Prefill);
             plain(format!("{row}: memory_tokens"), h.memory_tokens)?;
             plain(format!("{row}: tokens_per_s"), h.tokens_per_s)?;
             plain(format!("{row}: token_ms"), h.token_ms)?;
@@ -442,15 +442,16 @@
                 w[1] += count * slots;
                 c.token_s += count * slots * h.token_ms / 1e3;
             }
-            let from = h.cold_from.unwrap_or(if settings.cold > 0 {
-                settings.cold_from
+            let from = h.cold_from.unwrap_or(if settings.slow_start_duration > 0 {
+                settings.slow_start_initial_capacity
             } else {
                 1.0
             });
             part(&format!("{row}: cold_from"), from)?;
             let cold_s = plain(
                 format!("{row}: cold_s"),
-                h.cold_s.unwrap_or(settings.cold as f64 / 1e6),
+                h.cold_s
+                    .unwrap_or(settings.slow_start_duration as f64 / 1e6),
             )?;
             if cold_s > MOST_COLD_S {
                 return fault(format!("{row}: cold_s: {cold_s} is over {MOST_COLD_S}"));
@@ -469,7 +470,7 @@
                 .classes
                 .iter()
                 .find(|s| s.name == c.name)
-                .map(|s| s.worth);
+                .map(|s| s.priority_weight);
             let Some(w) = c.worth.or(set) else {
                 return fault(format!(
                     "{row}: worth is missing, and settings.classes has none of that name"
@@ -583,8 +584,8 @@
 
 fn role(hosts: &Hosts, settings: &ModuleSettings) -> Result<Role, String> {
     match hosts.role.as_deref() {
-        Some("read") => Ok(Role::Reader),
-        Some("write") => Ok(Role::Writer),
+        Some("read") => Ok(Role::Prefill),
+        Some("write") => Ok(Role::Decode),
         Some("mixed") => Ok(Role::Mixed),
         Some(other) => Err(format!(
             "hosts {}: role {other:?} is none of read, write and mixed",
--- a/src/fleet/sites/refuse.rs
+++ b/src/fleet/sites/refuse.rs
@@ -1,7 +1,7 @@
 //! At the door: who is refused, the same at all conductors of a site, and what each conductor may take at the most.
 
 use super::plan::{Course, Plans};
-use crate::routing::types::{Entry, Micros, Role, Status};
+use crate::routing::types::{Endpoint, Micros, Role, Status};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
 /// Levels and parts are counted in millionths.
@@ -145,7 +145,7 @@
     /// kind does; `site` gives the number of a zone.
     pub fn weigh(
         &self,
-        entries: &mut [Entry],
+        entries: &mut [Endpoint],
         role: impl Fn(&str) -> Option<Role>,
         site: impl Fn(&str) -> Option<usize>,
     ) {
@@ -157,8 +157,8 @@
                 continue;
             };
             let factor = match role(&entry.kind) {
-                Some(Role::Reader) => factors[0],
-                Some(Role::Writer) => factors[1],
+                Some(Role::Prefill) => factors[0],
+                Some(Role::Decode) => factors[1],
                 _ => factors[0].max(factors[1]),
             };
             if factor == 0 {
--- a/src/fleet/sites/tests.rs
+++ b/src/fleet/sites/tests.rs
@@ -16,7 +16,7 @@
 use super::watch::{self, Cause, Status, Watch};
 use crate::fleet::SiteName;
 use crate::routing::types::Status::{Draining, Ready};
-use crate::routing::types::{Entry, Role, Settings, WorkerId};
+use crate::routing::types::{Endpoint, Role, RoutingConfig, WorkerId};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rstest::rstest;
@@ -145,7 +145,7 @@
         guaranteed in prop::collection::vec(0..20u32, 0..3),
         demand in prop::collection::vec(0..6u32, 1..24),
     ) -> Fleet {
-        Fleet::new(tables(sites, links, classes, guaranteed, demand), &Settings::default()).unwrap()
+        Fleet::new(tables(sites, links, classes, guaranteed, demand), &RoutingConfig::default()).unwrap()
     }
 }
 
@@ -159,7 +159,7 @@
         vec![10],
         vec![4, 6, 5],
     );
-    Fleet::new(tables, &Settings::default()).unwrap()
+    Fleet::new(tables, &RoutingConfig::default()).unwrap()
 }
 
 fn losses(n: usize) -> Vec<Loss> {
@@ -382,7 +382,7 @@
             vec![],
             vec![seed, 7, 9, 4],
         );
-        let fleet = Fleet::new(t, &Settings::default()).unwrap();
+        let fleet = Fleet::new(t, &RoutingConfig::default()).unwrap();
         let loss = Loss::none(2);
         let plan = make(&fleet, &loss).unwrap();
         let price = |w: [usize; 4]| {
@@ -451,7 +451,7 @@
         vec![60],
         vec![10],
     );
-    let fleet = Fleet::new(t, &Settings::default()).unwrap();
+    let fleet = Fleet::new(t, &RoutingConfig::default()).unwrap();
     let plan = make(&fleet, &Loss::of(3, &[1, 2])).unwrap();
     let short: f64 = plan.shortfalls.iter().map(|s| s.short).sum();
     let promised: f64 = plan
@@ -701,8 +701,8 @@
     assert!(tried[9].0 - tried[8].0 >= 6 * S);
 }
 
-fn host(zone: &str) -> Entry {
-    Entry {
+fn host(zone: &str) -> Endpoint {
+    Endpoint {
         worker: WorkerId(zone.into()),
         zone: zone.into(),
         kind: "read".into(),
@@ -766,7 +766,7 @@
     let mut list = vec![host("s0"), host("s1"), host("elsewhere")];
     orders.weigh(
         &mut list,
-        |_| Some(Role::Reader),
+        |_| Some(Role::Prefill),
         |zone| plans.fleet().site(zone),
     );
     assert_eq!(
--- a/src/fleet/transport/policy.rs
+++ b/src/fleet/transport/policy.rs
@@ -13,7 +13,7 @@
 use crate::fleet::policy_epoch::{Command, Notice, Refusal, Reply, Table, digest};
 use crate::fleet::state::{self, Answer, Effect};
 use crate::live_settings::LiveSettings;
-use crate::routing::types::{Class, Micros};
+use crate::routing::types::{Micros, RequestClass};
 use serde_json::Value;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -377,9 +377,12 @@
 }
 
 /// Names of the classes in which a request must not run twice.
-pub fn once(classes: &[Class]) -> impl Iterator<Item = &Class> {
-    use crate::routing::types::{Effect as Of, Group};
-    classes
-        .iter()
-        .filter(|c| !matches!(c.effect, Of::Safe | Of::Keyed(Group::All)))
+pub fn once(classes: &[RequestClass]) -> impl Iterator<Item = &RequestClass> {
+    use crate::routing::types::{DeduplicationScope, Idempotency as Of};
+    classes.iter().filter(|c| {
+        !matches!(
+            c.idempotency,
+            Of::Idempotent | Of::WithKey(DeduplicationScope::All)
+        )
+    })
 }
--- a/src/fleet/transport/sites.rs
+++ b/src/fleet/transport/sites.rs
@@ -18,7 +18,7 @@
 use crate::fleet::state::{Command, Effect};
 use crate::net::discovery::Directory;
 use crate::net::stream::SteadyStream;
-use crate::routing::types::{Entry, Kind, ListKind, Role, Status, WorkerId};
+use crate::routing::types::{Endpoint, EndpointUpdate, Role, Status, WorkerId, WorkerKind};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -39,7 +39,7 @@
     /// MemberInstance chooses among them.
     pub core: CoreHandle,
     /// What they do, by their kinds.
-    pub kinds: Vec<Kind>,
+    pub kinds: Vec<WorkerKind>,
 }
 
 /// The fleet's sites, as the rest of the program sees them.
@@ -48,7 +48,7 @@
     clock: Clock,
     hosts: Seen,
     /// The list as it came, without weights of a plan.
-    list: RefCell<BTreeMap<WorkerId, Entry>>,
+    list: RefCell<BTreeMap<WorkerId, Endpoint>>,
     names: Vec<String>,
     own: usize,
     /// The conductors that the file gives each site.
@@ -115,10 +115,10 @@
     }
 
     /// Looks at a list that has come, and writes into it what the orders change.
-    pub fn weigh(self: &Rc<Self>, kind: ListKind, entries: &mut [Entry]) {
+    pub fn weigh(self: &Rc<Self>, kind: EndpointUpdate, entries: &mut [Endpoint]) {
         {
             let mut list = self.list.borrow_mut();
-            if matches!(kind, ListKind::Full | ListKind::Saved) {
+            if matches!(kind, EndpointUpdate::Full | EndpointUpdate::Restored) {
                 list.clear();
             }
             for entry in entries.iter() {
@@ -130,7 +130,7 @@
         self.weigh_by_orders(entries);
     }
 
-    fn weigh_by_orders(&self, entries: &mut [Entry]) {
+    fn weigh_by_orders(&self, entries: &mut [Endpoint]) {
         let role = |kind: &str| -> Option<Role> {
             self.hosts
                 .kinds
@@ -144,10 +144,10 @@
 
     /// New orders: the module is told of all hosts anew.
     fn obey(&self) {
-        let mut entries: Vec<Entry> = self.list.borrow().values().cloned().collect();
+        let mut entries: Vec<Endpoint> = self.list.borrow().values().cloned().collect();
         self.weigh_by_orders(&mut entries);
         self.hosts.core.tell(Input::List {
-            kind: ListKind::Changes,
+            kind: EndpointUpdate::Incremental,
             entries,
         });
     }
--- a/src/fleet/transport/work.rs
+++ b/src/fleet/transport/work.rs
@@ -14,7 +14,7 @@
 use crate::fleet::work::recorder::{Action, Event, Hands, Ticket, Verdict};
 use crate::fleet::work::{self, Bounds, MOST_OVER, Notice, Refusal, Reply};
 use crate::routing::policy::call_permission::ReleaseHistory;
-use crate::routing::types::{Micros, Outcome, ReleasePermit, ReleaseReason, WorkerId};
+use crate::routing::types::{AttemptOutcome, Micros, ReleasePermit, ReleaseReason, WorkerId};
 use bytes::Bytes;
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
@@ -359,7 +359,7 @@
             name: None,
         };
         let releasing = Rc::new(Releasing::default());
-        let Ok(permit) = ReleaseHistory::default().permit(ReleaseReason::ConductorDied, false)
+        let Ok(permit) = ReleaseHistory::default().permit(ReleaseReason::RouterFailed, false)
         else {
             return false;
         };
@@ -465,7 +465,7 @@
         let within = self.core.clock.now() + self.work.settings.record_within_ms * 1_000;
         let verdict = tokio::select! {
             biased;
-            _ = &mut attempt.cancelled => return self.not_sent(&attempt, Outcome::Dropped),
+            _ = &mut attempt.cancelled => return self.not_sent(&attempt, AttemptOutcome::Cancelled),
             verdict = self.work.ask(command, within.min(most)) => verdict,
         };
         match verdict {
@@ -475,12 +475,12 @@
                     "request {}: not sent, not on record: {other:?}",
                     attempt.call.id
                 );
-                self.not_sent(&attempt, Outcome::NotSent);
+                self.not_sent(&attempt, AttemptOutcome::NotSent);
             }
         }
     }
 
-    fn not_sent(&self, attempt: &Attempt, outcome: Outcome) {
+    fn not_sent(&self, attempt: &Attempt, outcome: AttemptOutcome) {
         let (request, attempt) = (attempt.request, attempt.attempt);
         self.core.tell(Input::Ended {
             request,
--- a/src/front/jsonrpc.rs
+++ b/src/front/jsonrpc.rs
@@ -14,7 +14,7 @@
 use crate::exchange::{Answer, Call, Feed, Frame, Presence, is_plain_id};
 use crate::fleet::transport::work::Work;
 use crate::fleet::work::Final;
-use crate::routing::types::{Ask, Micros, RequestId};
+use crate::routing::types::{Micros, RequestId, RequestSpec};
 use bytes::{Bytes, BytesMut};
 use hyper::header::{CONTENT_TYPE, HeaderValue};
 use hyper::{HeaderMap, Response, StatusCode};
@@ -720,7 +720,7 @@
         }
         // One token is four characters.
         let prompt_tokens = params.prompt_len.unwrap_or(body.len() as u64 / 4);
-        let ask = Ask {
+        let ask = RequestSpec {
             request: RequestId(0),
             deadline,
             session: params.session.map(Into::into),
--- a/src/front/platform.rs
+++ b/src/front/platform.rs
@@ -1,7 +1,7 @@
 //! The platform's protocol: headers into what the module is told, answers into responses.
 
 use crate::exchange::{Answer, Feed, Frame, Presence, is_plain_id};
-use crate::routing::types::{Ask, Micros, RequestId};
+use crate::routing::types::{Micros, RequestId, RequestSpec};
 use bytes::Bytes;
 use hyper::HeaderMap;
 use hyper::body::{Body, Frame as BodyFrame, SizeHint};
@@ -95,7 +95,7 @@
     /// The id under which model hosts know the request.
     pub id: String,
     /// What the module is told; lengths that were not stated are guessed once the body is there.
-    pub ask: Ask,
+    pub ask: RequestSpec,
     /// Whether the prompt's length was stated.
     pub stated: bool,
 }
@@ -154,7 +154,7 @@
     let deadline = text("x-deadline", "bad X-Deadline")?.ok_or("X-Deadline is missing")?;
     let deadline = parse_deadline(deadline).ok_or("bad X-Deadline")?;
     let short = |v: &&str| !v.is_empty() && v.len() <= 256;
-    let mut ask = Ask {
+    let mut ask = RequestSpec {
         request: RequestId(0),
         deadline: now + deadline,
         session: text("x-key", "bad X-Key")?.filter(short).map(Into::into),
--- a/src/front/shared.rs
+++ b/src/front/shared.rs
@@ -4,7 +4,7 @@
 use crate::counters::Counters;
 use crate::fleet::transport::policy::{Gate, Pass, Shut, once};
 use crate::ops::figures::Figures;
-use crate::routing::types::{Class, Micros};
+use crate::routing::types::{Micros, RequestClass};
 use std::cell::{Cell, RefCell};
 use std::collections::HashSet;
 use std::rc::Rc;
@@ -21,7 +21,7 @@
     /// The core.
     pub core: CoreHandle,
     /// Classes that the settings in force name.
-    pub classes: RefCell<Vec<Class>>,
+    pub classes: RefCell<Vec<RequestClass>>,
     /// Lets requests begin under the fleet's policy, where there is one.
     pub gate: Option<Rc<Gate>>,
     /// Whether the conductor can serve.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,4 +1,4 @@
-//! A request router (conductor) in front of a language model that separate readers and writers serve.
+//! A request router in front of a language model that separate prefill and decode workers serve.
 //!
 //! All routing decisions are in [`Policy`], which the simulator's adapter ([`wire`]) and the real conductor
 //! share. In the real conductor [`core`] drives it, the server and the client side of [`net`] meet in an
@@ -12,19 +12,23 @@
 //! use whinhaven::Policy;
 //! use whinhaven::routing::types::*;
 //!
-//! let kind = |name: &str, role| Kind { name: name.into(), role, memory_tokens: Some(200_000) };
-//! let settings = Settings {
+//! let kind = |name: &str, role| WorkerKind { name: name.into(), role, memory_tokens: Some(200_000) };
+//! let config = RoutingConfig {
 //!     routers: 1,
-//!     kinds: vec![kind("reader", Role::Reader), kind("writer", Role::Writer)],
-//!     classes: vec![Class { name: "chat".into(), aim: 1_000_000, ..Class::default() }],
+//!     kinds: vec![kind("prefill", Role::Prefill), kind("decode", Role::Decode)],
+//!     classes: vec![RequestClass {
+//!         name: "chat".into(),
+//!         ttft_objective: 1_000_000,
+//!         ..RequestClass::default()
+//!     }],
 //!     max_attempts: 4,
-//!     release: 500_000,
+//!     kv_state_hold_limit: 500_000,
 //!     connect_timeout: 250_000,
-//!     ..Settings::default()
+//!     ..RoutingConfig::default()
 //! };
-//! let mut policy = Policy::new(settings, 42);
+//! let mut policy = Policy::new(config, 42);
 //! let mut actions = Vec::new();
-//! let entry = |name: &str, kind: &str| Entry {
+//! let endpoint = |name: &str, kind: &str| Endpoint {
 //!     worker: WorkerId(name.into()),
 //!     zone: "here".into(),
 //!     kind: kind.into(),
@@ -33,10 +37,10 @@
 //!     weight: 1.0,
 //!     started: None,
 //! };
-//! let entries = vec![entry("a:1", "reader"), entry("b:1", "writer")];
-//! policy.handle(0, Event::List { kind: ListKind::Full, entries }, &mut actions);
+//! let entries = vec![endpoint("a:1", "prefill"), endpoint("b:1", "decode")];
+//! policy.handle(0, Event::EndpointsUpdated { kind: EndpointUpdate::Full, entries }, &mut actions);
 //!
-//! let ask = Ask {
+//! let spec = RequestSpec {
 //!     request: RequestId(1),
 //!     deadline: 4_000_000,
 //!     session: None,
@@ -48,9 +52,11 @@
 //!     class: "chat".into(),
 //!     tenant: None,
 //! };
-//! policy.handle(1_000, Event::Ask(ask), &mut actions);
-//! let sent_to_reader = actions.iter().any(|a| matches!(a, Action::Send { worker, .. } if &*worker.0 == "a:1"));
-//! assert!(sent_to_reader);
+//! policy.handle(1_000, Event::RequestArrived(spec), &mut actions);
+//! let sent_to_prefill_worker = actions
+//!     .iter()
+//!     .any(|action| matches!(action, Action::Send { worker, .. } if &*worker.0 == "a:1"));
+//! assert!(sent_to_prefill_worker);
 //! ```
 
 pub mod config;
--- a/src/live_settings.rs
+++ b/src/live_settings.rs
@@ -3,11 +3,11 @@
 //! A policy epoch of the fleet and a configuration read at SIGHUP both end in [`LiveSettings::replace`].
 
 use crate::core::{CoreHandle, Input};
-use crate::routing::types::Settings;
+use crate::routing::types::RoutingConfig;
 use std::cell::RefCell;
 use std::rc::Rc;
 
-type Follower = Box<dyn Fn(&Settings)>;
+type Follower = Box<dyn Fn(&RoutingConfig)>;
 
 /// Tells every part that follows the settings of new ones.
 pub struct LiveSettings {
@@ -25,13 +25,13 @@
     }
 
     /// Has a function called with all settings to come.
-    pub fn on_change(&self, follower: impl Fn(&Settings) + 'static) {
+    pub fn on_change(&self, follower: impl Fn(&RoutingConfig) + 'static) {
         self.followers.borrow_mut().push(Box::new(follower));
     }
 
     /// Puts new settings into force. The core reads its inputs in order: requests handed to it before this
     /// keep their rules, those handed to it afterwards begin under the new ones.
-    pub fn replace(&self, settings: Settings) {
+    pub fn replace(&self, settings: RoutingConfig) {
         self.followers
             .borrow()
             .iter()
--- a/src/net/answer.rs
+++ b/src/net/answer.rs
@@ -1,7 +1,7 @@
 //! What a model host's answer says about the attempt that it ends.
 
 use super::events::Events;
-use crate::routing::types::{Outcome, Report};
+use crate::routing::types::{AttemptOutcome, LoadReport};
 use crate::wire::read_report;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Limited};
@@ -20,15 +20,15 @@
 /// An attempt's end, and what it found.
 pub(super) struct End {
     /// How it ended.
-    pub outcome: Outcome,
+    pub outcome: AttemptOutcome,
     /// Prompt tokens found kept.
     pub kept: u64,
     /// The host's load, if told.
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
 }
 
-impl From<Outcome> for End {
-    fn from(outcome: Outcome) -> Self {
+impl From<AttemptOutcome> for End {
+    fn from(outcome: AttemptOutcome) -> Self {
         End {
             outcome,
             kept: 0,
@@ -73,7 +73,7 @@
         let body = whole.ok().and_then(Result::ok).map(|body| body.to_bytes());
         let outcome = outcome_of(head.status, &head.headers);
         let kept = match (outcome, &body) {
-            (Outcome::Read, Some(body)) => {
+            (AttemptOutcome::Prefilled, Some(body)) => {
                 serde_json::from_slice::<ReadDone>(body).map_or(0, |r| r.cached_tokens as u64)
             }
             _ => 0,
@@ -115,7 +115,7 @@
                 framed,
             })),
             None => Ok(Answered::Whole {
-                end: Outcome::ConnectionLost.into(),
+                end: AttemptOutcome::ConnectionLost.into(),
                 reusable: false,
             }),
         }
@@ -123,15 +123,15 @@
 }
 
 /// What an answer that is no stream says. That the request has not run counts only where the host says so itself.
-fn outcome_of(status: StatusCode, headers: &HeaderMap) -> Outcome {
+fn outcome_of(status: StatusCode, headers: &HeaderMap) -> AttemptOutcome {
     let not_run = headers.get("x-not-run").is_some_and(|value| value == "1");
     match status {
-        StatusCode::ACCEPTED => Outcome::Read,
-        StatusCode::GONE if not_run => Outcome::NoState,
+        StatusCode::ACCEPTED => AttemptOutcome::Prefilled,
+        StatusCode::GONE if not_run => AttemptOutcome::KvStateMissing,
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_run => {
-            Outcome::TurnedAway
+            AttemptOutcome::Rejected
         }
-        _ => Outcome::Error,
+        _ => AttemptOutcome::Error,
     }
 }
 
--- a/src/net/client.rs
+++ b/src/net/client.rs
@@ -8,8 +8,8 @@
 use crate::counters::Counters;
 use crate::exchange::{Call, FeedSource, Frame, Reply, feed};
 use crate::routing::types::{
-    AttemptIndex, CallRefusal, CallState, Micros, Outcome, ReleasePermit, RequestId, SendRefusal,
-    WorkerId, WritePermit, WriteState, permit_call,
+    AttemptIndex, AttemptOutcome, CallDenial, CallState, Micros, ReleasePermit, RequestId,
+    SendDenial, WorkerId, WritePermit, WriteState, permit_call,
 };
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -96,7 +96,7 @@
     Connect(#[from] ConnectError),
     /// It was not written.
     #[error("not written: {0}")]
-    NotPermitted(#[from] CallRefusal),
+    NotPermitted(#[from] CallDenial),
     /// The connection broke, or its answer can't be read.
     #[error("{0}")]
     Http(#[from] hyper::Error),
@@ -119,7 +119,10 @@
             outcome,
             kept,
             report,
-        } = self.end.take().unwrap_or(Outcome::ConnectionLost.into());
+        } = self
+            .end
+            .take()
+            .unwrap_or(AttemptOutcome::ConnectionLost.into());
         let (request, attempt) = (self.request, self.attempt);
         self.core.tell(Input::Ended {
             request,
@@ -163,7 +166,7 @@
         match self.connect_for(attempt, give_up_at).await {
             Ok((target, connection)) => {
                 let Some(permit) = self.may_write(attempt) else {
-                    return Outcome::NotSent.into();
+                    return AttemptOutcome::NotSent.into();
                 };
                 let end = self
                     .exchange(attempt, target, connection, permit, give_up_at)
@@ -180,15 +183,17 @@
         &self,
         attempt: &mut Attempt,
         give_up_at: Micros,
-    ) -> Result<(Target, Connection), Outcome> {
+    ) -> Result<(Target, Connection), AttemptOutcome> {
         let clock: Clock = self.core.clock;
-        let mut target = self.target(&attempt.worker).ok_or(Outcome::NotSent)?;
+        let mut target = self
+            .target(&attempt.worker)
+            .ok_or(AttemptOutcome::NotSent)?;
         if let Some(releasing) = &attempt.after {
             // A release that arrives while a read is out takes the state that this read will leave: the writer
             // would find nothing. So it goes first.
             tokio::select! {
                 biased;
-                _ = &mut attempt.cancelled => return Err(Outcome::Dropped),
+                _ = &mut attempt.cancelled => return Err(AttemptOutcome::Cancelled),
                 () = releasing.over() => {}
                 () = tokio::time::sleep(RELEASE_FIRST) => {}
             }
@@ -202,9 +207,9 @@
         let connecting = self.connect(&target);
         let connected = tokio::select! {
             biased;
-            _ = &mut attempt.cancelled => return Err(Outcome::Dropped),
+            _ = &mut attempt.cancelled => return Err(AttemptOutcome::Cancelled),
             connected = connecting => connected,
-            () = clock.reach(Some(give_up_at)) => return Err(Outcome::NoConnection),
+            () = clock.reach(Some(give_up_at)) => return Err(AttemptOutcome::ConnectFailed),
         };
         match connected {
             Ok(connection) => Ok((target, connection)),
@@ -214,7 +219,7 @@
                     attempt.call.id,
                     attempt.worker.0
                 );
-                Err(Outcome::NotSent)
+                Err(AttemptOutcome::NotSent)
             }
             Err(error) => {
                 log::info!(
@@ -222,7 +227,7 @@
                     attempt.call.id,
                     attempt.worker.0
                 );
-                Err(Outcome::NoConnection)
+                Err(AttemptOutcome::ConnectFailed)
             }
         }
     }
@@ -239,7 +244,7 @@
         let clock: Clock = self.core.clock;
         let left = give_up_at.saturating_sub(clock.now());
         let Some(request) = passed_on(&attempt.call, left) else {
-            return Outcome::NotSent.into();
+            return AttemptOutcome::NotSent.into();
         };
         self.counters.sent.up();
         let (body, counters, meter) = (
@@ -248,11 +253,11 @@
             connection.meter(),
         );
         // What never left whole has never run.
-        let cut_off = |outcome: Outcome| {
+        let cut_off = |outcome: AttemptOutcome| {
             if meter.complete() {
                 outcome
             } else {
-                Outcome::NoConnection
+                AttemptOutcome::ConnectFailed
             }
         };
         let answering = async {
@@ -275,19 +280,19 @@
         let answered = tokio::select! {
             biased;
             answered = answering => answered,
-            _ = &mut attempt.cancelled => return cut_off(Outcome::Dropped).into(),
+            _ = &mut attempt.cancelled => return cut_off(AttemptOutcome::Cancelled).into(),
             () = clock.reach(Some(give_up_at)) => {
                 log::info!("request {}: no answer of {} in time", attempt.call.id, attempt.worker.0);
                 // It may be cut off, with a kept connection that looks alive.
                 self.pool.doubt(&attempt.worker);
                 abandon(connection).await;
-                return cut_off(Outcome::NoAnswer).into();
+                return cut_off(AttemptOutcome::TimedOut).into();
             }
             () = unwritten => {
                 log::info!("request {}: {} took it too slowly for a repeat", attempt.call.id, attempt.worker.0);
                 self.counters.repeats_held_back.up();
                 abandon(connection).await;
-                return cut_off(Outcome::NoAnswer).into();
+                return cut_off(AttemptOutcome::TimedOut).into();
             }
         };
         match answered {
@@ -299,7 +304,7 @@
                 );
                 self.pool.broke(&connection);
                 abandon(connection).await;
-                cut_off(Outcome::ConnectionLost).into()
+                cut_off(AttemptOutcome::ConnectionLost).into()
             }
             Ok(Answered::Whole {
                 end,
@@ -343,7 +348,7 @@
             attempt.worker.0
         );
         match refusal {
-            SendRefusal::MayHaveRun => self.counters.repeats_held_back.up(),
+            SendDenial::MayHaveRun => self.counters.repeats_held_back.up(),
             _ => self.counters.held_back.up(),
         }
         None
@@ -380,13 +385,13 @@
                 // The channel is short: a slow client makes the model host wait, not this memory grow.
                 match tokio::time::timeout(CLIENT_STALLED, frames.send(Frame::Data(data))).await {
                     Ok(Ok(())) => heard = Instant::now(),
-                    _ => return (Outcome::Dropped.into(), false),
+                    _ => return (AttemptOutcome::Cancelled.into(), false),
                 }
             }
             tokio::select! {
                 biased;
-                _ = &mut attempt.cancelled => return (Outcome::Dropped.into(), false),
-                () = frames.closed() => return (Outcome::Dropped.into(), false),
+                _ = &mut attempt.cancelled => return (AttemptOutcome::Cancelled.into(), false),
+                () = frames.closed() => return (AttemptOutcome::Cancelled.into(), false),
                 Some(reply) = replies.recv() => {
                     heard = Instant::now();
                     self.reply(attempt, reply, frames.downgrade());
@@ -396,7 +401,7 @@
                     Ok(Ok(Some(data))) => next = Some(data),
                     Ok(Ok(None)) if framed || tail.ends_done() => {
                         let _ = frames.send(Frame::End).await;
-                        return (End { outcome: Outcome::Served, kept: tail.kept_tokens(), report: None }, framed);
+                        return (End { outcome: AttemptOutcome::Served, kept: tail.kept_tokens(), report: None }, framed);
                     }
                     // A writer that waits for a tool's result has nothing to say.
                     Err(_) if paused.get() => heard = Instant::now(),
@@ -409,7 +414,7 @@
                             Ok(Ok(_)) => "broke: it ended early".to_owned(),
                         };
                         log::info!("request {}: stream of {} {why}", attempt.call.id, attempt.worker.0);
-                        return (Outcome::ConnectionLost.into(), false);
+                        return (AttemptOutcome::ConnectionLost.into(), false);
                     }
                 },
             }
--- a/src/net/client/tests.rs
+++ b/src/net/client/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::net::discovery::Listing;
-use crate::routing::types::{Entry, SendPermit, Status};
+use crate::routing::types::{Endpoint, SendPermit, Status};
 use rstest::rstest;
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -22,7 +22,7 @@
 impl Rig {
     fn new(address: SocketAddr) -> Rig {
         let directory = Rc::new(Directory::default());
-        let entry = Entry {
+        let entry = Endpoint {
             worker: WorkerId(HOST.into()),
             zone: "here".into(),
             kind: "prompt".into(),
@@ -95,7 +95,7 @@
     }
 
     /// The end of the attempt.
-    async fn ended(&mut self) -> Outcome {
+    async fn ended(&mut self) -> AttemptOutcome {
         match self.told.recv().await {
             Some(Input::Ended { outcome, .. }) => outcome,
             _ => panic!("something else than the attempt's end"),
@@ -132,17 +132,20 @@
 /// Guards against work that runs twice, or is refused while it runs: what the core does on an end goes out on other
 /// connections, and reached its receivers while the attempt that it followed was still open at its host.
 #[rstest]
-#[case::silent("", Outcome::NoAnswer)]
+#[case::silent("", AttemptOutcome::TimedOut)]
 #[case::no_stream(
     "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\ncontent-length: 5\r\n\r\nnoise",
-    Outcome::ConnectionLost
+    AttemptOutcome::ConnectionLost
+)]
+#[case::no_http("noise\r\n\r\n", AttemptOutcome::ConnectionLost)]
+#[case::an_error_without_end(
+    "HTTP/1.1 500 Oops\r\ncontent-length: 9\r\n\r\nhalf",
+    AttemptOutcome::Error
 )]
-#[case::no_http("noise\r\n\r\n", Outcome::ConnectionLost)]
-#[case::an_error_without_end("HTTP/1.1 500 Oops\r\ncontent-length: 9\r\n\r\nhalf", Outcome::Error)]
 #[tokio::test]
 async fn the_end_of_an_attempt_given_up_is_told_when_its_host_has_seen_the_close(
     #[case] answer: &'static str,
-    #[case] outcome: Outcome,
+    #[case] outcome: AttemptOutcome,
 ) {
     LocalSet::new()
         .run_until(async {
@@ -175,7 +178,7 @@
             let mut rig = Rig::new(address);
             let _cancel = rig.send(Bytes::new(), Duration::from_secs(60), Some(Duration::ZERO));
             let (mut stream, _) = listener.accept().await.unwrap();
-            assert_eq!(rig.ended().await, Outcome::NotSent);
+            assert_eq!(rig.ended().await, AttemptOutcome::NotSent);
             assert_eq!(read_to_end(&mut stream).await, 0);
             assert_eq!(rig.hosts.counters.repeats_held_back.get(), 1);
             assert_eq!(rig.hosts.counters.sent.get(), 0);
@@ -196,7 +199,7 @@
             rig.hosts.send(attempt);
             gone.set(true);
             let (mut stream, _) = listener.accept().await.unwrap();
-            assert_eq!(rig.ended().await, Outcome::NotSent);
+            assert_eq!(rig.ended().await, AttemptOutcome::NotSent);
             assert_eq!(read_to_end(&mut stream).await, 0);
             assert_eq!(rig.hosts.counters.held_back.get(), 1);
         })
@@ -248,7 +251,11 @@
                 Some(Duration::from_millis(200)),
             );
             let (mut stream, _) = listener.accept().await.unwrap();
-            assert_eq!(rig.ended().await, Outcome::NoConnection, "never run");
+            assert_eq!(
+                rig.ended().await,
+                AttemptOutcome::ConnectFailed,
+                "never run"
+            );
             assert!(read_to_end(&mut stream).await < LARGE_BODY);
             assert_eq!(rig.hosts.counters.repeats_held_back.get(), 1);
         })
@@ -257,14 +264,14 @@
 
 /// Guards against a second run on the word of a host that did not say it: the header's value counts.
 #[rstest]
-#[case::said("x-not-run: 1\r\n", Outcome::TurnedAway)]
-#[case::denied("x-not-run: 0\r\n", Outcome::Error)]
-#[case::empty("x-not-run:\r\n", Outcome::Error)]
-#[case::not_said("", Outcome::Error)]
+#[case::said("x-not-run: 1\r\n", AttemptOutcome::Rejected)]
+#[case::denied("x-not-run: 0\r\n", AttemptOutcome::Error)]
+#[case::empty("x-not-run:\r\n", AttemptOutcome::Error)]
+#[case::not_said("", AttemptOutcome::Error)]
 #[tokio::test]
 async fn a_host_is_believed_that_says_it_has_not_run_a_request(
     #[case] header: &str,
-    #[case] outcome: Outcome,
+    #[case] outcome: AttemptOutcome,
 ) {
     let answer = format!("HTTP/1.1 503 Busy\r\n{header}content-length: 0\r\n\r\n");
     LocalSet::new()
@@ -295,7 +302,7 @@
             let (mut kept, _) = listener.accept().await.unwrap();
             read_head(&mut kept).await;
             kept.write_all(READ.as_bytes()).await.unwrap();
-            assert_eq!(rig.ended().await, Outcome::Read);
+            assert_eq!(rig.ended().await, AttemptOutcome::Prefilled);
             let _second = rig.send(Bytes::new(), Duration::from_secs(60), send_by);
             let came_up = tokio::select! {
                 _ = listener.accept() => true,
--- a/src/net/client_connection.rs
+++ b/src/net/client_connection.rs
@@ -10,7 +10,7 @@
 use crate::front::shared::{Held, MOST_BODY};
 use crate::ops::figures::{Ending, Tally};
 use crate::routing::policy::close_permission::{
-    CloseCause, ClosePermit, CloseRefusal, ConnectionState, permit_close,
+    CloseCause, CloseDenial, ClosePermit, ConnectionState, permit_close,
 };
 use bytes::Bytes;
 use hyper::body::{Body, Incoming};
@@ -269,11 +269,11 @@
             () = closing(&mut stage, watch, accepted), if may_close => {
                 match permit_close(CloseCause::Ending, state(socket, watch)) {
                     // With a request in hand: it is closed behind that one's answer.
-                    Ok(_) | Err(CloseRefusal::InHand) => {
+                    Ok(_) | Err(CloseDenial::InHand) => {
                         stopping = true;
                         Pin::new(&mut connection).graceful_shutdown();
                     }
-                    Err(CloseRefusal::Unread | CloseRefusal::Arriving) => tokio::task::yield_now().await,
+                    Err(CloseDenial::Unread | CloseDenial::Arriving) => tokio::task::yield_now().await,
                 }
             }
             () = watch.changed() => {}
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -10,7 +10,7 @@
 use super::stream::SteadyStream;
 use crate::core::{CoreHandle, Input};
 use crate::counters::Counters;
-use crate::routing::types::{Entry, Kind, ListKind, Micros, Role, Status, WorkerId};
+use crate::routing::types::{Endpoint, EndpointUpdate, Micros, Role, Status, WorkerId, WorkerKind};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty};
 use hyper::HeaderMap;
@@ -106,7 +106,7 @@
     /// Whether all others are gone.
     pub whole: bool,
     /// The entries, with the addresses they are reached at.
-    pub entries: Vec<(Entry, Option<SocketAddr>)>,
+    pub entries: Vec<(Endpoint, Option<SocketAddr>)>,
 }
 
 impl From<ListMessage> for Listing {
@@ -119,7 +119,7 @@
             };
             let started = (h.born_ms > 0.0).then_some((h.born_ms * 1000.0) as u64);
             let worker = WorkerId(h.host.into());
-            let entry = Entry {
+            let entry = Endpoint {
                 worker,
                 zone: h.site,
                 kind: h.kind,
@@ -208,7 +208,7 @@
     }
 
     /// What a host does, if the list has it.
-    pub fn role(&self, worker: &WorkerId, kinds: &[Kind]) -> Option<Role> {
+    pub fn role(&self, worker: &WorkerId, kinds: &[WorkerKind]) -> Option<Role> {
         let hosts = self.hosts.borrow();
         let kind = &hosts.get(worker)?.kind;
         Some(
@@ -242,7 +242,7 @@
     }
 
     /// Whether hosts in service can do both stages between them.
-    pub fn can_serve(&self, kinds: &[Kind]) -> bool {
+    pub fn can_serve(&self, kinds: &[WorkerKind]) -> bool {
         let hosts = self.hosts.borrow();
         let role = |h: &Host| {
             kinds
@@ -255,7 +255,7 @@
                 .values()
                 .any(|h| h.status == Status::Ready && role(h) == wanted)
         };
-        has(Role::Mixed) || has(Role::Reader) && has(Role::Writer)
+        has(Role::Mixed) || has(Role::Prefill) && has(Role::Decode)
     }
 }
 
@@ -324,7 +324,7 @@
 }
 
 /// Changes the entries of a list or of its changes.
-pub type Weigh = Box<dyn Fn(ListKind, &mut [Entry])>;
+pub type Weigh = Box<dyn Fn(EndpointUpdate, &mut [Endpoint])>;
 
 /// Follows discovery for as long as the conductor runs.
 pub struct Follower {
@@ -348,14 +348,14 @@
 
 impl Follower {
     /// Takes a listing in and tells the core.
-    pub fn take(&self, listing: Listing, kind: ListKind) {
+    pub fn take(&self, listing: Listing, kind: EndpointUpdate) {
         for (entry, _) in &listing.entries {
-            let level = if kind == ListKind::Changes {
+            let level = if kind == EndpointUpdate::Incremental {
                 log::Level::Info
             } else {
                 log::Level::Debug
             };
-            let Entry {
+            let Endpoint {
                 worker,
                 zone,
                 kind,
@@ -372,7 +372,7 @@
         for worker in self.directory.apply(&listing) {
             (self.hang_up)(&worker);
         }
-        let mut entries: Vec<Entry> = listing
+        let mut entries: Vec<Endpoint> = listing
             .entries
             .into_iter()
             .map(|(entry, _)| entry)
@@ -385,15 +385,16 @@
     }
 
     /// Turns the starts of hosts, told as Unix time, into moments of the core's clock.
-    fn judge_starts(&self, entries: &mut [Entry], kind: ListKind) {
+    fn judge_starts(&self, entries: &mut [Endpoint], kind: EndpointUpdate) {
         let reading = Reading::at(self.core.clock.now());
         let mut starts = self.starts.borrow_mut();
-        for Entry {
+        for Endpoint {
             worker, started, ..
         } in entries
         {
-            *started =
-                started.map(|born| starts.judge(worker, born, reading, kind == ListKind::Changes));
+            *started = started.map(|born| {
+                starts.judge(worker, born, reading, kind == EndpointUpdate::Incremental)
+            });
         }
         starts.told(reading.now);
     }
@@ -459,7 +460,7 @@
                 calls.failures = 0;
             }
             self.core.tell(Input::List {
-                kind: ListKind::Failed,
+                kind: EndpointUpdate::Failed,
                 entries: Vec::new(),
             });
             if self.ask.is_none() {
@@ -551,9 +552,9 @@
             return Err("the whole list is empty".into());
         }
         let kind = if listing.whole {
-            ListKind::Full
+            EndpointUpdate::Full
         } else {
-            ListKind::Changes
+            EndpointUpdate::Incremental
         };
         self.take(listing, kind);
         Ok(())
--- a/src/net/discovery/tests.rs
+++ b/src/net/discovery/tests.rs
@@ -187,7 +187,7 @@
             weigh: None,
             starts: Default::default(),
         };
-        follower.take(listing(&host(1, true, "ready")), ListKind::Saved);
+        follower.take(listing(&host(1, true, "ready")), EndpointUpdate::Restored);
         let (address, address_told) = watch::channel(Some(([127, 0, 0, 1], 1).into()));
         let (lost, (up, wires)) = (Rc::new(Cell::new(0)), unbounded_channel());
         let losing = lost.clone();
@@ -229,7 +229,7 @@
     }
 
     /// What the core is told next.
-    async fn told(&mut self) -> ListKind {
+    async fn told(&mut self) -> EndpointUpdate {
         match self.told.recv().await.unwrap() {
             Input::List { kind, .. } => kind,
             _ => panic!("only lists are told"),
@@ -237,7 +237,7 @@
     }
 
     /// Waits until the core is told so, whatever comes before.
-    async fn until(&mut self, wanted: ListKind) {
+    async fn until(&mut self, wanted: EndpointUpdate) {
         while self.told().await != wanted {}
     }
 
@@ -287,7 +287,7 @@
         assert_eq!(again.target, "/v1/servers?watch=1&after=1");
         again.begin().await;
         again.chunk(&line(2, false, "draining")).await;
-        rig.until(ListKind::Changes).await;
+        rig.until(EndpointUpdate::Incremental).await;
         assert!(
             !rig.is_ready() && since.elapsed() < TOLD,
             "told after {:?}",
@@ -329,14 +329,14 @@
             lost.chunk("\n").await;
         }
         let since = Instant::now();
-        rig.until(ListKind::Failed).await;
+        rig.until(EndpointUpdate::Failed).await;
         sleep(MODULE_WAITS).await;
         rig.ask.notify_one();
         let mut next = rig.call().await;
         sleep(ANSWER / 2).await;
         next.begin().await;
         next.chunk(&line(2, false, "draining")).await;
-        rig.until(ListKind::Changes).await;
+        rig.until(EndpointUpdate::Incremental).await;
         assert!(
             !rig.is_ready() && since.elapsed() < TOLD,
             "told after {:?}",
@@ -356,7 +356,7 @@
         sleep(Duration::from_millis(2_500)).await;
         call.begin().await;
         call.chunk(&line(2, false, "draining")).await;
-        rig.until(ListKind::Changes).await;
+        rig.until(EndpointUpdate::Incremental).await;
         assert_eq!(rig.counters.watches_lost.get(), 0);
     })
     .await;
@@ -383,7 +383,7 @@
         assert!(again.target.ends_with("after=1") && rig.is_ready());
         again.begin().await;
         again.chunk(&line(2, false, "draining")).await;
-        rig.until(ListKind::Changes).await;
+        rig.until(EndpointUpdate::Incremental).await;
         assert!(!rig.is_ready());
     })
     .await;
@@ -408,15 +408,15 @@
             ("/v1/servers", Duration::ZERO)
         );
         list.answer(&host(40, true, "ready")).await;
-        rig.until(ListKind::Full).await;
+        rig.until(EndpointUpdate::Full).await;
         drop(rig.call().await);
-        rig.until(ListKind::Failed).await;
+        rig.until(EndpointUpdate::Failed).await;
         rig.ask.notify_one();
         let mut watch = rig.call().await;
         assert_eq!(watch.target, "/v1/servers?watch=1&after=40");
         watch.begin().await;
         watch.chunk(&line(41, false, "draining")).await;
-        rig.until(ListKind::Changes).await;
+        rig.until(EndpointUpdate::Incremental).await;
         assert!(!rig.is_ready());
         drop(unanswered);
     })
@@ -439,7 +439,7 @@
         sleep(BEAT).await;
         assert!(rig.is_ready() && rig.directory.seq.get() == 1);
         watch.chunk(&line(10, false, "draining")).await;
-        rig.until(ListKind::Changes).await;
+        rig.until(EndpointUpdate::Incremental).await;
         assert!(!rig.is_ready() && rig.counters.watches_lost.get() == 0);
     })
     .await;
@@ -462,12 +462,12 @@
         let mut watch = rig.call().await;
         watch.begin().await;
         watch.chunk(&line(7, false, "ready")).await;
-        rig.until(ListKind::Changes).await;
+        rig.until(EndpointUpdate::Incremental).await;
         rig.fetch_list.notify_one();
         let mut list = rig.call().await;
         if overtaken {
             watch.chunk(&line(8, false, "draining")).await;
-            rig.until(ListKind::Changes).await;
+            rig.until(EndpointUpdate::Incremental).await;
         }
         match health {
             "" => list.answer(r#"{"seq":9,"whole":true,"hosts":[]}"#).await,
@@ -507,7 +507,7 @@
             written += 4096;
         }
         assert!(written < 2 * MOST_BYTES && since.elapsed() < ANSWER);
-        rig.until(ListKind::Failed).await;
+        rig.until(EndpointUpdate::Failed).await;
         assert!(rig.is_ready());
         drop(unanswered);
     })
--- a/src/net/releases.rs
+++ b/src/net/releases.rs
@@ -6,7 +6,7 @@
 use super::release::{Fanout, HEDGE};
 use crate::core::{Attempt, Releasing};
 use crate::exchange::Call;
-use crate::routing::types::{CallState, Outcome, ReleasePermit, WorkerId};
+use crate::routing::types::{AttemptOutcome, CallState, ReleasePermit, WorkerId};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::Request;
@@ -138,9 +138,12 @@
 
     /// Remembers an attempt that has ended with nothing heard of it. That its host has answered other calls meanwhile
     /// says nothing: its connection, or the way there alone, may have been silent.
-    pub(super) fn note_if_it_may_arrive_late(&self, attempt: &Attempt, outcome: Outcome) {
+    pub(super) fn note_if_it_may_arrive_late(&self, attempt: &Attempt, outcome: AttemptOutcome) {
         // A connection that its other end has broken carries nothing any more.
-        if !matches!(outcome, Outcome::NoAnswer | Outcome::Dropped) {
+        if !matches!(
+            outcome,
+            AttemptOutcome::TimedOut | AttemptOutcome::Cancelled
+        ) {
             return;
         }
         let (id, now) = (attempt.call.id.clone(), Instant::now());
--- a/src/ops/figures.rs
+++ b/src/ops/figures.rs
@@ -5,7 +5,7 @@
 //! it, it is counted.
 
 use crate::counters::Count;
-use crate::routing::types::Class;
+use crate::routing::types::RequestClass;
 use hyper::StatusCode;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -62,7 +62,7 @@
 impl Figures {
     /// Begins the tally of a request of this class. Names that the settings don't have are not counted:
     /// clients may make up any number of them.
-    pub fn begin(self: &Rc<Self>, class: Option<&str>, known: &[Class]) -> Rc<Tally> {
+    pub fn begin(self: &Rc<Self>, class: Option<&str>, known: &[RequestClass]) -> Rc<Tally> {
         let class = class.filter(|name| known.iter().any(|c| c.name == *name));
         let class = class.map(|name| self.class(name));
         Rc::new(Tally {
@@ -82,7 +82,7 @@
     }
 
     /// The figures as they are now, also of classes of which nothing has ended yet.
-    pub fn report(&self, known: &[Class], gauges: Gauges) -> Report {
+    pub fn report(&self, known: &[RequestClass], gauges: Gauges) -> Report {
         known.iter().for_each(|class| _ = self.class(&class.name));
         let mut samples = Vec::new();
         for (name, class) in &*self.classes.borrow() {
--- a/src/ops/figures/tests.rs
+++ b/src/ops/figures/tests.rs
@@ -1,16 +1,16 @@
 use super::*;
 
-fn classes(names: &[&str]) -> Vec<Class> {
+fn classes(names: &[&str]) -> Vec<RequestClass> {
     names
         .iter()
-        .map(|name| Class {
+        .map(|name| RequestClass {
             name: (*name).into(),
-            ..Class::default()
+            ..RequestClass::default()
         })
         .collect()
 }
 
-fn lines(figures: &Figures, known: &[Class]) -> Vec<String> {
+fn lines(figures: &Figures, known: &[RequestClass]) -> Vec<String> {
     figures
         .report(known, Gauges::default())
         .to_string()
--- a/src/routing/model.rs
+++ b/src/routing/model.rs
@@ -6,7 +6,8 @@
 
 use crate::routing::policy::held_state::HeldState;
 use crate::routing::types::{
-    Ask, Class, Effect, Micros, Outcome, Report, Role, Settings, Status, Tenant,
+    AttemptOutcome, Idempotency, LoadReport, Micros, RequestClass, RequestSpec, Role,
+    RoutingConfig, Status, Tenant,
 };
 use crate::routing::types::{RequestId, WorkerId};
 use std::collections::{BTreeMap, VecDeque};
@@ -65,12 +66,12 @@
 }
 
 /// A report without figures that can't be.
-pub(crate) fn sane(report: Report) -> Report {
+pub(crate) fn sane(report: LoadReport) -> LoadReport {
     let sane = |figure: Option<f64>| figure.filter(|v| v.is_finite() && *v >= 0.0);
-    let (memory_share, tokens_waiting) = (sane(report.memory_share), sane(report.tokens_waiting));
-    Report {
+    let (memory_share, tokens_waiting) = (sane(report.memory_share), sane(report.queued_tokens));
+    LoadReport {
         memory_share,
-        tokens_waiting,
+        queued_tokens: tokens_waiting,
         ..report
     }
 }
@@ -133,7 +134,7 @@
     pub slow_start_sends: RecentSends,
     /// Work that it was seen to complete.
     pub done: Fading,
-    pub report: Option<(Micros, Report)>,
+    pub report: Option<(Micros, LoadReport)>,
     /// Writers' part over readers' part, in its cell and in its zone.
     pub keep: [f64; 2],
     /// Tokens that unanswered reads tell of.
@@ -207,7 +208,7 @@
 
 /// A request that this router has taken.
 pub(crate) struct Request {
-    pub ask: Ask,
+    pub ask: RequestSpec,
     /// Its class's place in the settings.
     pub class: usize,
     pub arrived: Micros,
@@ -229,7 +230,10 @@
 
     /// The attempts that may have had an effect, or still may: those at writers without an outcome that rules it out.
     pub fn effects(&self) -> impl Iterator<Item = &Attempt> {
-        let ruled_out = |a: &Attempt| a.outcome.is_some_and(Outcome::rules_out_a_run_at_a_writer);
+        let ruled_out = |a: &Attempt| {
+            a.outcome
+                .is_some_and(AttemptOutcome::rules_out_a_run_at_a_writer)
+        };
         self.attempts
             .iter()
             .filter(move |a| a.writes && !ruled_out(a))
@@ -244,14 +248,14 @@
     pub fn unanswered(&self) -> bool {
         self.attempts
             .iter()
-            .any(|a| a.outcome == Some(Outcome::NoAnswer))
+            .any(|a| a.outcome == Some(AttemptOutcome::TimedOut))
     }
 
     /// Whether an attempt there has failed. A read that wasn't answered in time may have left its text there.
     pub fn failed_at(&self, worker: &WorkerId) -> bool {
         let failed = |a: &Attempt| match a.outcome {
-            None | Some(Outcome::Read) => false,
-            Some(Outcome::NoAnswer) => a.writes,
+            None | Some(AttemptOutcome::Prefilled) => false,
+            Some(AttemptOutcome::TimedOut) => a.writes,
             Some(_) => true,
         };
         self.attempts
@@ -265,7 +269,13 @@
         self.held.is_held() && self.attempts.last().is_some_and(unheard)
     }
 
-    pub fn new(ask: Ask, class: usize, now: Micros, over_share: bool, most_attempts: u32) -> Self {
+    pub fn new(
+        ask: RequestSpec,
+        class: usize,
+        now: Micros,
+        over_share: bool,
+        most_attempts: u32,
+    ) -> Self {
         let (arrived, phase) = (now, Phase::Waiting);
         let (attempts, held) = (Vec::new(), HeldState::default());
         Request {
@@ -287,7 +297,7 @@
 }
 
 /// The place of a class; the last one if the settings don't name it.
-pub(crate) fn class_of(classes: &[Class], name: &str) -> usize {
+pub(crate) fn class_of(classes: &[RequestClass], name: &str) -> usize {
     classes
         .iter()
         .position(|c| c.name == name && !name.is_empty())
@@ -297,17 +307,17 @@
 /// The classes of new settings, and behind them those of requests in hand, which keep theirs with effect, worth and
 /// times. What is not the request's own (rules, permissions) is the new for all.
 pub(crate) fn settle<'a>(
-    old: &[Class],
-    new: &[Class],
+    old: &[RequestClass],
+    new: &[RequestClass],
     requests: impl Iterator<Item = &'a mut Request>,
-) -> Vec<Class> {
+) -> Vec<RequestClass> {
     let mut all = new.to_vec();
     let mut moved = BTreeMap::new();
     for request in requests {
         let class = request.class;
         request.class = *moved.entry(class).or_insert_with(|| {
             // Without a name no new request finds it.
-            all.push(Class {
+            all.push(RequestClass {
                 name: String::new(),
                 ..old[class].clone()
             });
@@ -315,16 +325,16 @@
         });
     }
     // The last one is of requests whose class the settings don't name: never repeated, worth least.
-    all.push(Class {
-        effect: Effect::Unsafe,
-        ..Class::default()
+    all.push(RequestClass {
+        idempotency: Idempotency::NonIdempotent,
+        ..RequestClass::default()
     });
     all
 }
 
 /// This router's part of each tenant's promised rate, with the level that the tenant had.
 pub(crate) fn levels(
-    settings: &Settings,
+    settings: &RoutingConfig,
     held: &BTreeMap<String, (f64, f64, Micros)>,
 ) -> BTreeMap<String, (f64, f64, Micros)> {
     let tenant = |t: &Tenant| {
@@ -351,7 +361,7 @@
     pub due: Micros,
     pub tokens: f64,
     pub work: f64,
-    pub outcome: Option<Outcome>,
+    pub outcome: Option<AttemptOutcome>,
     pub first: Option<Micros>,
 }
 
@@ -379,7 +389,7 @@
 
 /// What all routers hash alike: the shared text and which of its `homes` the session has, else the session; else
 /// something of this router's own.
-pub(crate) fn hash_key(ask: &Ask, own: u64, homes: u64) -> u64 {
+pub(crate) fn hash_key(ask: &RequestSpec, own: u64, homes: u64) -> u64 {
     let RequestId(id) = ask.request;
     let session = ask
         .session
--- a/src/routing/model/prefix_table.rs
+++ b/src/routing/model/prefix_table.rs
@@ -2,7 +2,7 @@
 //! asked for. Entries age; what follows from them is decided in `src/routing/policy.rs`.
 
 use super::Fading;
-use crate::routing::types::{Ask, Micros, WorkerId};
+use crate::routing::types::{Micros, RequestSpec, WorkerId};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -24,7 +24,7 @@
 
 impl PrefixTable {
     /// Counts a request that has come.
-    pub fn asked(&mut self, ask: &Ask, now: Micros, half_life: Micros) {
+    pub fn asked(&mut self, ask: &RequestSpec, now: Micros, half_life: Micros) {
         self.requests.add(now, half_life, 1.0);
         if let Some(prefix) = ask.prefix.clone() {
             self.requests_by_prefix
@@ -35,7 +35,7 @@
     }
 
     /// The part of all requests of late that have this one's prefix, without the request itself.
-    pub fn share(&self, ask: &Ask, now: Micros, half_life: Micros) -> f64 {
+    pub fn share(&self, ask: &RequestSpec, now: Micros, half_life: Micros) -> f64 {
         let requests = ask
             .prefix
             .as_ref()
@@ -45,7 +45,7 @@
     }
 
     /// Credits a reader that a request is sent to with the request's prefix and session.
-    pub fn credit(&mut self, ask: &Ask, worker: &WorkerId, at: Micros) {
+    pub fn credit(&mut self, ask: &RequestSpec, worker: &WorkerId, at: Micros) {
         if let Some(prefix) = ask.prefix.clone() {
             let credit = Credit {
                 tokens: ask.prefix_tokens,
@@ -66,7 +66,7 @@
     }
 
     /// Tokens of a prompt that a reader is credited with since then: the longer of prefix and session.
-    pub fn kept(&self, ask: &Ask, worker: &WorkerId, since: Micros) -> f64 {
+    pub fn kept(&self, ask: &RequestSpec, worker: &WorkerId, since: Micros) -> f64 {
         let prefix = (ask.prefix.as_ref())
             .and_then(|prefix| self.prefixes.get(prefix)?.get(worker))
             .filter(|credit| credit.at >= since)
@@ -79,7 +79,7 @@
     }
 
     /// Whether a reader of the request's session is known.
-    pub fn knows_session(&self, ask: &Ask) -> bool {
+    pub fn knows_session(&self, ask: &RequestSpec) -> bool {
         ask.session
             .as_ref()
             .is_some_and(|session| self.sessions.contains_key(session))
--- a/src/routing/model/prefix_table/tests.rs
+++ b/src/routing/model/prefix_table/tests.rs
@@ -4,8 +4,8 @@
 const SECOND: Micros = 1_000_000;
 const HALF_LIFE: Micros = 30 * SECOND;
 
-fn ask(prefix: &str, session: &str) -> Ask {
-    Ask {
+fn ask(prefix: &str, session: &str) -> RequestSpec {
+    RequestSpec {
         request: RequestId(1),
         deadline: 0,
         session: Some(session.into()),
--- a/src/routing/model/tests.rs
+++ b/src/routing/model/tests.rs
@@ -14,17 +14,17 @@
 /// Guards against a repeat of what must not run twice, because the class was changed while it was in hand.
 #[test]
 fn requests_in_hand_keep_their_class_and_new_ones_find_the_new() {
-    let classes = |names: &[&str], effect| -> Vec<Class> {
+    let classes = |names: &[&str], effect| -> Vec<RequestClass> {
         names
             .iter()
-            .map(|n| Class {
+            .map(|n| RequestClass {
                 name: (*n).into(),
-                effect,
-                ..Class::default()
+                idempotency: effect,
+                ..RequestClass::default()
             })
             .collect()
     };
-    let ask = |class: &str| Ask {
+    let ask = |class: &str| RequestSpec {
         request: RequestId(1),
         deadline: 1,
         session: None,
@@ -39,10 +39,14 @@
     let mut requests = Vec::new();
     let mut all = settle(
         &[],
-        &classes(&["explain", "send"], Effect::Unsafe),
+        &classes(&["explain", "send"], Idempotency::NonIdempotent),
         [].iter_mut(),
     );
-    for effect in [Effect::Safe, Effect::Unsafe, Effect::Safe] {
+    for effect in [
+        Idempotency::Idempotent,
+        Idempotency::NonIdempotent,
+        Idempotency::Idempotent,
+    ] {
         requests.push(Request::new(
             ask("send"),
             class_of(&all, "send"),
@@ -56,9 +60,19 @@
             requests.iter_mut(),
         );
     }
-    let kept: Vec<Effect> = requests.iter().map(|r| all[r.class].effect).collect();
-    assert_eq!(kept, [Effect::Unsafe, Effect::Safe, Effect::Unsafe]);
-    assert_eq!(all[class_of(&all, "send")].effect, Effect::Safe);
+    let kept: Vec<Idempotency> = requests.iter().map(|r| all[r.class].idempotency).collect();
+    assert_eq!(
+        kept,
+        [
+            Idempotency::NonIdempotent,
+            Idempotency::Idempotent,
+            Idempotency::NonIdempotent
+        ]
+    );
+    assert_eq!(
+        all[class_of(&all, "send")].idempotency,
+        Idempotency::Idempotent
+    );
     // Those kept have no name, and a request without one does not find them either.
     assert_eq!(
         (class_of(&all, "explain"), class_of(&all, "")),
@@ -66,7 +80,11 @@
     );
     // What no request in hand needs is gone, however often settings come.
     for _ in 0..9 {
-        all = settle(&all, &classes(&["send"], Effect::Safe), requests.iter_mut());
+        all = settle(
+            &all,
+            &classes(&["send"], Idempotency::Idempotent),
+            requests.iter_mut(),
+        );
     }
     assert_eq!(all.len(), 1 + 3 + 1);
 }
@@ -85,7 +103,7 @@
         outcome,
         first: None,
     };
-    let ask = Ask {
+    let ask = RequestSpec {
         request: RequestId(1),
         deadline: 1,
         session: None,
@@ -100,14 +118,14 @@
     let mut request = Request::new(ask, 0, 0, false, 6);
     let cases = [
         (false, None, true),
-        (false, Some(Outcome::Read), false),
-        (false, Some(Outcome::NoAnswer), false),
+        (false, Some(AttemptOutcome::Prefilled), false),
+        (false, Some(AttemptOutcome::TimedOut), false),
         (true, None, true),
-        (true, Some(Outcome::Read), true),
-        (true, Some(Outcome::NoAnswer), true),
-        (true, Some(Outcome::NoState), false),
-        (true, Some(Outcome::TurnedAway), false),
-        (true, Some(Outcome::NoConnection), false),
+        (true, Some(AttemptOutcome::Prefilled), true),
+        (true, Some(AttemptOutcome::TimedOut), true),
+        (true, Some(AttemptOutcome::KvStateMissing), false),
+        (true, Some(AttemptOutcome::Rejected), false),
+        (true, Some(AttemptOutcome::ConnectFailed), false),
     ];
     for (writes, outcome, may_have_run) in cases {
         request.attempts = vec![attempt(writes, outcome)];
--- a/src/routing/policy.rs
+++ b/src/routing/policy.rs
@@ -47,7 +47,7 @@
 /// The decision module of one router.
 #[derive(Default)]
 pub struct Policy {
-    set: Settings,
+    set: RoutingConfig,
     seed: u64,
     now: Micros,
     pub(crate) workers: BTreeMap<WorkerId, Worker>,
@@ -69,7 +69,7 @@
 
 impl Policy {
     /// A module that knows nothing yet.
-    pub fn new(settings: Settings, seed: u64) -> Self {
+    pub fn new(settings: RoutingConfig, seed: u64) -> Self {
         let mut policy = Policy {
             seed,
             slow_start_from: Micros::MAX,
@@ -80,13 +80,13 @@
     }
 
     /// New requests begin under these settings; see `settle` for what those in hand keep.
-    pub fn set(&mut self, settings: Settings) {
+    pub fn set(&mut self, settings: RoutingConfig) {
         self.tenants = levels(&settings, &self.tenants);
         self.workers
             .values_mut()
             .for_each(|w| (w.answers, w.full) = Default::default());
         let requests = self.requests.values_mut();
-        self.set = Settings {
+        self.set = RoutingConfig {
             classes: settle(&self.set.classes, &settings.classes, requests),
             ..settings
         };
@@ -97,30 +97,33 @@
         self.now = self.now.max(now);
         let ended = matches!(
             event,
-            Event::Ended(_) | Event::Started { .. } | Event::List { .. } | Event::Probed { .. }
+            Event::AttemptCompleted(_)
+                | Event::StreamStarted { .. }
+                | Event::EndpointsUpdated { .. }
+                | Event::HealthCheckCompleted { .. }
         );
         match event {
-            Event::List { kind, entries } => self.list(kind, entries),
-            Event::Ask(ask) => self.ask(ask, out),
-            Event::Started {
+            Event::EndpointsUpdated { kind, entries } => self.list(kind, entries),
+            Event::RequestArrived(ask) => self.ask(ask, out),
+            Event::StreamStarted {
                 request,
                 attempt,
                 elapsed,
             } => self.started(request, attempt, elapsed),
-            Event::Ended(end) => self.ended(end, out),
-            Event::Left { request } => self.close(request, out),
+            Event::AttemptCompleted(end) => self.ended(end, out),
+            Event::ClientDisconnected { request } => self.close(request, out),
             Event::Timer(timer) if timer == SWEEP => self.sweep(out),
             Event::Timer(timer) if timer == RESUME => {
                 self.is_resume_due = false;
                 self.resume(false, out);
             }
-            Event::Probed { worker, report, .. } => self.heard(&worker, report),
+            Event::HealthCheckCompleted { worker, report, .. } => self.heard(&worker, report),
             Event::SlowStart { allowed } => {
                 let from = now.saturating_add(self.slow_start_window());
                 self.slow_start_from = if allowed { from } else { Micros::MAX };
             }
             // Nothing is told to peers. Places are never held ahead: the writer is picked after the read.
-            Event::Timer(_) | Event::Place { .. } | Event::Peer { .. } => {}
+            Event::Timer(_) | Event::ReservationResult { .. } | Event::GossipReceived { .. } => {}
         }
         if ended {
             self.resume_soon(out);
@@ -135,7 +138,7 @@
     }
 
     fn sweep_every(&self) -> Micros {
-        (self.set.release / SWEEPS).clamp(self.set.tick.max(1_000), 100_000)
+        (self.set.kv_state_hold_limit / SWEEPS).clamp(self.set.batch_interval.max(1_000), 100_000)
     }
 
     /// Looks after all that time alone changes: overdue answers, held states, waiting requests, old entries.
@@ -204,19 +207,19 @@
             // Its time-out is trimmed to the deadline and its outcome comes within the slack.
             Phase::Reading if self.now < r.ask.deadline => {}
             Phase::Writing if self.now < r.ask.deadline => self.release_behind_send(id, out),
-            Phase::Reading | Phase::Writing => self.finish(id, EndReason::DeadlineNear, out),
-            _ if hopeless => self.finish(id, EndReason::DeadlineNear, out),
-            _ if r.spent() => self.finish(id, EndReason::AttemptsSpent, out),
-            _ if stuck => self.finish(id, EndReason::NoRepeatAllowed, out),
+            Phase::Reading | Phase::Writing => self.finish(id, EndReason::DeadlineExceeded, out),
+            _ if hopeless => self.finish(id, EndReason::DeadlineExceeded, out),
+            _ if r.spent() => self.finish(id, EndReason::AttemptsExhausted, out),
+            _ if stuck => self.finish(id, EndReason::RetryNotAllowed, out),
             Phase::Waiting => self.begin(id, out),
             Phase::Held => {
                 let release_at = r.held.release_by(
                     self.set
-                        .release
+                        .kv_state_hold_limit
                         .saturating_sub(self.release_margin(held_state::SWEEPS_BEFORE_RELEASE)),
                 );
                 if self.now >= release_at {
-                    self.release(id, ReleaseReason::Untaken, out);
+                    self.release(id, ReleaseReason::HoldExpiring, out);
                     self.requests
                         .entry(id)
                         .and_modify(|r| r.phase = Phase::Waiting);
--- a/src/routing/policy/admission.rs
+++ b/src/routing/policy/admission.rs
@@ -9,7 +9,7 @@
 const BURST: f64 = 10.0;
 
 impl Policy {
-    pub(super) fn ask(&mut self, ask: Ask, out: &mut Vec<Action>) {
+    pub(super) fn ask(&mut self, ask: RequestSpec, out: &mut Vec<Action>) {
         let id = ask.request;
         let class = class_of(&self.set.classes, &ask.class);
         let over_share = self.over_share(ask.tenant.as_deref());
@@ -35,9 +35,9 @@
     }
 
     pub(super) fn worth(&self, r: &Request) -> f64 {
-        let worth = self.set.classes[r.class].worth;
+        let worth = self.set.classes[r.class].priority_weight;
         if r.over_share {
-            worth * self.set.over_share_worth
+            worth * self.set.over_quota_weight
         } else {
             worth
         }
@@ -45,21 +45,22 @@
 
     pub(super) fn aim(&self, r: &Request) -> Micros {
         let class = &self.set.classes[r.class];
-        let grown = class.aim_per_1000_tokens as f64 * r.ask.prompt_tokens as f64 / 1000.0;
-        class.aim.saturating_add(grown as Micros)
+        let grown =
+            class.ttft_objective_per_1000_tokens as f64 * r.ask.prompt_tokens as f64 / 1000.0;
+        class.ttft_objective.saturating_add(grown as Micros)
     }
 
     /// Starts a request if both stages can be in time, or half its read at most is ahead; else waits or ends.
     pub(super) fn begin(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        let (readers, mixed) = (self.usable(Role::Reader, id), self.usable(Role::Mixed, id));
-        let writers = self.usable(Role::Writer, id).len() + mixed.len();
+        let (readers, mixed) = (self.usable(Role::Prefill, id), self.usable(Role::Mixed, id));
+        let writers = self.usable(Role::Decode, id).len() + mixed.len();
         let Some(r) = self.requests.get(&id) else {
             return;
         };
         let prompt = r.ask.prompt_tokens as f64;
         let short = prompt <= self.learned.prompt.or(0.0);
         let direct = !mixed.is_empty() && (short || readers.is_empty())
-            || readers.is_empty() && self.set.writers_read;
+            || readers.is_empty() && self.set.decode_workers_prefill;
         let target = if direct {
             self.pick_writer(id, None).map(|w| (w, 0.0))
         } else {
@@ -97,9 +98,9 @@
         if reads && writes && !doomed {
             self.send(id, &target, (!direct).then_some(unread), out);
         } else if doomed {
-            self.finish(id, EndReason::Doomed, out);
+            self.finish(id, EndReason::DeadlineUnreachable, out);
         } else if late || r.over_share {
-            self.finish(id, EndReason::NoRoom, out);
+            self.finish(id, EndReason::NoCapacity, out);
         }
     }
 
@@ -112,12 +113,12 @@
             return;
         }
         if self.may_refuse(r) {
-            let retry_after = self.set.retry_advice.then(|| {
+            let retry_after = self.set.advises_retry_after.then(|| {
                 // Spread, so that those refused together don't come back together.
                 let spread = xxh3_64_with_seed(&id.0.to_le_bytes(), self.seed) % 1000;
                 self.set.max_retry_after / 2 + self.set.max_retry_after / 2 * spread / 1000
             });
-            out.push(Action::Refuse {
+            out.push(Action::Reject {
                 request: id,
                 reason,
                 retry_after,
@@ -135,16 +136,16 @@
     pub(super) fn close(&mut self, id: RequestId, out: &mut Vec<Action>) {
         if let Some(r) = self.requests.get_mut(&id) {
             r.phase = Phase::Done;
-            if self.set.may_drop {
+            if self.set.cancellation_allowed {
                 let open = |a: &Attempt| a.outcome.is_none() && a.first.is_none();
                 let open = (0..).zip(&r.attempts).filter(|(_, a)| open(a));
-                out.extend(open.map(|(i, _)| Action::Drop {
+                out.extend(open.map(|(i, _)| Action::Cancel {
                     request: id,
                     attempt: AttemptIndex(i),
                 }));
             }
         }
-        self.release(id, ReleaseReason::RequestOver, out);
+        self.release(id, ReleaseReason::RequestFinished, out);
         if self
             .requests
             .get(&id)
--- a/src/routing/policy/call_permission.rs
+++ b/src/routing/policy/call_permission.rs
@@ -4,7 +4,7 @@
 //! for it when the connection is up: what was known when the call was decided may not hold any more by then.
 //! When a release begins is decided here as well ([`ReleaseHistory::permit`]).
 
-use crate::routing::types::{Outcome, ReleaseReason};
+use crate::routing::types::{AttemptOutcome, ReleaseReason};
 
 /// Permission to begin releasing all that is held for one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -34,7 +34,7 @@
 
 impl ReleaseHistory {
     /// An attempt has ended.
-    pub fn attempt_ended(&mut self, outcome: Outcome) {
+    pub fn attempt_ended(&mut self, outcome: AttemptOutcome) {
         self.is_outdated |= outcome.may_have_arrived();
     }
 
@@ -80,7 +80,7 @@
 
 /// Why a call is not made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum CallRefusal {
+pub enum CallDenial {
     /// The release was taken by another host, or stopped.
     #[error("its release is over")]
     ReleaseOver,
@@ -100,13 +100,13 @@
 ///
 /// # Errors
 /// Why it may not.
-pub fn permit_call(state: CallState) -> Result<CallPermit, CallRefusal> {
+pub fn permit_call(state: CallState) -> Result<CallPermit, CallDenial> {
     match state {
-        CallState::Release { is_going: false } => Err(CallRefusal::ReleaseOver),
+        CallState::Release { is_going: false } => Err(CallDenial::ReleaseOver),
         CallState::ToolResult {
             is_streaming: false,
-        } => Err(CallRefusal::StreamOver),
-        CallState::ToolCall { may_have_run: true } => Err(CallRefusal::MayHaveRun),
+        } => Err(CallDenial::StreamOver),
+        CallState::ToolCall { may_have_run: true } => Err(CallDenial::MayHaveRun),
         CallState::Release { is_going: true }
         | CallState::LateRelease
         | CallState::ToolResult { is_streaming: true }
--- a/src/routing/policy/call_permission/tests.rs
+++ b/src/routing/policy/call_permission/tests.rs
@@ -6,11 +6,11 @@
 /// Guards against a release that is counted on though an attempt has ended behind it, which may have left something.
 #[rstest]
 #[case::nothing_has_ended(None, Err(ReleaseUnderWay))]
-#[case::an_unanswered_attempt(Some(Outcome::NoAnswer), Ok(ReleasePermit { reason: REASON }))]
-#[case::a_read(Some(Outcome::Read), Ok(ReleasePermit { reason: REASON }))]
-#[case::what_never_arrived(Some(Outcome::NoConnection), Err(ReleaseUnderWay))]
+#[case::an_unanswered_attempt(Some(AttemptOutcome::TimedOut), Ok(ReleasePermit { reason: REASON }))]
+#[case::a_read(Some(AttemptOutcome::Prefilled), Ok(ReleasePermit { reason: REASON }))]
+#[case::what_never_arrived(Some(AttemptOutcome::ConnectFailed), Err(ReleaseUnderWay))]
 fn a_second_release_begins_only_behind_what_may_have_arrived(
-    #[case] ended: Option<Outcome>,
+    #[case] ended: Option<AttemptOutcome>,
     #[case] expected: Result<ReleasePermit, ReleaseUnderWay>,
 ) {
     let mut history = ReleaseHistory::default();
@@ -30,15 +30,15 @@
 
 #[rstest]
 #[case(CallState::Release { is_going: true }, None)]
-#[case(CallState::Release { is_going: false }, Some(CallRefusal::ReleaseOver))]
+#[case(CallState::Release { is_going: false }, Some(CallDenial::ReleaseOver))]
 #[case(CallState::LateRelease, None)]
 #[case(CallState::ToolResult { is_streaming: true }, None)]
-#[case(CallState::ToolResult { is_streaming: false }, Some(CallRefusal::StreamOver))]
+#[case(CallState::ToolResult { is_streaming: false }, Some(CallDenial::StreamOver))]
 #[case(CallState::ToolCall { may_have_run: false }, None)]
-#[case(CallState::ToolCall { may_have_run: true }, Some(CallRefusal::MayHaveRun))]
+#[case(CallState::ToolCall { may_have_run: true }, Some(CallDenial::MayHaveRun))]
 fn a_call_is_written_only_for_what_goes_on(
     #[case] state: CallState,
-    #[case] refusal: Option<CallRefusal>,
+    #[case] refusal: Option<CallDenial>,
 ) {
     assert_eq!(permit_call(state).err(), refusal);
 }
--- a/src/routing/policy/close_permission.rs
+++ b/src/routing/policy/close_permission.rs
@@ -31,7 +31,7 @@
 
 /// Why a connection stays open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum CloseRefusal {
+pub enum CloseDenial {
     /// What has come may be a request.
     #[error("bytes wait that were not read")]
     Unread,
@@ -51,15 +51,12 @@
 ///
 /// # Errors
 /// Why it may not.
-pub fn permit_close(
-    cause: CloseCause,
-    state: ConnectionState,
-) -> Result<ClosePermit, CloseRefusal> {
+pub fn permit_close(cause: CloseCause, state: ConnectionState) -> Result<ClosePermit, CloseDenial> {
     match (cause, state) {
         (CloseCause::ClientGone, _) => Ok(ClosePermit(())),
-        (_, ConnectionState::InHand) => Err(CloseRefusal::InHand),
-        (_, ConnectionState::Resting { has_unread: true }) => Err(CloseRefusal::Unread),
-        (CloseCause::Ending, ConnectionState::Arriving) => Err(CloseRefusal::Arriving),
+        (_, ConnectionState::InHand) => Err(CloseDenial::InHand),
+        (_, ConnectionState::Resting { has_unread: true }) => Err(CloseDenial::Unread),
+        (CloseCause::Ending, ConnectionState::Arriving) => Err(CloseDenial::Arriving),
         (CloseCause::TimeOver, ConnectionState::Arriving)
         | (_, ConnectionState::Resting { has_unread: false }) => Ok(ClosePermit(())),
     }
--- a/src/routing/policy/health.rs
+++ b/src/routing/policy/health.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl Policy {
-    pub(super) fn heard(&mut self, worker: &WorkerId, report: Option<Report>) {
+    pub(super) fn heard(&mut self, worker: &WorkerId, report: Option<LoadReport>) {
         if let (Some(w), Some(report)) = (self.workers.get_mut(worker), report) {
             w.report = Some((self.now, sane(report)));
         }
@@ -26,7 +26,10 @@
 
     /// Failures set a worker aside for a few connection time-outs, twice as long after each failed trial.
     pub(super) fn bad(&mut self, worker: &WorkerId, sent: Micros) {
-        let (now, base) = (self.now, self.set.connect_timeout.max(self.set.tick) * 4);
+        let (now, base) = (
+            self.now,
+            self.set.connect_timeout.max(self.set.batch_interval) * 4,
+        );
         if let Some(w) = self.workers.get_mut(worker) {
             w.failing += (1.0 - w.failing) * SICK;
             if (w.failing > SICK || w.lost) && sent >= w.sick_until {
@@ -77,7 +80,7 @@
         let request = self.requests.get(&id);
         let any_warm = self.ready(role).any(|(_, w)| !self.cold(w));
         let turn = request
-            .filter(|_| role == Role::Reader && any_warm)
+            .filter(|_| role == Role::Prefill && any_warm)
             .map(|r| self.slow_start_reader(r));
         let mut ready: Vec<(&WorkerId, &Worker)> = (self.ready(role))
             .filter(|(_, w)| request.is_none_or(|r| !r.may_have_run() || self.may_repeat_at(r, w)))
@@ -101,7 +104,7 @@
             let just = self
                 .workers
                 .values()
-                .filter(|w| w.answered_within(self.now, self.set.release));
+                .filter(|w| w.answered_within(self.now, self.set.kv_state_hold_limit));
             let zones: BTreeSet<&str> = just.map(|w| &*w.zone).collect();
             prefer(&mut ready, |(_, w)| zones.contains(&*w.zone));
             prefer(&mut ready, |(_, w)| {
@@ -123,7 +126,7 @@
             return healthy;
         }
         // Writers that read by themselves stand in for readers of which none can be reached.
-        let stand_in = role == Role::Reader && self.set.writers_read;
+        let stand_in = role == Role::Prefill && self.set.decode_workers_prefill;
         let all = ready
             .iter()
             .filter(|(id, w)| !w.lost || reached == 0 && !stand_in || healthy.contains(id));
--- a/src/routing/policy/held_state.rs
+++ b/src/routing/policy/held_state.rs
@@ -2,13 +2,13 @@
 //!
 //! A read state is held from the end of its read until a writer that runs takes it or a host that runs takes
 //! a release. Writing a request to a connection proves neither: only an answer does
-//! ([`Outcome::proves_arrival`]). So the release limit runs on behind a send until its writer has been heard
-//! from, and a release is ordered when the limit comes near, though the send is still out. Where the send
-//! has arrived that release has no effect, for a release lets go only of what no attempt waits for; where it
-//! has not, the release is what keeps the limit.
+//! ([`AttemptOutcome::proves_arrival`]). So the release limit runs on behind a send until its writer has
+//! been heard from, and a release is ordered when the limit comes near, though the send is still out.
+//! Where the send has arrived that release has no effect, for a release lets go only of what no attempt
+//! waits for; where it has not, the release is what keeps the limit.
 
 use super::Policy;
-use crate::routing::types::{Action, Micros, Outcome, ReleaseReason, RequestId, WorkerId};
+use crate::routing::types::{Action, AttemptOutcome, Micros, ReleaseReason, RequestId, WorkerId};
 
 /// Sweeps before the release limit at which what no writer has taken is released.
 pub(super) const SWEEPS_BEFORE_RELEASE: Micros = 2;
@@ -54,7 +54,7 @@
 
     /// A send to a writer has ended. Its end begins the limit anew only if the send is known to have
     /// arrived, or if a release ordered behind it has let go of the state in case it had not.
-    pub fn send_ended(&mut self, outcome: Outcome, now: Micros) {
+    pub fn send_ended(&mut self, outcome: AttemptOutcome, now: Micros) {
         let released = std::mem::take(&mut self.is_released_behind_send);
         if released && !outcome.may_have_arrived() {
             self.reader = None;
@@ -91,14 +91,14 @@
 impl Policy {
     /// How long before the release limit a release is ordered.
     pub(super) fn release_margin(&self, sweeps: Micros) -> Micros {
-        sweeps * self.sweep_every() + self.set.tick
+        sweeps * self.sweep_every() + self.set.batch_interval
     }
 
     /// Orders the release of a state whose send has not been answered when its limit comes near: that the
     /// send was written doesn't say that it has arrived.
     pub(super) fn release_behind_send(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let (limit, margin) = (
-            self.set.release,
+            self.set.kv_state_hold_limit,
             self.release_margin(SWEEPS_BEFORE_RELEASE_BEHIND_SEND),
         );
         let Some(r) = self.requests.get_mut(&id) else {
@@ -108,7 +108,7 @@
             r.held.set_released_behind_send();
             out.push(Action::Release {
                 request: id,
-                reason: ReleaseReason::UnansweredSend,
+                reason: ReleaseReason::SendUnanswered,
             });
         }
     }
--- a/src/routing/policy/held_state/tests.rs
+++ b/src/routing/policy/held_state/tests.rs
@@ -12,14 +12,14 @@
 
 /// Guards against an end that proves nothing giving a state more time.
 #[rstest]
-#[case::error(Outcome::Error, 300)]
-#[case::turned_away(Outcome::TurnedAway, 300)]
-#[case::no_answer(Outcome::NoAnswer, 0)]
-#[case::connection_lost(Outcome::ConnectionLost, 0)]
-#[case::dropped(Outcome::Dropped, 0)]
-#[case::no_connection(Outcome::NoConnection, 0)]
-#[case::not_sent(Outcome::NotSent, 0)]
-fn only_an_answer_begins_the_limit_anew(#[case] outcome: Outcome, #[case] since: Micros) {
+#[case::error(AttemptOutcome::Error, 300)]
+#[case::turned_away(AttemptOutcome::Rejected, 300)]
+#[case::no_answer(AttemptOutcome::TimedOut, 0)]
+#[case::connection_lost(AttemptOutcome::ConnectionLost, 0)]
+#[case::dropped(AttemptOutcome::Cancelled, 0)]
+#[case::no_connection(AttemptOutcome::ConnectFailed, 0)]
+#[case::not_sent(AttemptOutcome::NotSent, 0)]
+fn only_an_answer_begins_the_limit_anew(#[case] outcome: AttemptOutcome, #[case] since: Micros) {
     let mut held = held_since(0);
     held.send_ended(outcome, 300);
     assert!(held.is_held());
@@ -41,7 +41,7 @@
 fn behind_a_release_the_end_of_a_send_that_may_have_arrived_begins_the_limit_anew() {
     let mut held = held_since(0);
     held.set_released_behind_send();
-    held.send_ended(Outcome::NoAnswer, 900);
+    held.send_ended(AttemptOutcome::TimedOut, 900);
     assert_eq!(held.release_by(LIMIT), 900 + LIMIT);
     assert!(held.is_due_behind_send(900 + LIMIT - MARGIN, LIMIT, MARGIN));
 }
@@ -51,7 +51,7 @@
 fn behind_a_release_a_send_that_never_left_leaves_nothing_held() {
     let mut held = held_since(0);
     held.set_released_behind_send();
-    held.send_ended(Outcome::NoConnection, 900);
+    held.send_ended(AttemptOutcome::ConnectFailed, 900);
     assert!(!held.is_held());
 }
 
--- a/src/routing/policy/membership.rs
+++ b/src/routing/policy/membership.rs
@@ -8,24 +8,26 @@
 const CALL_WITHIN: Micros = 2_000_000;
 
 impl Policy {
-    pub(super) fn list(&mut self, kind: ListKind, entries: Vec<Entry>) {
-        let failures = if kind == ListKind::Failed {
+    pub(super) fn list(&mut self, kind: EndpointUpdate, entries: Vec<Endpoint>) {
+        let failures = if kind == EndpointUpdate::Failed {
             self.call_failures + 1
         } else {
             0
         };
         self.call_failures = failures.min(MAX_DOUBLINGS);
-        if matches!(kind, ListKind::Failed | ListKind::Saved) && self.set.list_on_request {
+        if matches!(kind, EndpointUpdate::Failed | EndpointUpdate::Restored)
+            && self.set.endpoints_on_request
+        {
             // A span for all routers' calls one by one, doubled with each failure: in step they never end.
             let span =
                 CALL_WITHIN.min((CALL * Micros::from(self.set.routers)) << self.call_failures);
             let drawn = unit(xxh3_64_with_seed(&self.now.to_le_bytes(), self.seed));
             self.call_due = Some(self.now + (span as f64 * drawn) as Micros);
         }
-        if kind == ListKind::Failed {
+        if kind == EndpointUpdate::Failed {
             return;
         }
-        if kind != ListKind::Changes {
+        if kind != EndpointUpdate::Incremental {
             self.workers
                 .values_mut()
                 .for_each(|w| w.status = Status::Gone);
@@ -39,13 +41,13 @@
         let busy = |id: &WorkerId| self.out.contains_key(id);
         self.workers
             .retain(|id, w| w.status != Status::Gone || busy(id));
-        for role in [Role::Reader, Role::Writer, Role::Mixed] {
+        for role in [Role::Prefill, Role::Decode, Role::Mixed] {
             self.most[role as usize] = self.most[role as usize].max(self.ready(role).count());
             self.learn_slowness(role);
         }
     }
 
-    pub(super) fn entry(&mut self, e: Entry) {
+    pub(super) fn entry(&mut self, e: Endpoint) {
         let kind = self.set.kinds.iter().find(|k| k.name == e.kind);
         let role = kind.map_or(Role::Mixed, |k| k.role);
         let memory = kind
@@ -84,7 +86,7 @@
         let groups = |w: &Worker| [(w.zone.clone(), Some(w.cell)), (w.zone.clone(), None)];
         let (mut parts, mut all) = (BTreeMap::<_, [f64; 2]>::new(), [0.0; 2]);
         for w in self.workers.values().filter(|w| w.status == Status::Ready) {
-            let others = [(0, Role::Writer), (1, Role::Reader)]
+            let others = [(0, Role::Decode), (1, Role::Prefill)]
                 .into_iter()
                 .filter(|o| o.1 != w.role);
             for (i, _) in others {
--- a/src/routing/policy/outcomes.rs
+++ b/src/routing/policy/outcomes.rs
@@ -48,14 +48,14 @@
         self.learn_slowness(role);
     }
 
-    pub(super) fn ended(&mut self, end: Ended, out: &mut Vec<Action>) {
-        let Ended {
+    pub(super) fn ended(&mut self, end: AttemptCompleted, out: &mut Vec<Action>) {
+        let AttemptCompleted {
             request: id,
             attempt,
             outcome,
             elapsed,
-            settled,
-            kept,
+            request_finished: settled,
+            cached_tokens: kept,
             report,
         } = end;
         let (now, i) = (self.now, attempt.0 as usize);
@@ -70,8 +70,8 @@
             out.remove(&(id, i));
         }
         match outcome {
-            Outcome::Read => self.patience[0] = self.patience[0].saturating_sub(1),
-            Outcome::NoAnswer if a.first.is_none() => {
+            AttemptOutcome::Prefilled => self.patience[0] = self.patience[0].saturating_sub(1),
+            AttemptOutcome::TimedOut if a.first.is_none() => {
                 let p = &mut self.patience[usize::from(a.writes)];
                 *p = (*p + 1).min(MAX_DOUBLINGS);
             }
@@ -84,9 +84,9 @@
         let (far, first, tokens) = (a.far, a.first, a.tokens);
         let unread = r.ask.prompt_tokens.saturating_sub(kept) as f64;
         let (class, kind) = (r.class, (r.class, r.ask.tenant.clone()));
-        if outcome == Outcome::Read && r.phase != Phase::Done {
+        if outcome == AttemptOutcome::Prefilled && r.phase != Phase::Done {
             r.held.hold(worker.clone(), now);
-        } else if outcome == Outcome::NoState || !writes && !outcome.never_ran() {
+        } else if outcome == AttemptOutcome::KvStateMissing || !writes && !outcome.never_ran() {
             // A read may have ended well as it was given up or broke; what this writer doesn't find may be
             // elsewhere. What is left is held like any state.
             r.held.clear();
@@ -97,19 +97,19 @@
         }
         self.heard(&worker, report);
         if let (Some(at), Some(w)) = (first, self.workers.get_mut(&worker)) {
-            let ended = f64::from(u8::from(outcome == Outcome::Served));
+            let ended = f64::from(u8::from(outcome == AttemptOutcome::Served));
             w.streams[0].add(now, STREAMS_HALF_LIFE, (now - at) as f64);
             w.streams[1].add(now, STREAMS_HALF_LIFE, ended);
         }
         match outcome {
-            Outcome::Read => {
+            AttemptOutcome::Prefilled => {
                 self.learned.unread.add(unread, LEARN);
                 self.good(&worker, sent, class);
                 self.learn(&worker, None, elapsed, work - tokens + unread);
             }
-            Outcome::Served if first.is_none() => self.good(&worker, sent, class),
+            AttemptOutcome::Served if first.is_none() => self.good(&worker, sent, class),
             // Full, perhaps for this kind of request alone: others may still go there.
-            Outcome::TurnedAway => {
+            AttemptOutcome::Rejected => {
                 let until = now + HALF_LIFE / 2;
                 self.workers
                     .entry(worker.clone())
@@ -117,7 +117,7 @@
             }
             // One sent later was answered: this one doesn't wait there, its answer was lost on the way.
             // Guards against setting workers aside, or taking them to be full, while most answers come.
-            Outcome::NoAnswer
+            AttemptOutcome::TimedOut
                 if self
                     .workers
                     .get(&worker)
@@ -127,7 +127,7 @@
                     w.answers.entry(class).or_default()[0].add(now, HALF_LIFE, 1.0);
                 }
             }
-            Outcome::NoAnswer => {
+            AttemptOutcome::TimedOut => {
                 self.learn(&worker, writes.then_some(far), elapsed, work);
                 self.bad(&worker, sent);
                 if writes {
@@ -146,27 +146,30 @@
                         .and_modify(|w| w.others.add(now, HALF_LIFE, waiting));
                 }
             }
-            Outcome::Error | Outcome::ConnectionLost => {
+            AttemptOutcome::Error | AttemptOutcome::ConnectionLost => {
                 self.workers
                     .entry(worker.clone())
                     .and_modify(|w| w.faults[0].add(now, PREFIX_TTL, 1.0));
                 self.bad(&worker, sent);
             }
-            Outcome::NoConnection => {
+            AttemptOutcome::ConnectFailed => {
                 // Twice in a row: once may be a full table of connections.
                 self.workers.entry(worker.clone()).and_modify(|w| {
                     (w.lost, w.unreached) = (w.lost || w.failing >= SICK, Some(now));
                 });
                 self.bad(&worker, sent);
             }
-            Outcome::Served | Outcome::NoState | Outcome::Dropped | Outcome::NotSent => {}
+            AttemptOutcome::Served
+            | AttemptOutcome::KvStateMissing
+            | AttemptOutcome::Cancelled
+            | AttemptOutcome::NotSent => {}
         }
         let Some(r) = self.requests.get_mut(&id) else {
             return;
         };
         if settled || r.phase == Phase::Done {
             // Whatever the attempt left behind is let go, also what a drop or a late read left.
-            if outcome != Outcome::Served {
+            if outcome != AttemptOutcome::Served {
                 r.held.hold(worker, now);
             }
             self.close(id, out);
--- a/src/routing/policy/permission.rs
+++ b/src/routing/policy/permission.rs
@@ -13,7 +13,9 @@
 
 use super::Policy;
 use crate::routing::model::{Phase, Request, Worker};
-use crate::routing::types::{Class, Effect, Group, Micros, RequestId, Status, WorkerId};
+use crate::routing::types::{
+    DeduplicationScope, Idempotency, Micros, RequestClass, RequestId, Status, WorkerId,
+};
 
 /// Permission to send one attempt to one worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -25,7 +27,7 @@
 
 /// Why an attempt is not sent, or not written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum SendRefusal {
+pub enum SendDenial {
     /// The request or the worker is not known.
     #[error("the request or the worker is not known")]
     Unknown,
@@ -34,7 +36,7 @@
     Answered,
     /// All attempts of the request are spent.
     #[error("all attempts are spent")]
-    AttemptsSpent,
+    AttemptsExhausted,
     /// An attempt of the request is out.
     #[error("another attempt is out")]
     InFlight,
@@ -49,7 +51,7 @@
     SlowStart,
     /// The client has left.
     #[error("the client has left")]
-    ClientLeft,
+    ClientDisconnected,
 }
 
 /// What is known at the moment in which an attempt is about to be written.
@@ -99,15 +101,15 @@
     ///
     /// # Errors
     /// Why it may not.
-    pub fn check_write(&self, state: WriteState) -> Result<WritePermit, SendRefusal> {
+    pub fn check_write(&self, state: WriteState) -> Result<WritePermit, SendDenial> {
         if !state.is_in_service {
-            return Err(SendRefusal::NotInService);
+            return Err(SendDenial::NotInService);
         }
         if state.has_client_left {
-            return Err(SendRefusal::ClientLeft);
+            return Err(SendDenial::ClientDisconnected);
         }
         if self.send_by.is_some_and(|by| state.now >= by) {
-            return Err(SendRefusal::MayHaveRun);
+            return Err(SendDenial::MayHaveRun);
         }
         Ok(WritePermit(()))
     }
@@ -120,32 +122,34 @@
         id: RequestId,
         worker: &WorkerId,
         writes: bool,
-    ) -> Result<SendPermit, SendRefusal> {
-        let request = self.requests.get(&id).ok_or(SendRefusal::Unknown)?;
-        let to = self.workers.get(worker).ok_or(SendRefusal::Unknown)?;
+    ) -> Result<SendPermit, SendDenial> {
+        let request = self.requests.get(&id).ok_or(SendDenial::Unknown)?;
+        let to = self.workers.get(worker).ok_or(SendDenial::Unknown)?;
         if matches!(request.phase, Phase::Done | Phase::Streaming) {
-            return Err(SendRefusal::Answered);
+            return Err(SendDenial::Answered);
         }
         if request.out().next().is_some() {
-            return Err(SendRefusal::InFlight);
+            return Err(SendDenial::InFlight);
         }
         if request.spent() {
-            return Err(SendRefusal::AttemptsSpent);
+            return Err(SendDenial::AttemptsExhausted);
         }
         if request.may_have_run() && !self.may_repeat_at(request, to) {
-            return Err(SendRefusal::MayHaveRun);
+            return Err(SendDenial::MayHaveRun);
         }
         if to.status != Status::Ready {
-            return Err(SendRefusal::NotInService);
+            return Err(SendDenial::NotInService);
         }
         if self.cold(to) && !self.has_room(worker, to) {
-            return Err(SendRefusal::SlowStart);
+            return Err(SendDenial::SlowStart);
         }
         Ok(SendPermit {
             send_by: self
                 .repeat_until(request, to)
                 .filter(|by| *by < Micros::MAX),
-            connect_by: request.held.connect_by(self.now, self.set.release),
+            connect_by: request
+                .held
+                .connect_by(self.now, self.set.kv_state_hold_limit),
             reads: !writes,
         })
     }
@@ -153,18 +157,18 @@
     /// Until when a request may be written to a worker, if at all: what may have run, and is not harmless to
     /// repeat, only inside the group and the window of each earlier attempt.
     fn repeat_until(&self, request: &Request, to: &Worker) -> Option<Micros> {
-        let Class {
-            effect,
-            repeat_window,
+        let RequestClass {
+            idempotency: effect,
+            deduplication_window: repeat_window,
             ..
         } = self.set.classes[request.class];
         let drops_repeats_of = |first: &Worker| match effect {
-            Effect::Safe | Effect::Keyed(Group::All) => true,
-            Effect::Keyed(Group::Zone) => first.zone == to.zone,
-            Effect::Keyed(Group::Cell) => first.cell == to.cell,
-            Effect::Unsafe => false,
+            Idempotency::Idempotent | Idempotency::WithKey(DeduplicationScope::All) => true,
+            Idempotency::WithKey(DeduplicationScope::Zone) => first.zone == to.zone,
+            Idempotency::WithKey(DeduplicationScope::Cell) => first.cell == to.cell,
+            Idempotency::NonIdempotent => false,
         };
-        if effect == Effect::Safe {
+        if effect == Idempotency::Idempotent {
             return Some(Micros::MAX);
         }
         let mut until = Micros::MAX;
@@ -185,7 +189,7 @@
     /// Whether a request may be refused, which tells its client that trying again is harmless.
     pub(super) fn may_refuse(&self, request: &Request) -> bool {
         self.set.classes[request.class]
-            .effect
+            .idempotency
             .is_harmless_to_repeat()
             || !request.may_have_run()
     }
--- a/src/routing/policy/permission/tests.rs
+++ b/src/routing/policy/permission/tests.rs
@@ -6,14 +6,14 @@
 /// Guards against a decision that no longer holds when its connection has come up.
 #[rstest]
 #[case::in_time(SEND_BY - 1, true, false, Ok(()))]
-#[case::late(SEND_BY, true, false, Err(SendRefusal::MayHaveRun))]
-#[case::draining(0, false, false, Err(SendRefusal::NotInService))]
-#[case::left(0, true, true, Err(SendRefusal::ClientLeft))]
+#[case::late(SEND_BY, true, false, Err(SendDenial::MayHaveRun))]
+#[case::draining(0, false, false, Err(SendDenial::NotInService))]
+#[case::left(0, true, true, Err(SendDenial::ClientDisconnected))]
 fn a_permit_is_checked_again_at_the_write(
     #[case] now: Micros,
     #[case] is_in_service: bool,
     #[case] has_client_left: bool,
-    #[case] expected: Result<(), SendRefusal>,
+    #[case] expected: Result<(), SendDenial>,
 ) {
     let permit = SendPermit {
         send_by: Some(SEND_BY),
--- a/src/routing/policy/placement.rs
+++ b/src/routing/policy/placement.rs
@@ -98,7 +98,7 @@
             .set
             .classes
             .iter()
-            .map(|c| c.aim_per_1000_tokens)
+            .map(|c| c.ttft_objective_per_1000_tokens)
             .max()
             .unwrap_or(0);
         if stated > 0 {
@@ -124,12 +124,12 @@
 
     /// The reader to which a text belongs: rendezvous hashing by size, the same at every router of a zone,
     /// but for cold ones. A zone's own readers serve it as far as their part of all readers goes.
-    pub(super) fn home(&self, ask: &Ask, usable: &[WorkerId]) -> Option<WorkerId> {
+    pub(super) fn home(&self, ask: &RequestSpec, usable: &[WorkerId]) -> Option<WorkerId> {
         let key = hash_key(ask, self.seed, self.homes(ask));
         let zones: BTreeSet<&str> = self.workers.values().map(|w| w.zone.as_str()).collect();
         let here = |w: &&WorkerId| self.workers[*w].zone == self.set.zone;
         let can = |zone: &dyn Fn(&str) -> bool| -> f64 {
-            self.ready(Role::Reader)
+            self.ready(Role::Prefill)
                 .filter(|(_, w)| zone(&w.zone))
                 .map(|(_, w)| self.can(w))
                 .sum()
@@ -148,8 +148,8 @@
 
     /// Homes of a shared text, among which its sessions are spread: its part of all requests, in readers,
     /// where there are many. A rare one is read anew at each; a frequent one is more than a reader can take.
-    pub(super) fn homes(&self, ask: &Ask) -> u64 {
-        let readers = self.most[Role::Reader as usize] as u64;
+    pub(super) fn homes(&self, ask: &RequestSpec) -> u64 {
+        let readers = self.most[Role::Prefill as usize] as u64;
         let part = self.kept.share(ask, self.now, PREFIX_TTL);
         ((part * readers as f64).round() as u64)
             .min(readers / READERS_A_HOME)
@@ -183,8 +183,8 @@
         let report = self.workers.get(worker).and_then(|w| w.report);
         let Some((
             at,
-            Report {
-                tokens_waiting: Some(tokens),
+            LoadReport {
+                queued_tokens: Some(tokens),
                 ..
             },
         )) = report
@@ -197,7 +197,7 @@
 
     pub(super) fn pick_writer(&self, id: RequestId, reader: Option<&WorkerId>) -> Option<WorkerId> {
         let r = self.requests.get(&id)?;
-        let mut usable = self.usable(Role::Writer, id);
+        let mut usable = self.usable(Role::Decode, id);
         usable.extend(self.usable(Role::Mixed, id));
         // An answer lost, perhaps to a slow way, is as bad as a full memory.
         let drags = self.drags(&usable);
@@ -300,7 +300,7 @@
         let projected = match w.report {
             Some((
                 at,
-                Report {
+                LoadReport {
                     memory_share: Some(share),
                     ..
                 },
@@ -334,7 +334,8 @@
             return 0.0;
         };
         let [faults, came] = w.faults.map(|f| f.left(self.now, PREFIX_TTL));
-        let unknown = self.set.classes[r.class].effect == Effect::Unsafe && w.last_good == 0;
+        let unknown =
+            self.set.classes[r.class].idempotency == Idempotency::NonIdempotent && w.last_good == 0;
         faults / (faults + came + 1.0) + if unknown { CLEARLY_FULLER / 2.0 } else { 0.0 }
     }
 
--- a/src/routing/policy/sending.rs
+++ b/src/routing/policy/sending.rs
@@ -6,11 +6,11 @@
 const OVERDUE: f64 = 4.0;
 
 impl Request {
-    fn growth(&self, class: &Class) -> f64 {
+    fn growth(&self, class: &RequestClass) -> f64 {
         let half = self.ask.max_tokens as f64 / 2.0;
         match self.ask.hint {
-            Some(hint) if class.token_aim > 0 => {
-                (hint as f64 / class.token_aim as f64).min(half * 2.0)
+            Some(hint) if class.inter_token_objective > 0 => {
+                (hint as f64 / class.inter_token_objective as f64).min(half * 2.0)
             }
             _ => half,
         }
@@ -31,7 +31,7 @@
         let permit = match self.permit_send(id, worker, writes) {
             Ok(permit) => permit,
             Err(refusal) => {
-                return out.push(Action::SendRefused {
+                return out.push(Action::SendDenied {
                     request: id,
                     worker: worker.clone(),
                     refusal,
@@ -55,7 +55,7 @@
             (prompt + r.growth(class), work, self.learned.write_pace[far])
         };
         // Well past what this work takes, but leaving as long again for another try, if there may be one.
-        let last = writes && class.effect != Effect::Safe;
+        let last = writes && class.idempotency != Idempotency::Idempotent;
         let takes = |work: f64| pace.or(0.0) * work * self.slowness(worker);
         let expected =
             (takes(work) as Micros) << self.patience[usize::from(writes)].saturating_sub(1);
--- a/src/routing/policy/slow_start.rs
+++ b/src/routing/policy/slow_start.rs
@@ -11,8 +11,9 @@
         let age = w
             .started
             .map_or(f64::MAX, |at| self.now.saturating_sub(at) as f64);
-        let part = (age / (0.7 * self.set.cold.max(1) as f64)).min(1.0);
-        (self.set.cold_from + (1.0 - self.set.cold_from) * part).max(0.05)
+        let part = (age / (0.7 * self.set.slow_start_duration.max(1) as f64)).min(1.0);
+        (self.set.slow_start_initial_capacity + (1.0 - self.set.slow_start_initial_capacity) * part)
+            .max(0.05)
     }
 
     pub(super) fn can(&self, w: &Worker) -> f64 {
@@ -21,13 +22,13 @@
 
     pub(super) fn cold(&self, w: &Worker) -> bool {
         w.started
-            .is_some_and(|at| self.now < at.saturating_add(self.set.cold))
+            .is_some_and(|at| self.now < at.saturating_add(self.set.slow_start_duration))
     }
 
     /// The one reader in slow start that may get this request, once: one in whose budget this router is one
     /// of few with a share, for a session of which it knows no reader, else the home of its text.
     pub(super) fn slow_start_reader(&self, r: &Request) -> Option<WorkerId> {
-        let ready = || self.ready(Role::Reader);
+        let ready = || self.ready(Role::Prefill);
         let rank =
             |id: &WorkerId| xxh3_64_with_seed(id.0.as_bytes(), hash_key(&r.ask, self.seed, 1));
         let shares = |id, w| self.cold(w) && self.is_concentrated(w) && self.has_room(id, w);
@@ -46,7 +47,7 @@
 
     /// Learns what a warm worker of each role completes, as requests arrive; that stands while none is warm.
     pub(super) fn learn_rates(&mut self) {
-        for role in [Role::Reader, Role::Writer, Role::Mixed] {
+        for role in [Role::Prefill, Role::Decode, Role::Mixed] {
             let warm = || {
                 self.ready(role)
                     .filter(|(_, w)| !self.cold(w))
@@ -75,11 +76,12 @@
         let age = self
             .now
             .saturating_sub(w.started.unwrap_or(0))
-            .saturating_sub(self.set.fall);
-        let age = age as f64 / self.set.cold.max(1) as f64;
-        let part = self.set.cold_from + (1.0 - self.set.cold_from) * age.min(1.0);
-        let all = each * f64::from(self.set.routers) * part * self.set.fall as f64;
-        let bears = (all * self.set.fall_multiple).max(1.0);
+            .saturating_sub(self.set.overload_window);
+        let age = age as f64 / self.set.slow_start_duration.max(1) as f64;
+        let part = self.set.slow_start_initial_capacity
+            + (1.0 - self.set.slow_start_initial_capacity) * age.min(1.0);
+        let all = each * f64::from(self.set.routers) * part * self.set.overload_window as f64;
+        let bears = (all * self.set.overload_factor).max(1.0);
         // Where all are in slow start nothing is drawn, so nothing is put down to chance.
         let roots = match self.ready(w.role).any(|(_, p)| !self.cold(p)) {
             false => 0.0,
@@ -92,7 +94,7 @@
     /// Sends are counted as they are decided, and written up to a connect time-out later.
     pub(super) fn slow_start_window(&self) -> Micros {
         self.set
-            .fall
+            .overload_window
             .max(1)
             .saturating_add(self.set.connect_timeout)
     }
@@ -107,8 +109,8 @@
     pub(super) fn has_room(&self, id: &WorkerId, w: &Worker) -> bool {
         let (routers, window) = (f64::from(self.set.routers.max(1)), self.slow_start_window());
         let budget = self.slow_start_budget(w);
-        let senders =
-            budget / self.set.fall_multiple.max(1.0) * window as f64 / self.set.fall.max(1) as f64;
+        let senders = budget / self.set.overload_factor.max(1.0) * window as f64
+            / self.set.overload_window.max(1) as f64;
         let start = unit(xxh3_64_with_seed(id.0.as_bytes(), w.started.unwrap_or(0)));
         let turn = |index| (f64::from(index) + self.now as f64 / window as f64) / routers + start;
         // A router without a number counts on no rest.
--- a/src/routing/types.rs
+++ b/src/routing/types.rs
@@ -3,9 +3,9 @@
 //! Everything here is plain data in the words of the domain. Times are microseconds on the caller's clock.
 
 pub use crate::routing::policy::call_permission::{
-    CallPermit, CallRefusal, CallState, ReleasePermit, permit_call,
+    CallDenial, CallPermit, CallState, ReleasePermit, permit_call,
 };
-pub use crate::routing::policy::permission::{SendPermit, SendRefusal, WritePermit, WriteState};
+pub use crate::routing::policy::permission::{SendDenial, SendPermit, WritePermit, WriteState};
 use std::sync::Arc;
 
 /// Microseconds: a moment on the caller's monotonic clock, or a length of time.
@@ -31,9 +31,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Role {
     /// Reads prompts; the read state waits in its memory.
-    Reader,
+    Prefill,
     /// Takes a read state over and streams the answer.
-    Writer,
+    Decode,
     /// Does both.
     #[default]
     Mixed,
@@ -41,7 +41,7 @@
 
 /// A kind of worker.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Kind {
+pub struct WorkerKind {
     /// Its name in worker lists.
     pub name: String,
     /// What it does.
@@ -52,26 +52,29 @@
 
 /// What repeating a request does.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// May be repeated at will.
     #[default]
-    Safe,
+    Idempotent,
     /// Repeats are dropped by the workers of one group for a time.
-    Keyed(Group),
+    WithKey(DeduplicationScope),
     /// Must never run twice.
-    Unsafe,
+    NonIdempotent,
 }
 
-impl Effect {
+impl Idempotency {
     /// Whether a repeat does no harm, wherever and whenever it comes.
     pub fn is_harmless_to_repeat(self) -> bool {
-        matches!(self, Effect::Safe | Effect::Keyed(Group::All))
+        matches!(
+            self,
+            Idempotency::Idempotent | Idempotency::WithKey(DeduplicationScope::All)
+        )
     }
 }
 
 /// The workers that drop each other's repeats of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DeduplicationScope {
     /// All of them.
     All,
     /// Those of one zone.
@@ -82,25 +85,25 @@
 
 /// A class of requests.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Class {
+pub struct RequestClass {
     /// Its name.
     pub name: String,
     /// What a repeat does.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// How long workers remember a keyed request, from the first send that may have run.
-    pub repeat_window: Micros,
+    pub deduplication_window: Micros,
     /// First token wanted within this, before the share that grows with the prompt.
-    pub aim: Micros,
+    pub ttft_objective: Micros,
     /// Added to the aim for each 1,000 prompt tokens.
-    pub aim_per_1000_tokens: Micros,
+    pub ttft_objective_per_1000_tokens: Micros,
     /// Wanted time between tokens.
-    pub token_aim: Micros,
+    pub inter_token_objective: Micros,
     /// A client's patience over all its tries.
-    pub give_up: Micros,
+    pub client_timeout: Micros,
     /// Worth of a request, per request or per unit of work.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Share of the worth that a late answer still earns.
-    pub late_share: f64,
+    pub late_value_share: f64,
 }
 
 /// A tenant and its share of the service.
@@ -114,19 +117,19 @@
 
 /// How workers report their load.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Reports {
+pub enum LoadReporting {
     /// Never.
     #[default]
     None,
     /// With probe results only.
-    Probes,
+    HealthChecks,
     /// With outcomes and probe results.
-    Answers,
+    Responses,
 }
 
 /// What a deployment states at start.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Settings {
+pub struct RoutingConfig {
     /// This router's number among `routers`, from 0; `None`: the settings state none.
     pub index: Option<u32>,
     /// How many routers serve this deployment.
@@ -134,31 +137,31 @@
     /// This router's zone.
     pub zone: String,
     /// The kinds of worker.
-    pub kinds: Vec<Kind>,
+    pub kinds: Vec<WorkerKind>,
     /// The classes of request.
-    pub classes: Vec<Class>,
+    pub classes: Vec<RequestClass>,
     /// The tenants; may be empty.
     pub tenants: Vec<Tenant>,
     /// Worth of a request beyond its tenant's share, as a part of its class's worth.
-    pub over_share_worth: f64,
+    pub over_quota_weight: f64,
     /// How load is reported.
-    pub reports: Reports,
+    pub load_reporting: LoadReporting,
     /// Whether list changes come only after a subscription.
-    pub list_on_request: bool,
+    pub endpoints_on_request: bool,
     /// A router without subscription counts as told of list changes this long after they happened.
-    pub ask_within: Micros,
+    pub endpoint_update_limit: Micros,
     /// Whether probes are allowed.
-    pub may_probe: bool,
+    pub health_checks_allowed: bool,
     /// Whether routers may send each other messages.
-    pub may_tell: bool,
+    pub gossip_allowed: bool,
     /// Whether attempts may be dropped.
-    pub may_drop: bool,
+    pub cancellation_allowed: bool,
     /// Whether two attempts of one request may be out at once.
-    pub second_copies: bool,
+    pub hedging_allowed: bool,
     /// Whether a writer reads a prompt itself when there is no state to take.
-    pub writers_read: bool,
+    pub decode_workers_prefill: bool,
     /// Whether clients hear retry advice.
-    pub retry_advice: bool,
+    pub advises_retry_after: bool,
     /// The longest advice that a client follows.
     pub max_retry_after: Micros,
     /// Attempts allowed for each request.
@@ -166,28 +169,28 @@
     /// A connection that is not made by then has failed.
     pub connect_timeout: Micros,
     /// The least time between two batches of events.
-    pub tick: Micros,
+    pub batch_interval: Micros,
     /// A state or place held while no attempt is out must be taken or let go within this.
-    pub release: Micros,
+    pub kv_state_hold_limit: Micros,
     /// A final answer still counts this long after the client's deadline.
-    pub answer_slack: Micros,
+    pub response_grace: Micros,
     /// Nothing new may reach a draining or gone worker later than this after the news.
     pub drain_grace: Micros,
     /// A worker starts with at least this part of its capacity.
-    pub cold_from: f64,
+    pub slow_start_initial_capacity: f64,
     /// A worker is warm this long after its start.
-    pub cold: Micros,
+    pub slow_start_duration: Micros,
     /// A cold worker falls over when sent more than this multiple of its present capacity...
-    pub fall_multiple: f64,
+    pub overload_factor: f64,
     /// ...over this long.
-    pub fall: Micros,
+    pub overload_window: Micros,
 }
 
-impl Settings {
+impl RoutingConfig {
     /// Whether nothing tells this router of the load that the others make: it asks nobody, since of many routers
     /// each would.
     pub fn load_unknown(&self) -> bool {
-        self.reports != Reports::Answers
+        self.load_reporting != LoadReporting::Responses
     }
 }
 
@@ -205,12 +208,12 @@
 
 /// One worker in a list.
 #[derive(Clone, Debug)]
-pub struct Entry {
+pub struct Endpoint {
     /// The worker.
     pub worker: WorkerId,
     /// Its zone.
     pub zone: String,
-    /// Its kind, a name of [`Settings::kinds`].
+    /// Its kind, a name of [`RoutingConfig::kinds`].
     pub kind: String,
     /// Its cell: workers near each other.
     pub cell: u64,
@@ -224,20 +227,20 @@
 
 /// How a list of workers came.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListKind {
+pub enum EndpointUpdate {
     /// Changed entries only.
-    Changes,
+    Incremental,
     /// The whole list.
     Full,
     /// The whole list as an earlier life of this router last had it; may be stale.
-    Saved,
+    Restored,
     /// A call or the subscription failed; the list stands.
     Failed,
 }
 
 /// A request as it came in.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct RequestSpec {
     /// Its number.
     pub request: RequestId,
     /// When the client abandons this try.
@@ -262,52 +265,58 @@
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum AttemptOutcome {
     /// The answer reached the client.
     Served,
     /// Prompt read; the state waits at the reader.
-    Read,
+    Prefilled,
     /// The worker returned an error; may have run.
     Error,
     /// No room, or draining; did not run.
-    TurnedAway,
+    Rejected,
     /// Nothing there to take over; did not run.
-    NoState,
+    KvStateMissing,
     /// No reply in time; may have run.
-    NoAnswer,
+    TimedOut,
     /// Never reached the worker.
-    NoConnection,
+    ConnectFailed,
     /// The connection broke; may have run.
     ConnectionLost,
     /// Dropped by the router; may have run.
-    Dropped,
+    Cancelled,
     /// Not sent at all.
     NotSent,
 }
 
-impl Outcome {
+impl AttemptOutcome {
     /// Whether this outcome proves that the attempt had no effect.
     pub fn never_ran(self) -> bool {
-        use Outcome::*;
-        matches!(self, Read | TurnedAway | NoState | NoConnection | NotSent)
+        use AttemptOutcome::*;
+        matches!(
+            self,
+            Prefilled | Rejected | KvStateMissing | ConnectFailed | NotSent
+        )
     }
 
     /// Whether this outcome proves that an attempt at a writer had no effect. A writer has no prompts to read: one that
     /// says that it did is not believed.
     pub fn rules_out_a_run_at_a_writer(self) -> bool {
-        self.never_ran() && self != Outcome::Read
+        self.never_ran() && self != AttemptOutcome::Prefilled
     }
 
     /// Whether this outcome proves that the attempt had arrived at a worker that runs: the worker has answered. That
     /// its bytes were written, or that the connection broke behind them, proves nothing.
     pub fn proves_arrival(self) -> bool {
-        use Outcome::*;
-        matches!(self, Served | Read | Error | TurnedAway | NoState)
+        use AttemptOutcome::*;
+        matches!(self, Served | Prefilled | Error | Rejected | KvStateMissing)
     }
 
     /// Whether the attempt may have arrived: its last byte was written.
     pub fn may_have_arrived(self) -> bool {
-        !matches!(self, Outcome::NoConnection | Outcome::NotSent)
+        !matches!(
+            self,
+            AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent
+        )
     }
 }
 
@@ -315,78 +324,78 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReleaseReason {
     /// No writer took it in time.
-    Untaken,
+    HoldExpiring,
     /// The send that is to take it has not been answered in time, so that it may not have arrived.
-    UnansweredSend,
+    SendUnanswered,
     /// An attempt has ended that may have left something, or did not find it.
     AttemptEnded,
     /// The request is over.
-    RequestOver,
+    RequestFinished,
     /// The conductor that had the request has died, and another one has adopted it.
-    ConductorDied,
+    RouterFailed,
 }
 
 /// Why a request ends without an answer of a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndReason {
     /// Its deadline has come, or is too near for anything more.
-    DeadlineNear,
+    DeadlineExceeded,
     /// All its attempts are spent.
-    AttemptsSpent,
+    AttemptsExhausted,
     /// It may have run, and no worker may repeat it.
-    NoRepeatAllowed,
+    RetryNotAllowed,
     /// It can't begin before its client leaves.
-    Doomed,
+    DeadlineUnreachable,
     /// It can't be in time, or its tenant asks for more than its share, and there is no room now.
-    NoRoom,
+    NoCapacity,
 }
 
 /// A worker's report of its load; values that are not reported are `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Report {
+pub struct LoadReport {
     /// Requests it holds, waiting states included.
-    pub in_hand: Option<f64>,
+    pub active_requests: Option<f64>,
     /// Requests that wait in its queue.
-    pub queued: Option<f64>,
+    pub queued_requests: Option<f64>,
     /// Share of its memory that is held.
     pub memory_share: Option<f64>,
     /// Prompt tokens that wait to be read or fetched.
-    pub tokens_waiting: Option<f64>,
+    pub queued_tokens: Option<f64>,
 }
 
 /// The end of an attempt.
 #[derive(Clone, Copy, Debug)]
-pub struct Ended {
+pub struct AttemptCompleted {
     /// The request.
     pub request: RequestId,
     /// The attempt.
     pub attempt: AttemptIndex,
     /// How it ended.
-    pub outcome: Outcome,
+    pub outcome: AttemptOutcome,
     /// Time since its send.
     pub elapsed: Micros,
     /// Whether the request is finished.
-    pub settled: bool,
+    pub request_finished: bool,
     /// Prompt tokens found kept, with `Read` and `Served`.
-    pub kept: u64,
+    pub cached_tokens: u64,
     /// The worker's load, if told.
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
 }
 
 /// Something that happened.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// News of the worker list.
-    List {
+    EndpointsUpdated {
         /// How it came.
-        kind: ListKind,
+        kind: EndpointUpdate,
         /// Its entries.
-        entries: Vec<Entry>,
+        entries: Vec<Endpoint>,
     },
     /// A client asks.
-    Ask(Ask),
+    RequestArrived(RequestSpec),
     /// An answer has begun to stream.
-    Started {
+    StreamStarted {
         /// The request.
         request: RequestId,
         /// The attempt.
@@ -395,9 +404,9 @@
         elapsed: Micros,
     },
     /// An attempt has ended.
-    Ended(Ended),
+    AttemptCompleted(AttemptCompleted),
     /// The answer to a hold of a place.
-    Place {
+    ReservationResult {
         /// The request.
         request: RequestId,
         /// The worker asked.
@@ -406,20 +415,20 @@
         held: bool,
     },
     /// The client has left.
-    Left {
+    ClientDisconnected {
         /// The request.
         request: RequestId,
     },
     /// A timer is due.
     Timer(TimerId),
     /// A probe's result.
-    Probed {
+    HealthCheckCompleted {
         /// The worker.
         worker: WorkerId,
         /// `Served` or what went wrong.
-        outcome: Outcome,
+        outcome: AttemptOutcome,
         /// The worker's load, if told.
-        report: Option<Report>,
+        report: Option<LoadReport>,
     },
     /// Whether this process may send to workers in slow start: of two processes of one router, one may. It may not until
     /// it is told so.
@@ -428,7 +437,7 @@
         allowed: bool,
     },
     /// A message of another router.
-    Peer {
+    GossipReceived {
         /// The sender's index.
         from: u32,
         /// Its bytes.
@@ -451,16 +460,16 @@
         permit: SendPermit,
     },
     /// A send that was decided is not permitted: nothing to do, but to tell the operators.
-    SendRefused {
+    SendDenied {
         /// The request.
         request: RequestId,
         /// The worker.
         worker: WorkerId,
         /// Why.
-        refusal: SendRefusal,
+        refusal: SendDenial,
     },
     /// Refuse: trying again is harmless.
-    Refuse {
+    Reject {
         /// The request.
         request: RequestId,
         /// Why.
@@ -476,7 +485,7 @@
         reason: EndReason,
     },
     /// Stop waiting for an attempt.
-    Drop {
+    Cancel {
         /// The request.
         request: RequestId,
         /// The attempt.
--- a/src/run.rs
+++ b/src/run.rs
@@ -33,7 +33,7 @@
 use whinhaven::net::upgrade::{self, Place, Sharing};
 use whinhaven::ops::door::{DOOR_SOCKETS, Door};
 use whinhaven::ops::figures::Figures;
-use whinhaven::routing::types::{ListKind, Role, WorkerId};
+use whinhaven::routing::types::{EndpointUpdate, Role, WorkerId};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// After SIGTERM new connections keep coming for up to 0.4 s; they are accepted for longer than that.
@@ -264,8 +264,9 @@
     };
     if let Some(work) = &work {
         let (directory, kinds) = (directory.clone(), settings.kinds.clone());
-        let reads =
-            Box::new(move |worker: &WorkerId| directory.role(worker, &kinds) == Some(Role::Reader));
+        let reads = Box::new(move |worker: &WorkerId| {
+            directory.role(worker, &kinds) == Some(Role::Prefill)
+        });
         outbound = Recording::start(outbound, work.clone(), core.clone(), reads);
     }
     let driver = Core::new(
@@ -282,7 +283,7 @@
             let pool = pool.clone();
             move |worker| pool.hang_up(worker)
         }),
-        ask: settings.list_on_request.then_some(watch_again),
+        ask: settings.endpoints_on_request.then_some(watch_again),
         fetch_list: fetch_list.clone(),
         counters: counters.clone(),
         weigh: sites.clone().map(|sites| {
@@ -298,7 +299,7 @@
             }
         }
     };
-    follower.take(std::mem::take(&mut config.known), ListKind::Saved);
+    follower.take(std::mem::take(&mut config.known), EndpointUpdate::Restored);
     tokio::task::spawn_local(driver.run(queue));
     let (discovery, address_told) = watch::channel(config.discovery);
     tokio::task::spawn_local(follower.follow(address_told));
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -150,7 +150,7 @@
         }
     }
 
-    fn report(&mut self) -> Parsed<Option<Report>> {
+    fn report(&mut self) -> Parsed<Option<LoadReport>> {
         let Some(text) = self.optional("health_info")? else {
             return Ok(None);
         };
@@ -164,21 +164,21 @@
 ///
 /// # Errors
 /// The pair that can't be read.
-pub fn read_report(text: &str) -> Result<Report, String> {
-    let mut report = Report::default();
+pub fn read_report(text: &str) -> Result<LoadReport, String> {
+    let mut report = LoadReport::default();
     for pair in text.split(',') {
         let (name, value) = pair.split_once([':', '=']).ok_or_else(|| pair.to_owned())?;
         let slot = match name.trim() {
-            "busy_reqs" => &mut report.in_hand,
-            "pending" => &mut report.queued,
+            "busy_reqs" => &mut report.active_requests,
+            "pending" => &mut report.queued_requests,
             "x0" => &mut report.memory_share,
-            "x1" => &mut report.tokens_waiting,
+            "x1" => &mut report.queued_tokens,
             _ => continue,
         };
         *slot = Some(value.trim().parse().map_err(|_| pair.to_owned())?);
     }
     // Waiting tokens are counted in thousands.
-    report.tokens_waiting = report.tokens_waiting.map(|k| k * 1000.0);
+    report.queued_tokens = report.queued_tokens.map(|k| k * 1000.0);
     Ok(report)
 }
 
@@ -239,7 +239,7 @@
                         entry(&mut Fields::new(&text)).map_err(|what| lines.malformed(what))?,
                     );
                 }
-                Event::List { kind, entries }
+                Event::EndpointsUpdated { kind, entries }
             }
         };
         let Some(policy) = self.instances.get_mut(&router) else {
@@ -267,17 +267,17 @@
 
 enum Incoming {
     Event(Event),
-    List { kind: ListKind, count: u64 },
+    List { kind: EndpointUpdate, count: u64 },
 }
 
 fn event(message: &str, f: &mut Fields<'_>) -> Parsed<Incoming> {
     let event = match message {
         "MEMBERSHIP" => {
             let kind = match f.text("kind")? {
-                "INCREMENTAL" => ListKind::Changes,
-                "FULL" => ListKind::Full,
-                "SAVED" => ListKind::Saved,
-                "FAILED" => ListKind::Failed,
+                "INCREMENTAL" => EndpointUpdate::Incremental,
+                "FULL" => EndpointUpdate::Full,
+                "SAVED" => EndpointUpdate::Restored,
+                "FAILED" => EndpointUpdate::Failed,
                 other => return Err(bad(message, "kind", other)),
             };
             f.maybe::<i64>("version")?;
@@ -286,12 +286,12 @@
                 count: f.maybe("members")?.unwrap_or(0),
             });
         }
-        "ASK" => Event::Ask(ask(f)?),
+        "ASK" => Event::RequestArrived(ask(f)?),
         "UNDER_WAY" => {
             let request = RequestId(f.number("txn")?);
             f.text("worker")?;
             let elapsed = f.number("spent_us")?;
-            Event::Started {
+            Event::StreamStarted {
                 request,
                 elapsed,
                 attempt: AttemptIndex(f.number("hop")?),
@@ -301,7 +301,7 @@
             let request = RequestId(f.number("txn")?);
             f.text("hop")?;
             let worker = worker(f.text("worker")?);
-            Event::Place {
+            Event::ReservationResult {
                 request,
                 worker,
                 held: f.number::<u8>("kind")? == 1,
@@ -315,22 +315,22 @@
             let elapsed = f.maybe("spent_us")?.unwrap_or(0);
             let settled = f.flag("settled")?;
             let kept = f.count("detail")?;
-            let outcome = if outcome == Outcome::TurnedAway && kept == 1 {
-                Outcome::NoState
+            let outcome = if outcome == AttemptOutcome::Rejected && kept == 1 {
+                AttemptOutcome::KvStateMissing
             } else {
                 outcome
             };
-            Event::Ended(Ended {
+            Event::AttemptCompleted(AttemptCompleted {
                 request,
                 attempt,
                 outcome,
                 elapsed,
-                settled,
-                kept,
+                request_finished: settled,
+                cached_tokens: kept,
                 report: f.report()?,
             })
         }
-        "CLIENT_LEFT" => Event::Left {
+        "CLIENT_LEFT" => Event::ClientDisconnected {
             request: RequestId(f.number("txn")?),
         },
         "ALARM" => Event::Timer(TimerId(f.number("name")?)),
@@ -338,7 +338,7 @@
             let worker = worker(f.text("worker")?);
             let outcome = outcome(f)?;
             f.text("spent_us")?;
-            Event::Probed {
+            Event::HealthCheckCompleted {
                 worker,
                 outcome,
                 report: f.report()?,
@@ -355,14 +355,14 @@
                 })
                 .collect::<Option<Vec<u8>>>()
                 .ok_or_else(|| bad(message, "payload", hex))?;
-            Event::Peer { from, payload }
+            Event::GossipReceived { from, payload }
         }
         other => return Err(format!("unknown message {other:?}")),
     };
     Ok(Incoming::Event(event))
 }
 
-fn ask(f: &mut Fields<'_>) -> Parsed<Ask> {
+fn ask(f: &mut Fields<'_>) -> Parsed<RequestSpec> {
     let request = RequestId(f.number("txn")?);
     let deadline = f.number("client_deadline_us")?;
     let session = f.optional("session_id")?.map(Arc::from);
@@ -381,7 +381,7 @@
     let class = f.text("priority")?.to_owned();
     let bits: u64 = f.maybe("attrs")?.unwrap_or(0);
     let hint = hint.filter(|h| bits & 1 == 1 && *h > 0);
-    Ok(Ask {
+    Ok(RequestSpec {
         request,
         deadline,
         session,
@@ -395,22 +395,22 @@
     })
 }
 
-fn outcome(f: &mut Fields<'_>) -> Parsed<Outcome> {
+fn outcome(f: &mut Fields<'_>) -> Parsed<AttemptOutcome> {
     Ok(match f.text("disposition")? {
-        "served" => Outcome::Served,
-        "half_done" => Outcome::Read,
-        "server_error" => Outcome::Error,
-        "turned_away" => Outcome::TurnedAway,
-        "no_answer" => Outcome::NoAnswer,
-        "no_connection" => Outcome::NoConnection,
-        "connection_lost" => Outcome::ConnectionLost,
-        "called_off" => Outcome::Dropped,
-        "not_sent" => Outcome::NotSent,
+        "served" => AttemptOutcome::Served,
+        "half_done" => AttemptOutcome::Prefilled,
+        "server_error" => AttemptOutcome::Error,
+        "turned_away" => AttemptOutcome::Rejected,
+        "no_answer" => AttemptOutcome::TimedOut,
+        "no_connection" => AttemptOutcome::ConnectFailed,
+        "connection_lost" => AttemptOutcome::ConnectionLost,
+        "called_off" => AttemptOutcome::Cancelled,
+        "not_sent" => AttemptOutcome::NotSent,
         other => return Err(bad(f.message, "disposition", other)),
     })
 }
 
-fn entry(f: &mut Fields<'_>) -> Parsed<Entry> {
+fn entry(f: &mut Fields<'_>) -> Parsed<Endpoint> {
     if f.text("message")? != "ENTRY" {
         return Err(format!("expected ENTRY, found {:?}", f.message));
     }
@@ -426,7 +426,7 @@
     };
     let weight = f.maybe("scale")?.unwrap_or(1.0);
     let started = f.maybe("since_us")?.filter(|s| *s > 0);
-    Ok(Entry {
+    Ok(Endpoint {
         worker,
         zone,
         kind,
@@ -522,18 +522,18 @@
 /// A line that names the setting that is missing or has a value that can't be used.
 pub fn read_settings<'a>(
     fields: impl Iterator<Item = (&'a str, &'a str)>,
-) -> Result<Settings, String> {
+) -> Result<RoutingConfig, String> {
     let pairs = Pairs(fields.collect());
     let mut kinds = Vec::new();
     for (i, name) in pairs.list("skus").into_iter().enumerate() {
         let role = match pairs.list("family_info.role_by_kind").get(i).copied() {
-            Some("read") => Role::Reader,
-            Some("write") => Role::Writer,
+            Some("read") => Role::Prefill,
+            Some("write") => Role::Decode,
             Some("both") | None => Role::Mixed,
             Some(v) => return Err(bad("INIT", "family_info.role_by_kind", v)),
         };
         let memory = pairs.nth_number("family_info.kv_tokens", i, 1.0, MOST_MEMORY)?;
-        kinds.push(Kind {
+        kinds.push(WorkerKind {
             name: name.to_owned(),
             role,
             memory_tokens: memory.map(|m| m as u64),
@@ -543,12 +543,12 @@
     for i in 0..pairs.need::<usize>("classes.count")? {
         let key = |name: &str| format!("classes.{i}.{name}");
         let effect = match pairs.text(&key("effect"))? {
-            "read_like" => Effect::Safe,
-            "non_idempotent" => Effect::Unsafe,
-            "idempotency_key" => Effect::Keyed(match pairs.text(&key("dedup_scope"))? {
-                "all" => Group::All,
-                "zone" => Group::Zone,
-                "cell" => Group::Cell,
+            "read_like" => Idempotency::Idempotent,
+            "non_idempotent" => Idempotency::NonIdempotent,
+            "idempotency_key" => Idempotency::WithKey(match pairs.text(&key("dedup_scope"))? {
+                "all" => DeduplicationScope::All,
+                "zone" => DeduplicationScope::Zone,
+                "cell" => DeduplicationScope::Cell,
                 v => return Err(bad("INIT", &key("dedup_scope"), v)),
             }),
             v => return Err(bad("INIT", &key("effect"), v)),
@@ -557,18 +557,18 @@
         let per_1000 = "family_info.aim_us_per_1000_prompt_tokens";
         let per_1000 = pairs.nth_number(per_1000, i, 0.0, MOST_MICROS)?;
         let token_aim = pairs.nth_number("family_info.token_aim_us", i, 0.0, MOST_MICROS)?;
-        classes.push(Class {
+        classes.push(RequestClass {
             name: pairs.text(&key("name"))?.to_owned(),
-            effect,
-            repeat_window: pairs
+            idempotency: effect,
+            deduplication_window: pairs
                 .optional_micros(&key("repeat_window_us"))?
                 .unwrap_or(0),
-            aim: pairs.micros(&key("objective_us"))?,
-            aim_per_1000_tokens: per_1000.unwrap_or(0.0) as Micros,
-            token_aim: token_aim.unwrap_or(0.0) as Micros,
-            give_up: pairs.micros(&key("give_up_us"))?,
-            worth: pairs.number(&key("value"), 0.0, MOST_RATE)?.unwrap_or(1.0),
-            late_share: pairs.number(&key("late_share"), 0.0, 1.0)?.unwrap_or(0.0),
+            ttft_objective: pairs.micros(&key("objective_us"))?,
+            ttft_objective_per_1000_tokens: per_1000.unwrap_or(0.0) as Micros,
+            inter_token_objective: token_aim.unwrap_or(0.0) as Micros,
+            client_timeout: pairs.micros(&key("give_up_us"))?,
+            priority_weight: pairs.number(&key("value"), 0.0, MOST_RATE)?.unwrap_or(1.0),
+            late_value_share: pairs.number(&key("late_share"), 0.0, 1.0)?.unwrap_or(0.0),
         });
     }
     let mut tenants = Vec::new();
@@ -581,9 +581,9 @@
         });
     }
     let reports = match pairs.0.get("load_report.how").copied() {
-        Some("answers") => Reports::Answers,
-        Some("probe") => Reports::Probes,
-        Some("none") | None => Reports::None,
+        Some("answers") => LoadReporting::Responses,
+        Some("probe") => LoadReporting::HealthChecks,
+        Some("none") | None => LoadReporting::None,
         Some(v) => return Err(bad("INIT", "load_report.how", v)),
     };
     let optional = |key: &str| pairs.optional_micros(key);
@@ -592,36 +592,36 @@
             .number(key, least, most)?
             .ok_or_else(|| format!("INIT: setting {key} is missing"))
     };
-    Ok(Settings {
+    Ok(RoutingConfig {
         index: pairs.get("self_index")?,
         routers: pairs.need::<u32>("replicas_of_me")?.max(1),
         zone: pairs.text("my_zone")?.to_owned(),
         kinds,
         classes,
         tenants,
-        over_share_worth: pairs
+        over_quota_weight: pairs
             .number("over_share_worth", 0.0, MOST_RATE)?
             .unwrap_or(1.0),
-        reports,
-        list_on_request: pairs.text("registry_mode")? == "on_request",
-        ask_within: optional("rules.ask_within_us")?.unwrap_or(Micros::MAX),
-        may_probe: pairs.flag("permissions.probes")?,
-        may_tell: pairs.flag("permissions.may_tell")?,
-        may_drop: pairs.flag("permissions.may_cancel")?,
-        second_copies: pairs.flag("permissions.second_copies")?,
-        writers_read: pairs.flag("family_info.self_prefill")?,
-        retry_advice: pairs.flag("permissions.retry_after")?,
+        load_reporting: reports,
+        endpoints_on_request: pairs.text("registry_mode")? == "on_request",
+        endpoint_update_limit: optional("rules.ask_within_us")?.unwrap_or(Micros::MAX),
+        health_checks_allowed: pairs.flag("permissions.probes")?,
+        gossip_allowed: pairs.flag("permissions.may_tell")?,
+        cancellation_allowed: pairs.flag("permissions.may_cancel")?,
+        hedging_allowed: pairs.flag("permissions.second_copies")?,
+        decode_workers_prefill: pairs.flag("family_info.self_prefill")?,
+        advises_retry_after: pairs.flag("permissions.retry_after")?,
         max_retry_after: optional("permissions.max_retry_after_us")?.unwrap_or(0),
         max_attempts: pairs.need("permissions.max_attempts")?,
         connect_timeout: optional("permissions.connect_timeout_us")?.unwrap_or(0),
-        tick: optional("tick_us")?.unwrap_or(0),
-        release: optional("family_info.release_us")?.unwrap_or(Micros::MAX),
-        answer_slack: optional("rules.answer_slack_us")?.unwrap_or(0),
+        batch_interval: optional("tick_us")?.unwrap_or(0),
+        kv_state_hold_limit: optional("family_info.release_us")?.unwrap_or(Micros::MAX),
+        response_grace: optional("rules.answer_slack_us")?.unwrap_or(0),
         drain_grace: pairs.micros("rules.drain_grace_us")?,
-        cold_from: needed("rules.cold_from", 0.0, 1.0)?,
-        cold: pairs.micros("rules.cold_us")?,
-        fall_multiple: needed("rules.fall_multiple", f64::MIN_POSITIVE, MOST_RATE)?,
-        fall: pairs.micros("rules.fall_us")?,
+        slow_start_initial_capacity: needed("rules.cold_from", 0.0, 1.0)?,
+        slow_start_duration: pairs.micros("rules.cold_us")?,
+        overload_factor: needed("rules.fall_multiple", f64::MIN_POSITIVE, MOST_RATE)?,
+        overload_window: pairs.micros("rules.fall_us")?,
     })
 }
 
@@ -646,7 +646,7 @@
                 or_dash(*timeout)
             )
         }
-        Action::SendRefused {
+        Action::SendDenied {
             request,
             worker,
             refusal,
@@ -657,7 +657,7 @@
                 request.0, worker.0
             )
         }
-        Action::Refuse {
+        Action::Reject {
             request,
             retry_after,
             ..
@@ -670,7 +670,7 @@
             )
         }
         Action::Fail { request, .. } => writeln!(out, "FAIL\t{router}\t{}", request.0),
-        Action::Drop { request, attempt } => {
+        Action::Cancel { request, attempt } => {
             writeln!(out, "DROP_ATTEMPT\t{router}\t{}\t{}", request.0, attempt.0)
         }
         Action::Release { request, .. } => writeln!(out, "DROP_STATE\t{router}\t{}", request.0),
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -47,45 +47,45 @@
     Storm,
 }
 
-fn settings(index: u32, routers: u32, numbered: bool) -> Settings {
-    let kind = |name: &str, role| Kind {
+fn settings(index: u32, routers: u32, numbered: bool) -> RoutingConfig {
+    let kind = |name: &str, role| WorkerKind {
         name: name.into(),
         role,
         memory_tokens: Some(150_000),
     };
-    let class = Class {
+    let class = RequestClass {
         name: "safe".into(),
-        effect: Effect::Safe,
-        aim: SECOND,
-        token_aim: 60 * MS,
-        give_up: 8 * SECOND,
-        worth: 1.0,
-        ..Class::default()
+        idempotency: Idempotency::Idempotent,
+        ttft_objective: SECOND,
+        inter_token_objective: 60 * MS,
+        client_timeout: 8 * SECOND,
+        priority_weight: 1.0,
+        ..RequestClass::default()
     };
-    Settings {
+    RoutingConfig {
         index: numbered.then_some(index),
         routers,
         zone: "z".into(),
-        kinds: vec![kind("r", Role::Reader), kind("w", Role::Writer)],
+        kinds: vec![kind("r", Role::Prefill), kind("w", Role::Decode)],
         classes: vec![class],
         tenants: vec![Tenant {
             name: "t".into(),
             quota_per_s: 0.8 * EACH * WORKERS as f64,
         }],
-        over_share_worth: 1.0,
+        over_quota_weight: 1.0,
         max_attempts: 5,
-        retry_advice: true,
+        advises_retry_after: true,
         max_retry_after: 500 * MS,
         connect_timeout: CONNECT_TIMEOUT,
-        tick: 2 * MS,
-        release: 500 * MS,
-        answer_slack: 16 * MS,
+        batch_interval: 2 * MS,
+        kv_state_hold_limit: 500 * MS,
+        response_grace: 16 * MS,
         drain_grace: 500 * MS,
-        cold_from: COLD_FROM,
-        cold: COLD,
-        fall_multiple: FALL_MULTIPLE,
-        fall: FALL,
-        ..Settings::default()
+        slow_start_initial_capacity: COLD_FROM,
+        slow_start_duration: COLD,
+        overload_factor: FALL_MULTIPLE,
+        overload_window: FALL,
+        ..RoutingConfig::default()
     }
 }
 
@@ -162,7 +162,7 @@
 }
 
 /// A router whose process starts now, alone.
-fn started(settings: Settings, seed: u64, now: Micros) -> Policy {
+fn started(settings: RoutingConfig, seed: u64, now: Micros) -> Policy {
     let mut policy = Policy::new(settings, seed);
     policy.handle(now, Event::SlowStart { allowed: true }, &mut Vec::new());
     policy
@@ -177,7 +177,7 @@
             self.random.unit() * self.policies.len() as f64,
         );
         let request = RequestId(self.agenda.number());
-        let ask = Ask {
+        let ask = RequestSpec {
             request,
             deadline: self.now + 4 * SECOND,
             session: Some(Arc::from(format!("{text} {session}"))),
@@ -190,7 +190,7 @@
             tenant: Some("t".into()),
         };
         self.tries.insert(request.0, tries);
-        self.event(router as usize, Event::Ask(ask));
+        self.event(router as usize, Event::RequestArrived(ask));
     }
 
     fn event(&mut self, router: usize, event: Event) {
@@ -208,7 +208,7 @@
                     self.agenda
                         .enter(at.max(self.now), Next::Event(router, Event::Timer(timer)));
                 }
-                Action::Refuse {
+                Action::Reject {
                     request,
                     retry_after,
                     ..
@@ -252,34 +252,34 @@
             host.takes(now, reads)
         };
         let end = |at, outcome| {
-            let (settled, elapsed) = (outcome == Outcome::Served, at - now);
+            let (settled, elapsed) = (outcome == AttemptOutcome::Served, at - now);
             let (attempt, kept, report) = (index, 1_500, None);
             (
                 at,
-                Event::Ended(Ended {
+                Event::AttemptCompleted(AttemptCompleted {
                     request,
                     attempt,
                     outcome,
                     elapsed,
-                    settled,
-                    kept,
+                    request_finished: settled,
+                    cached_tokens: kept,
                     report,
                 }),
             )
         };
         let limit = now + timeout.unwrap_or(4 * SECOND);
         let events = match done {
-            None => vec![end(now + MS, Outcome::TurnedAway)],
-            Some(at) if at > limit => vec![end(limit, Outcome::NoAnswer)],
-            Some(at) if reads => vec![end(at, Outcome::Read)],
+            None => vec![end(now + MS, AttemptOutcome::Rejected)],
+            Some(at) if at > limit => vec![end(limit, AttemptOutcome::TimedOut)],
+            Some(at) if reads => vec![end(at, AttemptOutcome::Prefilled)],
             Some(at) => {
                 self.served += 1;
-                let started = Event::Started {
+                let started = Event::StreamStarted {
                     request,
                     attempt: index,
                     elapsed: at - now,
                 };
-                vec![(at, started), end(at + STREAM, Outcome::Served)]
+                vec![(at, started), end(at + STREAM, AttemptOutcome::Served)]
             }
         };
         for (at, event) in events {
@@ -313,12 +313,12 @@
             trouble,
             served: 0,
         };
-        let entries = |started: Option<Micros>| -> Vec<Entry> {
+        let entries = |started: Option<Micros>| -> Vec<Endpoint> {
             let of = |role: &'static str| {
                 let from = if started.is_some() { cold } else { 0 };
                 (from..WORKERS).map(move |i| (role, i))
             };
-            let entry = |(role, i): (&str, u64)| Entry {
+            let entry = |(role, i): (&str, u64)| Endpoint {
                 worker: WorkerId(Arc::from(format!("{role}{i}"))),
                 zone: "z".into(),
                 kind: role.into(),
@@ -334,19 +334,20 @@
             .map(|e| (e.worker, Host::default()))
             .collect();
         let restarted = entries(Some(START));
-        let current = |entry: Entry| {
+        let current = |entry: Endpoint| {
             restarted
                 .iter()
                 .find(|e| e.worker == entry.worker)
                 .cloned()
                 .unwrap_or(entry)
         };
-        let whole: Vec<Entry> = entries(None).into_iter().map(current).collect();
+        let whole: Vec<Endpoint> = entries(None).into_iter().map(current).collect();
         for router in 0..routers as usize {
-            let list = |kind, entries| Next::Event(router, Event::List { kind, entries });
+            let list =
+                |kind, entries| Next::Event(router, Event::EndpointsUpdated { kind, entries });
             fleet
                 .agenda
-                .enter(BEGIN, list(ListKind::Saved, entries(None)));
+                .enter(BEGIN, list(EndpointUpdate::Restored, entries(None)));
             let moment = (fleet.random.unit() * 1_500.0) as Micros * MS;
             let told = if ramp == Ramp::Spread {
                 START + moment
@@ -354,14 +355,16 @@
                 START
             };
             fleet.told[router] = told;
-            fleet
-                .agenda
-                .enter(told, list(ListKind::Changes, entries(Some(START))));
+            fleet.agenda.enter(
+                told,
+                list(EndpointUpdate::Incremental, entries(Some(START))),
+            );
             if ramp == Ramp::Restarted {
                 fleet.agenda.enter(START + moment, Next::Restart(router));
-                fleet
-                    .agenda
-                    .enter(START + moment, list(ListKind::Saved, whole.clone()));
+                fleet.agenda.enter(
+                    START + moment,
+                    list(EndpointUpdate::Restored, whole.clone()),
+                );
             }
         }
         let mut at = BEGIN as f64;
@@ -376,7 +379,7 @@
         fleet
     }
 
-    fn run(&mut self, restarted: &[Entry]) {
+    fn run(&mut self, restarted: &[Endpoint]) {
         let mut is_new = false;
         while let Some((at, what)) = self.agenda.next().filter(|next| next.0 < END) {
             self.now = at;
--- a/tests/fairness.rs
+++ b/tests/fairness.rs
@@ -36,46 +36,46 @@
 /// Writers' capacity over readers': reads are what there is too little of.
 const WRITERS_SPARE: f64 = 1.25;
 
-fn settings(index: u32, routers: u32, reports: Reports, flat: Micros) -> Settings {
-    let kind = |name: &str, role| Kind {
+fn settings(index: u32, routers: u32, reports: LoadReporting, flat: Micros) -> RoutingConfig {
+    let kind = |name: &str, role| WorkerKind {
         name: name.into(),
         role,
         memory_tokens: Some(400_000),
     };
-    let class = |name: &str, effect, aim, aim_per_1000_tokens| Class {
+    let class = |name: &str, effect, aim, aim_per_1000_tokens| RequestClass {
         name: name.into(),
-        effect,
-        aim,
-        aim_per_1000_tokens,
-        token_aim: 60 * MS,
-        give_up: PATIENCE,
-        worth: 1.0,
-        ..Class::default()
+        idempotency: effect,
+        ttft_objective: aim,
+        ttft_objective_per_1000_tokens: aim_per_1000_tokens,
+        inter_token_objective: 60 * MS,
+        client_timeout: PATIENCE,
+        priority_weight: 1.0,
+        ..RequestClass::default()
     };
-    Settings {
+    RoutingConfig {
         index: Some(index),
         routers,
         zone: "z".into(),
-        kinds: vec![kind("r", Role::Reader), kind("w", Role::Writer)],
+        kinds: vec![kind("r", Role::Prefill), kind("w", Role::Decode)],
         classes: vec![
-            class(CLASSES[0], Effect::Safe, SECOND, 60 * MS),
-            class(CLASSES[1], Effect::Unsafe, flat, 0),
+            class(CLASSES[0], Idempotency::Idempotent, SECOND, 60 * MS),
+            class(CLASSES[1], Idempotency::NonIdempotent, flat, 0),
         ],
-        over_share_worth: 1.0,
-        reports,
+        over_quota_weight: 1.0,
+        load_reporting: reports,
         max_attempts: 5,
-        retry_advice: true,
+        advises_retry_after: true,
         max_retry_after: 500 * MS,
         connect_timeout: 250 * MS,
-        tick: 2 * MS,
-        release: 500 * MS,
-        answer_slack: 16 * MS,
+        batch_interval: 2 * MS,
+        kv_state_hold_limit: 500 * MS,
+        response_grace: 16 * MS,
         drain_grace: 500 * MS,
-        cold_from: 1.0,
-        cold: SECOND,
-        fall_multiple: 10.0,
-        fall: SECOND,
-        ..Settings::default()
+        slow_start_initial_capacity: 1.0,
+        slow_start_duration: SECOND,
+        overload_factor: 10.0,
+        overload_window: SECOND,
+        ..RoutingConfig::default()
     }
 }
 
@@ -184,7 +184,7 @@
     fn arrives(&mut self, this: Try) {
         let session = &self.sessions[this.session];
         let request = RequestId(self.agenda.number());
-        let ask = Ask {
+        let ask = RequestSpec {
             request,
             deadline: self.now + TRY,
             session: Some(Arc::from(format!("s{}", this.session))),
@@ -198,7 +198,7 @@
         };
         self.open.insert(request.0, this);
         let router = self.random.unit() * self.policies.len() as f64;
-        self.event(router as usize, Event::Ask(ask));
+        self.event(router as usize, Event::RequestArrived(ask));
     }
 
     fn event(&mut self, router: usize, event: Event) {
@@ -216,7 +216,7 @@
                     self.agenda
                         .enter(at.max(self.now), Next::Event(router, Event::Timer(timer)));
                 }
-                Action::Refuse {
+                Action::Reject {
                     request,
                     retry_after,
                     ..
@@ -312,41 +312,44 @@
         let host = &self.hosts[&worker];
         let waiting = host.busy_until.saturating_sub(now) as f64 / READ_TOKEN;
         let share = host.streams.len() as f64 / self.slots as f64;
-        let told = Report {
+        let told = LoadReport {
             memory_share: Some(share),
-            tokens_waiting: Some(waiting),
-            ..Report::default()
+            queued_tokens: Some(waiting),
+            ..LoadReport::default()
         };
         let report = self.reports.then_some(told);
         let end = |at, outcome, kept| {
-            let (settled, elapsed) = (outcome == Outcome::Served, at - now);
-            let report = report.filter(|_| outcome != Outcome::NoAnswer);
+            let (settled, elapsed) = (outcome == AttemptOutcome::Served, at - now);
+            let report = report.filter(|_| outcome != AttemptOutcome::TimedOut);
             (
                 at,
-                Event::Ended(Ended {
+                Event::AttemptCompleted(AttemptCompleted {
                     request,
                     attempt: index,
                     outcome,
                     elapsed,
-                    settled,
-                    kept,
+                    request_finished: settled,
+                    cached_tokens: kept,
                     report,
                 }),
             )
         };
         let limit = now + timeout.unwrap_or(TRY);
         let events = match done {
-            None => vec![end(now + MS, Outcome::TurnedAway, 0)],
-            Some((at, _)) if at > limit => vec![end(limit, Outcome::NoAnswer, 0)],
-            Some((at, kept)) if reads => vec![end(at, Outcome::Read, kept)],
+            None => vec![end(now + MS, AttemptOutcome::Rejected, 0)],
+            Some((at, _)) if at > limit => vec![end(limit, AttemptOutcome::TimedOut, 0)],
+            Some((at, kept)) if reads => vec![end(at, AttemptOutcome::Prefilled, kept)],
             Some((at, _)) => {
                 let turn = &self.sessions[this.session].turns[this.turn];
-                let started = Event::Started {
+                let started = Event::StreamStarted {
                     request,
                     attempt: index,
                     elapsed: at - now,
                 };
-                vec![(at, started), end(at + turn.stream, Outcome::Served, 0)]
+                vec![
+                    (at, started),
+                    end(at + turn.stream, AttemptOutcome::Served, 0),
+                ]
             }
         };
         for (at, event) in events {
@@ -355,7 +358,7 @@
     }
 
     /// Plays a day on which this part of the readers' capacity is asked for, and in a short burst half as much again.
-    fn play(routers: u32, load: f64, reports: Reports, flat: Micros, seed: u64) -> Day {
+    fn play(routers: u32, load: f64, reports: LoadReporting, flat: Micros, seed: u64) -> Day {
         let mut random = Random(seed);
         let extra = (SESSIONS as f64 * (BURST.end - BURST.start) / 2.0) as usize;
         let sessions: Vec<Session> = (0..SESSIONS + extra)
@@ -373,7 +376,7 @@
                 u64::from(i) * 7_919 + 1,
             )
         };
-        let entry = |(role, i): (&str, u64)| Entry {
+        let entry = |(role, i): (&str, u64)| Endpoint {
             worker: WorkerId(Arc::from(format!("{role}{i}"))),
             zone: "z".into(),
             kind: role.into(),
@@ -385,13 +388,13 @@
         let workers = ["r", "w"]
             .into_iter()
             .flat_map(|role| (0..WORKERS).map(move |i| (role, i)));
-        let entries: Vec<Entry> = workers.map(entry).collect();
+        let entries: Vec<Endpoint> = workers.map(entry).collect();
         let mut day = Day {
             now: BEGIN,
             random,
             agenda: Agenda::new(),
             policies: (0..routers).map(policy).collect(),
-            reports: reports == Reports::Answers,
+            reports: reports == LoadReporting::Responses,
             hosts: entries
                 .iter()
                 .map(|e| (e.worker.clone(), Host::default()))
@@ -407,8 +410,8 @@
                 BEGIN,
                 Next::Event(
                     router,
-                    Event::List {
-                        kind: ListKind::Full,
+                    Event::EndpointsUpdated {
+                        kind: EndpointUpdate::Full,
                         entries,
                     },
                 ),
@@ -440,7 +443,7 @@
             match what {
                 Next::Arrives(this) => self.arrives(this),
                 Next::Event(router, event) => {
-                    if let Event::Started { request, .. } = event {
+                    if let Event::StreamStarted { request, .. } = event {
                         let this = self.open.remove(&request.0).expect("one end");
                         let turn = &mut self.sessions[this.session].turns[this.turn];
                         turn.answered = true;
@@ -488,14 +491,18 @@
 /// again and again: of the longest prompts at least two thirds of their class's share are answered on a quiet day and
 /// half on others, and on a quiet day no more than 0.12 of a class's sessions beyond chance have no answer at all.
 #[rstest]
-#[case(4, 0.5, Reports::None)]
-#[case(4, 0.5, Reports::Answers)]
-#[case(100, 0.5, Reports::None)]
-#[case(100, 0.5, Reports::Answers)]
-#[case(4, 1.2, Reports::None)]
-#[case(100, 1.2, Reports::None)]
-#[case(100, 1.2, Reports::Answers)]
-fn refusals_fall_on_all_alike(#[case] routers: u32, #[case] load: f64, #[case] reports: Reports) {
+#[case(4, 0.5, LoadReporting::None)]
+#[case(4, 0.5, LoadReporting::Responses)]
+#[case(100, 0.5, LoadReporting::None)]
+#[case(100, 0.5, LoadReporting::Responses)]
+#[case(4, 1.2, LoadReporting::None)]
+#[case(100, 1.2, LoadReporting::None)]
+#[case(100, 1.2, LoadReporting::Responses)]
+fn refusals_fall_on_all_alike(
+    #[case] routers: u32,
+    #[case] load: f64,
+    #[case] reports: LoadReporting,
+) {
     check(
         &Day::play(routers, load, reports, 2 * SECOND, 1),
         load < 1.0,
@@ -509,7 +516,7 @@
 #[case(100, 4)]
 fn a_tight_aim_does_not_shut_out_the_longest(#[case] routers: u32, #[case] seed: u64) {
     check(
-        &Day::play(routers, 0.5, Reports::Answers, SECOND, seed),
+        &Day::play(routers, 0.5, LoadReporting::Responses, SECOND, seed),
         true,
     );
 }
--- a/tests/golden_config.rs
+++ b/tests/golden_config.rs
@@ -10,7 +10,9 @@
 use whinhaven::config::Config;
 use whinhaven::fleet::sites::describe::Fleet;
 use whinhaven::haproxy;
-use whinhaven::routing::types::{Effect, Group, Reports, Role, Settings, Status};
+use whinhaven::routing::types::{
+    DeduplicationScope, Idempotency, LoadReporting, Role, RoutingConfig, Status,
+};
 
 const OPERATOR: &str = include_str!("../deploy/operator.toml");
 const SITES: &str = include_str!("../deploy/sites.toml");
@@ -31,7 +33,7 @@
     Fleet::from_toml(SITES, &settings).unwrap()
 }
 
-fn kinds(settings: &Settings) -> Vec<(&str, Role, Option<u64>)> {
+fn kinds(settings: &RoutingConfig) -> Vec<(&str, Role, Option<u64>)> {
     settings
         .kinds
         .iter()
@@ -63,24 +65,39 @@
     assert_eq!(
         kinds(&settings),
         [
-            ("prompt", Role::Reader, Some(200_000)),
-            ("answer", Role::Writer, Some(150_000))
+            ("prompt", Role::Prefill, Some(200_000)),
+            ("answer", Role::Decode, Some(150_000))
         ]
     );
     assert_eq!(settings.index, None);
     assert_eq!((settings.zone.as_str(), settings.routers), ("here", 1));
-    assert!(!settings.list_on_request && settings.may_drop && settings.retry_advice);
-    assert!(!settings.second_copies && !settings.may_probe && !settings.may_tell);
-    assert!(!settings.writers_read);
-    assert_eq!(settings.reports, Reports::None);
+    assert!(
+        !settings.endpoints_on_request
+            && settings.cancellation_allowed
+            && settings.advises_retry_after
+    );
+    assert!(
+        !settings.hedging_allowed && !settings.health_checks_allowed && !settings.gossip_allowed
+    );
+    assert!(!settings.decode_workers_prefill);
+    assert_eq!(settings.load_reporting, LoadReporting::None);
     assert_eq!(settings.max_attempts, 6);
     assert_eq!(settings.max_retry_after, 2_000_000);
     assert_eq!(settings.connect_timeout, 250_000);
-    assert_eq!(settings.release, 500_000);
-    assert_eq!(settings.answer_slack, 16_000);
+    assert_eq!(settings.kv_state_hold_limit, 500_000);
+    assert_eq!(settings.response_grace, 16_000);
     assert_eq!(settings.drain_grace, 1_000_000);
-    assert_eq!((settings.cold_from, settings.cold), (0.3, 9_000_000));
-    assert_eq!((settings.fall_multiple, settings.fall), (2.5, 1_000_000));
+    assert_eq!(
+        (
+            settings.slow_start_initial_capacity,
+            settings.slow_start_duration
+        ),
+        (0.3, 9_000_000)
+    );
+    assert_eq!(
+        (settings.overload_factor, settings.overload_window),
+        (2.5, 1_000_000)
+    );
 }
 
 #[test]
@@ -89,14 +106,29 @@
     assert_eq!(classes.len(), 2);
     let [explain, send] = [&classes[0], &classes[1]];
     assert_eq!(
-        (explain.name.as_str(), explain.effect),
-        ("explain", Effect::Safe)
-    );
-    assert_eq!((explain.aim, explain.give_up), (1_500_000, 6_000_000));
-    assert_eq!((explain.worth, explain.token_aim), (3.0, 60_000));
-    assert_eq!((send.name.as_str(), send.effect), ("send", Effect::Unsafe));
-    assert_eq!((send.aim, send.give_up), (2_500_000, 10_000_000));
-    assert_eq!((send.worth, send.token_aim), (2.0, 80_000));
+        (explain.name.as_str(), explain.idempotency),
+        ("explain", Idempotency::Idempotent)
+    );
+    assert_eq!(
+        (explain.ttft_objective, explain.client_timeout),
+        (1_500_000, 6_000_000)
+    );
+    assert_eq!(
+        (explain.priority_weight, explain.inter_token_objective),
+        (3.0, 60_000)
+    );
+    assert_eq!(
+        (send.name.as_str(), send.idempotency),
+        ("send", Idempotency::NonIdempotent)
+    );
+    assert_eq!(
+        (send.ttft_objective, send.client_timeout),
+        (2_500_000, 10_000_000)
+    );
+    assert_eq!(
+        (send.priority_weight, send.inter_token_objective),
+        (2.0, 80_000)
+    );
 }
 
 #[test]
@@ -202,19 +234,28 @@
     assert_eq!(
         kinds(&settings),
         [
-            ("lens", Role::Reader, Some(160_000)),
-            ("quill", Role::Writer, Some(120_000)),
+            ("lens", Role::Prefill, Some(160_000)),
+            ("quill", Role::Decode, Some(120_000)),
             ("both", Role::Mixed, Some(90_000))
         ]
     );
     assert_eq!((settings.index, settings.routers), (Some(2), 5));
-    assert_eq!((settings.zone.as_str(), settings.tick), ("oak", 4_000));
-    assert_eq!(settings.reports, Reports::Answers);
-    assert!(settings.list_on_request && settings.may_probe && settings.may_drop);
-    assert!(settings.second_copies && settings.writers_read && settings.retry_advice);
-    assert!(!settings.may_tell);
     assert_eq!(
-        (settings.ask_within, settings.release),
+        (settings.zone.as_str(), settings.batch_interval),
+        ("oak", 4_000)
+    );
+    assert_eq!(settings.load_reporting, LoadReporting::Responses);
+    assert!(
+        settings.endpoints_on_request
+            && settings.health_checks_allowed
+            && settings.cancellation_allowed
+    );
+    assert!(
+        settings.hedging_allowed && settings.decode_workers_prefill && settings.advises_retry_after
+    );
+    assert!(!settings.gossip_allowed);
+    assert_eq!(
+        (settings.endpoint_update_limit, settings.kv_state_hold_limit),
         (2_000_000, 400_000)
     );
     assert_eq!(settings.max_retry_after, 1_500_000);
@@ -223,37 +264,61 @@
         (5, 200_000)
     );
     assert_eq!(
-        (settings.answer_slack, settings.drain_grace),
+        (settings.response_grace, settings.drain_grace),
         (16_000, 800_000)
     );
-    assert_eq!((settings.cold_from, settings.cold), (0.25, 6_000_000));
-    assert_eq!((settings.fall_multiple, settings.fall), (2.5, 900_000));
+    assert_eq!(
+        (
+            settings.slow_start_initial_capacity,
+            settings.slow_start_duration
+        ),
+        (0.25, 6_000_000)
+    );
+    assert_eq!(
+        (settings.overload_factor, settings.overload_window),
+        (2.5, 900_000)
+    );
 }
 
 #[test]
 fn platform_document_gives_classes_and_tenants() {
     let settings = platform().settings;
     let [talk, note, pay] = [0, 1, 2].map(|number| &settings.classes[number]);
-    assert_eq!((talk.name.as_str(), talk.effect), ("talk", Effect::Safe));
-    assert_eq!((talk.aim, talk.give_up), (900_000, 5_000_000));
     assert_eq!(
-        (talk.token_aim, talk.aim_per_1000_tokens),
+        (talk.name.as_str(), talk.idempotency),
+        ("talk", Idempotency::Idempotent)
+    );
+    assert_eq!(
+        (talk.ttft_objective, talk.client_timeout),
+        (900_000, 5_000_000)
+    );
+    assert_eq!(
+        (
+            talk.inter_token_objective,
+            talk.ttft_objective_per_1000_tokens
+        ),
         (50_000, 120_000)
     );
-    assert_eq!((talk.worth, talk.late_share), (2.5, 0.3));
+    assert_eq!((talk.priority_weight, talk.late_value_share), (2.5, 0.3));
+    assert_eq!(
+        (note.name.as_str(), note.idempotency),
+        ("note", Idempotency::WithKey(DeduplicationScope::Zone))
+    );
+    assert_eq!(
+        (note.deduplication_window, note.priority_weight),
+        (3_000_000, 1.0)
+    );
     assert_eq!(
-        (note.name.as_str(), note.effect),
-        ("note", Effect::Keyed(Group::Zone))
+        (pay.name.as_str(), pay.idempotency),
+        ("pay", Idempotency::NonIdempotent)
     );
-    assert_eq!((note.repeat_window, note.worth), (3_000_000, 1.0));
-    assert_eq!((pay.name.as_str(), pay.effect), ("pay", Effect::Unsafe));
     let tenants: Vec<_> = settings
         .tenants
         .iter()
         .map(|tenant| (tenant.name.as_str(), tenant.quota_per_s))
         .collect();
     assert_eq!(tenants, [("mill", 9.5), ("forge", 4.0)]);
-    assert_eq!(settings.over_share_worth, 0.25);
+    assert_eq!(settings.over_quota_weight, 0.25);
 }
 
 #[test]
--- a/tests/golden_protocol.rs
+++ b/tests/golden_protocol.rs
@@ -15,7 +15,7 @@
 use std::sync::{Mutex, mpsc};
 use support::*;
 use whinhaven::net::discovery::{ListMessage, Listing};
-use whinhaven::routing::types::{Entry, Status, WorkerId};
+use whinhaven::routing::types::{Endpoint, Status, WorkerId};
 
 /// The body of a client's request.
 const PROMPT: &str = r#"{"model":"chat","stream":true,"messages":[]}"#;
@@ -228,8 +228,8 @@
     message.into()
 }
 
-fn first_host(status: Status) -> Entry {
-    Entry {
+fn first_host(status: Status) -> Endpoint {
+    Endpoint {
         worker: WorkerId("model-host-1".into()),
         zone: "here".into(),
         kind: "prompt".into(),
@@ -240,8 +240,8 @@
     }
 }
 
-fn second_host() -> Entry {
-    Entry {
+fn second_host() -> Endpoint {
+    Endpoint {
         worker: WorkerId("model-host-2".into()),
         zone: "there".into(),
         kind: "answer".into(),
@@ -253,9 +253,9 @@
 }
 
 /// Compares by the debugging form, which has each field: entries have no equality.
-fn assert_entries(listing: &Listing, expected: &[(Entry, &str)]) {
+fn assert_entries(listing: &Listing, expected: &[(Endpoint, &str)]) {
     let address = |text: &str| -> Option<SocketAddr> { text.parse().ok() };
-    let expected: Vec<(Entry, Option<SocketAddr>)> = expected
+    let expected: Vec<(Endpoint, Option<SocketAddr>)> = expected
         .iter()
         .map(|(entry, text)| (entry.clone(), address(text)))
         .collect();
