--- a/tests/held.rs
+++ b/tests/held.rs
@@ -64,7 +64,7 @@
         change(held);
     }
 
-    async fn attempt(&self, attempt: &mut Attempt) -> Outcome {
+    async fn attempt(&self, attempt: &mut Attempt) -> AttemptOutcome {
         let clock = self.core.clock;
         if let Some(releasing) = &attempt.after {
             let _ = timeout(Duration::from_millis(250), releasing.over()).await;
@@ -75,19 +75,19 @@
             .map_or(250 * MS, |by| by.saturating_sub(clock.now()).min(250 * MS));
         if self.draw(10) < self.silent {
             sleep(Duration::from_micros(by)).await;
-            return Outcome::NoConnection;
+            return AttemptOutcome::ConnectFailed;
         }
         sleep(Duration::from_micros((1 + self.draw(20)) * MS)).await;
         if self.draw(20) == 0 {
-            return Outcome::NotSent;
+            return AttemptOutcome::NotSent;
         }
         let id = attempt.call.id.clone();
         if self.draw(10) < self.lost {
             // It has been written and never arrives: to the hosts it is not out.
             tokio::select! {
                 biased;
-                _ = &mut attempt.cancelled => return Outcome::Dropped,
-                () = sleep_until(clock.instant(attempt.until)) => return Outcome::NoAnswer,
+                _ = &mut attempt.cancelled => return AttemptOutcome::Cancelled,
+                () = sleep_until(clock.instant(attempt.until)) => return AttemptOutcome::TimedOut,
             }
         }
         self.look(&id, |held| held.out += 1);
@@ -95,21 +95,21 @@
         let until = sleep_until(clock.instant(attempt.until));
         let work = sleep(Duration::from_millis(20 + self.draw(200)));
         let outcome = match self.draw(8) {
-            0 => Outcome::NoAnswer,
-            1 => Outcome::ConnectionLost,
-            2 => Outcome::Error,
-            3 => Outcome::TurnedAway,
-            4 if !reads => Outcome::NoState,
-            _ if reads => Outcome::Read,
-            _ => Outcome::Served,
+            0 => AttemptOutcome::TimedOut,
+            1 => AttemptOutcome::ConnectionLost,
+            2 => AttemptOutcome::Error,
+            3 => AttemptOutcome::Rejected,
+            4 if !reads => AttemptOutcome::KvStateMissing,
+            _ if reads => AttemptOutcome::Prefilled,
+            _ => AttemptOutcome::Served,
         };
         let outcome = tokio::select! {
             biased;
-            _ = &mut attempt.cancelled => Outcome::Dropped,
-            () = until => Outcome::NoAnswer,
-            () = work, if outcome != Outcome::NoAnswer => outcome,
+            _ = &mut attempt.cancelled => AttemptOutcome::Cancelled,
+            () = until => AttemptOutcome::TimedOut,
+            () = work, if outcome != AttemptOutcome::TimedOut => outcome,
         };
-        if outcome == Outcome::Served {
+        if outcome == AttemptOutcome::Served {
             let (source, feed) = feed(None);
             self.look(&id, |held| held.some = false);
             self.core.tell(Input::First {
@@ -123,7 +123,7 @@
         self.look(&id, |held| {
             (held.out, held.since) = (held.out - 1, now);
             // A read may have ended well however its connection did.
-            held.some |= reads && !matches!(outcome, Outcome::TurnedAway);
+            held.some |= reads && !matches!(outcome, AttemptOutcome::Rejected);
         });
         outcome
     }
@@ -168,41 +168,41 @@
     fn subscribe(&self) {}
 }
 
-fn settings() -> Settings {
-    let kind = |name: &str, role| Kind {
+fn settings() -> RoutingConfig {
+    let kind = |name: &str, role| WorkerKind {
         name: name.into(),
         role,
         memory_tokens: Some(150_000),
     };
-    let class = |name: &str, effect| Class {
+    let class = |name: &str, effect| RequestClass {
         name: name.into(),
-        effect,
-        aim: 1_500 * MS,
-        token_aim: 60 * MS,
-        give_up: 8_000 * MS,
-        worth: 1.0,
-        ..Class::default()
+        idempotency: effect,
+        ttft_objective: 1_500 * MS,
+        inter_token_objective: 60 * MS,
+        client_timeout: 8_000 * MS,
+        priority_weight: 1.0,
+        ..RequestClass::default()
     };
-    Settings {
+    RoutingConfig {
         routers: 20,
         zone: "a".into(),
-        kinds: vec![kind("r", Role::Reader), kind("w", Role::Writer)],
+        kinds: vec![kind("r", Role::Prefill), kind("w", Role::Decode)],
         classes: vec![
-            class("explain", Effect::Safe),
-            class("send", Effect::Unsafe),
+            class("explain", Idempotency::Idempotent),
+            class("send", Idempotency::NonIdempotent),
         ],
         max_attempts: 6,
-        may_drop: true,
+        cancellation_allowed: true,
         connect_timeout: 250 * MS,
-        tick: 2 * MS,
-        release: RELEASE,
-        answer_slack: 50 * MS,
+        batch_interval: 2 * MS,
+        kv_state_hold_limit: RELEASE,
+        response_grace: 50 * MS,
         drain_grace: 1_000 * MS,
-        cold_from: 0.3,
-        cold: 10_000 * MS,
-        fall_multiple: 2.5,
-        fall: 1_000 * MS,
-        ..Settings::default()
+        slow_start_initial_capacity: 0.3,
+        slow_start_duration: 10_000 * MS,
+        overload_factor: 2.5,
+        overload_window: 1_000 * MS,
+        ..RoutingConfig::default()
     }
 }
 
@@ -245,7 +245,7 @@
         );
         let run = async {
             tokio::task::spawn_local(driver.run(queue));
-            let entries = (0..6).map(|i| Entry {
+            let entries = (0..6).map(|i| Endpoint {
                 worker: WorkerId(Arc::from(format!("{}{i}", if i < 3 { "r" } else { "w" }))),
                 zone: ["a", "b", "c"][i % 3].into(),
                 kind: if i < 3 { "r".into() } else { "w".into() },
@@ -255,11 +255,11 @@
                 started: None,
             });
             core.tell(Input::List {
-                kind: ListKind::Full,
+                kind: EndpointUpdate::Full,
                 entries: entries.collect(),
             });
             for i in 0..40 {
-                let ask = Ask {
+                let ask = RequestSpec {
                     request: RequestId(0),
                     deadline: clock.now() + (1_000 + world.draw(6_000)) * MS,
                     session: None,
--- a/tests/list_calls.rs
+++ b/tests/list_calls.rs
@@ -21,13 +21,13 @@
 
 impl Module {
     fn new(routers: u32, seed: u64) -> Self {
-        let settings = Settings {
+        let settings = RoutingConfig {
             routers,
-            list_on_request: true,
-            release: 500 * MS,
-            tick: 2 * MS,
+            endpoints_on_request: true,
+            kv_state_hold_limit: 500 * MS,
+            batch_interval: 2 * MS,
             connect_timeout: 250 * MS,
-            ..Settings::default()
+            ..RoutingConfig::default()
         };
         Module {
             policy: Policy::new(settings, seed),
@@ -36,9 +36,9 @@
     }
 
     /// Plays one round that begins with such news; when its calls are made, from then on.
-    fn calls(&mut self, begun: Micros, kind: ListKind) -> Vec<Micros> {
+    fn calls(&mut self, begun: Micros, kind: EndpointUpdate) -> Vec<Micros> {
         let (mut calls, mut now) = (Vec::new(), begun);
-        let mut event = Event::List {
+        let mut event = Event::EndpointsUpdated {
             kind,
             entries: Vec::new(),
         };
@@ -67,7 +67,7 @@
 #[rstest]
 fn after_each_failure_the_next_call_is_in_time_and_not_in_step(
     #[values(3, 30, 300)] routers: u32,
-    #[values(ListKind::Saved, ListKind::Failed)] first: ListKind,
+    #[values(EndpointUpdate::Restored, EndpointUpdate::Failed)] first: EndpointUpdate,
 ) {
     let mut modules: Vec<Module> = (0..routers)
         .map(|i| Module::new(routers, u64::from(i)))
@@ -75,7 +75,11 @@
     let mut at_once = 0;
     for round in 0..10 {
         let begun = 100 * SECOND + round * ROUND;
-        let kind = if round == 0 { first } else { ListKind::Failed };
+        let kind = if round == 0 {
+            first
+        } else {
+            EndpointUpdate::Failed
+        };
         let mut calls: Vec<Micros> = Vec::new();
         for module in &mut modules {
             let own = module.calls(begun, kind);
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -8,52 +8,52 @@
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
 
-fn class(name: &str, effect: Effect) -> Class {
-    Class {
+fn class(name: &str, effect: Idempotency) -> RequestClass {
+    RequestClass {
         name: name.into(),
-        effect,
-        repeat_window: 5 * SECOND,
-        aim: SECOND,
-        token_aim: 60 * MS,
-        give_up: 8 * SECOND,
-        worth: 1.0,
-        ..Class::default()
+        idempotency: effect,
+        deduplication_window: 5 * SECOND,
+        ttft_objective: SECOND,
+        inter_token_objective: 60 * MS,
+        client_timeout: 8 * SECOND,
+        priority_weight: 1.0,
+        ..RequestClass::default()
     }
 }
 
-fn settings() -> Settings {
-    let kind = |name: &str, role| Kind {
+fn settings() -> RoutingConfig {
+    let kind = |name: &str, role| WorkerKind {
         name: name.into(),
         role,
         memory_tokens: Some(150_000),
     };
-    Settings {
+    RoutingConfig {
         routers: 2,
         zone: "z".into(),
         kinds: vec![
-            kind("r", Role::Reader),
-            kind("w", Role::Writer),
+            kind("r", Role::Prefill),
+            kind("w", Role::Decode),
             kind("m", Role::Mixed),
         ],
         classes: vec![
-            class("safe", Effect::Safe),
-            class("once", Effect::Unsafe),
-            class("cell", Effect::Keyed(Group::Cell)),
+            class("safe", Idempotency::Idempotent),
+            class("once", Idempotency::NonIdempotent),
+            class("cell", Idempotency::WithKey(DeduplicationScope::Cell)),
         ],
         max_attempts: 5,
-        may_drop: true,
-        retry_advice: true,
+        cancellation_allowed: true,
+        advises_retry_after: true,
         max_retry_after: 500 * MS,
         connect_timeout: 250 * MS,
-        tick: 2 * MS,
-        release: 500 * MS,
-        answer_slack: 16 * MS,
+        batch_interval: 2 * MS,
+        kv_state_hold_limit: 500 * MS,
+        response_grace: 16 * MS,
         drain_grace: 500 * MS,
-        cold_from: 0.33,
-        cold: 10 * SECOND,
-        fall_multiple: 2.5,
-        fall: SECOND,
-        ..Settings::default()
+        slow_start_initial_capacity: 0.33,
+        slow_start_duration: 10 * SECOND,
+        overload_factor: 2.5,
+        overload_window: SECOND,
+        ..RoutingConfig::default()
     }
 }
 
@@ -71,14 +71,14 @@
 const BEGIN: Micros = 100 * SECOND;
 
 /// A module of a process that is alone.
-fn module(settings: Settings, seed: u64) -> Policy {
+fn module(settings: RoutingConfig, seed: u64) -> Policy {
     let mut policy = Policy::new(settings, seed);
     policy.handle(BEGIN, Event::SlowStart { allowed: true }, &mut Vec::new());
     policy
 }
 
 impl Rig {
-    fn new(settings: Settings) -> Self {
+    fn new(settings: RoutingConfig) -> Self {
         let policy = module(settings, 7);
         Rig {
             policy,
@@ -89,11 +89,11 @@
     }
 
     /// Two readers and three writers in two cells of one zone.
-    fn fleet(settings: Settings) -> Self {
+    fn fleet(settings: RoutingConfig) -> Self {
         let mut rig = Rig::new(settings);
         let list = [("r1", 0), ("r2", 1), ("w1", 0), ("w2", 1), ("w3", 1)];
         rig.list(
-            ListKind::Saved,
+            EndpointUpdate::Restored,
             list.iter()
                 .map(|(w, cell)| entry(w, *cell, Status::Ready, None))
                 .collect(),
@@ -112,30 +112,30 @@
         out
     }
 
-    fn list(&mut self, kind: ListKind, entries: Vec<Entry>) -> Vec<Action> {
-        self.event(Event::List { kind, entries })
+    fn list(&mut self, kind: EndpointUpdate, entries: Vec<Endpoint>) -> Vec<Action> {
+        self.event(Event::EndpointsUpdated { kind, entries })
     }
 
     fn ask(&mut self, id: u64, class: &str) -> Vec<Action> {
-        self.ask_with(Ask {
+        self.ask_with(RequestSpec {
             request: RequestId(id),
             ..ask(self.now, class)
         })
     }
 
-    fn ask_with(&mut self, ask: Ask) -> Vec<Action> {
-        self.event(Event::Ask(ask))
+    fn ask_with(&mut self, ask: RequestSpec) -> Vec<Action> {
+        self.event(Event::RequestArrived(ask))
     }
 
-    fn end(&mut self, id: u64, attempt: u32, outcome: Outcome) -> Vec<Action> {
-        let settled = outcome == Outcome::Served;
-        self.event(Event::Ended(Ended {
+    fn end(&mut self, id: u64, attempt: u32, outcome: AttemptOutcome) -> Vec<Action> {
+        let settled = outcome == AttemptOutcome::Served;
+        self.event(Event::AttemptCompleted(AttemptCompleted {
             request: RequestId(id),
             attempt: AttemptIndex(attempt),
             outcome,
             elapsed: 50 * MS,
-            settled,
-            kept: 0,
+            request_finished: settled,
+            cached_tokens: 0,
             report: None,
         }))
     }
@@ -156,8 +156,8 @@
     }
 }
 
-fn ask(now: Micros, class: &str) -> Ask {
-    Ask {
+fn ask(now: Micros, class: &str) -> RequestSpec {
+    RequestSpec {
         request: RequestId(0),
         deadline: now + 4 * SECOND,
         session: None,
@@ -171,10 +171,10 @@
     }
 }
 
-fn entry(name: &str, cell: u64, status: Status, started: Option<Micros>) -> Entry {
+fn entry(name: &str, cell: u64, status: Status, started: Option<Micros>) -> Endpoint {
     let worker = WorkerId(Arc::from(name));
     let kind = name[..1].to_owned();
-    Entry {
+    Endpoint {
         worker,
         zone: "z".into(),
         kind,
@@ -215,7 +215,7 @@
 fn finals(actions: &[Action]) -> usize {
     actions
         .iter()
-        .filter(|a| matches!(a, Action::Refuse { .. } | Action::Fail { .. }))
+        .filter(|a| matches!(a, Action::Reject { .. } | Action::Fail { .. }))
         .count()
 }
 
@@ -231,29 +231,29 @@
     let mut rig = Rig::fleet(settings());
     let read = rig.ask(1, "safe");
     let reader = sends(&read)[0].to_owned();
-    let write = rig.end(1, 0, Outcome::Read);
+    let write = rig.end(1, 0, AttemptOutcome::Prefilled);
     let writer = sends(&write)[0];
     assert_eq!(writer == "w1", reader == "r1", "{reader} then {writer}");
-    assert_eq!(finals(&rig.end(1, 1, Outcome::Served)), 0);
+    assert_eq!(finals(&rig.end(1, 1, AttemptOutcome::Served)), 0);
 }
 
 #[test]
 fn a_prefix_has_the_same_home_at_every_router_and_stays_there() {
     let mut homes = Vec::new();
     for index in 0..2 {
-        let mut rig = Rig::fleet(Settings {
+        let mut rig = Rig::fleet(RoutingConfig {
             index: Some(index),
             ..settings()
         });
-        let with = |now| Ask {
+        let with = |now| RequestSpec {
             prefix: Some(Arc::from("p")),
             prefix_tokens: 1_900,
             ..ask(now, "safe")
         };
         let first = rig.ask_with(with(rig.now));
-        rig.end(0, 0, Outcome::Read);
-        rig.end(0, 1, Outcome::Served);
-        let again = rig.ask_with(Ask {
+        rig.end(0, 0, AttemptOutcome::Prefilled);
+        rig.end(0, 1, AttemptOutcome::Served);
+        let again = rig.ask_with(RequestSpec {
             request: RequestId(2),
             ..with(rig.now)
         });
@@ -269,7 +269,7 @@
     let mut readers = Vec::new();
     for id in 1..6 {
         let session = Some(Arc::from("s"));
-        let read = rig.ask_with(Ask {
+        let read = rig.ask_with(RequestSpec {
             request: RequestId(id),
             session,
             ..ask(rig.now, "safe")
@@ -277,10 +277,10 @@
         readers.push(sends(&read)[0].to_owned());
         // Another request keeps the other reader's load in play.
         rig.ask(100 + id, "safe");
-        rig.end(id, 0, Outcome::Read);
-        rig.end(id, 1, Outcome::Served);
-        rig.end(100 + id, 0, Outcome::Read);
-        rig.end(100 + id, 1, Outcome::Served);
+        rig.end(id, 0, AttemptOutcome::Prefilled);
+        rig.end(id, 1, AttemptOutcome::Served);
+        rig.end(100 + id, 0, AttemptOutcome::Prefilled);
+        rig.end(100 + id, 1, AttemptOutcome::Served);
     }
     assert!(readers.iter().all(|r| *r == readers[0]), "{readers:?}");
 }
@@ -289,23 +289,23 @@
 fn a_failed_read_is_not_credited() {
     let mut rig = Rig::fleet(settings());
     let session = || Some(Arc::from("s"));
-    let first = rig.ask_with(Ask {
+    let first = rig.ask_with(RequestSpec {
         request: RequestId(1),
         session: session(),
         ..ask(rig.now, "safe")
     });
     let failed = sends(&first)[0].to_owned();
-    let second = rig.end(1, 0, Outcome::Error);
+    let second = rig.end(1, 0, AttemptOutcome::Error);
     assert_eq!(
         sends(&second).len(),
         1,
         "a reading attempt may always be followed by another"
     );
-    rig.end(1, 1, Outcome::Error);
-    rig.end(1, 2, Outcome::Error);
+    rig.end(1, 1, AttemptOutcome::Error);
+    rig.end(1, 2, AttemptOutcome::Error);
     // Both readers failed; neither holds the session, so nothing binds the next prompt to the first one.
     rig.pass(10 * SECOND);
-    let next = rig.ask_with(Ask {
+    let next = rig.ask_with(RequestSpec {
         request: RequestId(2),
         session: session(),
         ..ask(rig.now, "safe")
@@ -316,7 +316,7 @@
 #[test]
 fn no_workers_at_all_still_gives_one_answer_in_time() {
     let mut rig = Rig::new(settings());
-    rig.list(ListKind::Saved, Vec::new());
+    rig.list(EndpointUpdate::Restored, Vec::new());
     let asked = rig.ask(1, "safe");
     let rest = rig.pass(4 * SECOND);
     assert_eq!(finals(&asked) + finals(&rest), 1);
@@ -328,7 +328,7 @@
     let mut rig = Rig::fleet(settings());
     rig.ask(1, "safe");
     for attempt in 0..5 {
-        rig.end(1, attempt, Outcome::Error);
+        rig.end(1, attempt, AttemptOutcome::Error);
         rig.pass(100 * MS);
     }
     rig.pass(5 * SECOND);
@@ -347,14 +347,14 @@
 #[test]
 fn an_unsafe_request_of_unknown_fate_fails_and_is_never_sent_again() {
     for outcome in [
-        Outcome::Error,
-        Outcome::NoAnswer,
-        Outcome::ConnectionLost,
-        Outcome::Dropped,
+        AttemptOutcome::Error,
+        AttemptOutcome::TimedOut,
+        AttemptOutcome::ConnectionLost,
+        AttemptOutcome::Cancelled,
     ] {
         let mut rig = Rig::fleet(settings());
         rig.ask(1, "once");
-        rig.end(1, 0, Outcome::Read);
+        rig.end(1, 0, AttemptOutcome::Prefilled);
         let after = rig.end(1, 1, outcome);
         assert!(sends(&after).is_empty());
         assert!(after.iter().any(is_failure_of(1)), "{outcome:?}: {after:?}");
@@ -367,8 +367,8 @@
 fn an_unsafe_request_that_never_ran_goes_to_another_writer() {
     let mut rig = Rig::fleet(settings());
     rig.ask(1, "once");
-    let first = rig.end(1, 0, Outcome::Read);
-    let second = rig.end(1, 1, Outcome::TurnedAway);
+    let first = rig.end(1, 0, AttemptOutcome::Prefilled);
+    let second = rig.end(1, 1, AttemptOutcome::Rejected);
     assert_eq!(sends(&second).len(), 1);
     assert_ne!(sends(&first), sends(&second));
 }
@@ -381,7 +381,7 @@
     let cell = |worker: &str| u64::from(["r2", "w4", "w5", "w6"].contains(&worker));
     let names = ["r1", "r2", "w1", "w2", "w3", "w4", "w5", "w6"];
     rig.list(
-        ListKind::Saved,
+        EndpointUpdate::Restored,
         names
             .iter()
             .map(|w| entry(w, cell(w), Status::Ready, None))
@@ -394,15 +394,15 @@
         for _ in 0..40 {
             id += 1;
             let read_at = sends(&rig.ask(id, "safe"))[0].to_owned();
-            let wrote_at = sends(&rig.end(id, 0, Outcome::Read))[0].to_owned();
+            let wrote_at = sends(&rig.end(id, 0, AttemptOutcome::Prefilled))[0].to_owned();
             let is_near = cell(&read_at) == 0 && cell(&wrote_at) == 0;
             stayed += u32::from(is_near);
             // One after the other hangs, each of them seldom enough not to be set aside itself.
             if hang && is_near && stayed % 2 == 0 {
-                rig.end(id, 1, Outcome::NoAnswer);
-                rig.end(id, 2, Outcome::Served);
+                rig.end(id, 1, AttemptOutcome::TimedOut);
+                rig.end(id, 2, AttemptOutcome::Served);
             } else {
-                rig.end(id, 1, Outcome::Served);
+                rig.end(id, 1, AttemptOutcome::Served);
             }
         }
         stayed
@@ -420,21 +420,21 @@
 fn a_keyed_request_is_repeated_in_its_group_and_window_alone() {
     let mut rig = Rig::fleet(settings());
     rig.ask(1, "cell");
-    let first = sends(&rig.end(1, 0, Outcome::Read))[0].to_owned();
-    let after = rig.end(1, 1, Outcome::Error);
+    let first = sends(&rig.end(1, 0, AttemptOutcome::Prefilled))[0].to_owned();
+    let after = rig.end(1, 1, AttemptOutcome::Error);
     match first.as_str() {
         "w1" => assert!(sends(&after).iter().all(|w| *w == "w1")),
         _ => assert!(sends(&after).iter().all(|w| *w == "w2" || *w == "w3")),
     }
     let mut rig = Rig::fleet(settings());
-    rig.ask_with(Ask {
+    rig.ask_with(RequestSpec {
         request: RequestId(1),
         deadline: rig.now + 60 * SECOND,
         ..ask(rig.now, "cell")
     });
-    rig.end(1, 0, Outcome::Read);
+    rig.end(1, 0, AttemptOutcome::Prefilled);
     rig.now += 6 * SECOND;
-    let late = rig.end(1, 1, Outcome::NoAnswer);
+    let late = rig.end(1, 1, AttemptOutcome::TimedOut);
     assert!(
         sends(&late).is_empty(),
         "the workers have forgotten it: {late:?}"
@@ -460,17 +460,17 @@
         .iter()
         .find(|c| c.name == "cell")
         .unwrap()
-        .repeat_window;
+        .deduplication_window;
     assert_eq!(limit(&rig.ask(1, "cell")), Some(None));
     assert_eq!(
-        limit(&rig.end(1, 0, Outcome::Read)),
+        limit(&rig.end(1, 0, AttemptOutcome::Prefilled)),
         Some(None),
         "it can't have run yet"
     );
     let first = rig.now;
     rig.now += 100 * MS;
     assert_eq!(
-        limit(&rig.end(1, 1, Outcome::Error)),
+        limit(&rig.end(1, 1, AttemptOutcome::Error)),
         Some(Some(first + window))
     );
 }
@@ -479,7 +479,7 @@
 fn nothing_goes_to_draining_or_gone_workers() {
     let mut rig = Rig::fleet(settings());
     rig.list(
-        ListKind::Changes,
+        EndpointUpdate::Incremental,
         vec![
             entry("r1", 0, Status::Draining, None),
             entry("w1", 0, Status::Gone, None),
@@ -487,8 +487,8 @@
     );
     for id in 1..20 {
         rig.ask(id, "safe");
-        rig.end(id, 0, Outcome::Read);
-        rig.end(id, 1, Outcome::Served);
+        rig.end(id, 0, AttemptOutcome::Prefilled);
+        rig.end(id, 1, AttemptOutcome::Served);
     }
     assert!(!sends(&rig.log).iter().any(|w| *w == "r1" || *w == "w1"));
 }
@@ -497,7 +497,7 @@
 fn a_worker_missing_from_a_full_list_is_gone() {
     let mut rig = Rig::fleet(settings());
     rig.list(
-        ListKind::Full,
+        EndpointUpdate::Full,
         vec![
             entry("r2", 1, Status::Ready, None),
             entry("w2", 1, Status::Ready, None),
@@ -505,8 +505,8 @@
     );
     for id in 1..10 {
         rig.ask(id, "safe");
-        rig.end(id, 0, Outcome::Read);
-        rig.end(id, 1, Outcome::Served);
+        rig.end(id, 0, AttemptOutcome::Prefilled);
+        rig.end(id, 1, AttemptOutcome::Served);
     }
     assert!(sends(&rig.log).iter().all(|w| *w == "r2" || *w == "w2"));
 }
@@ -517,12 +517,12 @@
     let mut rig = Rig::fleet(settings());
     let started = rig.now;
     rig.list(
-        ListKind::Changes,
+        EndpointUpdate::Incremental,
         vec![entry("r1", 0, Status::Ready, Some(started))],
     );
     for id in 1..200 {
         rig.ask(id, "safe");
-        rig.end(id, 0, Outcome::TurnedAway);
+        rig.end(id, 0, AttemptOutcome::Rejected);
         rig.now += 5 * MS;
     }
     let cold = sends(&rig.log).iter().filter(|w| **w == "r1").count();
@@ -539,7 +539,7 @@
         name: "t".into(),
         quota_per_s: 40.0,
     }];
-    let mut rig = Rig::new(Settings {
+    let mut rig = Rig::new(RoutingConfig {
         tenants,
         ..settings()
     });
@@ -548,15 +548,15 @@
             .map(|w| entry(w, 0, Status::Ready, started))
             .to_vec()
     };
-    rig.list(ListKind::Saved, list(None));
+    rig.list(EndpointUpdate::Restored, list(None));
     // A predecessor of this process may have sent until just before its start.
     rig.now += SLOW_START_PAUSE;
     let started = list(Some(rig.now));
-    rig.list(ListKind::Full, started);
+    rig.list(EndpointUpdate::Full, started);
     for id in 1..100 {
         rig.ask(id, "safe");
-        rig.end(id, 0, Outcome::Read);
-        rig.end(id, 1, Outcome::Served);
+        rig.end(id, 0, AttemptOutcome::Prefilled);
+        rig.end(id, 1, AttemptOutcome::Served);
         rig.now += 10 * MS;
     }
     // This router's part: 2.5 x 0.33 x 40 a second / 2 routers / 2 readers = 8.25 a reader and second.
@@ -576,10 +576,10 @@
     rig.ask(1, "safe");
     let gone = |w: &str, c| entry(w, c, Status::Draining, None);
     rig.list(
-        ListKind::Changes,
+        EndpointUpdate::Incremental,
         vec![gone("w1", 0), gone("w2", 1), gone("w3", 1)],
     );
-    rig.end(1, 0, Outcome::Read);
+    rig.end(1, 0, AttemptOutcome::Prefilled);
     let read_at = rig.now;
     let within = rig.pass(490 * MS);
     assert_eq!(
@@ -594,25 +594,25 @@
 /// each of which gave it its time anew, and against one forgotten since a writer that could not find it said so.
 #[rstest]
 #[case::connections_that_fail_from_the_read_on(&[], 3)]
-#[case::and_from_a_writer_that_has_answered_on(&[(Outcome::Error, 300)], 3)]
-#[case::and_though_a_send_was_lost_with_its_connection(&[(Outcome::ConnectionLost, 100)], 3)]
-#[case::and_after_a_release_behind_a_send_without_an_answer(&[(Outcome::NoAnswer, 570)], 3)]
-#[case::and_to_a_writer_that_finds_no_state(&[(Outcome::NoAnswer, 570), (Outcome::NoConnection, 250)], 0)]
+#[case::and_from_a_writer_that_has_answered_on(&[(AttemptOutcome::Error, 300)], 3)]
+#[case::and_though_a_send_was_lost_with_its_connection(&[(AttemptOutcome::ConnectionLost, 100)], 3)]
+#[case::and_after_a_release_behind_a_send_without_an_answer(&[(AttemptOutcome::TimedOut, 570)], 3)]
+#[case::and_to_a_writer_that_finds_no_state(&[(AttemptOutcome::TimedOut, 570), (AttemptOutcome::ConnectFailed, 250)], 0)]
 fn the_time_that_a_state_is_held_runs_on_while_connections_fail(
-    #[case] before: &[(Outcome, Micros)],
+    #[case] before: &[(AttemptOutcome, Micros)],
     #[case] failures: u32,
 ) {
-    let mut rig = Rig::fleet(Settings {
+    let mut rig = Rig::fleet(RoutingConfig {
         max_attempts: 9,
         ..settings()
     });
     let deadline = rig.now + 9 * SECOND;
-    rig.ask_with(Ask {
+    rig.ask_with(RequestSpec {
         request: RequestId(1),
         deadline,
         ..ask(rig.now, "safe")
     });
-    rig.end(1, 0, Outcome::Read);
+    rig.end(1, 0, AttemptOutcome::Prefilled);
     let mut quiet_since = rig.now;
     let (mut attempt, mut done) = (0, Vec::new());
     let mut end = |rig: &mut Rig, outcome, after| {
@@ -623,7 +623,7 @@
     };
     for (outcome, after) in before {
         // Behind a send that is out for longer than the limit one release goes out in time.
-        let expected = usize::from(after * MS > settings().release);
+        let expected = usize::from(after * MS > settings().kv_state_hold_limit);
         assert_eq!(
             releases(&end(&mut rig, *outcome, after * MS)),
             expected,
@@ -637,13 +637,13 @@
     }
     // As the core has it: no connect may take more than half of the time that is left.
     for _ in 0..failures {
-        let left = (quiet_since + settings().release).saturating_sub(rig.now);
-        done.extend(end(&mut rig, Outcome::NoConnection, left / 2));
+        let left = (quiet_since + settings().kv_state_hold_limit).saturating_sub(rig.now);
+        done.extend(end(&mut rig, AttemptOutcome::ConnectFailed, left / 2));
     }
     if failures == 0 {
-        done = end(&mut rig, Outcome::NoState, 2 * MS);
+        done = end(&mut rig, AttemptOutcome::KvStateMissing, 2 * MS);
     }
-    done.extend(rig.pass((quiet_since + settings().release).saturating_sub(rig.now)));
+    done.extend(rig.pass((quiet_since + settings().kv_state_hold_limit).saturating_sub(rig.now)));
     let release = done
         .iter()
         .position(|a| matches!(a, Action::Release { .. }))
@@ -669,16 +669,16 @@
         let mut rig = Rig::new(settings());
         rig.policy = module(settings(), seed);
         let list = ["r1", "w1", "w2", "w3", "w4", "w5", "w6"];
-        let entry = |w: &&str| Entry {
+        let entry = |w: &&str| Endpoint {
             zone: zone(w).into(),
             ..entry(w, 0, Status::Ready, None)
         };
-        rig.list(ListKind::Saved, list.iter().map(entry).collect());
+        rig.list(EndpointUpdate::Restored, list.iter().map(entry).collect());
         rig.ask(1, "safe");
-        if sends(&rig.end(1, 0, Outcome::Read)) != ["w1"] {
+        if sends(&rig.end(1, 0, AttemptOutcome::Prefilled)) != ["w1"] {
             rig.pass(200 * MS);
             assert_eq!(
-                sends(&rig.end(1, 1, Outcome::NoConnection)),
+                sends(&rig.end(1, 1, AttemptOutcome::ConnectFailed)),
                 ["w1"],
                 "seed {seed}"
             );
@@ -690,10 +690,10 @@
 fn a_read_that_ends_after_the_client_left_is_released() {
     let mut rig = Rig::fleet(settings());
     rig.ask(1, "safe");
-    rig.event(Event::Left {
+    rig.event(Event::ClientDisconnected {
         request: RequestId(1),
     });
-    let after = rig.end(1, 0, Outcome::Read);
+    let after = rig.end(1, 0, AttemptOutcome::Prefilled);
     assert_eq!(releases(&after), 1);
     assert!(sends(&after).is_empty());
 }
@@ -706,12 +706,12 @@
         let to = sends(&rig.ask(id, "safe"))[0].to_owned();
         if to == "r1" {
             bad += 1;
-            rig.end(id, 0, Outcome::Error);
-            rig.end(id, 1, Outcome::Read);
-            rig.end(id, 2, Outcome::Served);
+            rig.end(id, 0, AttemptOutcome::Error);
+            rig.end(id, 1, AttemptOutcome::Prefilled);
+            rig.end(id, 2, AttemptOutcome::Served);
         } else {
-            rig.end(id, 0, Outcome::Read);
-            rig.end(id, 1, Outcome::Served);
+            rig.end(id, 0, AttemptOutcome::Prefilled);
+            rig.end(id, 1, AttemptOutcome::Served);
         }
         rig.now += 10 * MS;
     }
@@ -726,8 +726,8 @@
     let mut rig = Rig::fleet(settings());
     for id in 1..10 {
         rig.ask(id, "safe");
-        rig.end(id, 0, Outcome::Error);
-        rig.end(id, 1, Outcome::Error);
+        rig.end(id, 0, AttemptOutcome::Error);
+        rig.end(id, 1, AttemptOutcome::Error);
         rig.now += 10 * MS;
     }
     assert_eq!(
@@ -740,8 +740,8 @@
 #[test]
 fn unreachable_readers_are_left_to_writers_that_read() {
     // Found in an incident: every reader died while the list still had them, and all was sent to them.
-    let mut rig = Rig::fleet(Settings {
-        writers_read: true,
+    let mut rig = Rig::fleet(RoutingConfig {
+        decode_workers_prefill: true,
         ..settings()
     });
     let mut to_writers = 0;
@@ -750,11 +750,11 @@
         for attempt in 0..5 {
             match sends(&actions).first().copied() {
                 Some(w) if w.starts_with('r') => {
-                    actions = rig.end(id, attempt, Outcome::NoConnection)
+                    actions = rig.end(id, attempt, AttemptOutcome::ConnectFailed)
                 }
                 Some(_) => {
                     to_writers += 1;
-                    rig.end(id, attempt, Outcome::Served);
+                    rig.end(id, attempt, AttemptOutcome::Served);
                     break;
                 }
                 None => break,
@@ -775,16 +775,16 @@
     for id in 1..20 {
         rig.ask(id, "safe");
         rig.now += 600 * MS;
-        rig.event(Event::Ended(Ended {
+        rig.event(Event::AttemptCompleted(AttemptCompleted {
             request: RequestId(id),
             attempt: AttemptIndex(0),
-            outcome: Outcome::Read,
+            outcome: AttemptOutcome::Prefilled,
             elapsed: 600 * MS,
-            settled: false,
-            kept: 0,
+            request_finished: false,
+            cached_tokens: 0,
             report: None,
         }));
-        rig.end(id, 1, Outcome::Served);
+        rig.end(id, 1, AttemptOutcome::Served);
     }
     let before = sends(&rig.log).len();
     for id in 100..120 {
@@ -800,11 +800,11 @@
         "only {refused} were told within {} us",
         rig.now - asked
     );
-    let advice = |a: &Action| matches!(a, Action::Refuse { retry_after: Some(t), .. } if *t > 0);
+    let advice = |a: &Action| matches!(a, Action::Reject { retry_after: Some(t), .. } if *t > 0);
     assert!(
         rig.log
             .iter()
-            .filter(|a| matches!(a, Action::Refuse { .. }))
+            .filter(|a| matches!(a, Action::Reject { .. }))
             .all(advice)
     );
 }
@@ -816,20 +816,20 @@
     for id in 1..5 {
         rig.ask(id, "safe");
         rig.now += 300 * MS;
-        rig.event(Event::Ended(Ended {
+        rig.event(Event::AttemptCompleted(AttemptCompleted {
             request: RequestId(id),
             attempt: AttemptIndex(0),
-            outcome: Outcome::Read,
+            outcome: AttemptOutcome::Prefilled,
             elapsed: 300 * MS,
-            settled: false,
-            kept: 0,
+            request_finished: false,
+            cached_tokens: 0,
             report: None,
         }));
-        rig.end(id, 1, Outcome::Served);
+        rig.end(id, 1, AttemptOutcome::Served);
     }
     // One request of ours is out, so this one isn't needed to learn from.
     rig.ask(50, "safe");
-    let hasty = Ask {
+    let hasty = RequestSpec {
         request: RequestId(51),
         deadline: rig.now + 150 * MS,
         ..ask(rig.now, "safe")
@@ -848,8 +848,8 @@
     let list = ["r1", "m1"]
         .map(|w| entry(w, 0, Status::Ready, None))
         .to_vec();
-    rig.list(ListKind::Full, list);
-    let of = |id, prompt_tokens, now| Ask {
+    rig.list(EndpointUpdate::Full, list);
+    let of = |id, prompt_tokens, now| RequestSpec {
         request: RequestId(id),
         prompt_tokens,
         ..ask(now, "safe")
@@ -857,7 +857,7 @@
     assert_eq!(sends(&rig.ask_with(of(1, 1_000, rig.now))), ["m1"]);
     assert_eq!(sends(&rig.ask_with(of(2, 9_000, rig.now))), ["r1"]);
     assert_eq!(
-        sends(&rig.end(2, 0, Outcome::Read)),
+        sends(&rig.end(2, 0, AttemptOutcome::Prefilled)),
         ["m1"],
         "a mixed worker answers what was read"
     );
@@ -870,27 +870,27 @@
         name: "small".into(),
         quota_per_s: 2.0,
     }];
-    let mut rig = Rig::fleet(Settings {
+    let mut rig = Rig::fleet(RoutingConfig {
         tenants,
         ..settings()
     });
     for id in 1..5 {
         rig.ask(id, "safe");
         rig.now += 900 * MS;
-        rig.event(Event::Ended(Ended {
+        rig.event(Event::AttemptCompleted(AttemptCompleted {
             request: RequestId(id),
             attempt: AttemptIndex(0),
-            outcome: Outcome::Read,
+            outcome: AttemptOutcome::Prefilled,
             elapsed: 900 * MS,
-            settled: false,
-            kept: 0,
+            request_finished: false,
+            cached_tokens: 0,
             report: None,
         }));
-        rig.end(id, 1, Outcome::Served);
+        rig.end(id, 1, AttemptOutcome::Served);
     }
     for id in 10..40 {
         let tenant = Some("small".to_owned());
-        rig.ask_with(Ask {
+        rig.ask_with(RequestSpec {
             request: RequestId(id),
             tenant,
             ..ask(rig.now, "safe")
@@ -910,14 +910,14 @@
         name: "small".into(),
         quota_per_s: 2.0,
     }];
-    let mut rig = Rig::fleet(Settings {
+    let mut rig = Rig::fleet(RoutingConfig {
         routers: 200,
         tenants,
         ..settings()
     });
     for id in 1..6 {
         let tenant = Some("small".to_owned());
-        rig.ask_with(Ask {
+        rig.ask_with(RequestSpec {
             request: RequestId(id),
             tenant,
             ..ask(rig.now, "safe")
@@ -931,7 +931,7 @@
 fn many_routers_start_a_cold_worker_one_after_another() {
     let mut first = Vec::new();
     for seed in 0..20 {
-        let set = Settings {
+        let set = RoutingConfig {
             routers: 100,
             ..settings()
         };
@@ -943,12 +943,12 @@
             entry("w1", 0, Status::Ready, None),
             entry("w2", 0, Status::Ready, None),
         ];
-        rig.list(ListKind::Saved, warm.to_vec());
+        rig.list(EndpointUpdate::Restored, warm.to_vec());
         rig.list(
-            ListKind::Changes,
+            EndpointUpdate::Incremental,
             vec![entry("r1", 0, Status::Ready, Some(rig.now))],
         );
-        rig.ask_with(Ask {
+        rig.ask_with(RequestSpec {
             deadline: rig.now + 20 * SECOND,
             ..ask(rig.now, "safe")
         });
@@ -968,7 +968,7 @@
 
 /// Four of six workers of a role have just started, at each of a hundred routers.
 fn renewed(seed: u64) -> Rig {
-    let set = Settings {
+    let set = RoutingConfig {
         routers: 100,
         index: Some(seed as u32),
         ..settings()
@@ -985,18 +985,18 @@
             .map(|(w, i)| entry(&w, 0, Status::Ready, born(i)))
             .collect()
     };
-    rig.list(ListKind::Saved, list(None));
+    rig.list(EndpointUpdate::Restored, list(None));
     // A predecessor of this process may have sent until just before its start.
     rig.now += SLOW_START_PAUSE;
     let started = list(Some(rig.now));
-    rig.list(ListKind::Changes, started);
+    rig.list(EndpointUpdate::Incremental, started);
     rig
 }
 
 /// A process that starts anew in the ramp of a worker: its predecessor may have spent the router's share just before.
 #[test]
 fn a_new_process_sends_nothing_to_workers_in_slow_start_for_a_window() {
-    let mut rig = Rig::new(Settings {
+    let mut rig = Rig::new(RoutingConfig {
         index: Some(0),
         routers: 1,
         ..settings()
@@ -1006,7 +1006,7 @@
         entry("w1", 0, Status::Ready, None),
         entry("r1", 0, Status::Ready, Some(started)),
     ];
-    rig.list(ListKind::Saved, list);
+    rig.list(EndpointUpdate::Restored, list);
     assert_eq!(sends(&rig.ask(1, "safe")).len(), 0);
     rig.now += SLOW_START_PAUSE - MS;
     assert_eq!(sends(&rig.ask(2, "safe")).len(), 0);
@@ -1019,16 +1019,19 @@
 #[test]
 fn of_two_processes_of_a_router_one_at_most_sends_to_workers_in_slow_start() {
     let reads = |rig: &mut Rig, id| sends(&rig.ask(id, "safe")).len();
-    let mut rig = Rig::new(Settings {
+    let mut rig = Rig::new(RoutingConfig {
         index: Some(0),
         routers: 1,
         ..settings()
     });
-    rig.list(ListKind::Saved, vec![entry("w1", 0, Status::Ready, None)]);
+    rig.list(
+        EndpointUpdate::Restored,
+        vec![entry("w1", 0, Status::Ready, None)],
+    );
     rig.now += 2 * SECOND;
     let started = rig.now;
     rig.list(
-        ListKind::Changes,
+        EndpointUpdate::Incremental,
         vec![entry("r1", 0, Status::Ready, Some(started))],
     );
     assert_eq!(reads(&mut rig, 1), 1);
@@ -1047,18 +1050,18 @@
 #[test]
 fn a_shared_text_has_few_homes_where_readers_are_many_and_one_where_they_are_few() {
     for (readers, homes) in [(6, 1..2), (32, 3..5)] {
-        let mut rig = Rig::new(Settings {
+        let mut rig = Rig::new(RoutingConfig {
             routers: 100,
             ..settings()
         });
         let name = |i: usize| format!("r{i}");
         let list = (0..readers).map(|i| entry(&name(i), 0, Status::Ready, None));
         let list = list.chain([entry("w1", 0, Status::Ready, None)]).collect();
-        rig.list(ListKind::Saved, list);
+        rig.list(EndpointUpdate::Restored, list);
         let mut seen = std::collections::BTreeSet::new();
         for id in 1..200 {
             let (session, prefix) = (Some(Arc::from(format!("s{id}"))), Some(Arc::from("hot")));
-            let asked = Ask {
+            let asked = RequestSpec {
                 request: RequestId(id),
                 session,
                 prefix,
@@ -1070,8 +1073,8 @@
                 _ => None,
             });
             seen.insert(to.expect("a reader is free"));
-            rig.end(id, 0, Outcome::Read);
-            rig.end(id, 1, Outcome::Served);
+            rig.end(id, 0, AttemptOutcome::Prefilled);
+            rig.end(id, 1, AttemptOutcome::Served);
         }
         assert!(homes.contains(&seen.len()), "{readers} readers: {seen:?}");
     }
@@ -1080,12 +1083,12 @@
 /// Guards against a try at each dead worker of a lost zone by each of many routers, until attempts are spent.
 #[test]
 fn after_two_workers_of_a_zone_were_not_reached_the_others_there_are_left_alone() {
-    let mut rig = Rig::new(Settings {
+    let mut rig = Rig::new(RoutingConfig {
         routers: 100,
         max_attempts: 6,
         ..settings()
     });
-    let zone = |w: &str, zone: &str| Entry {
+    let zone = |w: &str, zone: &str| Endpoint {
         zone: zone.into(),
         ..entry(w, 0, Status::Ready, None)
     };
@@ -1094,7 +1097,7 @@
         .into_iter()
         .chain([zone("r6", "far"), zone("w3", "far")])
         .collect();
-    rig.list(ListKind::Saved, list);
+    rig.list(EndpointUpdate::Restored, list);
     for id in 1..4 {
         rig.ask(id, "safe");
         while sends(&rig.log).last() != Some(&"r6") {
@@ -1104,7 +1107,7 @@
                 .filter(|a| matches!(a, Action::Send { request, .. } if request.0 == id));
             let attempt = attempt.count() as u32 - 1;
             assert!(attempt < 2, "{:?}", sends(&rig.log));
-            rig.end(id, attempt, Outcome::NoConnection);
+            rig.end(id, attempt, AttemptOutcome::ConnectFailed);
         }
     }
     rig.pass(5 * SECOND);
@@ -1122,7 +1125,7 @@
         for (prompt_tokens, to) in [(16_000, &mut long), (300, &mut short)] {
             let mut rig = renewed(seed);
             let session = Some(Arc::from(format!("s{seed}")));
-            let asked = Ask {
+            let asked = RequestSpec {
                 session,
                 prompt_tokens,
                 deadline: rig.now + 20 * SECOND,
@@ -1140,7 +1143,7 @@
 #[test]
 fn a_read_is_waited_for_longer_while_many_readers_are_cold() {
     let wait = |rig: &mut Rig| {
-        let asked = rig.ask_with(Ask {
+        let asked = rig.ask_with(RequestSpec {
             deadline: rig.now + 20 * SECOND,
             ..ask(rig.now, "safe")
         });
@@ -1156,7 +1159,7 @@
             .find_map(timeout)
             .expect("a read with a time-out")
     };
-    let warm = wait(&mut Rig::fleet(Settings {
+    let warm = wait(&mut Rig::fleet(RoutingConfig {
         routers: 100,
         ..settings()
     }));
@@ -1170,7 +1173,7 @@
     let mut rig = Rig::fleet(settings());
     rig.ask(1, "safe");
     rig.now += 3 * SECOND;
-    let after = rig.end(1, 0, Outcome::NoAnswer);
+    let after = rig.end(1, 0, AttemptOutcome::TimedOut);
     assert!(sends(&after).is_empty());
     assert_eq!(finals(&after), 1);
 }
@@ -1182,10 +1185,10 @@
     let mut rig = renewed(1);
     for id in 1..30 {
         rig.ask(id, "safe");
-        rig.end(id, 0, Outcome::Error);
-        rig.end(id, 1, Outcome::Read);
-        rig.end(id, 2, Outcome::Error);
-        rig.end(id, 3, Outcome::Served);
+        rig.end(id, 0, AttemptOutcome::Error);
+        rig.end(id, 1, AttemptOutcome::Prefilled);
+        rig.end(id, 2, AttemptOutcome::Error);
+        rig.end(id, 3, AttemptOutcome::Served);
         let log = std::mem::take(&mut rig.log);
         let to = sends(&log);
         assert!(to[0] != to[1] && to[2] != to[3], "{to:?}");
@@ -1193,7 +1196,7 @@
     let mut rig = Rig::new(settings());
     let list = ["r1", "w1", "w2", "w3", "w4", "w5"];
     rig.list(
-        ListKind::Saved,
+        EndpointUpdate::Restored,
         list.iter()
             .map(|w| entry(w, 0, Status::Ready, None))
             .collect(),
@@ -1201,8 +1204,8 @@
     let mut writers = Vec::new();
     for (id, class) in (1..).zip(["safe", "once", "once", "once", "once"]) {
         rig.ask(id, class);
-        writers.push(sends(&rig.end(id, 0, Outcome::Read))[0].to_owned());
-        rig.end(id, 1, Outcome::Served);
+        writers.push(sends(&rig.end(id, 0, AttemptOutcome::Prefilled))[0].to_owned());
+        rig.end(id, 1, AttemptOutcome::Served);
     }
     assert!(writers.iter().all(|w| *w == writers[0]), "{writers:?}");
 }
@@ -1213,7 +1216,7 @@
 fn the_next_turn_at_another_router_goes_where_the_first_was_read() {
     let mut readers = Vec::new();
     for seed in 0..8 {
-        let set = Settings {
+        let set = RoutingConfig {
             routers: 100,
             ..settings()
         };
@@ -1223,14 +1226,14 @@
         };
         let list = [("r1", 0), ("r2", 1), ("r3", 1), ("w1", 0)];
         rig.list(
-            ListKind::Saved,
+            EndpointUpdate::Restored,
             list.iter()
                 .map(|(w, c)| entry(w, *c, Status::Ready, None))
                 .collect(),
         );
         let session = Some(Arc::from("s"));
         let prompt_tokens = 2_000 + seed * 500;
-        let read = rig.ask_with(Ask {
+        let read = rig.ask_with(RequestSpec {
             session,
             prompt_tokens,
             ..ask(rig.now, "safe")
@@ -1245,7 +1248,7 @@
 fn a_lone_writer_beside_many_readers_is_not_given_all_their_states() {
     let mut near = 0;
     for seed in 0..40 {
-        let set = Settings {
+        let set = RoutingConfig {
             routers: 100,
             ..settings()
         };
@@ -1262,13 +1265,13 @@
             ("w3", 1),
         ];
         rig.list(
-            ListKind::Saved,
+            EndpointUpdate::Restored,
             list.iter()
                 .map(|(w, c)| entry(w, *c, Status::Ready, None))
                 .collect(),
         );
         rig.ask(seed, "safe");
-        near += usize::from(sends(&rig.end(seed, 0, Outcome::Read)) == ["w1"]);
+        near += usize::from(sends(&rig.end(seed, 0, AttemptOutcome::Prefilled)) == ["w1"]);
     }
     assert!((5..25).contains(&near), "{near} of 40 near");
 }
@@ -1279,8 +1282,8 @@
 fn routers_that_start_together_ask_for_the_list_one_by_one_and_after_failures_ever_more_seldom() {
     let mut calls: Vec<Vec<Micros>> = vec![Vec::new(); 2];
     for seed in 0..50 {
-        let many = Settings {
-            list_on_request: true,
+        let many = RoutingConfig {
+            endpoints_on_request: true,
             routers: 50,
             ..settings()
         };
@@ -1288,7 +1291,7 @@
             policy: module(many.clone(), seed),
             ..Rig::new(many)
         };
-        for (kind, calls) in [ListKind::Saved, ListKind::Failed]
+        for (kind, calls) in [EndpointUpdate::Restored, EndpointUpdate::Failed]
             .into_iter()
             .zip(&mut calls)
         {
@@ -1318,45 +1321,45 @@
 #[test]
 fn absurd_news_costs_no_panic_and_no_rule() {
     let mut rig = Rig::fleet(settings());
-    let absurd = Ask {
+    let absurd = RequestSpec {
         prompt_tokens: u64::MAX,
         prefix_tokens: u64::MAX,
         max_tokens: u64::MAX,
         ..ask(rig.now, "?")
     };
-    rig.ask_with(Ask {
+    rig.ask_with(RequestSpec {
         hint: Some(u64::MAX),
         ..absurd
     });
-    rig.ask_with(Ask {
+    rig.ask_with(RequestSpec {
         request: RequestId(2),
         prompt_tokens: 0,
         deadline: 0,
         ..ask(rig.now, "safe")
     });
-    rig.event(Event::Ended(Ended {
+    rig.event(Event::AttemptCompleted(AttemptCompleted {
         request: RequestId(0),
         attempt: AttemptIndex(0),
-        outcome: Outcome::Read,
+        outcome: AttemptOutcome::Prefilled,
         elapsed: u64::MAX,
-        settled: false,
-        kept: u64::MAX,
-        report: Some(Report {
+        request_finished: false,
+        cached_tokens: u64::MAX,
+        report: Some(LoadReport {
             memory_share: Some(f64::NAN),
-            tokens_waiting: Some(-1.0),
-            ..Report::default()
+            queued_tokens: Some(-1.0),
+            ..LoadReport::default()
         }),
     }));
-    rig.end(77, 0, Outcome::Read);
-    rig.end(0, 99, Outcome::Read);
-    rig.event(Event::Left {
+    rig.end(77, 0, AttemptOutcome::Prefilled);
+    rig.end(0, 99, AttemptOutcome::Prefilled);
+    rig.event(Event::ClientDisconnected {
         request: RequestId(99),
     });
     let twice = vec![
         entry("r1", 0, Status::Ready, Some(u64::MAX)),
         entry("r1", 5, Status::Draining, None),
     ];
-    rig.list(ListKind::Full, twice);
+    rig.list(EndpointUpdate::Full, twice);
     rig.ask(5, "safe");
     rig.pass(6 * SECOND);
     assert_eq!(finals(&rig.log), 3);
@@ -1372,9 +1375,9 @@
                 id,
                 0,
                 if id % 7 == 0 {
-                    Outcome::Error
+                    AttemptOutcome::Error
                 } else {
-                    Outcome::Read
+                    AttemptOutcome::Prefilled
                 },
             );
             rig.pass(30 * MS);
@@ -1398,9 +1401,9 @@
             .iter()
             .map(|(w, cell)| entry(w, *cell, Status::Ready, None))
             .collect();
-        rig.list(ListKind::Saved, entries);
+        rig.list(EndpointUpdate::Restored, entries);
         rig.ask(1, "safe");
-        chosen.insert(sends(&rig.end(1, 0, Outcome::Read))[0].to_owned());
+        chosen.insert(sends(&rig.end(1, 0, AttemptOutcome::Prefilled))[0].to_owned());
     }
     assert_eq!(chosen.len(), 3, "{chosen:?}");
 }
@@ -1409,7 +1412,7 @@
 #[test]
 fn full_for_one_tenant_is_not_full_for_the_others() {
     let mut rig = Rig::fleet(settings());
-    let of = |id, tenant: &str, now| Ask {
+    let of = |id, tenant: &str, now| RequestSpec {
         request: RequestId(id),
         tenant: Some(tenant.to_owned()),
         prefix: Some(Arc::from("p")),
@@ -1417,7 +1420,7 @@
         ..ask(now, "safe")
     };
     let home = sends(&rig.ask_with(of(1, "a", rig.now)))[0].to_owned();
-    let repeat = rig.end(1, 0, Outcome::TurnedAway);
+    let repeat = rig.end(1, 0, AttemptOutcome::Rejected);
     assert_ne!(sends(&repeat), [home.as_str()]);
     assert_eq!(sends(&rig.ask_with(of(2, "b", rig.now))), [home.as_str()]);
     assert_ne!(sends(&rig.ask_with(of(3, "a", rig.now))), [home.as_str()]);
@@ -1438,21 +1441,24 @@
     let mut rig = Rig::new(settings());
     let list = [("r1", 0), ("r3", 0), ("w1", 0), ("w2", 0)];
     rig.list(
-        ListKind::Saved,
+        EndpointUpdate::Restored,
         list.iter()
             .map(|(w, c)| entry(w, *c, Status::Ready, None))
             .collect(),
     );
     for id in 10..20 {
         rig.ask(id, "safe");
-        rig.end(id, 0, Outcome::Read);
-        rig.end(id, 1, Outcome::Served);
+        rig.end(id, 0, AttemptOutcome::Prefilled);
+        rig.end(id, 1, AttemptOutcome::Served);
     }
-    rig.list(ListKind::Changes, vec![entry("r2", 0, Status::Ready, None)]);
+    rig.list(
+        EndpointUpdate::Incremental,
+        vec![entry("r2", 0, Status::Ready, None)],
+    );
     let mut seen = Vec::new();
     for id in 100..140 {
         let session = Some(Arc::from(format!("s{id}")));
-        let read = rig.ask_with(Ask {
+        let read = rig.ask_with(RequestSpec {
             request: RequestId(id),
             session,
             ..ask(rig.now, "safe")
@@ -1461,16 +1467,16 @@
         if new {
             seen.push(timeout(&read));
         }
-        rig.event(Event::Ended(Ended {
+        rig.event(Event::AttemptCompleted(AttemptCompleted {
             request: RequestId(id),
             attempt: AttemptIndex(0),
-            outcome: Outcome::Read,
+            outcome: AttemptOutcome::Prefilled,
             elapsed: if new { 800 * MS } else { 50 * MS },
-            settled: false,
-            kept: 0,
+            request_finished: false,
+            cached_tokens: 0,
             report: None,
         }));
-        rig.end(id, 1, Outcome::Served);
+        rig.end(id, 1, AttemptOutcome::Served);
         if seen.len() == 2 {
             break;
         }
@@ -1493,34 +1499,34 @@
                 name: "t".into(),
                 quota_per_s: 0.0,
             }];
-            let set = Settings {
+            let set = RoutingConfig {
                 routers,
                 tenants,
-                may_tell: may,
-                may_probe: may,
+                gossip_allowed: may,
+                health_checks_allowed: may,
                 ..settings()
             };
-            let mut rig = Rig::fleet(Settings {
-                reports: Reports::Answers,
+            let mut rig = Rig::fleet(RoutingConfig {
+                load_reporting: LoadReporting::Responses,
                 ..set
             });
             for id in 1..30 {
                 let tenant = Some(if id % 2 == 0 { "t" } else { "stranger" }.to_owned());
-                rig.ask_with(Ask {
+                rig.ask_with(RequestSpec {
                     request: RequestId(id),
                     tenant,
                     ..ask(rig.now, "safe")
                 });
-                let report = Some(Report {
+                let report = Some(LoadReport {
                     memory_share: Some(f64::NAN),
-                    tokens_waiting: Some(if id % 3 == 0 { -1.0 } else { 1e300 }),
-                    ..Report::default()
+                    queued_tokens: Some(if id % 3 == 0 { -1.0 } else { 1e300 }),
+                    ..LoadReport::default()
                 });
                 for name in ["r1", "r2", "w1", "nobody"] {
                     let worker = WorkerId(Arc::from(name));
-                    rig.event(Event::Probed {
+                    rig.event(Event::HealthCheckCompleted {
                         worker,
-                        outcome: Outcome::NoAnswer,
+                        outcome: AttemptOutcome::TimedOut,
                         report,
                     });
                 }
@@ -1540,34 +1546,38 @@
     let mut rig = Rig::fleet(settings());
     let write = |rig: &mut Rig, id: u64| {
         let reader = sends(&rig.ask(id, "safe"))[0].to_owned();
-        let writer = sends(&rig.end(id, 0, Outcome::Read))[0].to_owned();
+        let writer = sends(&rig.end(id, 0, AttemptOutcome::Prefilled))[0].to_owned();
         (reader == "r1").then_some(writer)
     };
     let far = (1..200).find(|id| {
         let writer = write(&mut rig, *id);
         let far = writer.is_some_and(|w| w != "w1");
         if !far {
-            rig.end(*id, 1, Outcome::Served);
+            rig.end(*id, 1, AttemptOutcome::Served);
         }
         far
     });
     let again = rig.end(
         far.expect("some states leave the cell of the lone writer"),
         1,
-        Outcome::NoAnswer,
+        AttemptOutcome::TimedOut,
     );
     assert_eq!(sends(&again), ["w1"], "the state still waits at r1");
     for id in 200..230 {
         let writer = write(&mut rig, id);
         assert!(writer.is_none_or(|w| w == "w1"));
-        rig.end(id, 1, Outcome::Served);
+        rig.end(id, 1, AttemptOutcome::Served);
     }
 }
 
 /// Guards against states pinned by reads that ended well just as they were given up or their connection broke.
 #[test]
 fn a_read_given_up_or_broken_is_released_before_the_next_one() {
-    for outcome in [Outcome::NoAnswer, Outcome::ConnectionLost, Outcome::Error] {
+    for outcome in [
+        AttemptOutcome::TimedOut,
+        AttemptOutcome::ConnectionLost,
+        AttemptOutcome::Error,
+    ] {
         let mut rig = Rig::fleet(settings());
         rig.ask(1, "once");
         let then = rig.end(1, 0, outcome);
@@ -1588,12 +1598,12 @@
     let mut rig = Rig::new(settings());
     let list = ["r1", "r2", "r3", "r4", "r5", "r6", "w1", "w2"];
     rig.list(
-        ListKind::Saved,
+        EndpointUpdate::Restored,
         list.iter()
             .map(|w| entry(w, 0, Status::Ready, None))
             .collect(),
     );
-    let prefix = |id, now| Ask {
+    let prefix = |id, now| RequestSpec {
         request: RequestId(id),
         prefix: Some(Arc::from("p")),
         prefix_tokens: 1_900,
@@ -1618,7 +1628,7 @@
 fn a_time_out_overtaken_by_a_later_answer_is_not_held_against_the_worker() {
     for overtaken in [true, false] {
         let mut rig = Rig::fleet(settings());
-        let prefix = |id, now| Ask {
+        let prefix = |id, now| RequestSpec {
             request: RequestId(id),
             prefix: Some(Arc::from("p")),
             prefix_tokens: 1_900,
@@ -1634,10 +1644,10 @@
         } else {
             (1, [2, 3, 4])
         };
-        rig.end(answered, 0, Outcome::Read);
+        rig.end(answered, 0, AttemptOutcome::Prefilled);
         rig.now += 900 * MS;
         for id in lost {
-            rig.end(id, 0, Outcome::NoAnswer);
+            rig.end(id, 0, AttemptOutcome::TimedOut);
         }
         assert_eq!(
             sends(&rig.ask_with(prefix(9, rig.now))) == [home.as_str()],
@@ -1652,12 +1662,12 @@
     let mut rig = Rig::new(settings());
     let list = ["r1", "r2", "r3", "r4", "r5", "r6", "w1", "w2"];
     rig.list(
-        ListKind::Saved,
+        EndpointUpdate::Restored,
         list.iter()
             .map(|w| entry(w, 0, Status::Ready, None))
             .collect(),
     );
-    let prefix = |id, now, class| Ask {
+    let prefix = |id, now, class| RequestSpec {
         request: RequestId(id),
         prefix: Some(Arc::from("p")),
         prefix_tokens: 1_900,
@@ -1674,10 +1684,10 @@
         sends(&rig.ask_with(prefix(3, rig.now, "once"))),
         [home.as_str()]
     );
-    rig.end(3, 0, Outcome::Read);
+    rig.end(3, 0, AttemptOutcome::Prefilled);
     rig.now += 600 * MS;
-    rig.end(1, 0, Outcome::NoAnswer);
-    rig.end(2, 0, Outcome::NoAnswer);
+    rig.end(1, 0, AttemptOutcome::TimedOut);
+    rig.end(2, 0, AttemptOutcome::TimedOut);
     assert_ne!(
         sends(&rig.ask_with(prefix(4, rig.now, "safe"))),
         [home.as_str()]
@@ -1689,7 +1699,7 @@
     // Nothing is known of the text any more, nor of what was lost.
     rig.pass(40 * SECOND);
     for (id, attempt) in [(4, 0), (5, 0)] {
-        rig.end(id, attempt, Outcome::Dropped);
+        rig.end(id, attempt, AttemptOutcome::Cancelled);
     }
     assert_eq!(
         sends(&rig.ask_with(prefix(6, rig.now, "safe"))),
@@ -1704,7 +1714,7 @@
     let mut rig = Rig::new(settings());
     let list = ["r1", "w1", "w2"];
     rig.list(
-        ListKind::Saved,
+        EndpointUpdate::Restored,
         list.iter()
             .map(|w| entry(w, 0, Status::Ready, None))
             .collect(),
@@ -1712,7 +1722,7 @@
     let write = |rig: &mut Rig, id: u64, class| {
         rig.now += MS;
         rig.ask(id, class);
-        sends(&rig.end(id, 0, Outcome::Read))[0].to_owned()
+        sends(&rig.end(id, 0, AttemptOutcome::Prefilled))[0].to_owned()
     };
     // One at each writer; then another class is answered by w1, and what waits there longer is not.
     let first = [write(&mut rig, 1, "safe"), write(&mut rig, 2, "safe")];
@@ -1722,22 +1732,22 @@
         .expect("the emptier one is taken") as u64;
     let answered = (10..100).find(|id| {
         let there = write(&mut rig, *id, "cell") == "w1";
-        rig.end(*id, 1, Outcome::Served);
+        rig.end(*id, 1, AttemptOutcome::Served);
         there
     });
     assert!(answered.is_some());
     rig.pass(600 * MS);
     assert_eq!(
-        sends(&rig.end(lost, 1, Outcome::NoAnswer)),
+        sends(&rig.end(lost, 1, AttemptOutcome::TimedOut)),
         ["w2"],
         "the state may still wait"
     );
-    rig.end(lost, 2, Outcome::Served);
-    rig.end(3 - lost, 1, Outcome::Served);
+    rig.end(lost, 2, AttemptOutcome::Served);
+    rig.end(3 - lost, 1, AttemptOutcome::Served);
     let to_w1 = |rig: &mut Rig, ids: std::ops::Range<u64>, class| {
         let chosen = ids.filter(|id| {
             let there = write(rig, *id, class) == "w1";
-            rig.end(*id, 1, Outcome::Served);
+            rig.end(*id, 1, AttemptOutcome::Served);
             there
         });
         chosen.count()
@@ -1755,13 +1765,13 @@
     let list = list
         .iter()
         .map(|(w, cell)| entry(w, *cell, Status::Ready, None));
-    rig.list(ListKind::Saved, list.collect());
+    rig.list(EndpointUpdate::Restored, list.collect());
     let write = |rig: &mut Rig, id: u64| {
         rig.now += MS;
         rig.ask(id, "safe");
-        let writer = sends(&rig.end(id, 0, Outcome::Read))[0].to_owned();
+        let writer = sends(&rig.end(id, 0, AttemptOutcome::Prefilled))[0].to_owned();
         let (request, attempt) = (RequestId(id), AttemptIndex(1));
-        rig.event(Event::Started {
+        rig.event(Event::StreamStarted {
             request,
             attempt,
             elapsed: 20 * MS,
@@ -1777,14 +1787,14 @@
     for (wait, crawls) in [(500 * MS, false), (8 * SECOND, true)] {
         rig.pass(wait);
         for (id, _) in to.iter().filter(|(_, w)| (w == "w1") == crawls) {
-            rig.end(*id, 1, Outcome::Served);
+            rig.end(*id, 1, AttemptOutcome::Served);
         }
     }
     // All is over, and no writer holds anything.
     for id in 100..120 {
         assert_ne!(write(&mut rig, id), "w1");
         rig.now += 100 * MS;
-        rig.end(id, 1, Outcome::Served);
+        rig.end(id, 1, AttemptOutcome::Served);
     }
 }
 
@@ -1797,19 +1807,22 @@
     let list = list
         .iter()
         .map(|(w, cell)| entry(w, *cell, Status::Ready, None));
-    rig.list(ListKind::Saved, list.collect());
+    rig.list(EndpointUpdate::Restored, list.collect());
     for id in 1..5 {
         rig.now += 200 * MS;
-        let reader = sends(&rig.ask_with(Ask {
+        let reader = sends(&rig.ask_with(RequestSpec {
             request: RequestId(id),
             prompt_tokens: 500,
             ..ask(rig.now, "safe")
         }))[0]
             .to_owned();
         let near = reader.replace('r', "w");
-        assert_eq!(sends(&rig.end(id, 0, Outcome::Read)), [near.as_str()]);
+        assert_eq!(
+            sends(&rig.end(id, 0, AttemptOutcome::Prefilled)),
+            [near.as_str()]
+        );
         let (request, attempt) = (RequestId(id), AttemptIndex(1));
-        rig.event(Event::Started {
+        rig.event(Event::StreamStarted {
             request,
             attempt,
             elapsed: 20 * MS,
@@ -1821,7 +1834,7 @@
 /// 350 routers.
 #[test]
 fn a_router_of_many_takes_a_list_of_a_thousand_workers_and_a_change_of_it() {
-    let mut rig = Rig::new(Settings {
+    let mut rig = Rig::new(RoutingConfig {
         routers: 350,
         index: Some(349),
         ..settings()
@@ -1839,18 +1852,22 @@
             .filter(|a| matches!(a, Action::Send { .. }))
             .count()
     };
-    rig.list(ListKind::Saved, list(Status::Ready, None));
+    rig.list(EndpointUpdate::Restored, list(Status::Ready, None));
     for id in 1..=64 {
         assert_eq!(sent(&rig.ask(id, "safe")), 1, "request {id}");
-        assert_eq!(sent(&rig.end(id, 0, Outcome::Read)), 1, "request {id}");
-        rig.end(id, 1, Outcome::Served);
+        assert_eq!(
+            sent(&rig.end(id, 0, AttemptOutcome::Prefilled)),
+            1,
+            "request {id}"
+        );
+        rig.end(id, 1, AttemptOutcome::Served);
     }
     rig.now += 2 * SECOND;
     let started = Some(rig.now);
-    rig.list(ListKind::Changes, list(Status::Ready, started));
-    rig.list(ListKind::Changes, list(Status::Draining, started));
+    rig.list(EndpointUpdate::Incremental, list(Status::Ready, started));
+    rig.list(EndpointUpdate::Incremental, list(Status::Draining, started));
     assert_eq!(sent(&rig.ask(65, "safe")), 0);
-    rig.list(ListKind::Full, list(Status::Ready, None));
+    rig.list(EndpointUpdate::Full, list(Status::Ready, None));
     assert_eq!(sent(&rig.ask(66, "safe")), 1);
 }
 
@@ -1863,19 +1880,22 @@
         rig.ask(id, "safe");
     }
     let drain = |w: &str, c| entry(w, c, Status::Draining, None);
-    rig.list(ListKind::Changes, vec![drain("r1", 0), drain("r2", 1)]);
+    rig.list(
+        EndpointUpdate::Incremental,
+        vec![drain("r1", 0), drain("r2", 1)],
+    );
     for id in 100..200 {
         rig.ask(id, "safe");
     }
     rig.list(
-        ListKind::Changes,
+        EndpointUpdate::Incremental,
         ["r1", "r2"]
             .map(|w| entry(w, 0, Status::Ready, None))
             .to_vec(),
     );
     let mut at_once = Vec::new();
     for id in 0..10 {
-        at_once.extend(rig.end(id, 0, Outcome::Read));
+        at_once.extend(rig.end(id, 0, AttemptOutcome::Prefilled));
     }
     let to_readers =
         |actions: &[Action]| sends(actions).iter().filter(|w| w.starts_with('r')).count();
--- a/tests/releases.rs
+++ b/tests/releases.rs
@@ -85,19 +85,19 @@
 }
 
 /// The permit of a module's first send to a worker.
-fn permit_to_send_to(entry: Entry) -> SendPermit {
-    let settings = Settings {
+fn permit_to_send_to(entry: Endpoint) -> SendPermit {
+    let settings = RoutingConfig {
         routers: 1,
-        classes: vec![Class {
+        classes: vec![RequestClass {
             name: "chat".into(),
-            aim: 1_000_000,
-            ..Class::default()
+            ttft_objective: 1_000_000,
+            ..RequestClass::default()
         }],
         max_attempts: 6,
-        release: 500_000,
-        ..Settings::default()
+        kv_state_hold_limit: 500_000,
+        ..RoutingConfig::default()
     };
-    let ask = Ask {
+    let ask = RequestSpec {
         request: RequestId(1),
         deadline: 60_000_000,
         session: None,
@@ -112,13 +112,13 @@
     let (mut module, mut actions) = (whinhaven::Policy::new(settings, 1), Vec::new());
     module.handle(
         0,
-        Event::List {
-            kind: ListKind::Full,
+        Event::EndpointsUpdated {
+            kind: EndpointUpdate::Full,
             entries: vec![entry],
         },
         &mut actions,
     );
-    module.handle(0, Event::Ask(ask), &mut actions);
+    module.handle(0, Event::RequestArrived(ask), &mut actions);
     let permit = |action| {
         if let Action::Send { permit, .. } = action {
             Some(permit)
@@ -132,12 +132,12 @@
 /// Guards against work for nobody: an attempt that was ordered before its client left, and waits for a connection or a
 /// release meanwhile, also where attempts may not be dropped.
 #[rstest]
-#[case::there(false, 1, Outcome::Read)]
-#[case::gone(true, 0, Outcome::NotSent)]
+#[case::there(false, 1, AttemptOutcome::Prefilled)]
+#[case::gone(true, 0, AttemptOutcome::NotSent)]
 fn nothing_is_sent_for_a_client_that_has_left(
     #[case] left: bool,
     #[case] sent: usize,
-    #[case] ended: Outcome,
+    #[case] ended: AttemptOutcome,
 ) {
     let (tell, told) = mpsc::channel();
     let tell = Mutex::new(tell);
@@ -155,7 +155,7 @@
         let (counters, directory) = (Rc::<Counts>::default(), Rc::<Directory>::default());
         let worker = WorkerId("prompt-0".into());
         let (zone, kind) = (String::new(), "prompt".into());
-        let entry = Entry {
+        let entry = Endpoint {
             worker: worker.clone(),
             zone,
             kind,
--- a/tests/two_customers.rs
+++ b/tests/two_customers.rs
@@ -51,62 +51,66 @@
             .to_owned()
     }
 
-    fn settings(&self) -> Settings {
-        let kind = |name: &str, role| Kind {
+    fn settings(&self) -> RoutingConfig {
+        let kind = |name: &str, role| WorkerKind {
             name: name.into(),
             role,
             memory_tokens: Some(150_000),
         };
         let class = |i: usize| {
             let (effect, aim, worth) = [
-                (Effect::Safe, SECOND, 1.0),
-                (Effect::Unsafe, 2 * SECOND, 3.0),
-                (Effect::Keyed(Group::Cell), 1_500 * MS, 2.0),
+                (Idempotency::Idempotent, SECOND, 1.0),
+                (Idempotency::NonIdempotent, 2 * SECOND, 3.0),
+                (
+                    Idempotency::WithKey(DeduplicationScope::Cell),
+                    1_500 * MS,
+                    2.0,
+                ),
             ][i];
-            Class {
+            RequestClass {
                 name: self.name(i),
-                effect,
-                repeat_window: 5 * SECOND,
-                aim,
-                aim_per_1000_tokens: 40 * MS,
-                token_aim: 60 * MS,
-                give_up: 4 * aim,
-                worth,
-                late_share: 0.2,
+                idempotency: effect,
+                deduplication_window: 5 * SECOND,
+                ttft_objective: aim,
+                ttft_objective_per_1000_tokens: 40 * MS,
+                inter_token_objective: 60 * MS,
+                client_timeout: 4 * aim,
+                priority_weight: worth,
+                late_value_share: 0.2,
             }
         };
-        Settings {
+        RoutingConfig {
             routers: 2,
             zone: "z".into(),
-            kinds: vec![kind("r", Role::Reader), kind("w", Role::Writer)],
+            kinds: vec![kind("r", Role::Prefill), kind("w", Role::Decode)],
             classes: self.order.map(class).to_vec(),
             tenants: vec![Tenant {
                 name: "small".into(),
                 quota_per_s: 4.0,
             }],
-            over_share_worth: 0.1,
+            over_quota_weight: 0.1,
             max_attempts: 5,
-            may_drop: true,
-            retry_advice: true,
+            cancellation_allowed: true,
+            advises_retry_after: true,
             max_retry_after: 500 * MS,
             connect_timeout: 250 * MS,
-            tick: 2 * MS,
-            release: 500 * MS,
-            answer_slack: 16 * MS,
+            batch_interval: 2 * MS,
+            kv_state_hold_limit: 500 * MS,
+            response_grace: 16 * MS,
             drain_grace: 500 * MS,
-            cold_from: 0.33,
-            cold: 10 * SECOND,
-            fall_multiple: 2.5,
-            fall: SECOND,
-            ..Settings::default()
+            slow_start_initial_capacity: 0.33,
+            slow_start_duration: 10 * SECOND,
+            overload_factor: 2.5,
+            overload_window: SECOND,
+            ..RoutingConfig::default()
         }
     }
 }
 
-fn entry(name: &str, status: Status) -> Entry {
+fn entry(name: &str, status: Status) -> Endpoint {
     let cell = u64::from(name.as_bytes()[1]) % 2;
     let worker = WorkerId(Arc::from(name));
-    Entry {
+    Endpoint {
         worker,
         zone: "z".into(),
         kind: name[..1].to_owned(),
@@ -123,15 +127,15 @@
         .chain(&WRITERS)
         .map(|w| entry(w, Status::Ready))
         .collect();
-    Event::List {
-        kind: ListKind::Saved,
+    Event::EndpointsUpdated {
+        kind: EndpointUpdate::Restored,
         entries,
     }
 }
 
 /// A request of some class; its client's name for that class is still to be filled in.
-fn ask(id: u64, now: Micros, patience: Micros) -> Ask {
-    Ask {
+fn ask(id: u64, now: Micros, patience: Micros) -> RequestSpec {
+    RequestSpec {
         request: RequestId(id),
         deadline: now + patience,
         session: None,
@@ -145,16 +149,16 @@
     }
 }
 
-fn ended(id: u64, attempt: u32, outcome: Outcome, elapsed: Micros) -> Event {
+fn ended(id: u64, attempt: u32, outcome: AttemptOutcome, elapsed: Micros) -> Event {
     let (request, attempt) = (RequestId(id), AttemptIndex(attempt));
-    let settled = outcome == Outcome::Served;
-    Event::Ended(Ended {
+    let settled = outcome == AttemptOutcome::Served;
+    Event::AttemptCompleted(AttemptCompleted {
         request,
         attempt,
         outcome,
         elapsed,
-        settled,
-        kept: 0,
+        request_finished: settled,
+        cached_tokens: 0,
         report: None,
     })
 }
@@ -218,7 +222,7 @@
             self.modules.iter_mut().zip(&self.customers).zip(&mut acts)
         {
             let event = match event {
-                Event::Ask(ask) => Event::Ask(Ask {
+                Event::RequestArrived(ask) => Event::RequestArrived(RequestSpec {
                     class: customer.name(asked[&ask.request.0].0),
                     ..ask.clone()
                 }),
@@ -247,7 +251,7 @@
                         dropped: false,
                     });
                 }
-                Action::Drop {
+                Action::Cancel {
                     request: RequestId(id),
                     attempt,
                 } => {
@@ -293,14 +297,14 @@
             .filter(|t| *t == 0)
             .map(|_| "small".to_owned());
         let prefix_tokens = if prefix.is_some() { 1_500 } else { 0 };
-        let ask = Ask {
+        let ask = RequestSpec {
             session,
             prefix,
             prefix_tokens,
             tenant,
             ..ask(id, self.now, patience)
         };
-        self.both(&Event::Ask(ask));
+        self.both(&Event::RequestArrived(ask));
     }
 
     /// Something comes of an attempt that is out.
@@ -315,32 +319,32 @@
         let at = out.worker.as_bytes()[1] as usize % 4;
         let reads = out.worker.starts_with('r');
         let outcome = match self.draw(10) {
-            _ if out.dropped => Outcome::Dropped,
-            0 if out.begun => Outcome::ConnectionLost,
-            _ if out.begun => Outcome::Served,
+            _ if out.dropped => AttemptOutcome::Cancelled,
+            0 if out.begun => AttemptOutcome::ConnectionLost,
+            _ if out.begun => AttemptOutcome::Served,
             0 => [
-                Outcome::Error,
-                Outcome::NoConnection,
-                Outcome::NotSent,
-                Outcome::TurnedAway,
+                AttemptOutcome::Error,
+                AttemptOutcome::ConnectFailed,
+                AttemptOutcome::NotSent,
+                AttemptOutcome::Rejected,
             ][self.draw(4) as usize],
             // One host of each stage has no room for a class, and the answers of another are lost.
-            1..7 if at == class => Outcome::TurnedAway,
-            1..7 if at == (class + 1) % 4 => Outcome::NoAnswer,
-            _ if reads => Outcome::Read,
+            1..7 if at == class => AttemptOutcome::Rejected,
+            1..7 if at == (class + 1) % 4 => AttemptOutcome::TimedOut,
+            _ if reads => AttemptOutcome::Prefilled,
             _ => {
                 out.begun = true;
                 self.out.push(out);
                 let (request, attempt) = (RequestId(id), AttemptIndex(attempt));
-                return self.both(&Event::Started {
+                return self.both(&Event::StreamStarted {
                     request,
                     attempt,
                     elapsed,
                 });
             }
         };
-        self.seen[class][0] += u32::from(outcome == Outcome::TurnedAway);
-        self.seen[class][1] += u32::from(outcome == Outcome::NoAnswer);
+        self.seen[class][0] += u32::from(outcome == AttemptOutcome::Rejected);
+        self.seen[class][1] += u32::from(outcome == AttemptOutcome::TimedOut);
         self.both(&ended(id, attempt, outcome, elapsed));
     }
 
@@ -355,8 +359,8 @@
         } else {
             Status::Ready
         };
-        self.both(&Event::List {
-            kind: ListKind::Changes,
+        self.both(&Event::EndpointsUpdated {
+            kind: EndpointUpdate::Incremental,
             entries: vec![entry(host, status)],
         });
     }
@@ -369,7 +373,7 @@
                 0 => self.host_changes(),
                 1 if !self.asked.is_empty() => {
                     let request = RequestId(self.draw(self.asked.len() as u64));
-                    self.both(&Event::Left { request });
+                    self.both(&Event::ClientDisconnected { request });
                 }
                 2..10 => self.ask(),
                 _ => self.hear(),
@@ -413,10 +417,10 @@
 /// The reader of a shared text has no room for one class, or its answers to it are lost. New settings put another
 /// class in that one's place: it is read there as before.
 #[rstest]
-#[case::no_room(Outcome::TurnedAway)]
-#[case::answers_lost(Outcome::NoAnswer)]
+#[case::no_room(AttemptOutcome::Rejected)]
+#[case::answers_lost(AttemptOutcome::TimedOut)]
 fn what_was_seen_of_a_class_is_not_held_against_the_one_that_takes_its_place(
-    #[case] outcome: Outcome,
+    #[case] outcome: AttemptOutcome,
 ) {
     let mut policy = Policy::new(NOTES.settings(), 7);
     let mut now = 100 * SECOND;
@@ -437,7 +441,7 @@
         move |now: Micros| {
             let prefix = Some(Arc::from("text"));
             let class = NOTES.name(class);
-            Event::Ask(Ask {
+            Event::RequestArrived(RequestSpec {
                 prefix,
                 prefix_tokens: 1_900,
                 class,
@@ -450,7 +454,9 @@
     assert!(home.is_some());
     assert_eq!(tell(&mut policy, MS, &of(2, 0)), home);
     assert_eq!(tell(&mut policy, MS, &of(3, 1)), home);
-    tell(&mut policy, 0, &|_| ended(3, 0, Outcome::Read, 50 * MS));
+    tell(&mut policy, 0, &|_| {
+        ended(3, 0, AttemptOutcome::Prefilled, 50 * MS)
+    });
     for id in [1, 2] {
         tell(&mut policy, 300 * MS, &|_| ended(id, 0, outcome, 600 * MS));
     }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -278,5 +278,5 @@
     let settings = read_settings(bare.filter_map(|pair| pair.split_once('='))).unwrap();
     assert_eq!(settings.index, None);
     assert_eq!(settings.kinds[0].memory_tokens, None);
-    assert_eq!(settings.classes[0].aim_per_1000_tokens, 0);
+    assert_eq!(settings.classes[0].ttft_objective_per_1000_tokens, 0);
 }
