--- a/src/storage/mod.rs
+++ b/src/storage/mod.rs
@@ -13,6 +13,7 @@
 pub mod disk;
 mod error;
 mod frame;
+mod log_file;
 mod scan;
 mod store;
 mod sync_hint;
--- a/src/storage/store.rs
+++ b/src/storage/store.rs
@@ -3,7 +3,8 @@
 use super::contents::{Change, LogContents};
 use super::disk::{Directory, Disk};
 use super::error::StoreError;
-use super::frame::{self, FILE_HEADER_BYTES, FileHeader, LogFileId};
+use super::frame::{self, LogFileId};
+use super::log_file::{encode_file, log_file_name, parse_generation};
 use super::scan::{ScannedFile, scan_file};
 use super::sync_hint::{
     SYNC_HINT_BYTES, SyncHint, SyncHintWriter, create_sync_hint, read_sync_hint,
@@ -13,25 +14,11 @@
 
 /// A new log file until it is complete.
 const TEMPORARY_FILE: &str = "log.tmp";
-/// Digits of the generation in a log file's name.
-const GENERATION_DIGITS: usize = 20;
 /// Part of the log's capacity that only hard states may use.
 const HARD_STATE_RESERVE_DIVISOR: u64 = 16;
 /// A rewriting has to free this part of the log's capacity, so that not every call rewrites the log.
 const MIN_REWRITE_GAIN_DIVISOR: u64 = 32;
 
-/// Name of the log file of a generation.
-pub(super) fn log_file_name(generation: u64) -> String {
-    format!("log-{generation:0width$}", width = GENERATION_DIGITS)
-}
-
-fn parse_generation(name: &str) -> Option<u64> {
-    let digits = name
-        .strip_prefix("log-")
-        .filter(|digits| digits.len() == GENERATION_DIGITS)?;
-    digits.parse().ok()
-}
-
 /// An open store. Its memory: 4 bytes a record; all contents only while it is opened or rewritten.
 #[derive(Debug)]
 pub struct Store<D = Directory> {
@@ -490,60 +477,3 @@
     StoreError::with_file(name, disk.read(name, from, &mut bytes))?;
     StoreError::with_file(name, disk.write(name, from, &bytes))
 }
-
-/// Encodes a whole log file.
-///
-/// # Errors
-/// [`StoreError::Full`]: it would be longer than `capacity`.
-fn encode_file(
-    file_id: LogFileId,
-    contents: &LogContents,
-    capacity: u64,
-) -> Result<Vec<u8>, StoreError> {
-    let records: Vec<Vec<u8>> = contents.records.iter().cloned().collect();
-    let changes = changes_of(contents, &records);
-    let frame_length = if changes.is_empty() {
-        0
-    } else {
-        frame::encoded_frame_length(&changes)
-    };
-    let needed = FILE_HEADER_BYTES + frame_length;
-    let full = || StoreError::Full {
-        needed,
-        left: capacity,
-    };
-    if needed > capacity {
-        return Err(full());
-    }
-    let header = FileHeader {
-        file_id,
-        synced_length: needed,
-    };
-    let mut bytes = header.encode();
-    if !changes.is_empty() {
-        let frame = frame::encode_frame(file_id, FILE_HEADER_BYTES, &changes);
-        bytes.extend(frame.ok_or_else(full)?);
-    }
-    Ok(bytes)
-}
-
-/// The changes that lead from an empty log to these contents, whose records are `records`.
-fn changes_of<'a>(contents: &'a LogContents, records: &'a [Vec<u8>]) -> Vec<Change<'a>> {
-    let mut changes = Vec::new();
-    if let Some((index, data)) = &contents.snapshot {
-        changes.push(Change::Snapshot {
-            index: *index,
-            data,
-        });
-    }
-    if let Some(state) = &contents.hard_state {
-        changes.push(Change::HardState(state));
-    }
-    if !records.is_empty() {
-        changes.push(Change::Append {
-            first: contents.first_index(),
-            records,
-        });
-    }
-    changes
-}
--- a/src/storage/tests/mod.rs
+++ b/src/storage/tests/mod.rs
@@ -3,7 +3,7 @@
 mod faulty;
 
 use super::frame::FILE_HEADER_BYTES;
-use super::store::log_file_name;
+use super::log_file::log_file_name;
 use super::sync_hint::{SYNC_HINT_BYTES, SYNC_HINT_FILE};
 use super::{RecoveredState, Store, StoreConfig, StoreError, WriteOperation};
 use faulty::{Faulty, Image, RandomSource};
