--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -8,7 +8,7 @@
 use crate::counters::Counters;
 use crate::exchange::{AnswerHandle, Call, Feed, ServerSide, open};
 use crate::routing::policy::Policy;
-use crate::routing::policy::call_permission::ReleaseHistory;
+use crate::routing::policy::call_permit::ReleaseHistory;
 use crate::routing::types::*;
 use monitor::{Monitor, Violation};
 use std::cell::Cell;
@@ -387,7 +387,7 @@
                 self.ended(request, attempt, outcome, kept, report);
             }
             Input::Settings(settings) => {
-                self.policy.set((*settings).clone());
+                self.policy.update_config((*settings).clone());
                 self.settings = *settings;
             }
             Input::List { kind, entries } => {
--- a/src/core/monitor.rs
+++ b/src/core/monitor.rs
@@ -1,6 +1,6 @@
 //! Checks at run time, by its own account of each request, that what the decision module orders keeps the rules.
 //!
-//! The module decides by [`crate::routing::policy::permission`] and [`crate::routing::policy::held_state`]; this is the second opinion. It
+//! The module decides by [`crate::routing::policy::send_permit`] and [`crate::routing::policy::kv_state`]; this is the second opinion. It
 //! sees the same orders and ends and knows nothing of the reasons. A violation is counted and logged by the driver, in
 //! builds with debug assertions also a panic, unless it is one that a process held up by its machine may show.
 
@@ -44,7 +44,7 @@
         !self.reads
             && !self
                 .outcome
-                .is_some_and(AttemptOutcome::rules_out_a_run_at_a_writer)
+                .is_some_and(AttemptOutcome::proves_no_run_at_decode_worker)
     }
 }
 
--- a/src/fleet/transport/work.rs
+++ b/src/fleet/transport/work.rs
@@ -13,7 +13,7 @@
 use crate::fleet::state::{Answer, Command, Effect, Refusal as Unlooked};
 use crate::fleet::work::recorder::{Action, Event, Hands, Ticket, Verdict};
 use crate::fleet::work::{self, Bounds, MOST_OVER, Notice, Refusal, Reply};
-use crate::routing::policy::call_permission::ReleaseHistory;
+use crate::routing::policy::call_permit::ReleaseHistory;
 use crate::routing::types::{AttemptOutcome, Micros, ReleasePermit, ReleaseReason, WorkerId};
 use bytes::Bytes;
 use std::cell::{Cell, RefCell};
--- a/src/net/client_connection.rs
+++ b/src/net/client_connection.rs
@@ -1,5 +1,5 @@
 //! One client's connection, from its accept to its close: serves the requests on it, and closes it where
-//! [`crate::routing::policy::close_permission`] permits it.
+//! [`crate::routing::policy::close_permit`] permits it.
 
 use super::Local;
 use super::framing::{Standing, Watch, Watched};
@@ -9,7 +9,7 @@
 use crate::front::platform::{self, AnswerBody};
 use crate::front::shared::{Held, MOST_BODY};
 use crate::ops::figures::{Ending, Tally};
-use crate::routing::policy::close_permission::{
+use crate::routing::policy::close_permit::{
     CloseCause, CloseDenial, ClosePermit, ConnectionState, permit_close,
 };
 use bytes::Bytes;
--- a/src/routing/model.rs
+++ b/src/routing/model.rs
@@ -4,7 +4,7 @@
 
 pub(crate) use prefix_table::PrefixTable;
 
-use crate::routing::policy::held_state::HeldState;
+use crate::routing::policy::kv_state::KvStateHold;
 use crate::routing::types::{
     AttemptOutcome, Idempotency, LoadReport, Micros, RequestClass, RequestSpec, Role,
     RoutingConfig, Status, Tenant,
@@ -14,25 +14,25 @@
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
 /// The part that is left of something at `at` when half of it is forgotten every `half_life`.
-pub(crate) fn fade(now: Micros, at: Micros, half_life: Micros) -> f64 {
+pub(crate) fn decay(now: Micros, at: Micros, half_life: Micros) -> f64 {
     0.5f64.powf(now.saturating_sub(at) as f64 / half_life as f64)
 }
 
 /// A sum that is forgotten by halves; never below zero.
 #[derive(Clone, Copy, Default)]
-pub(crate) struct Fading {
+pub(crate) struct DecayingSum {
     pub value: f64,
     pub at: Micros,
 }
 
-impl Fading {
-    pub fn left(&self, now: Micros, half_life: Micros) -> f64 {
-        self.value * fade(now, self.at, half_life)
+impl DecayingSum {
+    pub fn value_at(&self, now: Micros, half_life: Micros) -> f64 {
+        self.value * decay(now, self.at, half_life)
     }
 
     pub fn add(&mut self, now: Micros, half_life: Micros, amount: f64) {
-        *self = Fading {
-            value: (self.left(now, half_life) + amount).max(0.0),
+        *self = DecayingSum {
+            value: (self.value_at(now, half_life) + amount).max(0.0),
             at: now,
         };
     }
@@ -40,15 +40,15 @@
 
 /// A moving average: the plain mean until `weight` is the larger part for a new sample.
 #[derive(Clone, Copy, Default)]
-pub(crate) struct Average {
+pub(crate) struct Ewma {
     value: f64,
     samples: f64,
 }
 
-impl Average {
+impl Ewma {
     /// An average that begins as if it had seen `samples` of that value.
     pub fn from_prior(value: f64, samples: f64) -> Self {
-        Average { value, samples }
+        Ewma { value, samples }
     }
 
     pub fn add(&mut self, sample: f64, weight: f64) {
@@ -56,7 +56,7 @@
         self.value += (sample - self.value) * weight.max(1.0 / self.samples);
     }
 
-    pub fn or(&self, default: f64) -> f64 {
+    pub fn value_or(&self, default: f64) -> f64 {
         if self.samples > 0.0 {
             self.value
         } else {
@@ -66,7 +66,7 @@
 }
 
 /// A report without figures that can't be.
-pub(crate) fn sane(report: LoadReport) -> LoadReport {
+pub(crate) fn without_invalid_values(report: LoadReport) -> LoadReport {
     let sane = |figure: Option<f64>| figure.filter(|v| v.is_finite() && *v >= 0.0);
     let (memory_share, tokens_waiting) = (sane(report.memory_share), sane(report.queued_tokens));
     LoadReport {
@@ -109,14 +109,14 @@
 
 /// What this router has measured of the fleet.
 #[derive(Default)]
-pub(crate) struct Learned {
-    pub read_pace: Average,
-    pub write_pace: [Average; 3], // to the first token; the state moves in a cell, in a zone, or between zones
-    pub first_pace: Average,      // the same over all distances
-    pub rates: [Average; 3], // of each role: what one warm worker of weight 1 completes in a microsecond
-    pub slowness: [f64; 3],  // of each role: the median of its workers, learned with each change
-    pub unread: Average,
-    pub prompt: Average,
+pub(crate) struct LearnedRates {
+    pub prefill_us_per_token: Ewma,
+    pub first_token_us_per_token: [Ewma; 3], // to the first token; the state moves in a cell, in a zone, or between zones
+    pub mean_first_token_us_per_token: Ewma, // the same over all distances
+    pub completions_per_us: [Ewma; 3], // of each role: what one warm worker of weight 1 completes in a microsecond
+    pub median_latency_factor: [f64; 3], // of each role: the median of its workers, learned with each change
+    pub uncached_tokens: Ewma,
+    pub prompt_tokens: Ewma,
 }
 
 /// What a router knows of a worker.
@@ -126,58 +126,61 @@
     pub zone: String,
     pub cell: u64,
     pub weight: f64,
-    pub memory: f64,
+    pub memory_tokens: f64,
     pub status: Status,
     /// Start of its process, as listed.
     pub started: Option<Micros>,
     /// What this router has sent it of late.
     pub slow_start_sends: RecentSends,
     /// Work that it was seen to complete.
-    pub done: Fading,
+    pub completed: DecayingSum,
     pub report: Option<(Micros, LoadReport)>,
     /// Writers' part over readers' part, in its cell and in its zone.
-    pub keep: [f64; 2],
+    pub local_decode_share: [f64; 2],
     /// Tokens that unanswered reads tell of.
-    pub others: Fading,
+    pub inferred_queued_tokens: DecayingSum,
     /// Time taken over time expected, for each kind of work.
-    pub slowness: Average,
-    pub failing: f64,
+    pub latency_factor: Ewma,
+    pub failure_rate: f64,
     /// Its failures of late, and its good answers.
-    pub faults: [Fading; 2],
-    pub last_good: Micros,
+    pub faults: [DecayingSum; 2],
+    pub last_success_at: Micros,
     /// When the latest was sent of those that it has answered.
-    pub good_sent: Micros,
-    pub sick_until: Micros,
-    pub doublings: u32,
-    pub lost: bool,
+    pub latest_answered_send: Micros,
+    pub ejected_until: Micros,
+    pub ejections_in_a_row: u32,
+    pub unreachable: bool,
     /// When it was last not reached.
-    pub unreached: Option<Micros>,
+    pub connect_failed_at: Option<Micros>,
     /// Attempts of each class whose answers were lost, and those whose answers came.
-    pub answers: BTreeMap<usize, [Fading; 2]>,
+    pub answers: BTreeMap<usize, [DecayingSum; 2]>,
     /// The time that streams have run there, of those that are over, and how many of them came to their end.
-    pub streams: [Fading; 2],
+    pub streams: [DecayingSum; 2],
     /// Until when it is taken to be full, for requests of a class and tenant.
-    pub full: BTreeMap<(usize, Option<String>), Micros>,
+    pub full_until: BTreeMap<(usize, Option<String>), Micros>,
 }
 
 impl Worker {
     /// It has turned such a request away. What is over is dropped: tenants are whatever names clients write, and
     /// the entries of all of them would be kept for as long as the worker is.
-    pub fn turned_away(&mut self, kind: (usize, Option<String>), now: Micros, until: Micros) {
-        self.full.retain(|_, until| *until > now);
-        self.full.insert(kind, until);
+    pub fn mark_full(&mut self, kind: (usize, Option<String>), now: Micros, until: Micros) {
+        self.full_until.retain(|_, until| *until > now);
+        self.full_until.insert(kind, until);
     }
 
     /// Whether it answered within that time, and could be reached ever since.
     pub fn answered_within(&self, now: Micros, time: Micros) -> bool {
-        self.last_good + time > now && self.unreached.is_none_or(|at| at < self.last_good)
+        self.last_success_at + time > now
+            && self
+                .connect_failed_at
+                .is_none_or(|at| at < self.last_success_at)
     }
 
     /// Whether new requests pass it by though it is listed: it drains, was set aside after failures, or could not be
     /// reached and has not answered since.
     pub fn is_avoided(&self, now: Micros) -> bool {
         match self.status {
-            Status::Ready => self.lost || self.sick_until > now,
+            Status::Ready => self.unreachable || self.ejected_until > now,
             Status::Draining => true,
             Status::Gone => false,
         }
@@ -185,7 +188,7 @@
 
     /// Whether it is taken to be full for such a request.
     pub fn is_full(&self, kind: &(usize, Option<String>), now: Micros) -> bool {
-        self.full.get(kind).is_some_and(|until| *until > now)
+        self.full_until.get(kind).is_some_and(|until| *until > now)
     }
 }
 
@@ -193,13 +196,13 @@
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) enum Phase {
     /// Nothing out, nothing held.
-    Waiting,
+    Queued,
     /// A read is out.
-    Reading,
+    Prefilling,
     /// The state waits at a reader; nothing out.
-    Held,
+    AwaitingDecode,
     /// A send to a writer is out.
-    Writing,
+    DecodeRequested,
     /// The answer streams; the client has it from here.
     Streaming,
     /// Answered; attempts may still be out.
@@ -208,44 +211,44 @@
 
 /// A request that this router has taken.
 pub(crate) struct Request {
-    pub ask: RequestSpec,
+    pub spec: RequestSpec,
     /// Its class's place in the settings.
     pub class: usize,
-    pub arrived: Micros,
-    pub over_share: bool,
+    pub arrived_at: Micros,
+    pub over_quota: bool,
     /// Attempts allowed, by the settings it began under.
-    pub most_attempts: u32,
+    pub max_attempts: u32,
     pub phase: Phase,
     pub attempts: Vec<Attempt>,
     /// What a reader may hold for it.
-    pub held: HeldState,
+    pub kv_state: KvStateHold,
 }
 
 impl Request {
     /// Whether some attempt may have had an effect, or still may. One that is out counts wherever it is: until it
     /// has ended nobody knows.
     pub fn may_have_run(&self) -> bool {
-        self.out().next().is_some() || self.effects().next().is_some()
+        self.in_flight().next().is_some() || self.possible_runs().next().is_some()
     }
 
     /// The attempts that may have had an effect, or still may: those at writers without an outcome that rules it out.
-    pub fn effects(&self) -> impl Iterator<Item = &Attempt> {
+    pub fn possible_runs(&self) -> impl Iterator<Item = &Attempt> {
         let ruled_out = |a: &Attempt| {
             a.outcome
-                .is_some_and(AttemptOutcome::rules_out_a_run_at_a_writer)
+                .is_some_and(AttemptOutcome::proves_no_run_at_decode_worker)
         };
         self.attempts
             .iter()
-            .filter(move |a| a.writes && !ruled_out(a))
+            .filter(move |a| a.is_decode && !ruled_out(a))
     }
 
     /// Whether all its attempts have been made.
-    pub fn spent(&self) -> bool {
-        self.attempts.len() as u32 >= self.most_attempts
+    pub fn attempts_exhausted(&self) -> bool {
+        self.attempts.len() as u32 >= self.max_attempts
     }
 
     /// Whether an attempt got no answer in time.
-    pub fn unanswered(&self) -> bool {
+    pub fn has_timed_out(&self) -> bool {
         self.attempts
             .iter()
             .any(|a| a.outcome == Some(AttemptOutcome::TimedOut))
@@ -255,7 +258,7 @@
     pub fn failed_at(&self, worker: &WorkerId) -> bool {
         let failed = |a: &Attempt| match a.outcome {
             None | Some(AttemptOutcome::Prefilled) => false,
-            Some(AttemptOutcome::TimedOut) => a.writes,
+            Some(AttemptOutcome::TimedOut) => a.is_decode,
             Some(_) => true,
         };
         self.attempts
@@ -264,9 +267,9 @@
     }
 
     /// Whether time is short for what is held: it ran on during the last attempt, which nothing was heard of.
-    pub fn is_pressed(&self) -> bool {
+    pub fn is_hold_expiring(&self) -> bool {
         let unheard = |a: &Attempt| a.outcome.is_some_and(|outcome| !outcome.proves_arrival());
-        self.held.is_held() && self.attempts.last().is_some_and(unheard)
+        self.kv_state.is_held() && self.attempts.last().is_some_and(unheard)
     }
 
     pub fn new(
@@ -276,28 +279,28 @@
         over_share: bool,
         most_attempts: u32,
     ) -> Self {
-        let (arrived, phase) = (now, Phase::Waiting);
-        let (attempts, held) = (Vec::new(), HeldState::default());
+        let (arrived, phase) = (now, Phase::Queued);
+        let (attempts, held) = (Vec::new(), KvStateHold::default());
         Request {
-            ask,
+            spec: ask,
             class,
-            arrived,
-            over_share,
-            most_attempts,
+            arrived_at: arrived,
+            over_quota: over_share,
+            max_attempts: most_attempts,
             phase,
             attempts,
-            held,
+            kv_state: held,
         }
     }
 
     /// The attempts without an outcome.
-    pub fn out(&self) -> impl Iterator<Item = &Attempt> {
+    pub fn in_flight(&self) -> impl Iterator<Item = &Attempt> {
         self.attempts.iter().filter(|a| a.outcome.is_none())
     }
 }
 
 /// The place of a class; the last one if the settings don't name it.
-pub(crate) fn class_of(classes: &[RequestClass], name: &str) -> usize {
+pub(crate) fn class_index(classes: &[RequestClass], name: &str) -> usize {
     classes
         .iter()
         .position(|c| c.name == name && !name.is_empty())
@@ -306,7 +309,7 @@
 
 /// The classes of new settings, and behind them those of requests in hand, which keep theirs with effect, worth and
 /// times. What is not the request's own (rules, permissions) is the new for all.
-pub(crate) fn settle<'a>(
+pub(crate) fn merge_classes<'a>(
     old: &[RequestClass],
     new: &[RequestClass],
     requests: impl Iterator<Item = &'a mut Request>,
@@ -354,15 +357,15 @@
 /// One send of a request.
 pub(crate) struct Attempt {
     pub worker: WorkerId,
-    pub writes: bool,
+    pub is_decode: bool,
     /// 0 within the cell, 1 within the zone, 2 beyond.
-    pub far: usize,
-    pub sent: Micros,
-    pub due: Micros,
+    pub distance: usize,
+    pub sent_at: Micros,
+    pub due_at: Micros,
     pub tokens: f64,
     pub work: f64,
     pub outcome: Option<AttemptOutcome>,
-    pub first: Option<Micros>,
+    pub first_token_at: Option<Micros>,
 }
 
 /// A reader as one decision sees it.
@@ -376,20 +379,20 @@
 }
 
 /// Keeps those that are liked, if there are any.
-pub(crate) fn prefer<T>(all: &mut Vec<T>, like: impl Fn(&T) -> bool) {
+pub(crate) fn retain_preferred<T>(all: &mut Vec<T>, like: impl Fn(&T) -> bool) {
     if all.iter().any(&like) {
         all.retain(like);
     }
 }
 
 /// A hash as a number between 0 and 1, neither of them.
-pub(crate) fn unit(hash: u64) -> f64 {
+pub(crate) fn hash_to_unit(hash: u64) -> f64 {
     ((hash >> 11) as f64 + 0.5) / (1u64 << 53) as f64
 }
 
 /// What all routers hash alike: the shared text and which of its `homes` the session has, else the session; else
 /// something of this router's own.
-pub(crate) fn hash_key(ask: &RequestSpec, own: u64, homes: u64) -> u64 {
+pub(crate) fn affinity_key(ask: &RequestSpec, own: u64, homes: u64) -> u64 {
     let RequestId(id) = ask.request;
     let session = ask
         .session
--- a/src/routing/model/prefix_table.rs
+++ b/src/routing/model/prefix_table.rs
@@ -1,7 +1,7 @@
 //! The prefix table: which readers are taken to keep which shared texts and sessions, and how often each text is
 //! asked for. Entries age; what follows from them is decided in `src/routing/policy.rs`.
 
-use super::Fading;
+use super::DecayingSum;
 use crate::routing::types::{Micros, RequestSpec, WorkerId};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -18,13 +18,13 @@
 pub(crate) struct PrefixTable {
     prefixes: BTreeMap<Arc<str>, BTreeMap<WorkerId, Credit>>,
     sessions: BTreeMap<Arc<str>, (WorkerId, Credit)>,
-    requests: Fading,
-    requests_by_prefix: BTreeMap<Arc<str>, Fading>,
+    requests: DecayingSum,
+    requests_by_prefix: BTreeMap<Arc<str>, DecayingSum>,
 }
 
 impl PrefixTable {
     /// Counts a request that has come.
-    pub fn asked(&mut self, ask: &RequestSpec, now: Micros, half_life: Micros) {
+    pub fn record_request(&mut self, ask: &RequestSpec, now: Micros, half_life: Micros) {
         self.requests.add(now, half_life, 1.0);
         if let Some(prefix) = ask.prefix.clone() {
             self.requests_by_prefix
@@ -40,8 +40,8 @@
             .prefix
             .as_ref()
             .and_then(|prefix| self.requests_by_prefix.get(prefix));
-        let requests = requests.map_or(0.0, |requests| requests.left(now, half_life));
-        (requests - 1.0).max(0.0) / self.requests.left(now, half_life).max(1.0)
+        let requests = requests.map_or(0.0, |requests| requests.value_at(now, half_life));
+        (requests - 1.0).max(0.0) / self.requests.value_at(now, half_life).max(1.0)
     }
 
     /// Credits a reader that a request is sent to with the request's prefix and session.
@@ -66,7 +66,7 @@
     }
 
     /// Tokens of a prompt that a reader is credited with since then: the longer of prefix and session.
-    pub fn kept(&self, ask: &RequestSpec, worker: &WorkerId, since: Micros) -> f64 {
+    pub fn cached_tokens(&self, ask: &RequestSpec, worker: &WorkerId, since: Micros) -> f64 {
         let prefix = (ask.prefix.as_ref())
             .and_then(|prefix| self.prefixes.get(prefix)?.get(worker))
             .filter(|credit| credit.at >= since)
@@ -86,7 +86,7 @@
     }
 
     /// Tokens of all prefixes that a reader is credited with.
-    pub fn credited(&self, worker: &WorkerId) -> f64 {
+    pub fn total_cached_tokens(&self, worker: &WorkerId) -> f64 {
         let credits = self
             .prefixes
             .values()
--- a/src/routing/model/prefix_table/tests.rs
+++ b/src/routing/model/prefix_table/tests.rs
@@ -2,7 +2,7 @@
 use crate::routing::types::RequestId;
 
 const SECOND: Micros = 1_000_000;
-const HALF_LIFE: Micros = 30 * SECOND;
+const LOAD_HALF_LIFE: Micros = 30 * SECOND;
 
 fn ask(prefix: &str, session: &str) -> RequestSpec {
     RequestSpec {
@@ -27,11 +27,20 @@
 fn the_longer_match_of_prefix_and_session_counts() {
     let mut table = PrefixTable::default();
     table.credit(&ask("p", "s"), &reader("a"), SECOND);
-    assert_eq!(table.kept(&ask("p", "s"), &reader("a"), 0), 1_500.0);
-    assert_eq!(table.kept(&ask("p", "other"), &reader("a"), 0), 1_000.0);
-    assert_eq!(table.kept(&ask("other", "other"), &reader("a"), 0), 0.0);
-    assert_eq!(table.kept(&ask("p", "s"), &reader("b"), 0), 0.0);
-    assert_eq!(table.credited(&reader("a")), 1_000.0);
+    assert_eq!(
+        table.cached_tokens(&ask("p", "s"), &reader("a"), 0),
+        1_500.0
+    );
+    assert_eq!(
+        table.cached_tokens(&ask("p", "other"), &reader("a"), 0),
+        1_000.0
+    );
+    assert_eq!(
+        table.cached_tokens(&ask("other", "other"), &reader("a"), 0),
+        0.0
+    );
+    assert_eq!(table.cached_tokens(&ask("p", "s"), &reader("b"), 0), 0.0);
+    assert_eq!(table.total_cached_tokens(&reader("a")), 1_000.0);
 }
 
 #[test]
@@ -39,22 +48,25 @@
     let mut table = PrefixTable::default();
     table.credit(&ask("p", "s"), &reader("a"), SECOND);
     table.credit(&ask("q", "t"), &reader("b"), 3 * SECOND);
-    assert_eq!(table.kept(&ask("p", "s"), &reader("a"), 2 * SECOND), 0.0);
+    assert_eq!(
+        table.cached_tokens(&ask("p", "s"), &reader("a"), 2 * SECOND),
+        0.0
+    );
     table.expire(2 * SECOND);
     assert!(!table.knows_session(&ask("p", "s")));
     assert!(table.knows_session(&ask("q", "t")));
     table.forget(&reader("b"));
     assert!(!table.knows_session(&ask("q", "t")));
-    assert_eq!(table.credited(&reader("b")), 0.0);
+    assert_eq!(table.total_cached_tokens(&reader("b")), 0.0);
 }
 
 #[test]
 fn the_share_of_a_prefix_leaves_out_the_request_itself() {
     let mut table = PrefixTable::default();
     for prefix in ["p", "p", "p", "q"] {
-        table.asked(&ask(prefix, "s"), SECOND, HALF_LIFE);
+        table.record_request(&ask(prefix, "s"), SECOND, LOAD_HALF_LIFE);
     }
-    assert_eq!(table.share(&ask("p", "s"), SECOND, HALF_LIFE), 0.5);
-    assert_eq!(table.share(&ask("q", "s"), SECOND, HALF_LIFE), 0.0);
-    assert_eq!(table.share(&ask("never", "s"), SECOND, HALF_LIFE), 0.0);
+    assert_eq!(table.share(&ask("p", "s"), SECOND, LOAD_HALF_LIFE), 0.5);
+    assert_eq!(table.share(&ask("q", "s"), SECOND, LOAD_HALF_LIFE), 0.0);
+    assert_eq!(table.share(&ask("never", "s"), SECOND, LOAD_HALF_LIFE), 0.0);
 }
--- a/src/routing/model/tests.rs
+++ b/src/routing/model/tests.rs
@@ -5,10 +5,10 @@
 fn tenants_that_were_turned_away_are_forgotten() {
     let mut worker = Worker::default();
     for i in 0..10_000 {
-        worker.turned_away((0, Some(i.to_string())), i, i + 10);
+        worker.mark_full((0, Some(i.to_string())), i, i + 10);
         assert!(worker.is_full(&(0, Some(i.to_string())), i));
     }
-    assert!(worker.full.len() <= 10, "{}", worker.full.len());
+    assert!(worker.full_until.len() <= 10, "{}", worker.full_until.len());
 }
 
 /// Guards against a repeat of what must not run twice, because the class was changed while it was in hand.
@@ -37,7 +37,7 @@
         tenant: None,
     };
     let mut requests = Vec::new();
-    let mut all = settle(
+    let mut all = merge_classes(
         &[],
         &classes(&["explain", "send"], Idempotency::NonIdempotent),
         [].iter_mut(),
@@ -49,12 +49,12 @@
     ] {
         requests.push(Request::new(
             ask("send"),
-            class_of(&all, "send"),
+            class_index(&all, "send"),
             0,
             false,
             6,
         ));
-        all = settle(
+        all = merge_classes(
             &all,
             &classes(&["send", "new"], effect),
             requests.iter_mut(),
@@ -70,17 +70,17 @@
         ]
     );
     assert_eq!(
-        all[class_of(&all, "send")].idempotency,
+        all[class_index(&all, "send")].idempotency,
         Idempotency::Idempotent
     );
     // Those kept have no name, and a request without one does not find them either.
     assert_eq!(
-        (class_of(&all, "explain"), class_of(&all, "")),
+        (class_index(&all, "explain"), class_index(&all, "")),
         (all.len() - 1, all.len() - 1)
     );
     // What no request in hand needs is gone, however often settings come.
     for _ in 0..9 {
-        all = settle(
+        all = merge_classes(
             &all,
             &classes(&["send"], Idempotency::Idempotent),
             requests.iter_mut(),
@@ -94,14 +94,14 @@
 fn a_writer_that_says_it_has_read_may_have_run_the_request() {
     let attempt = |writes, outcome| Attempt {
         worker: WorkerId("w".into()),
-        writes,
-        far: 0,
-        sent: 0,
-        due: 1,
+        is_decode: writes,
+        distance: 0,
+        sent_at: 0,
+        due_at: 1,
         tokens: 0.0,
         work: 0.0,
         outcome,
-        first: None,
+        first_token_at: None,
     };
     let ask = RequestSpec {
         request: RequestId(1),
--- a/src/routing/policy/held_state.rs
+++ b/src/routing/policy/kv_state.rs
@@ -17,7 +17,7 @@
 
 /// The state that may be held for one request.
 #[derive(Debug, Default)]
-pub(crate) struct HeldState {
+pub(crate) struct KvStateHold {
     /// The reader where it may be held; `None`: nothing is known to be held.
     reader: Option<WorkerId>,
     /// Since when it may have been held without an attempt that had reached a running worker.
@@ -26,7 +26,7 @@
     is_released_behind_send: bool,
 }
 
-impl HeldState {
+impl KvStateHold {
     /// The reader where a state may be held.
     pub fn reader(&self) -> Option<&WorkerId> {
         self.reader.as_ref()
@@ -39,7 +39,7 @@
 
     /// An attempt at `reader` has ended and may have left a state there.
     pub fn hold(&mut self, reader: WorkerId, now: Micros) {
-        *self = HeldState {
+        *self = KvStateHold {
             reader: Some(reader),
             since: now,
             is_released_behind_send: false,
@@ -91,21 +91,21 @@
 impl Policy {
     /// How long before the release limit a release is ordered.
     pub(super) fn release_margin(&self, sweeps: Micros) -> Micros {
-        sweeps * self.sweep_every() + self.set.batch_interval
+        sweeps * self.sweep_interval() + self.config.batch_interval
     }
 
     /// Orders the release of a state whose send has not been answered when its limit comes near: that the
     /// send was written doesn't say that it has arrived.
     pub(super) fn release_behind_send(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let (limit, margin) = (
-            self.set.kv_state_hold_limit,
+            self.config.kv_state_hold_limit,
             self.release_margin(SWEEPS_BEFORE_RELEASE_BEHIND_SEND),
         );
         let Some(r) = self.requests.get_mut(&id) else {
             return;
         };
-        if r.held.is_due_behind_send(self.now, limit, margin) {
-            r.held.set_released_behind_send();
+        if r.kv_state.is_due_behind_send(self.now, limit, margin) {
+            r.kv_state.set_released_behind_send();
             out.push(Action::Release {
                 request: id,
                 reason: ReleaseReason::SendUnanswered,
@@ -114,7 +114,11 @@
     }
 
     pub(super) fn release(&mut self, id: RequestId, reason: ReleaseReason, out: &mut Vec<Action>) {
-        if self.requests.get_mut(&id).is_some_and(|r| r.held.clear()) {
+        if self
+            .requests
+            .get_mut(&id)
+            .is_some_and(|r| r.kv_state.clear())
+        {
             out.push(Action::Release {
                 request: id,
                 reason,
--- a/src/routing/policy/held_state/tests.rs
+++ b/src/routing/policy/kv_state/tests.rs
@@ -4,8 +4,8 @@
 const LIMIT: Micros = 500;
 const MARGIN: Micros = 100;
 
-fn held_since(now: Micros) -> HeldState {
-    let mut held = HeldState::default();
+fn held_since(now: Micros) -> KvStateHold {
+    let mut held = KvStateHold::default();
     held.hold(WorkerId("reader".into()), now);
     held
 }
@@ -57,7 +57,7 @@
 
 #[test]
 fn a_connection_may_take_half_of_the_time_that_is_left() {
-    assert_eq!(HeldState::default().connect_by(100, LIMIT), None);
+    assert_eq!(KvStateHold::default().connect_by(100, LIMIT), None);
     assert_eq!(held_since(0).connect_by(100, LIMIT), Some(300));
     assert_eq!(held_since(0).connect_by(600, LIMIT), Some(600));
 }
--- a/src/routing/policy/membership.rs
+++ b/src/routing/policy/membership.rs
@@ -4,25 +4,27 @@
 
 /// What a call for the list may take at discovery, one service for all routers; and the longest wait for one:
 /// a change counts as told after 6 s, and it takes half of them to see that a call or a watch is lost.
-const CALL: Micros = 20_000;
-const CALL_WITHIN: Micros = 2_000_000;
+const FETCH_INTERVAL: Micros = 20_000;
+const MAX_FETCH_DELAY: Micros = 2_000_000;
 
 impl Policy {
-    pub(super) fn list(&mut self, kind: EndpointUpdate, entries: Vec<Endpoint>) {
+    pub(super) fn apply_endpoints(&mut self, kind: EndpointUpdate, entries: Vec<Endpoint>) {
         let failures = if kind == EndpointUpdate::Failed {
-            self.call_failures + 1
+            self.endpoint_fetch_failures + 1
         } else {
             0
         };
-        self.call_failures = failures.min(MAX_DOUBLINGS);
+        self.endpoint_fetch_failures = failures.min(MAX_BACKOFF_DOUBLINGS);
         if matches!(kind, EndpointUpdate::Failed | EndpointUpdate::Restored)
-            && self.set.endpoints_on_request
+            && self.config.endpoints_on_request
         {
             // A span for all routers' calls one by one, doubled with each failure: in step they never end.
-            let span =
-                CALL_WITHIN.min((CALL * Micros::from(self.set.routers)) << self.call_failures);
-            let drawn = unit(xxh3_64_with_seed(&self.now.to_le_bytes(), self.seed));
-            self.call_due = Some(self.now + (span as f64 * drawn) as Micros);
+            let span = MAX_FETCH_DELAY.min(
+                (FETCH_INTERVAL * Micros::from(self.config.routers))
+                    << self.endpoint_fetch_failures,
+            );
+            let drawn = hash_to_unit(xxh3_64_with_seed(&self.now.to_le_bytes(), self.seed));
+            self.endpoint_fetch_due = Some(self.now + (span as f64 * drawn) as Micros);
         }
         if kind == EndpointUpdate::Failed {
             return;
@@ -33,22 +35,23 @@
                 .for_each(|w| w.status = Status::Gone);
         }
         for e in entries {
-            self.entry(e);
+            self.apply_endpoint(e);
         }
-        self.balance();
+        self.balance_kv_transfers();
         // A gone worker stays known while something of ours is out there.
-        self.out.retain(|_, attempts| !attempts.is_empty());
-        let busy = |id: &WorkerId| self.out.contains_key(id);
+        self.in_flight.retain(|_, attempts| !attempts.is_empty());
+        let busy = |id: &WorkerId| self.in_flight.contains_key(id);
         self.workers
             .retain(|id, w| w.status != Status::Gone || busy(id));
         for role in [Role::Prefill, Role::Decode, Role::Mixed] {
-            self.most[role as usize] = self.most[role as usize].max(self.ready(role).count());
-            self.learn_slowness(role);
+            self.max_ready[role as usize] =
+                self.max_ready[role as usize].max(self.ready(role).count());
+            self.learn_median_latency_factor(role);
         }
     }
 
-    pub(super) fn entry(&mut self, e: Endpoint) {
-        let kind = self.set.kinds.iter().find(|k| k.name == e.kind);
+    pub(super) fn apply_endpoint(&mut self, e: Endpoint) {
+        let kind = self.config.kinds.iter().find(|k| k.name == e.kind);
         let role = kind.map_or(Role::Mixed, |k| k.role);
         let memory = kind
             .and_then(|k| k.memory_tokens)
@@ -64,12 +67,12 @@
             .is_none_or(|w| w.started != e.started || w.role != role)
         {
             // A new life: nothing kept, nothing learned, cold if it began lately.
-            self.kept.forget(&e.worker);
-            let slowness = Average::from_prior(1.0, 1.0 / LEARN); // one odd answer says little
+            self.prefix_cache.forget(&e.worker);
+            let slowness = Ewma::from_prior(1.0, 1.0 / EWMA_WEIGHT); // one odd answer says little
             let fresh = Worker {
-                slowness,
+                latency_factor: slowness,
                 role,
-                memory,
+                memory_tokens: memory,
                 started: e.started,
                 ..Worker::default()
             };
@@ -82,7 +85,7 @@
 
     /// The flow of states that all routers together should make, from the list alone: they stay in their cell
     /// and zone as far as the writers' part there goes (`keep`; above 1 there is room for others' states).
-    pub(super) fn balance(&mut self) {
+    pub(super) fn balance_kv_transfers(&mut self) {
         let groups = |w: &Worker| [(w.zone.clone(), Some(w.cell)), (w.zone.clone(), None)];
         let (mut parts, mut all) = (BTreeMap::<_, [f64; 2]>::new(), [0.0; 2]);
         for w in self.workers.values().filter(|w| w.status == Status::Ready) {
@@ -90,10 +93,10 @@
                 .into_iter()
                 .filter(|o| o.1 != w.role);
             for (i, _) in others {
-                all[i] += self.can(w);
+                all[i] += self.capacity(w);
                 groups(w)
                     .into_iter()
-                    .for_each(|g| parts.entry(g).or_default()[i] += self.can(w));
+                    .for_each(|g| parts.entry(g).or_default()[i] += self.capacity(w));
             }
         }
         let part = |g| {
@@ -103,6 +106,6 @@
         };
         self.workers
             .values_mut()
-            .for_each(|w| w.keep = groups(w).map(part));
+            .for_each(|w| w.local_decode_share = groups(w).map(part));
     }
 }
--- a/src/routing/policy/permission.rs
+++ b/src/routing/policy/send_permit.rs
@@ -3,13 +3,13 @@
 //! Every attempt needs a [`SendPermit`], which only [`Policy::permit_send`] makes, so that no other code can
 //! put a request on a connection. A permit is given when the send is decided and checked again when its
 //! first byte is about to be written, a connection's time later ([`SendPermit::check_write`]). Releases,
-//! calls of tools and their results need a permit of [`super::call_permission`], closes of clients'
-//! connections one of [`super::close_permission`].
+//! calls of tools and their results need a permit of [`super::call_permit`], closes of clients'
+//! connections one of [`super::close_permit`].
 //!
 //! A permit for an attempt goes by what is known of each earlier one: written, answered, ended, never ran.
 //! Until an attempt has ended nobody
 //! knows whether it has arrived, so it counts as run where that is the danger (repeats, refusals), and as
-//! not arrived where that is (held state, see [`super::held_state`]).
+//! not arrived where that is (held state, see [`super::kv_state`]).
 
 use super::Policy;
 use crate::routing::model::{Phase, Request, Worker};
@@ -128,10 +128,10 @@
         if matches!(request.phase, Phase::Done | Phase::Streaming) {
             return Err(SendDenial::Answered);
         }
-        if request.out().next().is_some() {
+        if request.in_flight().next().is_some() {
             return Err(SendDenial::InFlight);
         }
-        if request.spent() {
+        if request.attempts_exhausted() {
             return Err(SendDenial::AttemptsExhausted);
         }
         if request.may_have_run() && !self.may_repeat_at(request, to) {
@@ -140,28 +140,28 @@
         if to.status != Status::Ready {
             return Err(SendDenial::NotInService);
         }
-        if self.cold(to) && !self.has_room(worker, to) {
+        if self.is_warming_up(to) && !self.has_slow_start_budget(worker, to) {
             return Err(SendDenial::SlowStart);
         }
         Ok(SendPermit {
             send_by: self
-                .repeat_until(request, to)
+                .repeat_deadline(request, to)
                 .filter(|by| *by < Micros::MAX),
             connect_by: request
-                .held
-                .connect_by(self.now, self.set.kv_state_hold_limit),
+                .kv_state
+                .connect_by(self.now, self.config.kv_state_hold_limit),
             reads: !writes,
         })
     }
 
     /// Until when a request may be written to a worker, if at all: what may have run, and is not harmless to
     /// repeat, only inside the group and the window of each earlier attempt.
-    fn repeat_until(&self, request: &Request, to: &Worker) -> Option<Micros> {
+    fn repeat_deadline(&self, request: &Request, to: &Worker) -> Option<Micros> {
         let RequestClass {
             idempotency: effect,
             deduplication_window: repeat_window,
             ..
-        } = self.set.classes[request.class];
+        } = self.config.classes[request.class];
         let drops_repeats_of = |first: &Worker| match effect {
             Idempotency::Idempotent | Idempotency::WithKey(DeduplicationScope::All) => true,
             Idempotency::WithKey(DeduplicationScope::Zone) => first.zone == to.zone,
@@ -172,23 +172,23 @@
             return Some(Micros::MAX);
         }
         let mut until = Micros::MAX;
-        for attempt in request.effects() {
+        for attempt in request.possible_runs() {
             let first = self.workers.get(&attempt.worker);
             first.filter(|first| drops_repeats_of(first))?;
-            until = until.min(attempt.sent.saturating_add(repeat_window));
+            until = until.min(attempt.sent_at.saturating_add(repeat_window));
         }
         Some(until)
     }
 
     /// Whether what may have run may go to this worker again: a connection may take its whole time-out.
     pub(super) fn may_repeat_at(&self, request: &Request, to: &Worker) -> bool {
-        let until = self.repeat_until(request, to);
-        until.is_some_and(|by| self.now.saturating_add(self.set.connect_timeout) < by)
+        let until = self.repeat_deadline(request, to);
+        until.is_some_and(|by| self.now.saturating_add(self.config.connect_timeout) < by)
     }
 
     /// Whether a request may be refused, which tells its client that trying again is harmless.
-    pub(super) fn may_refuse(&self, request: &Request) -> bool {
-        self.set.classes[request.class]
+    pub(super) fn may_reject(&self, request: &Request) -> bool {
+        self.config.classes[request.class]
             .idempotency
             .is_harmless_to_repeat()
             || !request.may_have_run()
--- a/src/routing/types.rs
+++ b/src/routing/types.rs
@@ -2,10 +2,10 @@
 //!
 //! Everything here is plain data in the words of the domain. Times are microseconds on the caller's clock.
 
-pub use crate::routing::policy::call_permission::{
+pub use crate::routing::policy::call_permit::{
     CallDenial, CallPermit, CallState, ReleasePermit, permit_call,
 };
-pub use crate::routing::policy::permission::{SendDenial, SendPermit, WritePermit, WriteState};
+pub use crate::routing::policy::send_permit::{SendDenial, SendPermit, WritePermit, WriteState};
 use std::sync::Arc;
 
 /// Microseconds: a moment on the caller's monotonic clock, or a length of time.
@@ -290,7 +290,7 @@
 
 impl AttemptOutcome {
     /// Whether this outcome proves that the attempt had no effect.
-    pub fn never_ran(self) -> bool {
+    pub fn proves_no_run(self) -> bool {
         use AttemptOutcome::*;
         matches!(
             self,
@@ -300,8 +300,8 @@
 
     /// Whether this outcome proves that an attempt at a writer had no effect. A writer has no prompts to read: one that
     /// says that it did is not believed.
-    pub fn rules_out_a_run_at_a_writer(self) -> bool {
-        self.never_ran() && self != AttemptOutcome::Prefilled
+    pub fn proves_no_run_at_decode_worker(self) -> bool {
+        self.proves_no_run() && self != AttemptOutcome::Prefilled
     }
 
     /// Whether this outcome proves that the attempt had arrived at a worker that runs: the worker has answered. That
--- a/tests/two_customers.rs
+++ b/tests/two_customers.rs
@@ -408,7 +408,7 @@
         pair.run(40);
         pair.customers[0] = pair.customers[0].reordered(step);
         for (module, customer) in pair.modules.iter_mut().zip(&pair.customers) {
-            module.set(customer.settings());
+            module.update_config(customer.settings());
         }
     }
     pair.assert_much_was_seen();
@@ -465,7 +465,7 @@
         home,
         "it is known of its own class"
     );
-    policy.set(
+    policy.update_config(
         Customer {
             order: [1, 0, 2],
             ..NOTES
