--- a/lab/src/scale/hollow.rs
+++ b/lab/src/scale/hollow.rs
@@ -73,7 +73,7 @@
             me,
             store: 1 + node as u64 + life * names.len() as u64,
             voters: names[..layout.voters()].iter().cloned().collect(),
-            restored: raft::Restored::default(),
+            restored: raft::RestoredState::default(),
             seed: node as u64 * 7_919 + life,
             relays: layout
                 .relays_of(node)
@@ -100,7 +100,7 @@
                     reliable,
                     ..
                 } => self.send(&to, message, reliable, out),
-                Action::Persist(raft::Write::Entries { entries, .. }) => {
+                Action::Persist(raft::StorageWrite::Entries { entries, .. }) => {
                     self.counts.entries += entries.len() as u64;
                 }
                 Action::View(change) => {
--- a/lab/src/scale/mod.rs
+++ b/lab/src/scale/mod.rs
@@ -80,7 +80,7 @@
     let mut settings = Settings::default();
     let members = layout.members as u32;
     settings.view.most_members = layout.members + 1;
-    settings.group.most_learners = layout.members;
+    settings.group.max_learners = layout.members;
     settings.lease.renewal = match renewals {
         Renewals::Log => RenewalPath::Log,
         Renewals::Leader => RenewalPath::Leader,
--- a/lab/tests/group/mod.rs
+++ b/lab/tests/group/mod.rs
@@ -1,33 +1,33 @@
-//! What must hold of the group, whoever drives it: the simulation and the model checker share this.
+//! Input must hold of the raft, whoever drives it: the simulation and the model checker share this.
 
 use std::collections::BTreeMap;
-use whinhaven::fleet::raft::{Entry, Group, Role, VoterId};
+use whinhaven::fleet::raft::{LogEntry, Raft, Role, VoterId};
 use whinhaven::fleet::{Index, MemberName, Term};
 
 pub fn name(i: usize) -> MemberName {
     MemberName::try_from(format!("c{}", i + 1)).unwrap()
 }
 
-/// What was broken.
+/// Input was broken.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Wrong {
+pub enum Violation {
     /// Two leaders in a term.
-    Election(Term, VoterId, VoterId),
+    ElectionSafety(Term, VoterId, VoterId),
     /// A leader without an entry that was applied in an earlier term.
-    Completeness(VoterId, Term, Index),
+    LeaderCompleteness(VoterId, Term, Index),
     /// Two members applied different entries at an index.
-    StateMachine(Index),
+    StateMachineSafety(Index),
     /// Two logs part at this index, before an entry that both have.
-    Logs(Index),
+    LogMatching(Index),
 }
 
-impl From<Wrong> for String {
-    fn from(wrong: Wrong) -> String {
-        format!("{wrong:?}")
+impl From<Violation> for String {
+    fn from(violation: Violation) -> String {
+        format!("{violation:?}")
     }
 }
 
-/// What was seen of a whole run: who led which term, and what was applied at each index.
+/// Input was seen of a whole run: who led which term, and what was applied at each index.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Ledger {
     pub leaders: BTreeMap<Term, VoterId>,
@@ -37,23 +37,31 @@
 
 impl Ledger {
     /// Election safety and leader completeness, for a member that may have just been elected.
-    pub fn leads(&mut self, group: &Group) -> Result<(), Wrong> {
-        if group.role() != Role::Leader {
+    pub fn leads(&mut self, raft: &Raft) -> Result<(), Violation> {
+        if raft.role() != Role::Leader {
             return Ok(());
         }
-        let term = group.term();
+        let term = raft.term();
         match self.leaders.get(&term) {
-            Some(other) if other != group.me() => {
-                return Err(Wrong::Election(term, other.clone(), group.me().clone()));
+            Some(other) if other != raft.id() => {
+                return Err(Violation::ElectionSafety(
+                    term,
+                    other.clone(),
+                    raft.id().clone(),
+                ));
             }
             Some(_) => return Ok(()),
-            None => self.leaders.insert(term, group.me().clone()),
+            None => self.leaders.insert(term, raft.id().clone()),
         };
         for (index, (entry_term, _, in_term)) in &self.applied {
-            let base = group.snapshot().map_or(Index(0), |s| s.index);
-            let has = *index <= base || term_at(group, *index) == Some(*entry_term);
+            let base = raft.snapshot().map_or(Index(0), |s| s.index);
+            let has = *index <= base || term_at(raft, *index) == Some(*entry_term);
             if *in_term < term && !has {
-                return Err(Wrong::Completeness(group.me().clone(), term, *index));
+                return Err(Violation::LeaderCompleteness(
+                    raft.id().clone(),
+                    term,
+                    *index,
+                ));
             }
         }
         Ok(())
@@ -66,27 +74,26 @@
         term: Term,
         digest: u64,
         in_term: Term,
-    ) -> Result<(), Wrong> {
+    ) -> Result<(), Violation> {
         let first = self.applied.entry(index).or_insert((term, digest, in_term));
         first.2 = first.2.min(in_term);
         if (first.0, first.1) != (term, digest) {
-            return Err(Wrong::StateMachine(index));
+            return Err(Violation::StateMachineSafety(index));
         }
         Ok(())
     }
 }
 
-fn term_at(group: &Group, index: Index) -> Option<Term> {
-    group
-        .entries()
+fn term_at(raft: &Raft, index: Index) -> Option<Term> {
+    raft.entries()
         .iter()
         .find(|e| e.index == index)
         .map(|e| e.term)
 }
 
 /// Log matching: logs with an entry of the same index and term are the same up to it.
-pub fn logs_match(a: &[Entry], b: &[Entry]) -> Result<(), Wrong> {
-    let other = |e: &Entry| {
+pub fn logs_match(a: &[LogEntry], b: &[LogEntry]) -> Result<(), Violation> {
+    let other = |e: &LogEntry| {
         let at = e.index.0.checked_sub(b.first()?.index.0)?;
         b.get(at as usize)
     };
@@ -95,7 +102,7 @@
         let Some(other) = other(entry) else { continue };
         same |= entry.term == other.term;
         if same && entry != other {
-            return Err(Wrong::Logs(entry.index));
+            return Err(Violation::LogMatching(entry.index));
         }
     }
     Ok(())
--- a/lab/tests/model_group.rs
+++ b/lab/tests/model_group.rs
@@ -1,4 +1,4 @@
-//! The group's very machine under a model checker: every order of a few events, three voters.
+//! The Raft state machine under a model checker: three voters, every order of a few events.
 //!
 //! The network keeps whatever was sent and may deliver it at any time, again and again or never: loss, duplication and
 //! reordering in one. Durations are zero, so that an election or a heartbeat may come at any time. A crash restarts a
@@ -9,7 +9,7 @@
 
 mod group;
 
-use group::{Ledger, Wrong, logs_match, name};
+use group::{Ledger, Violation, logs_match, name};
 use rstest::rstest;
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,41 +17,41 @@
 use std::sync::Arc;
 use std::time::Instant;
 use whinhaven::fleet::raft::{
-    Action, Body, Event, Group, HardState, Message, Payload, Restored, Role, Settings, VoterId,
-    Voters, Write,
+    Action, Config, EntryPayload, Event, HardState, Message, MessageBody, Raft, RestoredState,
+    Role, StorageWrite, VoterConfig, VoterId,
 };
 use whinhaven::fleet::{Index, Term};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// What is broken on purpose, around the machine.
+/// Input is broken on purpose, around the machine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Flaw {
     None,
     /// The vote is not written.
-    VotesUnwritten,
+    VoteNotPersisted,
     /// Entries are acknowledged but not written.
-    EntriesUnwritten,
-    /// Voters do not look at how far the candidate's log goes.
-    AnyLogWins,
+    EntriesNotPersisted,
+    /// VoterConfig do not look at how far the candidate's log goes.
+    IgnoresCandidateLog,
     /// Followers take entries whatever comes before them.
-    AnyEntryBefore,
+    IgnoresPrevEntry,
     /// A leader takes an entry of an older term for committed when a majority has it.
-    CommitsOldTerms,
-    /// A voter with an emptied disk goes on under its old number, as one that has founded the group.
-    EmptiedRemembers,
-    /// Members pledge to any store of a name.
-    PledgesAnew,
+    CommitsEntriesOfOldTerms,
+    /// A voter with an emptied disk goes on under its old number, as one that has bootstrapped.
+    WipedVoterKeepsIdentity,
+    /// Members grant their bootstrap vote for a name again, to any store.
+    RepeatsBootstrapVote,
 }
 
-/// A scenario: what may happen, how often.
+/// A scenario: which inputs may occur, and how often.
 #[derive(Clone, Debug)]
 struct Scenario {
     flaw: Flaw,
-    /// The group starts from empty disks instead of founded ones.
-    founding: bool,
-    /// With `founding`: the first two have founded already and the first leads by the second's vote; the third has
+    /// The members start from empty disks instead of bootstrapped ones.
+    bootstrap: bool,
+    /// With `bootstrap`: the first two have bootstrapped already and the first leads by the second's vote; the third has
     /// only pledged.
-    half: bool,
+    partial_bootstrap: bool,
     /// Elections go through their pre-votes.
     pre_votes: bool,
     /// Learners' messages travel too.
@@ -59,58 +59,58 @@
     terms: u64,
     proposals: u8,
     crashes: u8,
-    empties: u8,
+    disk_wipes: u8,
     /// Changes of voters that the leader is asked for: without the third member, with it.
     changes: u8,
     compactions: u8,
     /// Leaders' heartbeats, else only messages that follow from something.
-    beats: u8,
+    heartbeats: u8,
     /// Members that may stand for election.
     stand: &'static [usize],
     /// The only member whose disk may be emptied.
-    loser: Option<usize>,
+    wiped_member: Option<usize>,
     /// Those of `stand` take turns, the first one in term 2.
     turns: bool,
     /// The first two members do not hear each other.
-    cut: bool,
+    is_partitioned: bool,
     /// The most entries in a message.
-    most_entries: usize,
+    max_entries: usize,
     /// Begins when the first member leads.
-    led: bool,
+    is_led: bool,
 }
 
 impl Default for Scenario {
     fn default() -> Scenario {
         Scenario {
             flaw: Flaw::None,
-            founding: false,
-            half: false,
+            bootstrap: false,
+            partial_bootstrap: false,
             pre_votes: false,
             pulls: false,
             terms: 2,
             proposals: 1,
             crashes: 0,
-            empties: 0,
+            disk_wipes: 0,
             changes: 0,
             compactions: 0,
-            beats: 0,
+            heartbeats: 0,
             stand: &[0, 1, 2],
-            loser: None,
+            wiped_member: None,
             turns: false,
-            cut: false,
-            most_entries: 4,
-            led: true,
+            is_partitioned: false,
+            max_entries: 4,
+            is_led: true,
         }
     }
 }
 
 #[derive(Clone, Debug)]
 struct Node {
-    /// Of all below, so that a state need not be gone through again to be told from others.
+    /// Digest of the fields below, to compare states cheaply.
     digest: u64,
     store: u64,
-    disk: Restored,
-    group: Group,
+    disk: RestoredState,
+    raft: Raft,
     /// Digest of what was applied, and up to where.
     app: (Index, Term, u64),
 }
@@ -121,20 +121,20 @@
     /// All that was ever sent, by a digest of it.
     sent: BTreeMap<u64, Arc<(usize, usize, Message)>>,
     ledger: Ledger,
-    wrong: Option<Wrong>,
+    violation: Option<Violation>,
     proposals: u8,
     crashes: u8,
-    empties: u8,
+    disk_wipes: u8,
     changes: u8,
     compactions: u8,
-    beats: u8,
+    heartbeats: u8,
     /// Exploration has begun.
-    led: bool,
+    is_led: bool,
 }
 
 impl Node {
     fn sum(&mut self) {
-        self.digest = digest(&(self.store, &self.disk, &self.group, &self.app));
+        self.digest = digest(&(self.store, &self.disk, &self.raft, &self.app));
     }
 }
 
@@ -148,14 +148,14 @@
     fn hash<H: Hasher>(&self, hasher: &mut H) {
         self.nodes.iter().for_each(|n| hasher.write_u64(n.digest));
         self.sent.keys().for_each(|k| hasher.write_u64(*k));
-        (&self.ledger, &self.wrong).hash(hasher);
+        (&self.ledger, &self.violation).hash(hasher);
         let left = [
             self.proposals,
             self.crashes,
-            self.empties,
+            self.disk_wipes,
             self.changes,
             self.compactions,
-            self.beats,
+            self.heartbeats,
         ];
         hasher.write(&left);
     }
@@ -170,42 +170,42 @@
 #[derive(Clone, Debug, PartialEq)]
 enum Step {
     /// Something happens at a member; with `lost`, it crashes before its write number `lost`.
-    At(usize, What, Option<usize>),
+    At(usize, Input, Option<usize>),
     Crash(usize),
     Empty(usize),
 }
 
 #[derive(Clone, Debug, PartialEq)]
-enum What {
-    Stand,
-    Beat,
-    Ask,
+enum Input {
+    Campaign,
+    Heartbeat,
+    Pull,
     Deliver(Arc<(usize, usize, Message)>),
     Propose,
-    Change,
+    ChangeVoters,
     Compact,
 }
 
-fn settings(most_entries: usize) -> Settings {
-    Settings {
-        election_us: 0,
-        heartbeat_us: 0,
-        pull_us: 0,
-        most_entries_per_message: most_entries,
-        snapshot_after: 1,
-        ..Settings::default()
+fn settings(max_entries: usize) -> Config {
+    Config {
+        election_timeout_us: 0,
+        heartbeat_interval_us: 0,
+        pull_interval_us: 0,
+        max_entries_per_message: max_entries,
+        compact_after_entries: 1,
+        ..Config::default()
     }
 }
 
-fn start(i: usize, store: u64, disk: &Restored, most_entries: usize) -> Group {
+fn start(i: usize, store: u64, disk: &RestoredState, max_entries: usize) -> Raft {
     let voters = (0..3).map(name).collect();
-    Group::new(
+    Raft::new(
         VoterId {
             name: name(i),
             store,
         },
         &voters,
-        settings(most_entries),
+        settings(max_entries),
         0,
         disk.clone(),
         0,
@@ -215,16 +215,21 @@
 impl State {
     /// Leaves out messages that can change nothing any more: answers of earlier terms, and what earlier terms ask of
     /// a member if the asker already knows a term as late. (A crash may forget a term; only used after the last one.)
-    fn forget_the_past(&mut self) {
-        let terms: Vec<Term> = self.nodes.iter().map(|n| n.group.term()).collect();
+    fn drop_obsolete_messages(&mut self) {
+        let terms: Vec<Term> = self.nodes.iter().map(|n| n.raft.term()).collect();
         self.sent.retain(|_, sent| {
             let (from, to, message) = &**sent;
             let late = message.term >= terms[*to];
             match &message.body {
-                Body::Voted { pre: false, .. } | Body::Appended(_) => late,
-                Body::Vote { pre: false, .. } | Body::Append { .. } | Body::Install(_) => {
-                    late || terms[*from] < terms[*to]
+                MessageBody::VoteResponse {
+                    pre_vote: false, ..
                 }
+                | MessageBody::AppendResponse(_) => late,
+                MessageBody::VoteRequest {
+                    pre_vote: false, ..
+                }
+                | MessageBody::AppendEntries { .. }
+                | MessageBody::InstallSnapshot(_) => late || terms[*from] < terms[*to],
                 _ => true,
             }
         });
@@ -232,37 +237,37 @@
 }
 
 impl Scenario {
-    fn may_stand(&self, i: usize, term: Term) -> bool {
+    fn may_campaign(&self, i: usize, term: Term) -> bool {
         let turn = !self.turns || self.stand.get(term.0.saturating_sub(1) as usize) == Some(&i);
         term.0 < self.terms && self.stand.contains(&i) && turn
     }
 
     /// The first member is elected, and all have its first entry, committed.
-    fn lead_first(&self, state: &mut State) {
-        self.act(state, 0, What::Stand, None);
+    fn elect_first_member(&self, state: &mut State) {
+        self.act(state, 0, Input::Campaign, None);
         while let Some((_, sent)) = state.sent.pop_first() {
-            self.act(state, sent.1, What::Deliver(sent), None);
+            self.act(state, sent.1, Input::Deliver(sent), None);
         }
     }
 
-    fn events(&self, state: &State, i: usize, what: &What) -> Vec<Event> {
+    fn events(&self, state: &State, i: usize, what: &Input) -> Vec<Event> {
         let node = &state.nodes[i];
         match what {
-            What::Beat | What::Ask => vec![Event::Tick],
-            What::Stand if self.pre_votes => vec![Event::Tick],
-            What::Stand => {
+            Input::Heartbeat | Input::Pull => vec![Event::Tick],
+            Input::Campaign if self.pre_votes => vec![Event::Tick],
+            Input::Campaign => {
                 let voted = |j: usize| {
-                    let vote_term = Term(node.group.term().0 + 1);
-                    let body = Body::Voted {
-                        pre: true,
+                    let vote_term = Term(node.raft.term().0 + 1);
+                    let body = MessageBody::VoteResponse {
+                        pre_vote: true,
                         vote_term,
                         granted: true,
                     };
-                    let (store, term) = (state.nodes[j].store, node.group.term());
+                    let (store, term) = (state.nodes[j].store, node.raft.term());
                     let message = Message {
-                        store,
+                        from_store: store,
                         to_store: node.store,
-                        founded: true,
+                        bootstrapped: true,
                         term,
                         body,
                     };
@@ -274,23 +279,29 @@
                 let others = (0..3).filter(|j| *j != i).map(voted);
                 [Event::Tick].into_iter().chain(others).collect()
             }
-            What::Deliver(sent) => {
+            Input::Deliver(sent) => {
                 let (from, _, mut message) = (**sent).clone();
                 match &mut message.body {
-                    Body::Vote {
-                        last, last_term, ..
-                    } if self.flaw == Flaw::AnyLogWins => {
-                        (*last, *last_term) = (Index(99), Term(99));
+                    MessageBody::VoteRequest {
+                        last_index,
+                        last_term,
+                        ..
+                    } if self.flaw == Flaw::IgnoresCandidateLog => {
+                        (*last_index, *last_term) = (Index(99), Term(99));
                     }
-                    Body::Append {
-                        before,
-                        before_term,
+                    MessageBody::AppendEntries {
+                        prev_index,
+                        prev_term,
                         ..
-                    } if self.flaw == Flaw::AnyEntryBefore => {
-                        let have = node.group.entries().iter().find(|e| e.index == *before);
-                        *before_term = have.map_or(*before_term, |e| e.term);
+                    } if self.flaw == Flaw::IgnoresPrevEntry => {
+                        let have = node.raft.entries().iter().find(|e| e.index == *prev_index);
+                        *prev_term = have.map_or(*prev_term, |e| e.term);
+                    }
+                    MessageBody::BootstrapVoteResponse { granted }
+                        if self.flaw == Flaw::RepeatsBootstrapVote =>
+                    {
+                        *granted = true
                     }
-                    Body::Pledge { granted } if self.flaw == Flaw::PledgesAnew => *granted = true,
                     _ => {}
                 }
                 vec![Event::Message {
@@ -298,10 +309,10 @@
                     message,
                 }]
             }
-            What::Propose => vec![Event::Propose {
+            Input::Propose => vec![Event::Propose {
                 payload: vec![state.proposals],
             }],
-            What::Change => {
+            Input::ChangeVoters => {
                 let wanted = if state.changes == self.changes {
                     vec![0, 1]
                 } else {
@@ -309,7 +320,7 @@
                 };
                 vec![Event::ChangeVoters(wanted.into_iter().map(name).collect())]
             }
-            What::Compact => {
+            Input::Compact => {
                 let (index, term, digest) = node.app;
                 let data = [index.0, term.0, digest]
                     .iter()
@@ -336,30 +347,33 @@
                     }
                     writes += 1;
                     match write {
-                        Write::Hard(hard) if self.flaw == Flaw::VotesUnwritten => {
+                        StorageWrite::HardState(hard) if self.flaw == Flaw::VoteNotPersisted => {
                             let hard = HardState {
-                                voted: None,
+                                voted_for: None,
                                 ..hard
                             };
                             Arc::make_mut(&mut state.nodes[i])
                                 .disk
-                                .write(Write::Hard(hard));
+                                .apply(StorageWrite::HardState(hard));
                         }
-                        Write::Entries { .. } if self.flaw == Flaw::EntriesUnwritten => {}
-                        write => Arc::make_mut(&mut state.nodes[i]).disk.write(write),
+                        StorageWrite::Entries { .. } if self.flaw == Flaw::EntriesNotPersisted => {}
+                        write => Arc::make_mut(&mut state.nodes[i]).disk.apply(write),
                     }
                 }
                 Action::Send { to, message } => {
                     let skipped = match &message.body {
-                        Body::Pull { .. } | Body::Pulled { .. } | Body::PulledPart(_) => {
-                            !self.pulls
+                        MessageBody::PullRequest { .. }
+                        | MessageBody::PullResponse { .. }
+                        | MessageBody::PullSnapshot(_) => !self.pulls,
+                        MessageBody::VoteRequest { pre_vote, .. }
+                        | MessageBody::VoteResponse { pre_vote, .. } => {
+                            *pre_vote && !self.pre_votes
                         }
-                        Body::Vote { pre, .. } | Body::Voted { pre, .. } => *pre && !self.pre_votes,
                         _ => false,
                     };
                     if let Some(to) = (0..3).find(|j| name(*j) == to)
                         && !skipped
-                        && !(self.cut && state.led && i + to == 1)
+                        && !(self.is_partitioned && state.is_led && i + to == 1)
                     {
                         let sent = (i, to, message);
                         state.sent.insert(digest(&sent), Arc::new(sent));
@@ -378,7 +392,7 @@
                     Arc::make_mut(&mut state.nodes[i]).app = (Index(n(0)), Term(n(1)), n(2));
                     self.applied(state, i);
                 }
-                Action::Leading(..) | Action::Refused(_) => {}
+                Action::LeaderChanged(..) | Action::Rejected(_) => {}
             }
         }
         false
@@ -386,14 +400,14 @@
 
     fn applied(&self, state: &mut State, i: usize) {
         let (index, term, digest) = state.nodes[i].app;
-        let in_term = state.nodes[i].group.term();
+        let in_term = state.nodes[i].raft.term();
         let checked = state.ledger.applies(index, term, digest, in_term);
-        state.wrong = state.wrong.take().or(checked.err());
+        state.violation = state.violation.take().or(checked.err());
     }
 
     fn restart(&self, state: &mut State, i: usize) {
         let node = Arc::make_mut(&mut state.nodes[i]);
-        node.group = start(i, node.store, &node.disk, self.most_entries);
+        node.raft = start(i, node.store, &node.disk, self.max_entries);
         node.app = (Index(0), Term(0), 0);
         node.sum();
     }
@@ -401,11 +415,11 @@
     /// As a leader would that counts copies of entries of any term.
     fn commit_by_count(&self, state: &mut State, i: usize) {
         let node = &state.nodes[i];
-        if node.group.role() != Role::Leader {
+        if node.raft.role() != Role::Leader {
             return;
         }
         let mut digest = 0;
-        for entry in node.group.entries() {
+        for entry in node.raft.entries() {
             digest = xxh3_64_with_seed(format!("{entry:?}").as_bytes(), digest);
             let copies = state
                 .nodes
@@ -417,41 +431,41 @@
             }
             let checked = state
                 .ledger
-                .applies(entry.index, entry.term, digest, node.group.term());
-            state.wrong = state.wrong.take().or(checked.err());
+                .applies(entry.index, entry.term, digest, node.raft.term());
+            state.violation = state.violation.take().or(checked.err());
         }
     }
 
-    fn act(&self, state: &mut State, i: usize, what: What, lost: Option<usize>) {
+    fn act(&self, state: &mut State, i: usize, what: Input, lost: Option<usize>) {
         match what {
-            What::Propose => state.proposals -= 1,
-            What::Change => state.changes -= 1,
-            What::Compact => state.compactions -= 1,
-            What::Beat => state.beats -= 1,
+            Input::Propose => state.proposals -= 1,
+            Input::ChangeVoters => state.changes -= 1,
+            Input::Compact => state.compactions -= 1,
+            Input::Heartbeat => state.heartbeats -= 1,
             _ => {}
         }
         let mut actions = Vec::new();
         for event in self.events(state, i, &what) {
-            let group = &mut Arc::make_mut(&mut state.nodes[i]).group;
-            group.handle(0, event, &mut actions);
-            let checked = state.ledger.leads(group);
-            state.wrong = state.wrong.take().or(checked.err());
+            let raft = &mut Arc::make_mut(&mut state.nodes[i]).raft;
+            raft.handle(0, event, &mut actions);
+            let checked = state.ledger.leads(raft);
+            state.violation = state.violation.take().or(checked.err());
         }
         if self.carry_out(state, i, actions, lost) {
             state.crashes -= 1;
             self.restart(state, i);
         }
         Arc::make_mut(&mut state.nodes[i]).sum();
-        if self.flaw == Flaw::CommitsOldTerms {
+        if self.flaw == Flaw::CommitsEntriesOfOldTerms {
             self.commit_by_count(state, i);
         }
         if state.crashes == 0 {
-            state.forget_the_past();
+            state.drop_obsolete_messages();
         }
         for j in 0..3 {
-            let (a, b) = (&state.nodes[i].group, &state.nodes[j].group);
+            let (a, b) = (&state.nodes[i].raft, &state.nodes[j].raft);
             let checked = logs_match(a.entries(), b.entries());
-            state.wrong = state.wrong.take().or(checked.err());
+            state.violation = state.violation.take().or(checked.err());
         }
     }
 }
@@ -468,41 +482,41 @@
             })
             .collect();
         let wanted = (0..3).map(name).collect();
-        let founded = Voters {
-            wanted,
-            now: voters.clone(),
-            founders: voters,
+        let founded = VoterConfig {
+            target: wanted,
+            voters: voters.clone(),
+            bootstrap_voters: voters,
         };
         let nodes = (0..3)
             .map(|i| {
                 let others = (0..3).filter(|j| *j != i);
                 let pledges: BTreeMap<_, _> = others.map(|j| (name(j), j as u64 + 1)).collect();
                 let hard = HardState {
-                    founded: Some(founded.clone()),
-                    pledges,
+                    bootstrap_config: Some(founded.clone()),
+                    bootstrap_votes: pledges,
                     ..HardState::default()
                 };
-                let hard = match (self.founding, self.half) {
+                let hard = match (self.bootstrap, self.partial_bootstrap) {
                     (false, _) => hard,
                     (true, true) => HardState {
-                        founded: hard.founded.filter(|_| i < 2),
+                        bootstrap_config: hard.bootstrap_config.filter(|_| i < 2),
                         ..hard
                     },
                     (true, false) => HardState::default(),
                 };
-                let disk = Restored {
-                    hard,
-                    ..Restored::default()
+                let disk = RestoredState {
+                    hard_state: hard,
+                    ..RestoredState::default()
                 };
                 let store = i as u64 + 1;
-                let (group, app) = (
-                    start(i, store, &disk, self.most_entries),
+                let (raft, app) = (
+                    start(i, store, &disk, self.max_entries),
                     (Index(0), Term(0), 0),
                 );
                 let mut node = Node {
                     digest: 0,
                     store,
-                    group,
+                    raft,
                     disk,
                     app,
                 };
@@ -514,79 +528,79 @@
             nodes,
             sent: BTreeMap::new(),
             ledger: Ledger::default(),
-            wrong: None,
+            violation: None,
             proposals: self.proposals,
             crashes: self.crashes,
-            empties: self.empties,
+            disk_wipes: self.disk_wipes,
             changes: self.changes,
             compactions: self.compactions,
-            beats: self.beats,
-            led: false,
+            heartbeats: self.heartbeats,
+            is_led: false,
         };
-        if self.led {
-            self.lead_first(&mut state);
+        if self.is_led {
+            self.elect_first_member(&mut state);
         }
-        if self.half {
+        if self.partial_bootstrap {
             // The second member's vote made the first one lead; all else it sent got lost.
-            self.act(&mut state, 0, What::Stand, None);
-            while state.nodes[0].group.role() != Role::Leader {
+            self.act(&mut state, 0, Input::Campaign, None);
+            while state.nodes[0].raft.role() != Role::Leader {
                 let Some((_, sent)) = state.sent.pop_first() else {
                     break;
                 };
                 if sent.0 + sent.1 == 1 {
                     let to = sent.1;
-                    self.act(&mut state, to, What::Deliver(sent), None);
+                    self.act(&mut state, to, Input::Deliver(sent), None);
                 }
             }
             state.sent.clear();
         }
-        if self.founding {
+        if self.bootstrap {
             // All have asked each other for pledges; when that is heard is open.
             (0..3)
-                .filter(|i| !self.half || *i == 2)
-                .for_each(|i| self.act(&mut state, i, What::Ask, None));
+                .filter(|i| !self.partial_bootstrap || *i == 2)
+                .for_each(|i| self.act(&mut state, i, Input::Pull, None));
         }
-        state.led = true;
+        state.is_led = true;
         vec![state]
     }
 
     fn actions(&self, state: &State, steps: &mut Vec<Step>) {
-        if state.wrong.is_some() {
+        if state.violation.is_some() {
             return;
         }
-        let mut whats: Vec<(usize, What)> = Vec::new();
+        let mut whats: Vec<(usize, Input)> = Vec::new();
         for (i, node) in state.nodes.iter().enumerate() {
-            let role = node.group.role();
+            let role = node.raft.role();
             match role {
                 Role::Leader => {
-                    whats.extend((state.beats > 0).then_some((i, What::Beat)));
-                    whats.extend((state.proposals > 0).then_some((i, What::Propose)));
-                    whats.extend((state.changes > 0).then_some((i, What::Change)));
+                    whats.extend((state.heartbeats > 0).then_some((i, Input::Heartbeat)));
+                    whats.extend((state.proposals > 0).then_some((i, Input::Propose)));
+                    whats.extend((state.changes > 0).then_some((i, Input::ChangeVoters)));
                 }
-                Role::Learner => whats.push((i, What::Ask)),
-                _ if self.may_stand(i, node.group.term()) => whats.push((i, What::Stand)),
+                Role::Learner => whats.push((i, Input::Pull)),
+                _ if self.may_campaign(i, node.raft.term()) => whats.push((i, Input::Campaign)),
                 _ => {}
             }
-            if state.compactions > 0 && node.group.wants_snapshot() {
-                whats.push((i, What::Compact));
+            if state.compactions > 0 && node.raft.should_compact() {
+                whats.push((i, Input::Compact));
             }
             steps.extend((state.crashes > 0).then_some(Step::Crash(i)));
-            let empties = state.empties > 0 && self.loser.is_none_or(|l| l == i);
-            steps.extend(empties.then_some(Step::Empty(i)));
+            let disk_wipes = state.disk_wipes > 0 && self.wiped_member.is_none_or(|l| l == i);
+            steps.extend(disk_wipes.then_some(Step::Empty(i)));
         }
         whats.extend(
             state
                 .sent
                 .values()
-                .map(|m| (m.1, What::Deliver(Arc::clone(m)))),
+                .map(|m| (m.1, Input::Deliver(Arc::clone(m)))),
         );
         for (i, what) in whats {
             if state.crashes > 0 {
                 let mut actions = Vec::new();
-                let mut group = state.nodes[i].group.clone();
+                let mut raft = state.nodes[i].raft.clone();
                 self.events(state, i, &what)
                     .into_iter()
-                    .for_each(|e| group.handle(0, e, &mut actions));
+                    .for_each(|e| raft.handle(0, e, &mut actions));
                 let writes = actions
                     .iter()
                     .filter(|a| matches!(a, Action::Persist(_)))
@@ -606,11 +620,11 @@
                 self.restart(&mut state, i);
             }
             Step::Empty(i) => {
-                state.empties -= 1;
+                state.disk_wipes -= 1;
                 let node = Arc::make_mut(&mut state.nodes[i]);
-                let founded = std::mem::take(&mut node.disk).hard.founded;
-                if self.flaw == Flaw::EmptiedRemembers {
-                    node.disk.hard.founded = founded;
+                let founded = std::mem::take(&mut node.disk).hard_state.bootstrap_config;
+                if self.flaw == Flaw::WipedVoterKeepsIdentity {
+                    node.disk.hard_state.bootstrap_config = founded;
                 } else {
                     node.store += 10;
                 }
@@ -622,30 +636,31 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         fn data(state: &State) -> bool {
-            let data = |e: &whinhaven::fleet::raft::Entry| matches!(e.payload, Payload::Data(_));
+            let data =
+                |e: &whinhaven::fleet::raft::LogEntry| matches!(e.payload, EntryPayload::Data(_));
             state.nodes.iter().any(|n| {
-                n.group
+                n.raft
                     .entries()
                     .iter()
-                    .any(|e| data(e) && e.index <= n.group.commit())
+                    .any(|e| data(e) && e.index <= n.raft.commit_index())
             })
         }
         let mut all = vec![
             Property::<Self>::always("election safety", |_, s| {
-                !matches!(s.wrong, Some(Wrong::Election(..)))
+                !matches!(s.violation, Some(Violation::ElectionSafety(..)))
             }),
             Property::<Self>::always("leader completeness", |_, s| {
-                !matches!(s.wrong, Some(Wrong::Completeness(..)))
+                !matches!(s.violation, Some(Violation::LeaderCompleteness(..)))
             }),
             Property::<Self>::always("state machine safety", |_, s| {
-                !matches!(s.wrong, Some(Wrong::StateMachine(_)))
+                !matches!(s.violation, Some(Violation::StateMachineSafety(_)))
             }),
             Property::<Self>::always("log matching", |_, s| {
-                !matches!(s.wrong, Some(Wrong::Logs(_)))
+                !matches!(s.violation, Some(Violation::LogMatching(_)))
             }),
-            // On a majority of the disks, of which `empties` may be lost since.
-            Property::<Self>::always("committed is kept", |m, s| {
-                let lost = usize::from(m.empties - s.empties) + usize::from(m.changes > 0);
+            // On a majority of the disks, of which `disk_wipes` may be lost since.
+            Property::<Self>::always("durability", |m, s| {
+                let lost = usize::from(m.disk_wipes - s.disk_wipes) + usize::from(m.changes > 0);
                 s.ledger.applied.iter().all(|(index, (term, ..))| {
                     let has = |n: &&Arc<Node>| {
                         n.disk.snapshot.as_ref().is_some_and(|p| p.index >= *index)
@@ -659,18 +674,23 @@
             }),
             Property::<Self>::sometimes("a leader is elected", |_, s| !s.ledger.leaders.is_empty()),
         ];
-        if self.founding {
-            all.push(Property::<Self>::sometimes("one founds", |_, s| {
-                s.nodes.iter().any(|n| n.disk.hard.founded.is_some())
-            }));
+        if self.bootstrap {
+            all.push(Property::<Self>::sometimes(
+                "a member bootstraps",
+                |_, s| {
+                    s.nodes
+                        .iter()
+                        .any(|n| n.disk.hard_state.bootstrap_config.is_some())
+                },
+            ));
         }
         if self.changes > 1 {
             all.push(Property::<Self>::sometimes(
-                "an emptied voter votes again",
+                "a wiped voter votes again",
                 |_, s| {
                     s.nodes
                         .iter()
-                        .any(|n| n.store > 10 && n.group.role() == Role::Follower)
+                        .any(|n| n.store > 10 && n.raft.role() == Role::Follower)
                 },
             ));
         }
@@ -716,32 +736,32 @@
     found
 }
 
-/// These shall be found.
+/// Reachability properties: an example has to be found.
 const LIVE: [&str; 4] = [
     "a leader is elected",
     "an entry commits",
-    "an emptied voter votes again",
-    "one founds",
+    "a wiped voter votes again",
+    "a member bootstraps",
 ];
 
-/// What the paper's figure 8 needs: c1 and c2, which do not hear each other, lead by turns.
+/// What figure 8 of the paper needs: c1 and c2, which do not hear each other, lead by turns.
 fn old_terms() -> Scenario {
     Scenario {
         terms: 4,
         stand: &[1, 0, 1],
         turns: true,
-        cut: true,
-        most_entries: 1,
+        is_partitioned: true,
+        max_entries: 1,
         ..Scenario::default()
     }
 }
 
-fn founding() -> Scenario {
+fn bootstrap() -> Scenario {
     Scenario {
-        founding: true,
-        led: false,
-        empties: 1,
-        loser: Some(2),
+        bootstrap: true,
+        is_led: false,
+        disk_wipes: 1,
+        wiped_member: Some(2),
         terms: 1,
         proposals: 0,
         ..Scenario::default()
@@ -749,20 +769,20 @@
 }
 
 /// The second voter loses its disk after it has founded, the third has not founded yet.
-fn half_founded() -> Scenario {
+fn partly_bootstrapped() -> Scenario {
     Scenario {
-        half: true,
-        loser: Some(1),
+        partial_bootstrap: true,
+        wiped_member: Some(1),
         stand: &[2],
-        ..founding()
+        ..bootstrap()
     }
 }
 
 /// The third voter loses its disk, is taken out, pulls, and is put in again.
 fn replaced() -> Scenario {
     Scenario {
-        empties: 1,
-        loser: Some(2),
+        disk_wipes: 1,
+        wiped_member: Some(2),
         changes: 2,
         pulls: true,
         terms: 1,
@@ -771,7 +791,7 @@
     }
 }
 
-fn holds(what: &str, seen: &str, scenario: Scenario, most: usize) {
+fn assert_holds(what: &str, seen: &str, scenario: Scenario, most: usize) {
     let found = check(what, scenario, most, HasDiscoveries::AnyFailures);
     assert!(
         found.iter().all(|f| LIVE.contains(f)) && found.contains(&seen),
@@ -781,7 +801,7 @@
 
 #[rstest]
 #[case::elections("elections", "a leader is elected", 100_000, Scenario {
-    terms: 1, proposals: 0, led: false, ..Scenario::default()
+    terms: 1, proposals: 0, is_led: false, ..Scenario::default()
 })]
 #[case::old_terms("an old term's entry", "an entry commits", 100_000, old_terms())]
 #[case::entry("an entry and a second leader", "an entry commits", 15_000, Scenario {
@@ -790,78 +810,85 @@
 #[case::crash("a crash", "an entry commits", 10_000, Scenario {
     crashes: 1, stand: &[1], ..Scenario::default()
 })]
-#[case::founding("founding, a disk emptied", "one founds", 15_000, Scenario { stand: &[0], ..founding() })]
-#[case::half("a founder is emptied", "a leader is elected", 100_000, half_founded())]
-#[case::changes(
-    "an emptied voter is replaced",
+#[case::bootstrap("bootstrap, a disk wiped", "a member bootstraps", 15_000, Scenario { stand: &[0], ..bootstrap() })]
+#[case::partial_bootstrap(
+    "a bootstrap voter is wiped",
     "a leader is elected",
-    15_000,
-    replaced()
+    100_000,
+    partly_bootstrapped()
 )]
-fn small_bounds_hold(
+#[case::changes("a wiped voter is replaced", "a leader is elected", 15_000, replaced())]
+fn invariants_hold_within_small_bounds(
     #[case] what: &str,
     #[case] seen: &str,
     #[case] most: usize,
     #[case] scenario: Scenario,
 ) {
-    holds(what, seen, scenario, most);
+    assert_holds(what, seen, scenario, most);
 }
 
 #[rstest]
 #[case::entry("an entry and a second leader", "an entry commits", Scenario {
     stand: &[1], ..Scenario::default()
 })]
-#[case::founding("founding, a disk emptied", "one founds", Scenario { stand: &[0], ..founding() })]
-#[case::half("a founder is emptied, with heartbeats and an entry", "an entry commits", Scenario {
-    beats: 1, proposals: 1, ..half_founded()
+#[case::bootstrap("bootstrap, a disk wiped", "a member bootstraps", Scenario { stand: &[0], ..bootstrap() })]
+#[case::partial_bootstrap("a bootstrap voter is wiped, with heartbeats and an entry", "an entry commits", Scenario {
+    heartbeats: 1, proposals: 1, ..partly_bootstrapped()
 })]
-#[case::founding_all("founding, a disk emptied, all stand", "one founds", Scenario {
-    crashes: 1, ..founding()
+#[case::bootstrap_all("bootstrap, a disk wiped, all stand", "a member bootstraps", Scenario {
+    crashes: 1, ..bootstrap()
 })]
-#[case::replaced("an emptied voter is replaced", "a leader is elected", replaced())]
+#[case::replaced("a wiped voter is replaced", "a leader is elected", replaced())]
 #[case::crash("a crash", "an entry commits", Scenario { crashes: 1, stand: &[1], ..Scenario::default() })]
-#[case::emptied("an emptied disk", "an entry commits", Scenario {
-    empties: 1, stand: &[1, 2], ..Scenario::default()
+#[case::emptied("a wiped disk", "an entry commits", Scenario {
+    disk_wipes: 1, stand: &[1, 2], ..Scenario::default()
 })]
 #[case::snapshots("snapshots", "an entry commits", Scenario {
     compactions: 1, stand: &[1], ..Scenario::default()
 })]
-#[case::beats("heartbeats", "an entry commits", Scenario { beats: 2, stand: &[1], ..Scenario::default() })]
+#[case::heartbeats("heartbeats", "an entry commits", Scenario { heartbeats: 2, stand: &[1], ..Scenario::default() })]
 #[case::pre_votes("elections with pre-votes", "a leader is elected", Scenario {
-    terms: 1, proposals: 0, led: false, pre_votes: true, stand: &[0, 1], ..Scenario::default()
+    terms: 1, proposals: 0, is_led: false, pre_votes: true, stand: &[0, 1], ..Scenario::default()
 })]
 #[case::elections("elections in two terms", "a leader is elected", Scenario {
-    terms: 2, proposals: 0, led: false, ..Scenario::default()
+    terms: 2, proposals: 0, is_led: false, ..Scenario::default()
 })]
 #[case::entries("entries in three terms", "an entry commits", Scenario {
     terms: 3, proposals: 2, ..Scenario::default()
 })]
 #[ignore = "larger bounds, by hand"]
-fn larger_bounds_hold(#[case] what: &str, #[case] seen: &str, #[case] scenario: Scenario) {
+fn invariants_hold_within_larger_bounds(
+    #[case] what: &str,
+    #[case] seen: &str,
+    #[case] scenario: Scenario,
+) {
     let most = std::env::var("GROUP_STATES")
         .ok()
         .and_then(|n| n.parse().ok());
-    holds(what, seen, scenario, most.unwrap_or(10_000_000));
+    assert_holds(what, seen, scenario, most.unwrap_or(10_000_000));
 }
 
 /// Each property has a flaw that it catches.
 #[rstest]
 #[case::two_leaders("election safety", Scenario {
-    flaw: Flaw::VotesUnwritten, crashes: 1, led: false, proposals: 0, terms: 1, stand: &[0, 1], ..Scenario::default()
+    flaw: Flaw::VoteNotPersisted, crashes: 1, is_led: false, proposals: 0, terms: 1, stand: &[0, 1], ..Scenario::default()
 })]
 #[case::any_log("leader completeness", Scenario {
-    flaw: Flaw::AnyLogWins, stand: &[1], ..Scenario::default()
+    flaw: Flaw::IgnoresCandidateLog, stand: &[1], ..Scenario::default()
 })]
-#[case::unwritten("committed is kept", Scenario { flaw: Flaw::EntriesUnwritten, ..Scenario::default() })]
+#[case::unwritten("durability", Scenario { flaw: Flaw::EntriesNotPersisted, ..Scenario::default() })]
 #[case::any_entry("log matching", Scenario {
-    flaw: Flaw::AnyEntryBefore, terms: 3, stand: &[1, 2], turns: true, cut: true, ..Scenario::default()
+    flaw: Flaw::IgnoresPrevEntry, terms: 3, stand: &[1, 2], turns: true, is_partitioned: true, ..Scenario::default()
 })]
-#[case::old_terms("leader completeness", Scenario { flaw: Flaw::CommitsOldTerms, ..old_terms() })]
+#[case::old_terms("leader completeness", Scenario { flaw: Flaw::CommitsEntriesOfOldTerms, ..old_terms() })]
 #[case::emptied("leader completeness", Scenario {
-    flaw: Flaw::EmptiedRemembers, empties: 1, stand: &[2], ..Scenario::default()
+    flaw: Flaw::WipedVoterKeepsIdentity, disk_wipes: 1, stand: &[2], ..Scenario::default()
 })]
-#[case::pledges("election safety", Scenario { flaw: Flaw::PledgesAnew, ..half_founded() })]
-fn a_flaw_is_caught(#[case] property: &'static str, #[case] scenario: Scenario) {
+#[case::repeated_bootstrap_vote("election safety", Scenario { flaw: Flaw::RepeatsBootstrapVote, ..partly_bootstrapped() })]
+fn broken_protocol_violates_the_invariant(
+    #[case] property: &'static str,
+    #[case] scenario: Scenario,
+) {
     let what = format!("{:?}", scenario.flaw);
     let found = check(&what, scenario, 400_000, HasDiscoveries::AnyFailures);
     assert!(found.contains(&property), "{found:?}");
--- a/lab/tests/sim_group.rs
+++ b/lab/tests/sim_group.rs
@@ -1,4 +1,4 @@
-//! The group over a simulated network with random faults, by seed.
+//! Raft members over a simulated network with random faults, by seed.
 //!
 //! By hand: `GROUP_SEEDS=1000 cargo test --release -p whinhaven-lab --test sim_group`; one seed again: `GROUP_SEED=17`.
 
@@ -10,7 +10,7 @@
 use rstest::rstest;
 use std::collections::{BTreeMap, BTreeSet};
 use whinhaven::fleet::raft::{
-    Action, Event, Group, Message, Payload, Restored, Role, Settings, VoterId, Voters,
+    Action, Config, EntryPayload, Event, Message, Raft, RestoredState, Role, VoterConfig, VoterId,
 };
 use whinhaven::fleet::{Index, MemberName, Term};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -44,8 +44,8 @@
 struct Member {
     name: MemberName,
     store: u64,
-    disk: Restored,
-    group: Option<Group>,
+    disk: RestoredState,
+    raft: Option<Raft>,
     app: App,
     life: u64,
     /// The adapter's queue is busy until then.
@@ -76,7 +76,7 @@
     },
 }
 
-/// What is broken on purpose.
+/// Input is broken on purpose.
 #[derive(Clone, Copy, PartialEq)]
 enum Flaw {
     None,
@@ -100,19 +100,19 @@
     changes: bool,
     proposed: u64,
     ledger: Ledger,
-    config: Option<(Index, Voters)>,
+    config: Option<(Index, VoterConfig)>,
     steps: u64,
 }
 
 /// The configuration that a member with this disk goes by.
-fn last_voters(disk: &Restored) -> Option<&Voters> {
+fn last_voters(disk: &RestoredState) -> Option<&VoterConfig> {
     let logged = disk.entries.iter().rev().find_map(|e| match &e.payload {
-        Payload::Voters(voters) => Some(voters),
+        EntryPayload::ConfigChange(voters) => Some(voters),
         _ => None,
     });
     logged
-        .or(disk.snapshot.as_ref().map(|s| &s.voters))
-        .or(disk.hard.founded.as_ref())
+        .or(disk.snapshot.as_ref().map(|s| &s.config))
+        .or(disk.hard_state.bootstrap_config.as_ref())
 }
 
 type Checked = Result<(), String>;
@@ -124,8 +124,8 @@
             .map(|i| Member {
                 name: name(i),
                 store: i as u64 + 1,
-                disk: Restored::default(),
-                group: None,
+                disk: RestoredState::default(),
+                raft: None,
                 app: App::default(),
                 life: 0,
                 busy: 0,
@@ -161,15 +161,15 @@
     }
 
     fn start(&mut self, i: usize) {
-        let settings = Settings {
-            most_entries_per_message: 8,
-            most_bytes_per_message: 256,
-            most_in_flight: 16,
-            snapshot_after: 40,
-            ..Settings::default()
+        let settings = Config {
+            max_entries_per_message: 8,
+            max_bytes_per_message: 256,
+            max_in_flight: 16,
+            compact_after_entries: 40,
+            ..Config::default()
         };
         let m = &mut self.members[i];
-        if m.group.is_some() {
+        if m.raft.is_some() {
             return;
         }
         let me = VoterId {
@@ -180,7 +180,7 @@
         let seed = self.rng.random();
         m.app = App::default();
         m.busy = self.t;
-        m.group = Some(Group::new(
+        m.raft = Some(Raft::new(
             me,
             &self.first,
             settings,
@@ -192,7 +192,7 @@
     }
 
     fn crash(&mut self, i: usize) {
-        self.members[i].group = None;
+        self.members[i].raft = None;
         self.members[i].life += 1;
         self.members[i].wake = None;
     }
@@ -205,22 +205,23 @@
         } else {
             0
         };
-        // On the way from five voters to three the group bears one loss only, and nobody knows how far it is.
+        // On the way from five voters to three the voters tolerate one loss only, and nobody knows how far it is.
         let most = if self.changes { 1 } else { usize::MAX };
         let logs = self.members.iter().filter_map(|m| last_voters(&m.disk));
         let heads = self
             .members
             .iter()
-            .filter_map(|m| m.group.as_ref()?.voters());
-        let bad = |v: &Voters| {
+            .filter_map(|m| m.raft.as_ref()?.voter_config());
+        let bad = |v: &VoterConfig| {
             let kept = |id: &&VoterId| {
                 self.members.iter().enumerate().any(|(i, m)| {
-                    let founder = v.founders.contains(id) && m.disk.hard.founded.is_none();
+                    let founder = v.bootstrap_voters.contains(id)
+                        && m.disk.hard_state.bootstrap_config.is_none();
                     i != also && m.name == id.name && m.store == id.store && !founder
                 })
             };
-            let lost = v.now.iter().filter(|id| !kept(id)).count();
-            lost + early > most.min((v.now.len() - 1) / 2)
+            let lost = v.voters.iter().filter(|id| !kept(id)).count();
+            lost + early > most.min((v.voters.len() - 1) / 2)
         };
         early + 1 > (self.first.len() - 1) / 2
             || logs
@@ -242,7 +243,7 @@
         if self.flaw != Flaw::EmptiedKeepsStore {
             self.members[i].store = self.stores;
         }
-        self.members[i].disk = Restored::default();
+        self.members[i].disk = RestoredState::default();
     }
 
     fn push(&mut self, at: u64, step: Step) {
@@ -258,11 +259,11 @@
         let mut event = Some(event);
         while let Some(next) = event.take() {
             let m = &mut self.members[i];
-            let Some(group) = &mut m.group else {
+            let Some(raft) = &mut m.raft else {
                 return Ok(());
             };
-            group.handle(now, next, &mut out);
-            self.ledger.leads(group)?;
+            raft.handle(now, next, &mut out);
+            self.ledger.leads(raft)?;
             for action in out.drain(..) {
                 let mut applied = None;
                 match &action {
@@ -298,15 +299,15 @@
                 };
                 self.queue.insert((m.busy, self.seq), step);
             }
-            if group.wants_snapshot() {
+            if raft.should_compact() {
                 event = Some(Event::Compact {
-                    index: group.applied(),
+                    index: raft.applied_index(),
                     data: m.app.save(),
                 });
             }
         }
         let m = &mut self.members[i];
-        let at = m.group.as_ref().and_then(|g| g.timeout());
+        let at = m.raft.as_ref().and_then(|g| g.timeout());
         m.wake = at
             .map(|at| t + at.saturating_sub(now) * 1_000_000 / (1_000_000 + m.clock.1) as u64 + 1);
         Ok(())
@@ -315,15 +316,15 @@
     fn out(&mut self, who: usize, action: Action, applied: Option<(Index, Term, u64)>) -> Checked {
         if let Some((index, term, digest)) = applied {
             let in_term = self.members[who]
-                .group
+                .raft
                 .as_ref()
                 .map_or(Term(0), |g| g.term());
             self.ledger.applies(index, term, digest, in_term)?;
         }
         match action {
-            Action::Persist(write) => self.members[who].disk.write(write),
+            Action::Persist(write) => self.members[who].disk.apply(write),
             Action::Apply(entry) => {
-                if let Payload::Voters(voters) = entry.payload
+                if let EntryPayload::ConfigChange(voters) = entry.payload
                     && self.config.as_ref().is_none_or(|(at, _)| *at < entry.index)
                 {
                     self.config = Some((entry.index, voters));
@@ -469,7 +470,7 @@
             if changes && self.rng.random_bool(0.15) && !self.bad(0) {
                 let leader = (0..self.members.len()).find(|i| {
                     self.members[*i]
-                        .group
+                        .raft
                         .as_ref()
                         .is_some_and(|g| g.role() == Role::Leader)
                 });
@@ -483,12 +484,12 @@
             } else if self.rng.random_bool(0.1)
                 && let Some(leader) = (0..self.members.len()).find(|i| {
                     self.members[*i]
-                        .group
+                        .raft
                         .as_ref()
                         .is_some_and(|g| g.role() == Role::Leader)
                 })
             {
-                self.handle(leader, Event::HandOver)?;
+                self.handle(leader, Event::TransferLeadership)?;
             }
             self.fault()?;
             self.logs()?;
@@ -502,12 +503,12 @@
         let settled = move |sim: &Sim| {
             let all = sim.members.iter().all(|m| m.app.index >= goal);
             let voters = sim.config.as_ref().is_some_and(|(_, v)| {
-                v.wanted.len() == v.now.len()
+                v.target.len() == v.voters.len()
                     && sim
                         .members
                         .iter()
-                        .filter(|m| v.wanted.contains(&m.name))
-                        .all(|m| m.group.as_ref().is_some_and(|g| g.role() != Role::Learner))
+                        .filter(|m| v.target.contains(&m.name))
+                        .all(|m| m.raft.as_ref().is_some_and(|g| g.role() != Role::Learner))
             });
             all && voters
         };
@@ -515,20 +516,20 @@
             if self.t > healed + 90_000_000 {
                 let members: Vec<String> = (self.members.iter())
                     .map(|m| {
-                        let g = m.group.as_ref().unwrap();
+                        let g = m.raft.as_ref().unwrap();
                         let at = (
                             g.role(),
                             g.term().0,
-                            g.last().0,
-                            g.commit().0,
-                            g.applied().0,
+                            g.last_index().0,
+                            g.commit_index().0,
+                            g.applied_index().0,
                             m.store,
                         );
                         format!(
                             "{} {at:?} leader {:?} {:?}",
                             m.name,
                             g.leader(),
-                            g.voters().map(|v| &v.now)
+                            g.voter_config().map(|v| &v.voters)
                         )
                     })
                     .collect();
@@ -548,7 +549,7 @@
         let logs: Vec<_> = self
             .members
             .iter()
-            .filter_map(|m| m.group.as_ref())
+            .filter_map(|m| m.raft.as_ref())
             .map(|g| g.entries())
             .collect();
         for (i, a) in logs.iter().enumerate() {
@@ -576,7 +577,7 @@
 #[case::three_voters_and_learners(3, 4, true)]
 #[case::five_voters(5, 2, true)]
 #[case::nine_members(5, 4, false)]
-fn random_faults_break_nothing_and_all_settles_after_them(
+fn random_faults_violate_no_invariant_and_members_converge(
     #[case] voters: usize,
     #[case] learners: usize,
     #[case] changes: bool,
@@ -585,8 +586,8 @@
     let mut entries = 0;
     for seed in seeds() {
         let mut sim = Sim::new(seed, voters, learners, Flaw::None);
-        if let Err(wrong) = sim.story(30, changes) {
-            panic!("seed {seed}, at {} us: {wrong}", sim.t);
+        if let Err(violation) = sim.story(30, changes) {
+            panic!("seed {seed}, at {} us: {violation}", sim.t);
         }
         steps += sim.steps;
         entries += sim.ledger.applied.len();
@@ -595,49 +596,49 @@
 }
 
 #[test]
-fn an_emptied_disk_that_votes_as_before_is_caught_by_some_seed() {
+fn voter_that_keeps_its_identity_after_disk_wipe_violates_an_invariant() {
     let caught = (0..400).find_map(|seed| {
         let mut sim = Sim::new(seed, 3, 0, Flaw::EmptiedKeepsStore);
         Some((seed, sim.story(40, false).err()?))
     });
-    let (seed, wrong) = caught.expect("no seed catches it");
-    assert!(!wrong.starts_with("not settled"), "{wrong}");
-    println!("seed {seed}: {wrong}");
+    let (seed, violation) = caught.expect("no seed catches it");
+    assert!(!violation.starts_with("not settled"), "{violation}");
+    println!("seed {seed}: {violation}");
 }
 
 /// Guards against a voter alone that leads and does not know it, so that learners never hear whom to ask.
 #[test]
-fn a_voter_alone_leads_knows_it_and_tells_its_learner() {
+fn single_voter_leads_and_informs_its_learner() {
     let voters: BTreeSet<MemberName> = [name(0)].into();
-    let mut groups: Vec<Group> = (0..2)
+    let mut members: Vec<Raft> = (0..2)
         .map(|i| {
             let me = VoterId {
                 name: name(i),
                 store: i as u64 + 1,
             };
-            Group::new(
+            Raft::new(
                 me,
                 &voters,
-                Settings::default(),
+                Config::default(),
                 1,
-                Restored::default(),
+                RestoredState::default(),
                 5_000_000,
             )
         })
         .collect();
     let mut now = 5_000_000;
-    while groups[1].leader() != Some(&name(0)) {
+    while members[1].leader() != Some(&name(0)) {
         now += 50_000;
         assert!(
             now < 60_000_000,
             "the learner knows of {:?}, the voter of {:?}",
-            groups[1].leader(),
-            groups[0].leader()
+            members[1].leader(),
+            members[0].leader()
         );
         let mut actions: Vec<(usize, Action)> = Vec::new();
-        for (i, group) in groups.iter_mut().enumerate() {
+        for (i, raft) in members.iter_mut().enumerate() {
             let mut out = Vec::new();
-            group.handle(now, Event::Tick, &mut out);
+            raft.handle(now, Event::Tick, &mut out);
             actions.extend(out.into_iter().map(|a| (i, a)));
         }
         while let Some((from, action)) = actions.pop() {
@@ -646,7 +647,7 @@
             };
             let at = usize::from(to == name(1));
             let mut out = Vec::new();
-            groups[at].handle(
+            members[at].handle(
                 now,
                 Event::Message {
                     from: name(from),
@@ -658,7 +659,7 @@
         }
     }
     assert_eq!(
-        (groups[0].role(), groups[0].leader()),
+        (members[0].role(), members[0].leader()),
         (Role::Leader, Some(&name(0)))
     );
 }
--- a/lab/tests/sim_lease.rs
+++ b/lab/tests/sim_lease.rs
@@ -40,7 +40,7 @@
     /// Its clock: where it begins, and its rate in millionths.
     offset: Micros,
     rate: u64,
-    disk: raft::Restored,
+    disk: raft::RestoredState,
     body: Option<Body>,
     lives: u64,
 }
@@ -101,7 +101,7 @@
                 me,
                 offset,
                 rate,
-                disk: raft::Restored::default(),
+                disk: raft::RestoredState::default(),
                 body: None,
                 lives: 0,
             }
@@ -216,7 +216,7 @@
                     self.flight.insert((arrives, self.sent), (n, to, message));
                 }
             }
-            Action::Persist(write) => self.places[n].disk.write(write),
+            Action::Persist(write) => self.places[n].disk.apply(write),
             Action::Lease(change) => {
                 if let Some(body) = self.places[n].body.as_mut() {
                     body.rights.change(&change);
@@ -450,7 +450,7 @@
     settings.lease.granted_for_ms = 2_000;
     settings.lease.drift_ppm = 50_000;
     settings.lease.margin_ms = 20;
-    settings.group.snapshot_after = 64;
+    settings.group.compact_after_entries = 64;
     settings
 }
 
--- a/src/fleet/config.rs
+++ b/src/fleet/config.rs
@@ -179,8 +179,8 @@
         let name =
             MemberName::try_from(own).map_err(|e| ConfigError(format!("fleet.name: {e}")))?;
         let mut settings = node::Settings::default();
-        settings.group.most_payload_bytes = PAYLOAD;
-        settings.group.most_bytes_per_message = PAYLOAD;
+        settings.group.max_payload_bytes = PAYLOAD;
+        settings.group.max_bytes_per_message = PAYLOAD;
         settings.view = fleet.settings("view", settings.view)?;
         settings.group = fleet.settings("group", settings.group)?;
         settings.lease = fleet.settings("lease", settings.lease)?;
@@ -191,7 +191,7 @@
         }
         let most_members: usize = fleet.bounded("most_members", 32, 1, 16_384)?;
         settings.view.most_members = most_members.max(2);
-        settings.group.most_learners = most_members;
+        settings.group.max_learners = most_members;
         let config = FleetConfig {
             site: fleet.required("site")?,
             peer: fleet.required("peer")?,
@@ -254,13 +254,15 @@
             return Err(("fleet.view", error.0.to_owned()));
         }
         let group = &self.settings.group;
-        if group.heartbeat_us == 0 || group.heartbeat_us.saturating_mul(5) > group.election_us {
+        if group.heartbeat_interval_us == 0
+            || group.heartbeat_interval_us.saturating_mul(5) > group.election_timeout_us
+        {
             return Err((
                 "fleet.group.heartbeat_us",
                 "must be above 0 and at most a fifth of election_us".into(),
             ));
         }
-        let group_payload = group.most_payload_bytes;
+        let group_payload = group.max_payload_bytes;
         if self.policy.is_some() && group_payload < MOST_CONTENT + AROUND {
             let what = format!(
                 "{group_payload} are too few for a [policy]: {} are needed",
@@ -359,7 +361,7 @@
     /// Bytes of the longest message over a connection.
     pub fn most_frame_bytes(&self) -> usize {
         let group = &self.settings.group;
-        let entries = group.most_bytes_per_message.max(group.most_payload_bytes);
+        let entries = group.max_bytes_per_message.max(group.max_payload_bytes);
         AROUND + entries.max(ROW * self.most_members)
     }
 
--- a/src/fleet/node.rs
+++ b/src/fleet/node.rs
@@ -8,7 +8,7 @@
 use crate::fleet::lease::{self, Holder, LeaseChange, Watch};
 use crate::fleet::membership::{self, View};
 use crate::fleet::message::Message;
-use crate::fleet::raft::{self, Group};
+use crate::fleet::raft::{self, Raft};
 use crate::fleet::renewal::{self, Confirmation, Gathering, Renewal};
 use crate::fleet::state::{Answer, Bounds, Command, Effect, FleetState, Proposal};
 use crate::fleet::{
@@ -28,7 +28,7 @@
     /// Of the view.
     pub view: membership::Settings,
     /// Of the group.
-    pub group: raft::Settings,
+    pub group: raft::Config,
     /// Of the leases.
     pub lease: lease::Settings,
     /// Of the state's tables; a leader puts its own in force.
@@ -75,7 +75,7 @@
     /// The voters of the first configuration, from the operator's file.
     pub voters: BTreeSet<MemberName>,
     /// What its disk holds of the group.
-    pub restored: raft::Restored,
+    pub restored: raft::RestoredState,
     /// The seed of all that is drawn.
     pub seed: u64,
     /// Members to learn from and to renew through before the voters, the nearest first.
@@ -131,7 +131,7 @@
         reliable: bool,
     },
     /// Write to the store before anything that follows.
-    Persist(raft::Write),
+    Persist(raft::StorageWrite),
     /// The view of a member changed.
     View(membership::Change),
     /// This member's own standing to a lease changed: carry it to [`lease::Rights`] and into the history.
@@ -168,7 +168,7 @@
         index: Index,
     },
     /// The group refused what was asked of it. Proposals are sent again by themselves.
-    Refused(raft::Refusal),
+    Refused(raft::Rejection),
 }
 
 /// Why there is no answer to a proposal.
@@ -253,7 +253,7 @@
     bounds: Bounds,
     limits: Limits,
     view: View,
-    group: Group,
+    group: Raft,
     state: FleetState,
     holder: Holder,
     watch: Watch,
@@ -306,7 +306,7 @@
         let most_wants = settings.node.most_wants;
         Node {
             view: View::new(me.clone(), settings.view, draw(1)),
-            group: Group::new(voter, &voters, settings.group, draw(2), restored, now)
+            group: Raft::new(voter, &voters, settings.group, draw(2), restored, now)
                 .with_relays(relays.clone()),
             state: FleetState::new(),
             holder: Holder::new(who.clone(), settings.lease.clone(), most_wants, draw(3)),
@@ -390,7 +390,7 @@
                 self.leaving = true;
                 self.hold(now, lease::Event::Leave, &mut asks, out);
                 self.look(now, membership::Event::Leave, out);
-                asks.push_back(raft::Event::HandOver);
+                asks.push_back(raft::Event::TransferLeadership);
             }
         }
         self.work(now, asks, out);
@@ -427,7 +427,7 @@
     }
 
     /// Its part of the replicated log.
-    pub fn group(&self) -> &Group {
+    pub fn group(&self) -> &Raft {
         &self.group
     }
 
@@ -478,7 +478,7 @@
             life_token,
             leader: self.group.leader().cloned(),
             term: self.group.term(),
-            commit: self.group.commit(),
+            commit: self.group.commit_index(),
             applied: self.state.applied(),
             members: self.view.peers().map(member).collect(),
             leases: table.grants().map(lease).collect(),
@@ -569,13 +569,13 @@
                     }
                     raft::Action::Apply(entry) => self.apply(now, entry, &mut asks, out),
                     raft::Action::Restore(snapshot) => self.restore(now, snapshot, &mut asks, out),
-                    raft::Action::Leading(leader, term) => {
+                    raft::Action::LeaderChanged(leader, term) => {
                         self.lead(now, leader, term, &mut asks, out)
                     }
-                    raft::Action::Refused(refusal) => out.push(Action::Refused(refusal)),
+                    raft::Action::Rejected(refusal) => out.push(Action::Refused(refusal)),
                 }
             }
-            if asks.is_empty() && !compacted && self.group.wants_snapshot() {
+            if asks.is_empty() && !compacted && self.group.should_compact() {
                 compacted = true;
                 let (index, data) = (self.state.applied(), self.state.encode());
                 asks.push_back(raft::Event::Compact { index, data });
@@ -586,12 +586,12 @@
     fn apply(
         &mut self,
         now: Micros,
-        entry: raft::Entry,
+        entry: raft::LogEntry,
         asks: &mut VecDeque<raft::Event>,
         out: &mut Vec<Action>,
     ) {
         let proposal = match &entry.payload {
-            raft::Payload::Data(payload) => Proposal::decode(payload),
+            raft::EntryPayload::Data(payload) => Proposal::decode(payload),
             _ => None,
         };
         let mut effects = Vec::new();
@@ -708,8 +708,8 @@
             }
             renewal::Message::Renewed(renewals) => self.hear_renewed(now, renewals, asks, out),
             renewal::Message::Confirm { term, round } => {
-                if self.group.confirms(&from, term) {
-                    let store = self.group.me().store;
+                if self.group.confirms_leader(&from, term) {
+                    let store = self.group.id().store;
                     self.send_renewal(
                         from,
                         renewal::Message::Confirmed { term, round, store },
@@ -734,7 +734,7 @@
             }
             return;
         }
-        if !self.group.is_established() {
+        if !self.group.is_established_leader() {
             return;
         }
         for renewal in renewals {
@@ -801,13 +801,13 @@
 
     /// Lets the leader answer what its voters have confirmed.
     fn confirm(&mut self, now: Micros, out: &mut Vec<Action>) {
-        let Some(voters) = self.group.voters().cloned() else {
+        let Some(voters) = self.group.voter_config().cloned() else {
             return;
         };
         let mut outgoing = Vec::new();
         self.confirmation.turn(
             now,
-            self.group.me(),
+            self.group.id(),
             self.group.term(),
             &voters,
             &mut outgoing,
@@ -955,7 +955,7 @@
 
 /// Whether it asks for the end of a lease. Only a leader may, of itself: it alone knows which renewals it has answered.
 fn ends_a_lease(message: &raft::Message) -> bool {
-    let raft::Body::Propose(raft::Proposed::Data(payload)) = &message.body else {
+    let raft::MessageBody::Propose(raft::ProposalPayload::Data(payload)) = &message.body else {
         return false;
     };
     let command = Proposal::decode(payload).map(|proposal| proposal.command);
--- a/src/fleet/node/tests.rs
+++ b/src/fleet/node/tests.rs
@@ -23,7 +23,10 @@
             address,
             incarnation: Incarnation(1),
         };
-        let (voters, restored) = (BTreeSet::from([member(voter)]), raft::Restored::default());
+        let (voters, restored) = (
+            BTreeSet::from([member(voter)]),
+            raft::RestoredState::default(),
+        );
         let start = Start {
             me,
             store: 1,
@@ -107,11 +110,11 @@
 #[test]
 fn a_member_alone_renews_at_itself_and_leaves_the_log_alone() {
     let mut alone = Alone::new("c1");
-    let (life, commit) = (alone.life(), alone.node.group().commit());
+    let (life, commit) = (alone.life(), alone.node.group().commit_index());
     assert!(alone.node.may_act(&life, alone.now).is_some());
     alone.run_for(60 * SECOND);
     assert!(alone.node.may_act(&life, alone.now).is_some());
-    assert_eq!(alone.node.group().commit(), commit);
+    assert_eq!(alone.node.group().commit_index(), commit);
 }
 
 #[test]
@@ -207,12 +210,12 @@
         settled: 1,
         command: Command::Lease(command),
     };
-    let body = raft::Body::Propose(raft::Proposed::Data(proposal.encode()));
-    let (term, commit) = (alone.node.group().term(), alone.node.group().commit());
+    let body = raft::MessageBody::Propose(raft::ProposalPayload::Data(proposal.encode()));
+    let (term, commit) = (alone.node.group().term(), alone.node.group().commit_index());
     let message = raft::Message {
-        store: 2,
+        from_store: 2,
         to_store: 0,
-        founded: true,
+        bootstrapped: true,
         term,
         body,
     };
@@ -220,6 +223,6 @@
         from: member("c2"),
         message: Message::Group(message),
     });
-    assert_eq!(alone.node.group().commit(), commit);
+    assert_eq!(alone.node.group().commit_index(), commit);
     assert!(alone.node.state().leases().grant(&alone.life()).is_some());
 }
--- a/src/fleet/raft/log.rs
+++ b/src/fleet/raft/log.rs
@@ -1,108 +1,130 @@
 //! The log in memory: a snapshot and the entries after it.
 
-use super::{Entry, Index, Payload, Snapshot, Term, Voters};
+use super::{EntryPayload, LogEntry, Snapshot, VoterConfig};
+use crate::fleet::{Index, Term};
+
+/// Estimated size of an entry without its payload, in bytes.
+const ENTRY_OVERHEAD_BYTES: usize = 24;
+/// Estimated size of a voter or member name in a configuration, in bytes.
+const VOTER_BYTES: usize = 64;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Log {
     snapshot: Option<Snapshot>,
-    entries: Vec<Entry>,
-    /// The latest configuration in `entries` or `snapshot`, and where it stands.
-    voters: Option<(Index, Voters)>,
+    entries: Vec<LogEntry>,
+    /// The latest configuration in `entries` or `snapshot`, and its index.
+    config: Option<(Index, VoterConfig)>,
 }
 
 impl Log {
-    /// Entries that do not follow the snapshot or one another are left out, with all after them.
-    pub fn new(snapshot: Option<Snapshot>, entries: Vec<Entry>) -> Log {
+    /// A log from stored parts. Entries that don't follow the snapshot consecutively are dropped, with all after them.
+    pub(super) fn new(snapshot: Option<Snapshot>, entries: Vec<LogEntry>) -> Log {
         let mut log = Log {
             snapshot,
             entries: Vec::new(),
-            voters: None,
+            config: None,
         };
-        let base = log.base();
-        for entry in entries.into_iter().filter(|e| e.index > base) {
-            if entry.index.0 != log.last().0 + 1 {
+        let snapshot_index = log.snapshot_index();
+        for entry in entries
+            .into_iter()
+            .filter(|entry| entry.index > snapshot_index)
+        {
+            if entry.index.0 != log.last_index().0 + 1 {
                 break;
             }
             log.entries.push(entry);
         }
-        log.find_voters();
+        log.update_config();
         log
     }
 
-    pub fn snapshot(&self) -> Option<&Snapshot> {
+    pub(super) fn snapshot(&self) -> Option<&Snapshot> {
         self.snapshot.as_ref()
     }
 
-    pub fn entries(&self) -> &[Entry] {
+    pub(super) fn entries(&self) -> &[LogEntry] {
         &self.entries
     }
 
-    pub fn voters(&self) -> Option<&Voters> {
-        self.voters.as_ref().map(|(_, v)| v)
+    /// The latest configuration.
+    pub(super) fn config(&self) -> Option<&VoterConfig> {
+        self.config.as_ref().map(|(_, config)| config)
     }
 
-    /// Where the latest configuration stands.
-    pub fn voters_at(&self) -> Option<Index> {
-        self.voters.as_ref().map(|(i, _)| *i)
+    /// Whether there is a configuration and it is committed.
+    pub(super) fn is_config_committed(&self, commit_index: Index) -> bool {
+        let config_index = self.config.as_ref().map(|(index, _)| *index);
+        config_index.is_some_and(|index| index <= commit_index)
     }
 
-    /// The last entry in the snapshot.
-    pub fn base(&self) -> Index {
-        self.snapshot.as_ref().map_or(Index(0), |s| s.index)
+    /// Index of the last entry that the snapshot includes; 0 without a snapshot.
+    pub(super) fn snapshot_index(&self) -> Index {
+        self.snapshot
+            .as_ref()
+            .map_or(Index(0), |snapshot| snapshot.index)
     }
 
-    pub fn last(&self) -> Index {
-        Index(self.base().0 + self.entries.len() as u64)
+    pub(super) fn last_index(&self) -> Index {
+        Index(self.snapshot_index().0 + self.entries.len() as u64)
     }
 
-    pub fn last_term(&self) -> Term {
-        self.term_at(self.last()).unwrap_or_default()
+    pub(super) fn last_term(&self) -> Term {
+        self.term_at(self.last_index()).unwrap_or_default()
     }
 
-    pub fn get(&self, index: Index) -> Option<&Entry> {
-        let at = index.0.checked_sub(self.base().0 + 1)?;
-        self.entries.get(usize::try_from(at).ok()?)
+    pub(super) fn get(&self, index: Index) -> Option<&LogEntry> {
+        let position = index.0.checked_sub(self.snapshot_index().0 + 1)?;
+        self.entries.get(usize::try_from(position).ok()?)
     }
 
-    /// The term of an entry, also of the snapshot's last one and of the nothing before the first.
-    pub fn term_at(&self, index: Index) -> Option<Term> {
+    /// The term of an entry, also of the last one in the snapshot; 0 for index 0 of a log without a snapshot.
+    pub(super) fn term_at(&self, index: Index) -> Option<Term> {
         match &self.snapshot {
-            Some(s) if s.index == index => Some(s.term),
+            Some(snapshot) if snapshot.index == index => Some(snapshot.term),
             None if index.0 == 0 => Some(Term(0)),
-            _ => self.get(index).map(|e| e.term),
+            _ => self.get(index).map(|entry| entry.term),
         }
     }
 
-    /// Drops all from the first of `entries` on and appends them.
-    pub fn put(&mut self, entries: &[Entry]) {
+    /// Removes all entries from the first of `entries` on, then appends `entries`.
+    pub(super) fn truncate_and_append(&mut self, entries: &[LogEntry]) {
         let Some(first) = entries.first() else { return };
-        self.cut(first.index);
-        let put = |e: &Entry| matches!(e.payload, Payload::Voters(_));
+        self.truncate_from(first.index);
         self.entries.extend_from_slice(entries);
-        if entries.iter().any(put) {
-            self.find_voters();
+        if entries.iter().any(|entry| config_in(entry).is_some()) {
+            self.update_config();
         }
     }
 
-    /// Drops all entries from `from` on.
-    pub fn cut(&mut self, from: Index) {
-        let keep = from.0.saturating_sub(self.base().0 + 1);
+    /// Removes all entries from `first` on.
+    fn truncate_from(&mut self, first: Index) {
+        let kept = first.0.saturating_sub(self.snapshot_index().0 + 1);
         self.entries
-            .truncate(usize::try_from(keep).unwrap_or(usize::MAX));
-        if self.voters.as_ref().is_some_and(|(i, _)| *i >= from) {
-            self.find_voters();
+            .truncate(usize::try_from(kept).unwrap_or(usize::MAX));
+        if self
+            .config
+            .as_ref()
+            .is_some_and(|(index, _)| *index >= first)
+        {
+            self.update_config();
         }
     }
 
-    /// Entries from `from` to `until`, bounded; at least one if there is one.
-    pub fn slice(&self, from: Index, until: Index, most: usize, most_bytes: usize) -> Vec<Entry> {
+    /// Entries from `first` to `last`, within the limits; at least one if there is one.
+    pub(super) fn slice(
+        &self,
+        first: Index,
+        last: Index,
+        max_entries: usize,
+        max_bytes: usize,
+    ) -> Vec<LogEntry> {
         let mut entries = Vec::new();
         let mut bytes = 0;
-        let mut index = from;
-        while index <= until && entries.len() < most.max(1) {
+        let mut index = first;
+        while index <= last && entries.len() < max_entries.max(1) {
             let Some(entry) = self.get(index) else { break };
-            bytes += entry.weight();
-            if bytes > most_bytes && !entries.is_empty() {
+            bytes += entry.estimated_bytes();
+            if bytes > max_bytes && !entries.is_empty() {
                 break;
             }
             entries.push(entry.clone());
@@ -111,81 +133,94 @@
         entries
     }
 
-    /// The first entry of the run of entries with the same term that ends at `index`.
-    pub fn first_of_term(&self, index: Index) -> Index {
+    /// The first index of the run of entries with the same term that ends at `index`.
+    pub(super) fn first_index_of_term_run(&self, index: Index) -> Index {
         let term = self.term_at(index);
         let mut first = index;
-        while first.0 > self.base().0 + 1 && self.term_at(Index(first.0 - 1)) == term {
+        while first.0 > self.snapshot_index().0 + 1 && self.term_at(Index(first.0 - 1)) == term {
             first.0 -= 1;
         }
         first
     }
 
-    /// The last entry up to `until` with a term of at most `term`.
-    pub fn last_up_to(&self, term: Term, until: Index) -> Index {
-        let mut index = until.min(self.last());
-        while index > self.base() && self.term_at(index).is_some_and(|t| t > term) {
+    /// The last index up to `last` whose entry has a term of at most `term`.
+    pub(super) fn last_index_up_to_term(&self, term: Term, last: Index) -> Index {
+        let mut index = last.min(self.last_index());
+        while index > self.snapshot_index() && self.term_at(index).is_some_and(|other| other > term)
+        {
             index.0 -= 1;
         }
         index
     }
 
-    /// Replaces the entries up to `index` by a snapshot.
-    pub fn compact(&mut self, index: Index, data: Vec<u8>) -> Option<Snapshot> {
+    /// Replaces the entries up to `index` by a snapshot, and returns it. `None` if there is no such entry.
+    pub(super) fn compact(&mut self, index: Index, data: Vec<u8>) -> Option<Snapshot> {
         let term = self.get(index)?.term;
-        let up_to = (index.0 - self.base().0) as usize;
-        let voters = self.entries[..up_to].iter().rev().find_map(voters_of);
-        let voters = voters
-            .or(self.snapshot.as_ref().map(|s| s.voters.clone()))
+        let count = (index.0 - self.snapshot_index().0) as usize;
+        let config_in_entries = self.entries[..count].iter().rev().find_map(config_in);
+        let config_in_snapshot = self.snapshot.as_ref().map(|snapshot| &snapshot.config);
+        let config = config_in_entries
+            .or(config_in_snapshot)
+            .cloned()
             .unwrap_or_default();
-        self.entries.drain(..up_to);
+        self.entries.drain(..count);
         self.snapshot = Some(Snapshot {
             index,
             term,
-            voters,
+            config,
             data,
         });
-        self.find_voters();
+        self.update_config();
         self.snapshot.clone()
     }
 
-    /// Takes a snapshot in. Says whether the entries after it could be kept.
-    pub fn restore(&mut self, snapshot: Snapshot) -> bool {
-        let keep = self.term_at(snapshot.index) == Some(snapshot.term);
-        if keep {
-            self.entries.retain(|e| e.index > snapshot.index);
+    /// Replaces the log up to the snapshot's index. Returns whether the entries after it were kept: they are dropped
+    /// if this log has another entry than the snapshot's last one at its index.
+    pub(super) fn install_snapshot(&mut self, snapshot: Snapshot) -> bool {
+        let is_prefix = self.term_at(snapshot.index) == Some(snapshot.term);
+        if is_prefix {
+            self.entries.retain(|entry| entry.index > snapshot.index);
         } else {
             self.entries.clear();
         }
         self.snapshot = Some(snapshot);
-        self.find_voters();
-        keep
+        self.update_config();
+        is_prefix
     }
 
-    fn find_voters(&mut self) {
-        let found = self
+    fn update_config(&mut self) {
+        let in_entries = self
             .entries
             .iter()
             .rev()
-            .find_map(|e| Some((e.index, voters_of(e)?)));
-        self.voters = found.or(self.snapshot.as_ref().map(|s| (s.index, s.voters.clone())));
+            .find_map(|entry| Some((entry.index, config_in(entry)?.clone())));
+        let in_snapshot = || {
+            let snapshot = self.snapshot.as_ref()?;
+            Some((snapshot.index, snapshot.config.clone()))
+        };
+        self.config = in_entries.or_else(in_snapshot);
     }
 }
 
-fn voters_of(entry: &Entry) -> Option<Voters> {
+fn config_in(entry: &LogEntry) -> Option<&VoterConfig> {
     match &entry.payload {
-        Payload::Voters(voters) => Some(voters.clone()),
-        _ => None,
+        EntryPayload::ConfigChange(config) => Some(config),
+        EntryPayload::Noop | EntryPayload::Data(_) => None,
     }
 }
 
-impl Entry {
-    /// About how many bytes it takes in a message.
-    fn weight(&self) -> usize {
-        24 + match &self.payload {
-            Payload::Noop => 0,
-            Payload::Voters(v) => 64 * (v.wanted.len() + v.now.len() + v.founders.len()),
-            Payload::Data(data) => data.len(),
-        }
+impl LogEntry {
+    /// Approximate size in a message.
+    fn estimated_bytes(&self) -> usize {
+        let payload_bytes = match &self.payload {
+            EntryPayload::Noop => 0,
+            EntryPayload::ConfigChange(config) => {
+                let voters =
+                    config.target.len() + config.voters.len() + config.bootstrap_voters.len();
+                VOTER_BYTES * voters
+            }
+            EntryPayload::Data(data) => data.len(),
+        };
+        ENTRY_OVERHEAD_BYTES + payload_bytes
     }
 }
--- a/src/fleet/renewal.rs
+++ b/src/fleet/renewal.rs
@@ -5,7 +5,7 @@
 //! term: so whoever leads later was elected after the request was sent, and counts the whole time from then on. Grants
 //! and ends stay in the log. Why two holders still never act at once: `docs/design/leases.md`.
 
-use crate::fleet::raft::{VoterId, Voters};
+use crate::fleet::raft::{VoterConfig, VoterId};
 use crate::fleet::{LeaseName, MemberName, Term, Token};
 use crate::routing::types::Micros;
 use serde::{Deserialize, Serialize};
@@ -118,7 +118,7 @@
         now: Micros,
         me: &VoterId,
         term: Term,
-        voters: &Voters,
+        voters: &VoterConfig,
         out: &mut Vec<Outgoing>,
     ) {
         loop {
@@ -132,7 +132,7 @@
                 });
             }
             let Some(round) = &mut self.round else { return };
-            if voters.now.intersection(&round.confirmed).count() < voters.majority() {
+            if voters.voters.intersection(&round.confirmed).count() < voters.majority() {
                 break;
             }
             let answers = std::mem::take(&mut round.answers);
@@ -148,7 +148,7 @@
         now: Micros,
         me: &VoterId,
         term: Term,
-        voters: &Voters,
+        voters: &VoterConfig,
         out: &mut Vec<Outgoing>,
     ) {
         let Some(round) = self.round.as_mut().filter(|round| round.ask_at <= now) else {
@@ -156,7 +156,7 @@
         };
         round.ask_at = now.saturating_add(ASK_AGAIN);
         let missing = voters
-            .now
+            .voters
             .iter()
             .filter(|voter| *voter != me && !round.confirmed.contains(voter));
         let message = Message::Confirm {
--- a/src/fleet/renewal/tests.rs
+++ b/src/fleet/renewal/tests.rs
@@ -11,10 +11,10 @@
     }
 }
 
-fn three() -> Voters {
-    Voters {
-        now: ["v1", "v2", "v3"].map(voter).into(),
-        ..Voters::default()
+fn three() -> VoterConfig {
+    VoterConfig {
+        voters: ["v1", "v2", "v3"].map(voter).into(),
+        ..VoterConfig::default()
     }
 }
 
@@ -30,7 +30,7 @@
 
 struct Leader {
     confirmation: Confirmation,
-    voters: Voters,
+    voters: VoterConfig,
 }
 
 impl Leader {
--- a/src/fleet/transport/disk.rs
+++ b/src/fleet/transport/disk.rs
@@ -1,6 +1,6 @@
 //! The member's store: what the group writes, in the form that it is kept in.
 
-use crate::fleet::raft::{HardState, Restored, Write};
+use crate::fleet::raft::{HardState, RestoredState, StorageWrite};
 use crate::fleet::{Incarnation, Index, raft};
 use crate::storage::{self, Store, StoreError};
 use serde::{Deserialize, Serialize};
@@ -66,7 +66,7 @@
     /// Whether this opening formatted it.
     pub fresh: bool,
     /// What the group had written.
-    pub restored: Restored,
+    pub restored: RestoredState,
     /// What a crash had left half-written.
     pub torn: Option<storage::Torn>,
 }
@@ -88,10 +88,10 @@
             .as_ref()
             .map(|(_, data)| read(data, "the snapshot"))
             .transpose()?;
-        let entries: Result<Vec<raft::Entry>, _> =
+        let entries: Result<Vec<raft::LogEntry>, _> =
             found.records.iter().map(|r| read(r, "a record")).collect();
         let entries = entries?;
-        let follows = |(i, e): (usize, &raft::Entry)| e.index == Index(found.first + i as u64);
+        let follows = |(i, e): (usize, &raft::LogEntry)| e.index == Index(found.first + i as u64);
         if !entries.iter().enumerate().all(follows) {
             return Err(DiskError::Foreign("a record's place"));
         }
@@ -104,8 +104,8 @@
             next,
         };
         disk.write(&[])?;
-        let restored = Restored {
-            hard: kept.hard,
+        let restored = RestoredState {
+            hard_state: kept.hard,
             snapshot,
             entries,
         };
@@ -124,25 +124,25 @@
     }
 
     /// Writes these in order; all is durable when it returns. Blocks. With none, the hard state is written again.
-    pub fn write(&mut self, writes: &[Write]) -> Result<(), DiskError> {
+    pub fn write(&mut self, writes: &[StorageWrite]) -> Result<(), DiskError> {
         let mut forms = Vec::new();
         if writes.is_empty() {
             forms.push(Form::Hard(self.hard_bytes()));
         }
         for write in writes {
             match write {
-                Write::Hard(hard) => {
+                StorageWrite::HardState(hard) => {
                     self.hard = hard.clone();
                     forms.push(Form::Hard(self.hard_bytes()));
                 }
                 // Nothing to drop there: before a snapshot that is ahead of the log.
-                Write::Entries { first, entries } if entries.is_empty() && first.0 >= self.next => {
-                }
-                Write::Entries { first, entries } => {
+                StorageWrite::Entries { first, entries }
+                    if entries.is_empty() && first.0 >= self.next => {}
+                StorageWrite::Entries { first, entries } => {
                     self.next = first.0 + entries.len() as u64;
                     forms.push(Form::Append(first.0, entries.iter().map(bytes).collect()));
                 }
-                Write::Snapshot(snapshot) => {
+                StorageWrite::Snapshot(snapshot) => {
                     self.flush(&mut forms)?;
                     self.store
                         .install_snapshot(snapshot.index.0, &bytes(snapshot))?;
--- a/src/fleet/transport/drive.rs
+++ b/src/fleet/transport/drive.rs
@@ -13,7 +13,7 @@
 use crate::fleet::lease::{Standing, What, life};
 use crate::fleet::message::Message;
 use crate::fleet::node::{Action, Event, Lost, Node, Start};
-use crate::fleet::raft::{MOST_VOTERS, Role};
+use crate::fleet::raft::{MAX_VOTERS, Role};
 use crate::fleet::sites::epoch::Table;
 use crate::fleet::state::{Answer, Command, Effect, FleetState};
 use crate::fleet::{Index, LeaseName, MemberInstance, MemberName, membership, policy_epoch, raft};
@@ -524,7 +524,7 @@
     }
 
     /// Hands a write to the blocking thread, with those that follow it directly.
-    fn write(&self, life: &mut Life, first: raft::Write) {
+    fn write(&self, life: &mut Life, first: raft::StorageWrite) {
         let mut writes = vec![first];
         while matches!(life.waiting.front(), Some(Action::Persist(_))) {
             if let Some(Action::Persist(write)) = life.waiting.pop_front() {
@@ -590,7 +590,7 @@
                     self.fleet.tell(&Told::Sites(life.node.state().sites()));
                 }
             }
-            Action::Refused(raft::Refusal::FirstVotersDiffer) => {
+            Action::Refused(raft::Rejection::InitialVotersDiffer) => {
                 life.history
                     .note("another first voter names other first voters: the group can't start");
             }
@@ -655,7 +655,7 @@
         match request {
             admin::Request::Status => {
                 let group = life.node.group();
-                let voters = group.voters();
+                let voters = group.voter_config();
                 admin::Reply::Status(Box::new(admin::Report {
                     status: life.node.status(self.now()),
                     role: match group.role() {
@@ -666,15 +666,15 @@
                     }
                     .to_owned(),
                     voters: voters
-                        .map(|v| v.now.iter().cloned().collect())
+                        .map(|v| v.voters.iter().cloned().collect())
                         .unwrap_or_default(),
                     wanted: voters
-                        .map(|v| v.wanted.iter().cloned().collect())
+                        .map(|v| v.target.iter().cloned().collect())
                         .unwrap_or_default(),
                 }))
             }
-            admin::Request::Voters(names) if names.is_empty() || names.len() > MOST_VOTERS => {
-                admin::Reply::Refused(format!("1 to {MOST_VOTERS} voters are needed"))
+            admin::Request::Voters(names) if names.is_empty() || names.len() > MAX_VOTERS => {
+                admin::Reply::Refused(format!("1 to {MAX_VOTERS} voters are needed"))
             }
             admin::Request::Policy(_) => admin::Reply::Refused("not now".to_owned()),
             admin::Request::Policies => {
--- a/src/fleet/transport/mod.rs
+++ b/src/fleet/transport/mod.rs
@@ -236,7 +236,7 @@
 }
 
 fn store_settings(config: &FleetConfig) -> storage::Settings {
-    let most_record = config.settings.group.most_payload_bytes.max(64 * 1024) + 64 * 1024;
+    let most_record = config.settings.group.max_payload_bytes.max(64 * 1024) + 64 * 1024;
     storage::Settings {
         most_bytes: config.store.most_bytes,
         most_record_bytes: u32::try_from(most_record).unwrap_or(u32::MAX),
--- a/tests/golden/log.rs
+++ b/tests/golden/log.rs
@@ -2,7 +2,7 @@
 
 use super::{Example, member};
 use std::collections::{BTreeMap, BTreeSet};
-use whinhaven::fleet::raft::{Entry, HardState, Payload, Snapshot, VoterId, Voters};
+use whinhaven::fleet::raft::{EntryPayload, HardState, LogEntry, Snapshot, VoterConfig, VoterId};
 use whinhaven::fleet::{Index, Term};
 
 fn voter(name: &str, store: u64) -> VoterId {
@@ -12,22 +12,22 @@
     }
 }
 
-pub fn voters() -> Voters {
-    Voters {
-        wanted: BTreeSet::from([member("c1"), member("c2"), member("c4")]),
-        now: BTreeSet::from([voter("c1", 901), voter("c2", 902), voter("c3", 903)]),
-        founders: BTreeSet::from([voter("c1", 901), voter("c3", 903)]),
+pub fn voters() -> VoterConfig {
+    VoterConfig {
+        target: BTreeSet::from([member("c1"), member("c2"), member("c4")]),
+        voters: BTreeSet::from([voter("c1", 901), voter("c2", 902), voter("c3", 903)]),
+        bootstrap_voters: BTreeSet::from([voter("c1", 901), voter("c3", 903)]),
     }
 }
 
 /// One entry with each payload; they follow one another.
-pub fn entries() -> Vec<Entry> {
+pub fn entries() -> Vec<LogEntry> {
     let payloads = [
-        Payload::Noop,
-        Payload::Voters(voters()),
-        Payload::Data(vec![0, 1, 128, 255]),
+        EntryPayload::Noop,
+        EntryPayload::ConfigChange(voters()),
+        EntryPayload::Data(vec![0, 1, 128, 255]),
     ];
-    let entry = |(index, payload)| Entry {
+    let entry = |(index, payload)| LogEntry {
         term: Term(76),
         index: Index(index),
         payload,
@@ -35,7 +35,7 @@
     (504..).zip(payloads).map(entry).collect()
 }
 
-pub fn entry_examples() -> Vec<Example<Entry>> {
+pub fn entry_examples() -> Vec<Example<LogEntry>> {
     let names = ["entry-noop", "entry-voters", "entry-data"];
     names.into_iter().zip(entries()).collect()
 }
@@ -43,9 +43,9 @@
 pub fn hard_state() -> HardState {
     HardState {
         term: Term(76),
-        voted: Some(voter("c2", 902)),
-        pledges: BTreeMap::from([(member("c2"), 902), (member("c3"), 903)]),
-        founded: Some(voters()),
+        voted_for: Some(voter("c2", 902)),
+        bootstrap_votes: BTreeMap::from([(member("c2"), 902), (member("c3"), 903)]),
+        bootstrap_config: Some(voters()),
     }
 }
 
@@ -53,7 +53,7 @@
     Snapshot {
         index: Index(503),
         term: Term(75),
-        voters: voters(),
+        config: voters(),
         data: vec![5, 6, 7, 200],
     }
 }
--- a/tests/golden/messages.rs
+++ b/tests/golden/messages.rs
@@ -94,32 +94,38 @@
 fn group_examples() -> Vec<Example<Message>> {
     let examples = [
         ("group-ask", ask()),
-        ("group-pledge", raft::Body::Pledge { granted: true }),
+        (
+            "group-pledge",
+            raft::MessageBody::BootstrapVoteResponse { granted: true },
+        ),
         ("group-vote", vote()),
         ("group-vote-forced", vote_forced()),
         ("group-voted", voted()),
         ("group-voted-granted", voted_granted()),
         ("group-append", append()),
-        ("group-install", raft::Body::Install(part())),
-        ("group-appended-stale", appended(raft::Outcome::Stale)),
+        ("group-install", raft::MessageBody::InstallSnapshot(part())),
+        (
+            "group-appended-stale",
+            appended(raft::AppendOutcome::StaleTerm),
+        ),
         ("group-appended-matched", appended(matched())),
         ("group-appended-conflict", appended(conflict())),
         ("group-appended-taking", appended(taking())),
         ("group-pull", pull()),
         ("group-pulled", pulled()),
-        ("group-pulled-part", raft::Body::PulledPart(part())),
+        ("group-pulled-part", raft::MessageBody::PullSnapshot(part())),
         ("group-propose-data", propose_data()),
         ("group-propose-voters", propose_voters()),
-        ("group-stand", raft::Body::Stand),
+        ("group-stand", raft::MessageBody::TimeoutNow),
     ];
     examples.map(|(name, body)| (name, group(body))).to_vec()
 }
 
-fn group(body: raft::Body) -> Message {
+fn group(body: raft::MessageBody) -> Message {
     Message::Group(raft::Message {
-        store: 901,
+        from_store: 901,
         to_store: 902,
-        founded: true,
+        bootstrapped: true,
         term: Term(77),
         body,
     })
@@ -129,108 +135,113 @@
     BTreeSet::from([member("c1"), member("c2"), member("c3")])
 }
 
-fn ask() -> raft::Body {
-    raft::Body::Ask { voters: names() }
+fn ask() -> raft::MessageBody {
+    raft::MessageBody::BootstrapVoteRequest {
+        initial_voters: names(),
+    }
 }
 
-fn vote() -> raft::Body {
-    raft::Body::Vote {
-        pre: true,
-        last: Index(501),
+fn vote() -> raft::MessageBody {
+    raft::MessageBody::VoteRequest {
+        pre_vote: true,
+        last_index: Index(501),
         last_term: Term(71),
-        forced: false,
+        leadership_transfer: false,
     }
 }
 
-fn vote_forced() -> raft::Body {
-    raft::Body::Vote {
-        pre: false,
-        last: Index(502),
+fn vote_forced() -> raft::MessageBody {
+    raft::MessageBody::VoteRequest {
+        pre_vote: false,
+        last_index: Index(502),
         last_term: Term(72),
-        forced: true,
+        leadership_transfer: true,
     }
 }
 
-fn voted() -> raft::Body {
-    raft::Body::Voted {
-        pre: true,
+fn voted() -> raft::MessageBody {
+    raft::MessageBody::VoteResponse {
+        pre_vote: true,
         vote_term: Term(78),
         granted: false,
     }
 }
 
-fn voted_granted() -> raft::Body {
-    raft::Body::Voted {
-        pre: false,
+fn voted_granted() -> raft::MessageBody {
+    raft::MessageBody::VoteResponse {
+        pre_vote: false,
         vote_term: Term(79),
         granted: true,
     }
 }
 
-fn append() -> raft::Body {
-    raft::Body::Append {
-        before: Index(503),
-        before_term: Term(73),
+fn append() -> raft::MessageBody {
+    raft::MessageBody::AppendEntries {
+        prev_index: Index(503),
+        prev_term: Term(73),
         entries: entries(),
         commit: Index(499),
     }
 }
 
-fn part() -> raft::Part {
-    raft::Part {
+fn part() -> raft::SnapshotChunk {
+    raft::SnapshotChunk {
         index: Index(504),
         term: Term(74),
-        voters: voters(),
+        config: voters(),
         total: 4096,
         offset: 1024,
         data: vec![1, 2, 3, 250],
     }
 }
 
-fn appended(outcome: raft::Outcome) -> raft::Body {
-    raft::Body::Appended(outcome)
+fn appended(outcome: raft::AppendOutcome) -> raft::MessageBody {
+    raft::MessageBody::AppendResponse(outcome)
 }
 
-fn matched() -> raft::Outcome {
-    raft::Outcome::Matched(Index(505))
+fn matched() -> raft::AppendOutcome {
+    raft::AppendOutcome::Matched(Index(505))
 }
 
-fn conflict() -> raft::Outcome {
-    raft::Outcome::Conflict {
-        before: Index(506),
+fn conflict() -> raft::AppendOutcome {
+    raft::AppendOutcome::Conflict {
+        prev_index: Index(506),
         term: Some(Term(75)),
-        first: Index(480),
+        first_index: Index(480),
     }
 }
 
-fn taking() -> raft::Outcome {
-    raft::Outcome::Taking {
+fn taking() -> raft::AppendOutcome {
+    raft::AppendOutcome::InstallingSnapshot {
         index: Index(507),
         offset: 2048,
     }
 }
 
-fn pull() -> raft::Body {
-    raft::Body::Pull {
+fn pull() -> raft::MessageBody {
+    raft::MessageBody::PullRequest {
         next: Index(508),
-        taking: Some((Index(509), 3072)),
+        snapshot: Some(raft::SnapshotOffset {
+            index: Index(509),
+            offset: 3072,
+        }),
     }
 }
 
-fn pulled() -> raft::Body {
-    raft::Body::Pulled {
+fn pulled() -> raft::MessageBody {
+    raft::MessageBody::PullResponse {
         entries: entries(),
         commit: Index(510),
         leader: Some(member("c2")),
     }
 }
 
-fn propose_data() -> raft::Body {
-    raft::Body::Propose(raft::Proposed::Data(vec![9, 8, 7]))
+fn propose_data() -> raft::MessageBody {
+    raft::MessageBody::Propose(raft::ProposalPayload::Data(vec![9, 8, 7]))
 }
 
-fn propose_voters() -> raft::Body {
-    raft::Body::Propose(raft::Proposed::Voters(names()))
+fn propose_voters() -> raft::MessageBody {
+    raft::MessageBody::Propose(raft::ProposalPayload::TargetVoters(names()))
 }
 
 fn renewal_examples() -> Vec<Example<Message>> {
--- a/tests/golden_fleet.rs
+++ b/tests/golden_fleet.rs
@@ -13,7 +13,7 @@
 use whinhaven::fleet::config::{FleetConfig, PolicyConfig, TakeoverConfig, WhenCutOff};
 use whinhaven::fleet::lease::RenewalPath;
 use whinhaven::fleet::message::Message;
-use whinhaven::fleet::raft::{Entry, HardState, Restored, Snapshot};
+use whinhaven::fleet::raft::{HardState, LogEntry, RestoredState, Snapshot};
 use whinhaven::fleet::state::{Answer, Effect, FleetState, Proposal};
 use whinhaven::fleet::transport::disk::{Disk, Found};
 use whinhaven::fleet::transport::seal;
@@ -94,8 +94,8 @@
 fn log_entries_keep_their_encoding() {
     let written = hex_lines(&log::entry_examples(), postcard_bytes);
     assert_eq!(written, ENTRIES);
-    let read = |bytes: &Vec<u8>| postcard::from_bytes::<Entry>(bytes).unwrap();
-    let kept: Vec<Entry> = lines(ENTRIES).iter().map(read).collect();
+    let read = |bytes: &Vec<u8>| postcard::from_bytes::<LogEntry>(bytes).unwrap();
+    let kept: Vec<LogEntry> = lines(ENTRIES).iter().map(read).collect();
     assert_eq!(kept, log::entries());
 }
 
@@ -224,8 +224,8 @@
 fn a_kept_store_is_read_as_it_was_written() {
     let copy = StoreCopy::new();
     let found = copy.open();
-    let written = Restored {
-        hard: log::hard_state(),
+    let written = RestoredState {
+        hard_state: log::hard_state(),
         snapshot: Some(log::snapshot()),
         entries: log::entries(),
     };
@@ -281,7 +281,7 @@
 fn every_table_of_settings_in_the_fleet_table_is_read() {
     let settings = fleet_of(CONDUCTOR).settings;
     assert_eq!(settings.view.period_ms, 600);
-    assert_eq!(settings.group.election_us, 1_100_000);
+    assert_eq!(settings.group.election_timeout_us, 1_100_000);
     assert_eq!(settings.lease.renewal, RenewalPath::Leader);
     assert_eq!(settings.lease.retry.first_ms, 110);
     assert_eq!(settings.lease.retry.most_ms, 1100);
