--- a/lab/src/experiments/view.rs
+++ b/lab/src/experiments/view.rs
@@ -9,7 +9,7 @@
 use plotters::prelude::*;
 use std::error::Error;
 use std::path::{Path, PathBuf};
-use whinhaven::fleet::membership::{Settings, Status};
+use whinhaven::fleet::membership::{Config, Status};
 use whinhaven::routing::types::Micros;
 
 /// What is measured.
@@ -88,7 +88,7 @@
 }
 
 fn period() -> Micros {
-    Settings::default().period_ms * 1000
+    Config::default().period_ms * 1000
 }
 
 /// What was measured at one point.
--- a/lab/src/scale/hollow.rs
+++ b/lab/src/scale/hollow.rs
@@ -63,7 +63,7 @@
         names: Arc<Vec<MemberName>>,
         now: Micros,
     ) -> Self {
-        let me = membership::Me {
+        let me = membership::LocalMember {
             name: names[node].clone(),
             site: layout.site(node),
             address: views::address(node),
--- a/lab/src/scale/mod.rs
+++ b/lab/src/scale/mod.rs
@@ -79,7 +79,7 @@
 pub fn settings_for(layout: Layout, renewals: Renewals) -> Settings {
     let mut settings = Settings::default();
     let members = layout.members as u32;
-    settings.view.most_members = layout.members + 1;
+    settings.view.max_members = layout.members + 1;
     settings.group.most_learners = layout.members;
     settings.lease.renewal = match renewals {
         Renewals::Log => RenewalPath::Log,
--- a/lab/src/scale/simulated.rs
+++ b/lab/src/scale/simulated.rs
@@ -245,7 +245,7 @@
                     && member
                         .node
                         .view()
-                        .peers()
+                        .members()
                         .filter(|p| p.status == Status::Alive)
                         .count()
                         == all
@@ -299,7 +299,7 @@
             member
                 .node
                 .view()
-                .peer(&name)
+                .member(&name)
                 .is_some_and(|peer| peer.status == Status::Dead)
         };
         self.until("a death at all", STEP, |world| {
--- a/lab/src/sim/bed.rs
+++ b/lab/src/sim/bed.rs
@@ -104,13 +104,13 @@
         let peer = self
             .world
             .machine(by)
-            .and_then(|member| member.view.peer(&self.names[of]));
+            .and_then(|member| member.view.member(&self.names[of]));
         peer.is_some_and(|peer| peer.status <= Status::Suspect)
     }
 
     fn heard(&mut self) -> Vec<(Micros, usize, usize, Status)> {
         let notes = self.world.take_notes();
-        let node = |change: &whinhaven::fleet::membership::Change| {
+        let node = |change: &whinhaven::fleet::membership::StatusChange| {
             self.names.binary_search(&change.member).ok()
         };
         notes
--- a/lab/src/sim/foca.rs
+++ b/lab/src/sim/foca.rs
@@ -15,7 +15,7 @@
 use std::net::SocketAddr;
 use std::num::{NonZeroU32, NonZeroUsize};
 use std::time::Duration;
-use whinhaven::fleet::membership::{Settings, Status};
+use whinhaven::fleet::membership::{self, Status};
 use whinhaven::routing::types::Micros;
 
 /// Who a member is: the same facts as in a view's record.
@@ -139,7 +139,7 @@
     /// Its LAN settings for that size, with the period, the waits and the pings to the dead of `settings`.
     pub fn new(
         members: usize,
-        settings: &Settings,
+        settings: &membership::Config,
         link: Link,
         seed: u64,
         gossip: bool,
@@ -153,9 +153,9 @@
         config.probe_period = period;
         config.probe_rtt = Duration::from_millis(settings.probe_timeout_ms);
         config.num_indirect_probes =
-            NonZeroUsize::new(settings.indirect).unwrap_or(NonZeroUsize::MIN);
+            NonZeroUsize::new(settings.indirect_probes).unwrap_or(NonZeroUsize::MIN);
         config.max_packet_size =
-            NonZeroUsize::new(settings.most_bytes).unwrap_or(NonZeroUsize::MIN);
+            NonZeroUsize::new(settings.max_datagram_bytes).unwrap_or(NonZeroUsize::MIN);
         if let Some(announce) = config.periodic_announce_to_down_members.as_mut() {
             announce.frequency = Duration::from_millis(settings.reconnect_ms);
             announce.num_members = NonZeroUsize::MIN;
--- a/lab/src/sim/views.rs
+++ b/lab/src/sim/views.rs
@@ -6,7 +6,8 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
 use whinhaven::fleet::membership::{
-    self, Action, Change, Event, Kind, Me, Message, Settings, Status, View,
+    self, Action, Config, Event, LocalMember, Membership, Message, MessageKind, Status,
+    StatusChange,
 };
 use whinhaven::fleet::{Incarnation, MemberName, SiteName};
 use whinhaven::routing::types::Micros;
@@ -30,7 +31,7 @@
 /// One member.
 pub struct Member {
     /// Its view.
-    pub view: View,
+    pub view: Membership,
     broken: Broken,
     names: Arc<Vec<MemberName>>,
 }
@@ -54,7 +55,7 @@
         self.names.binary_search(name).ok()
     }
 
-    fn event(&mut self, now: Micros, event: Event, out: &mut Outbox<Message, Change>) {
+    fn event(&mut self, now: Micros, event: Event, out: &mut Outbox<Message, StatusChange>) {
         let mut actions = Vec::new();
         self.view.handle(now, event, &mut actions);
         for action in actions {
@@ -76,7 +77,7 @@
                         bytes,
                     });
                 }
-                Action::Changed(change) => out.notes.push(change),
+                Action::StatusChanged(change) => out.notes.push(change),
             }
         }
     }
@@ -85,39 +86,39 @@
         if !matches!(self.broken, Broken::Slanders | Broken::Raves) {
             return;
         }
-        let me = &self.view.me().name;
-        for peer in self.view.peers().filter(|peer| peer.name != *me) {
+        let me = &self.view.local_member().name;
+        for peer in self.view.members().filter(|peer| peer.name != *me) {
             let (member, incarnation, refutation) =
                 (peer.name.clone(), peer.incarnation, peer.refutation);
-            let claim = membership::Claim::Dead;
-            let mut news = membership::News {
+            let claim = membership::UpdateKind::Dead;
+            let mut news = membership::MemberUpdate {
                 member,
                 incarnation,
                 refutation,
-                claim,
+                kind: claim,
             };
             if self.broken == Broken::Raves {
-                let alive = membership::Claim::Alive {
+                let alive = membership::UpdateKind::Alive {
                     site: site(to),
                     address: address(to),
                 };
                 match refutation.wrapping_add(to as u32) % 4 {
-                    0 => (news.refutation, news.claim) = (u32::MAX, alive),
-                    1 => (news.incarnation, news.claim) = (Incarnation(u64::MAX), alive),
-                    2 => news.claim = membership::Claim::Left,
-                    _ => (news.member, news.claim) = (name(90_000 + to), alive),
+                    0 => (news.refutation, news.kind) = (u32::MAX, alive),
+                    1 => (news.incarnation, news.kind) = (Incarnation(u64::MAX), alive),
+                    2 => news.kind = membership::UpdateKind::Left,
+                    _ => (news.member, news.kind) = (name(90_000 + to), alive),
                 }
             }
-            message.news.push(news);
+            message.updates.push(news);
         }
     }
 }
 
 impl Machine for Member {
     type Message = Message;
-    type Note = Change;
+    type Note = StatusChange;
 
-    fn tick(&mut self, now: Micros, out: &mut Outbox<Message, Change>) {
+    fn tick(&mut self, now: Micros, out: &mut Outbox<Message, StatusChange>) {
         self.event(now, Event::Tick, out);
     }
 
@@ -126,12 +127,12 @@
         now: Micros,
         from: usize,
         mut message: Message,
-        out: &mut Outbox<Message, Change>,
+        out: &mut Outbox<Message, StatusChange>,
     ) {
         if self.broken == Broken::Deaf {
-            let me = &self.view.me().name;
-            message.news.retain(|news| news.member != *me);
-            if let Kind::Sync { table, .. } = &mut message.kind {
+            let me = &self.view.local_member().name;
+            message.updates.retain(|news| news.member != *me);
+            if let MessageKind::PushPull { table, .. } = &mut message.kind {
                 table.retain(|news| news.member != *me);
             }
         }
@@ -150,7 +151,7 @@
     /// How many members.
     pub members: usize,
     /// How their views work.
-    pub settings: Settings,
+    pub settings: Config,
     /// The links to begin with.
     pub link: Link,
     /// Which members are broken, and how.
@@ -162,9 +163,9 @@
 impl Plan {
     /// A fleet that is not broken, with the usual settings and links.
     pub fn new(members: usize, seed: u64) -> Plan {
-        let settings = Settings {
-            most_members: members.max(16) * 2,
-            ..Settings::default()
+        let settings = Config {
+            max_members: members.max(16) * 2,
+            ..Config::default()
         };
         Plan {
             members,
@@ -217,7 +218,7 @@
     /// Starts a member in its next life; it joins through the others, from 17 members on through the first three.
     pub fn start(&mut self, node: usize) {
         self.lives[node] += 1;
-        let me = Me {
+        let me = LocalMember {
             name: name(node),
             site: site(node),
             address: address(node),
@@ -225,7 +226,7 @@
         };
         let seed =
             self.plan.seed.wrapping_mul(31).wrapping_add(node as u64) ^ (self.lives[node] << 40);
-        let view = View::new(me, self.plan.settings.clone(), seed);
+        let view = Membership::new(me, self.plan.settings.clone(), seed);
         let broken = self
             .plan
             .broken
@@ -282,7 +283,7 @@
                 continue;
             };
             for b in 0..self.plan.members {
-                let held = member.view.peer(&self.names[b]);
+                let held = member.view.member(&self.names[b]);
                 let said = held.map(|peer| (peer.status, peer.incarnation.0));
                 let right = match self.world.machine(b) {
                     Some(_) => said == Some((Status::Alive, self.lives[b])),
@@ -298,7 +299,7 @@
             }
             if let Some(known) = member
                 .view
-                .peers()
+                .members()
                 .find(|peer| self.names.binary_search(&peer.name).is_err())
             {
                 return Some(format!("{a} knows {}, which does not exist", known.name));
@@ -326,7 +327,7 @@
 
 /// Within so many periods after the last fault all views agree: the longest suspicion, twice (one that began as the
 /// faults stopped, and one for whoever is missed in the first round), two rounds of probes, and 20 pings to the dead.
-pub fn settling_periods(settings: &Settings, members: usize) -> u64 {
+pub fn settling_periods(settings: &Config, members: usize) -> u64 {
     let (_, longest) = settings.suspicion(members);
     let period = settings.period_ms * 1000;
     (2 * longest + 20 * settings.reconnect_ms * 1000).div_ceil(period) + 2 * members as u64
--- a/lab/tests/model_view.rs
+++ b/lab/tests/model_view.rs
@@ -4,7 +4,9 @@
 use stateright::{Checker, Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
-use whinhaven::fleet::membership::{Action, Event, Me, Message, Settings, Status, View};
+use whinhaven::fleet::membership::{
+    Action, Config, Event, LocalMember, Membership, Message, Status,
+};
 use whinhaven::fleet::{Incarnation, MemberName, SiteName};
 use whinhaven::routing::types::Micros;
 use whinhaven_lab::sim::views::{address, name};
@@ -16,7 +18,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     now: Micros,
-    views: Vec<Option<View>>,
+    views: Vec<Option<Membership>>,
     lives: Vec<u64>,
     /// What is on its way, encoded, and how often.
     network: BTreeMap<(usize, usize, Vec<u8>), u8>,
@@ -47,16 +49,16 @@
     deaf: bool,
 }
 
-fn settings() -> Settings {
-    Settings {
+fn settings() -> Config {
+    Config {
         period_ms: PERIOD_MS,
         probe_timeout_ms: 3,
-        indirect: 1,
+        indirect_probes: 1,
         suspicion_multiplier: 1,
-        suspicion_longest: 2,
+        suspicion_max_multiplier: 2,
         push_pull_ms: 0,
         reconnect_ms: PERIOD_MS,
-        ..Settings::default()
+        ..Config::default()
     }
 }
 
@@ -71,10 +73,10 @@
             return;
         };
         if let (true, Event::Message { message, .. }) = (self.deaf, &mut event) {
-            message.news.retain(|news| news.member != name(at));
+            message.updates.retain(|news| news.member != name(at));
         }
-        let stands = |view: &View| -> BTreeMap<MemberName, (Incarnation, u32)> {
-            view.peers()
+        let stands = |view: &Membership| -> BTreeMap<MemberName, (Incarnation, u32)> {
+            view.members()
                 .map(|peer| (peer.name.clone(), (peer.incarnation, peer.refutation)))
                 .collect()
         };
@@ -94,7 +96,7 @@
             } = action
             {
                 let message = postcard::to_allocvec(&message).expect("encodes");
-                state.broke |= !reliable && message.len() > settings().most_bytes;
+                state.broke |= !reliable && message.len() > settings().max_datagram_bytes;
                 *state.network.entry((at, node(&to), message)).or_default() += 1;
             }
         }
@@ -116,13 +118,17 @@
         state.lives[at] += 1;
         let site = SiteName::try_from("here").expect("a plain name");
         let incarnation = Incarnation(state.lives[at]);
-        let me = Me {
+        let me = LocalMember {
             name: name(at),
             site,
             address: address(at),
             incarnation,
         };
-        state.views[at] = Some(View::new(me, settings(), at as u64 + 7 * state.lives[at]));
+        state.views[at] = Some(Membership::new(
+            me,
+            settings(),
+            at as u64 + 7 * state.lives[at],
+        ));
         let seeds = (0..self.members)
             .map(|node| (name(node), address(node)))
             .collect();
@@ -150,9 +156,9 @@
     }
 
     fn agreed(&self, state: &State) -> bool {
-        let holds = |view: &View, at: usize| {
+        let holds = |view: &Membership, at: usize| {
             let held = view
-                .peer(&name(at))
+                .member(&name(at))
                 .map(|peer| (peer.status, peer.incarnation.0));
             match state.views[at] {
                 Some(_) => held == Some((Status::Alive, state.lives[at])),
--- a/lab/tests/sim_lease.rs
+++ b/lab/tests/sim_lease.rs
@@ -36,7 +36,7 @@
 
 struct Place {
     name: MemberName,
-    me: membership::Me,
+    me: membership::LocalMember,
     /// Its clock: where it begins, and its rate in millionths.
     offset: Micros,
     rate: u64,
@@ -83,7 +83,7 @@
         let place = |n: usize, rng: &mut ChaCha8Rng| {
             let address = SocketAddr::from(([127, 0, 0, 1], 7001 + n as u16));
             let site = SiteName::try_from("here").expect("a name");
-            let me = membership::Me {
+            let me = membership::LocalMember {
                 name: name(n),
                 site,
                 address,
--- a/lab/tests/sim_view.rs
+++ b/lab/tests/sim_view.rs
@@ -4,7 +4,8 @@
 use rand_chacha::ChaCha8Rng;
 use rstest::rstest;
 use whinhaven::fleet::membership::{
-    Action, Claim, Event, Kind, Me, Message, News, Record, Settings, Status, View,
+    Action, Config, Event, LocalMember, MemberRecord, MemberUpdate, Membership, Message,
+    MessageKind, Status, UpdateKind,
 };
 use whinhaven::fleet::{Incarnation, SiteName};
 use whinhaven_lab::sim::views::{Broken, Fleet, Plan, address, name, promise};
@@ -80,7 +81,7 @@
             );
         }
         let member = fleet.world.machine(0).expect("it runs");
-        assert_eq!(member.view.peers().count(), 6, "seed {seed}");
+        assert_eq!(member.view.members().count(), 6, "seed {seed}");
     }
 }
 
@@ -95,7 +96,7 @@
                 .machine(1)
                 .expect("it runs")
                 .view
-                .counts()
+                .counters()
                 .probes
         };
         let before = count(&fleet);
@@ -110,19 +111,19 @@
 fn any_message_is_borne() {
     for seed in 0..seeds(30) {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let settings = Settings {
-            most_members: 16,
-            most_bytes: 512,
-            ..Settings::default()
+        let settings = Config {
+            max_members: 16,
+            max_datagram_bytes: 512,
+            ..Config::default()
         };
         let site = SiteName::try_from("s".repeat(64)).expect("a name");
-        let me = Me {
+        let me = LocalMember {
             name: name(0),
             site: site.clone(),
             address: address(0),
             incarnation: Incarnation(5),
         };
-        let mut view = View::new(me, settings, seed);
+        let mut view = Membership::new(me, settings, seed);
         let mut now: u64 = 0;
         for _ in 0..2000 {
             let mut number = || [0, 5, 1030, u64::MAX, u64::MAX, u64::MAX][rng.random_range(0..6)];
@@ -130,46 +131,54 @@
             let probe = number() as u32;
             let mut node = || name(rng.random_range(0..40));
             let (from, target, by) = (node(), node(), node());
-            let sender = Record {
+            let sender = MemberRecord {
                 site: site.clone(),
                 address: address(1),
                 incarnation,
                 refutation,
             };
-            let alive = Claim::Alive {
+            let alive = UpdateKind::Alive {
                 site: site.clone(),
                 address: address(2),
             };
-            let claim = [alive, Claim::Suspect { by }, Claim::Dead, Claim::Left]
-                [rng.random_range(0..4)]
+            let claim = [
+                alive,
+                UpdateKind::Suspect { by },
+                UpdateKind::Dead,
+                UpdateKind::Left,
+            ][rng.random_range(0..4)]
             .clone();
             let news = vec![
-                News {
+                MemberUpdate {
                     member: target.clone(),
                     incarnation,
                     refutation,
-                    claim
+                    kind: claim
                 };
                 3
             ];
             let kind = match rng.random_range(0..6) {
-                0 => Kind::Ping { probe },
-                1 => Kind::PingRequest {
+                0 => MessageKind::Ping { probe },
+                1 => MessageKind::IndirectPing {
                     probe,
                     target,
                     address: address(3),
                 },
-                2 => Kind::Ack { probe },
-                3 => Kind::Nack { probe },
-                4 => Kind::Sync {
+                2 => MessageKind::Ack { probe },
+                3 => MessageKind::Nack { probe },
+                4 => MessageKind::PushPull {
                     table: news.clone(),
-                    answer: true,
+                    reply_wanted: true,
                 },
-                _ => Kind::Leave,
+                _ => MessageKind::Leave,
+            };
+            let message = Message {
+                sender,
+                kind,
+                updates: news,
             };
-            let message = Message { sender, kind, news };
             let event = match rng.random_range(0..20) {
-                0 => Event::Reached(from),
+                0 => Event::ContactedElsewhere(from),
                 1 => Event::Join {
                     seeds: vec![(from, address(4))],
                 },
@@ -190,9 +199,9 @@
                     assert!(bytes <= 512, "seed {seed}: {bytes} bytes");
                 }
             }
-            assert!(view.peers().count() <= 16, "seed {seed}");
+            assert!(view.members().count() <= 16, "seed {seed}");
             assert_eq!(
-                (view.me().status, view.me().incarnation),
+                (view.local_member().status, view.local_member().incarnation),
                 (Status::Alive, Incarnation(5))
             );
         }
@@ -207,7 +216,7 @@
     (0..5).for_each(|other| fleet.world.network.cut(3, other));
     let held = |fleet: &Fleet, by: usize, of: usize| {
         let member = fleet.world.machine(by).expect("it runs");
-        member.view.peer(&name(of)).map(|peer| peer.status)
+        member.view.member(&name(of)).map(|peer| peer.status)
     };
     while held(&fleet, 4, 3) == Some(Status::Alive) {
         fleet.run_periods(1);
@@ -247,7 +256,7 @@
 fn changes_reach_all_in_logarithmic_time(#[case] members: usize) {
     let mut fleet = Fleet::settled(Plan::new(members, 5), 200).expect("settles");
     let rounds = 2 * u64::from(members.ilog2());
-    let (shortest, _) = Settings::default().suspicion(members);
+    let (shortest, _) = Config::default().suspicion(members);
     let suspicion = shortest.div_ceil(fleet.period());
     fleet.leave(members - 1);
     fleet.until_agreed(rounds).expect("the leave is known");
--- a/src/fleet/config.rs
+++ b/src/fleet/config.rs
@@ -190,7 +190,7 @@
             settings.node.policy_within_ms = policy.within_ms;
         }
         let most_members: usize = fleet.bounded("most_members", 32, 1, 16_384)?;
-        settings.view.most_members = most_members.max(2);
+        settings.view.max_members = most_members.max(2);
         settings.group.most_learners = most_members;
         let config = FleetConfig {
             site: fleet.required("site")?,
@@ -250,7 +250,7 @@
                 ),
             ));
         }
-        if let Err(error) = self.settings.view.check() {
+        if let Err(error) = self.settings.view.validate() {
             return Err(("fleet.view", error.0.to_owned()));
         }
         let group = &self.settings.group;
--- a/src/fleet/membership.rs
+++ b/src/fleet/membership.rs
@@ -23,13 +23,13 @@
 
 /// The most by which one claim raises a refutation. So no claim brings a live member's refutation to the end of its
 /// range, after which it could refute no more.
-pub const MOST_RISE: u32 = 1024;
+pub const MAX_REFUTATION_INCREASE: u32 = 1024;
 /// The most news that are looked at in one datagram.
-pub const MOST_NEWS: usize = 128;
+pub const MAX_UPDATES_PER_DATAGRAM: usize = 128;
 /// The most indirect probes served at the same time.
-pub const MOST_RELAYS: usize = 64;
+pub const MAX_INDIRECT_PROBES: usize = 64;
 /// The most push-pulls answered in a period.
-pub const MOST_SYNCS: u32 = 64;
+pub const MAX_PUSH_PULLS_PER_PERIOD: u32 = 64;
 /// How many pings a hearsay is worth.
 const TRIES: u32 = 3;
 /// How many seeds a joining member asks in a period.
@@ -37,7 +37,7 @@
 
 /// Who this member is.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Me {
+pub struct LocalMember {
     /// Its name.
     pub name: MemberName,
     /// Its site.
@@ -51,17 +51,19 @@
 /// How the view works. Times in milliseconds.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Settings {
+pub struct Config {
     /// A protocol period: one member is probed in each.
     pub period_ms: u64,
     /// How long the answer to a direct ping is waited for before helpers are asked. Below half a period.
     pub probe_timeout_ms: u64,
     /// How many helpers are asked for an indirect probe.
-    pub indirect: usize,
+    #[serde(rename = "indirect")]
+    pub indirect_probes: usize,
     /// The shortest suspicion: so many periods for each power of ten of the fleet's size, and never fewer than that.
     pub suspicion_multiplier: u32,
     /// The longest suspicion, in shortest ones: an unconfirmed one lasts that long.
-    pub suspicion_longest: u32,
+    #[serde(rename = "suspicion_longest")]
+    pub suspicion_max_multiplier: u32,
     /// How many further members must suspect the same one until its suspicion is at the shortest.
     pub confirmations: u32,
     /// How often a piece of news is sent: so many times for each power of ten of the fleet's size, rounded up.
@@ -72,34 +74,39 @@
     /// dead and can refute, so partitions heal. 0: never.
     pub reconnect_ms: u64,
     /// How many members are pinged in a period to see whether hearsay of them is true.
-    pub verify: u32,
+    #[serde(rename = "verify")]
+    pub max_verification_pings: u32,
     /// How long the dead and the left are kept in the table.
-    pub forget_ms: u64,
+    #[serde(rename = "forget_ms")]
+    pub reap_after_ms: u64,
     /// The most that a member's own bad health slows its probes: by so many periods.
-    pub most_health: u32,
+    #[serde(rename = "most_health")]
+    pub max_health_multiplier: u32,
     /// The most members in the table, this one included.
-    pub most_members: usize,
+    #[serde(rename = "most_members")]
+    pub max_members: usize,
     /// The most bytes of a message that goes out as a datagram.
-    pub most_bytes: usize,
+    #[serde(rename = "most_bytes")]
+    pub max_datagram_bytes: usize,
 }
 
-impl Default for Settings {
-    fn default() -> Settings {
-        Settings {
+impl Default for Config {
+    fn default() -> Config {
+        Config {
             period_ms: 500,
             probe_timeout_ms: 150,
-            indirect: 3,
+            indirect_probes: 3,
             suspicion_multiplier: 4,
-            suspicion_longest: 6,
+            suspicion_max_multiplier: 6,
             confirmations: 3,
             retransmit_multiplier: 4,
             push_pull_ms: 30_000,
             reconnect_ms: 2_000,
-            verify: 16,
-            forget_ms: 86_400_000,
-            most_health: 8,
-            most_members: 1024,
-            most_bytes: 1200,
+            max_verification_pings: 16,
+            reap_after_ms: 86_400_000,
+            max_health_multiplier: 8,
+            max_members: 1024,
+            max_datagram_bytes: 1200,
         }
     }
 }
@@ -107,17 +114,13 @@
 /// Settings that can't work.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("view settings: {0}")]
-pub struct SettingsError(pub &'static str);
+pub struct ConfigError(pub &'static str);
 
-impl Settings {
+impl Config {
     /// Says what can't work in them. The view itself runs with any settings and takes the nearest that can.
-    pub fn check(&self) -> Result<(), SettingsError> {
+    pub fn validate(&self) -> Result<(), ConfigError> {
         let wrong = |bad: bool, what| {
-            if bad {
-                Err(SettingsError(what))
-            } else {
-                Ok(())
-            }
+            if bad { Err(ConfigError(what)) } else { Ok(()) }
         };
         wrong(self.period_ms == 0, "period_ms must be above 0")?;
         wrong(
@@ -137,20 +140,26 @@
             "suspicion_multiplier must be above 0",
         )?;
         wrong(
-            self.suspicion_longest == 0,
+            self.suspicion_max_multiplier == 0,
             "suspicion_longest must be above 0",
         )?;
         wrong(
             self.retransmit_multiplier == 0,
             "retransmit_multiplier must be above 0",
         )?;
-        wrong(self.most_members < 2, "most_members must be at least 2")?;
+        wrong(self.max_members < 2, "most_members must be at least 2")?;
         wrong(
-            self.most_members > 65_536,
+            self.max_members > 65_536,
             "most_members must be at most 65536",
         )?;
-        wrong(self.most_bytes < 512, "most_bytes must be at least 512")?;
-        wrong(self.most_bytes > 65_000, "most_bytes must be at most 65000")
+        wrong(
+            self.max_datagram_bytes < 512,
+            "most_bytes must be at least 512",
+        )?;
+        wrong(
+            self.max_datagram_bytes > 65_000,
+            "most_bytes must be at most 65000",
+        )
     }
 
     fn micros(ms: u64) -> Micros {
@@ -158,11 +167,11 @@
     }
 
     fn period(&self) -> Micros {
-        Settings::micros(self.period_ms)
+        Config::micros(self.period_ms)
     }
 
     fn probe_timeout(&self) -> Micros {
-        Settings::micros(self.probe_timeout_ms).min((self.period() / 2).max(1))
+        Config::micros(self.probe_timeout_ms).min((self.period() / 2).max(1))
     }
 
     /// The shortest and the longest suspicion in a fleet of `members`.
@@ -174,7 +183,7 @@
         (
             least,
             least
-                .saturating_mul(u64::from(self.suspicion_longest.max(1)))
+                .saturating_mul(u64::from(self.suspicion_max_multiplier.max(1)))
                 .min(1 << 57),
         )
     }
@@ -214,7 +223,7 @@
 
 /// A member as this one sees it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Peer {
+pub struct Member {
     /// Its name.
     pub name: MemberName,
     /// Its site.
@@ -238,11 +247,14 @@
     /// The member itself was heard.
     Heard,
     /// It answered neither a ping nor the helpers.
-    Unanswered,
+    #[serde(rename = "unanswered")]
+    ProbeFailed,
     /// That member said so.
-    Told(MemberName),
+    #[serde(rename = "told")]
+    ReportedBy(MemberName),
     /// Its suspicion ran out.
-    Expired,
+    #[serde(rename = "expired")]
+    SuspicionExpired,
     /// It said that it leaves.
     Leaving,
     /// It refuted what that member said of it.
@@ -254,9 +266,9 @@
     pub fn as_str(&self) -> &'static str {
         match self {
             Cause::Heard => "heard",
-            Cause::Unanswered => "unanswered",
-            Cause::Told(_) => "told",
-            Cause::Expired => "expired",
+            Cause::ProbeFailed => "unanswered",
+            Cause::ReportedBy(_) => "told",
+            Cause::SuspicionExpired => "expired",
             Cause::Leaving => "leaving",
             Cause::Refuted(_) => "refuted",
         }
@@ -265,7 +277,7 @@
 
 /// A belief changed. The member's own entry changes at its leave, and from alive to alive when it refutes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Change {
+pub struct StatusChange {
     /// Of whom.
     pub member: MemberName,
     /// Its site.
@@ -282,7 +294,7 @@
 
 /// What a message's sender says of itself.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Record {
+pub struct MemberRecord {
     /// Its site.
     pub site: SiteName,
     /// Where it is reached.
@@ -295,7 +307,7 @@
 
 /// What one member claims of another.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Claim {
+pub enum UpdateKind {
     /// It lives, there.
     Alive {
         /// Its site.
@@ -316,7 +328,7 @@
 
 /// A claim, with the life and the refutation that it is about.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct News {
+pub struct MemberUpdate {
     /// Of whom.
     pub member: MemberName,
     /// Which life.
@@ -324,16 +336,16 @@
     /// How often it had refuted.
     pub refutation: u32,
     /// What.
-    pub claim: Claim,
+    pub kind: UpdateKind,
 }
 
-impl News {
+impl MemberUpdate {
     /// No fewer bytes than it takes encoded.
     fn bytes(&self) -> usize {
-        let claim = match &self.claim {
-            Claim::Alive { site, address } => 1 + site.as_str().len() + address_bytes(address),
-            Claim::Suspect { by } => 1 + by.as_str().len(),
-            Claim::Dead | Claim::Left => 0,
+        let claim = match &self.kind {
+            UpdateKind::Alive { site, address } => 1 + site.as_str().len() + address_bytes(address),
+            UpdateKind::Suspect { by } => 1 + by.as_str().len(),
+            UpdateKind::Dead | UpdateKind::Left => 0,
         };
         1 + self.member.as_str().len() + 10 + 5 + 1 + claim
     }
@@ -345,14 +357,14 @@
 
 /// What a message is for.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Kind {
+pub enum MessageKind {
     /// Asks for an answer.
     Ping {
         /// The sender's number of it.
         probe: u32,
     },
     /// Asks the receiver to ping somebody for the sender.
-    PingRequest {
+    IndirectPing {
         /// The sender's number of it.
         probe: u32,
         /// Whom.
@@ -371,11 +383,11 @@
         probe: u32,
     },
     /// Push-pull: the sender's whole table.
-    Sync {
+    PushPull {
         /// The table.
-        table: Vec<News>,
+        table: Vec<MemberUpdate>,
         /// Whether the receiver's is wanted in return.
-        answer: bool,
+        reply_wanted: bool,
     },
     /// The sender goes.
     Leave,
@@ -385,11 +397,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Message {
     /// The sender, of itself. The transport vouches for its name.
-    pub sender: Record,
+    pub sender: MemberRecord,
     /// What for.
-    pub kind: Kind,
+    pub kind: MessageKind,
     /// News that ride along.
-    pub news: Vec<News>,
+    pub updates: Vec<MemberUpdate>,
 }
 
 /// What happens to the view.
@@ -412,7 +424,7 @@
     /// Leaves: tells all, and then keeps silent.
     Leave,
     /// Another channel has just heard that member.
-    Reached(MemberName),
+    ContactedElsewhere(MemberName),
 }
 
 /// What the view wants done.
@@ -430,26 +442,26 @@
         reliable: bool,
     },
     /// A belief has changed.
-    Changed(Change),
+    StatusChanged(StatusChange),
 }
 
 /// What has been counted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Counts {
+pub struct Counters {
     /// Probes begun.
     pub probes: u64,
     /// Probes that went unanswered.
-    pub failed: u64,
+    pub failed_probes: u64,
     /// Times this member refuted.
-    pub refuted: u64,
+    pub refutations: u64,
     /// Claims that were not believed for being absurd: an impossible refutation, a later life of this very member.
-    pub absurd: u64,
+    pub invalid_updates: u64,
     /// Messages passed over since they came from an earlier life of their sender.
-    pub stale: u64,
+    pub stale_messages: u64,
     /// Members not taken in since the table is full.
-    pub full: u64,
+    pub rejected_members: u64,
     /// Times this member itself had stood still.
-    pub stalled: u64,
+    pub stalls: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -497,15 +509,15 @@
 
 /// The view: see the module.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct View {
-    me: MemberName,
-    settings: Settings,
+pub struct Membership {
+    local_member: MemberName,
+    settings: Config,
     seed: u64,
     draws: u64,
     now: Micros,
     started: bool,
     left: bool,
-    peers: BTreeMap<MemberName, Peer>,
+    members: BTreeMap<MemberName, Member>,
     round: Vec<MemberName>,
     place: usize,
     probe: Option<Probe>,
@@ -520,7 +532,7 @@
     syncs_left: u32,
     heal_sync: bool,
     /// News by how often they were sent, the newest first.
-    queue: BTreeMap<(u32, u64), News>,
+    queue: BTreeMap<(u32, u64), MemberUpdate>,
     queued: BTreeMap<MemberName, (u32, u64)>,
     queue_numbers: u64,
     next_push_pull: Option<Micros>,
@@ -531,13 +543,13 @@
     seeds: BTreeMap<MemberName, SocketAddr>,
     /// Whether a table has come in return since the join.
     joined: bool,
-    counts: Counts,
+    counters: Counters,
 }
 
-impl View {
+impl Membership {
     /// A view that knows this member only. `seed` decides all that is drawn.
-    pub fn new(me: Me, settings: Settings, seed: u64) -> View {
-        let own = Peer {
+    pub fn new(me: LocalMember, settings: Config, seed: u64) -> Membership {
+        let own = Member {
             name: me.name.clone(),
             site: me.site,
             address: me.address,
@@ -546,9 +558,9 @@
             status: Status::Alive,
             since: 0,
         };
-        View {
-            peers: BTreeMap::from([(me.name.clone(), own)]),
-            me: me.name,
+        Membership {
+            members: BTreeMap::from([(me.name.clone(), own)]),
+            local_member: me.name,
             seed,
             draws: 0,
             now: 0,
@@ -563,8 +575,8 @@
             relays: Vec::new(),
             suspicions: BTreeMap::new(),
             rumours: BTreeMap::new(),
-            verify_left: settings.verify,
-            syncs_left: MOST_SYNCS,
+            verify_left: settings.max_verification_pings,
+            syncs_left: MAX_PUSH_PULLS_PER_PERIOD,
             heal_sync: true,
             queue: BTreeMap::new(),
             queued: BTreeMap::new(),
@@ -575,35 +587,35 @@
             worsened: false,
             seeds: BTreeMap::new(),
             joined: false,
-            counts: Counts::default(),
+            counters: Counters::default(),
             settings,
         }
     }
 
     /// All members known, this one included, by name.
-    pub fn peers(&self) -> impl Iterator<Item = &Peer> {
-        self.peers.values()
+    pub fn members(&self) -> impl Iterator<Item = &Member> {
+        self.members.values()
     }
 
     /// One member.
-    pub fn peer(&self, name: &MemberName) -> Option<&Peer> {
-        self.peers.get(name)
+    pub fn member(&self, name: &MemberName) -> Option<&Member> {
+        self.members.get(name)
     }
 
     /// This member.
-    pub fn me(&self) -> &Peer {
-        &self.peers[&self.me]
+    pub fn local_member(&self) -> &Member {
+        &self.members[&self.local_member]
     }
 
     /// How badly this member itself does: 0 is well, [`Settings::most_health`] the worst. Its probes are that many
     /// periods slower.
-    pub fn local_health(&self) -> u32 {
+    pub fn health_multiplier(&self) -> u32 {
         self.health
     }
 
     /// What has been counted.
-    pub fn counts(&self) -> Counts {
-        self.counts
+    pub fn counters(&self) -> Counters {
+        self.counters
     }
 
     /// When it wants to be called with [`Event::Tick`]; none after the leave.
@@ -637,9 +649,9 @@
         match event {
             Event::Tick => {}
             Event::Join { seeds } => {
-                let most = self.settings.most_members;
+                let most = self.settings.max_members;
                 for (name, address) in seeds {
-                    if name != self.me
+                    if name != self.local_member
                         && (self.seeds.len() < most || self.seeds.contains_key(&name))
                     {
                         self.seeds.insert(name, address);
@@ -650,7 +662,7 @@
             }
             Event::Message { from, message } => self.message(from, message, out),
             Event::Leave => return self.leave(out),
-            Event::Reached(name) => self.reached(&name, out),
+            Event::ContactedElsewhere(name) => self.reached(&name, out),
         }
         self.timers(out);
     }
@@ -661,12 +673,12 @@
         if !self.started {
             self.started = true;
             let now = self.now;
-            if let Some(own) = self.peers.get_mut(&self.me) {
+            if let Some(own) = self.members.get_mut(&self.local_member) {
                 own.since = now;
             }
             self.next_probe = now + self.below(period);
             self.next_period = self.next_probe;
-            let later = |ms| Settings::micros(ms);
+            let later = |ms| Config::micros(ms);
             if self.settings.push_pull_ms > 0 {
                 let spread = later(self.settings.push_pull_ms);
                 self.next_push_pull = Some(now + spread / 2 + self.below(spread));
@@ -680,7 +692,7 @@
         let Some(due) = self.timeout() else { return };
         let gap = self.now.saturating_sub(due);
         if gap > period {
-            self.counts.stalled += 1;
+            self.counters.stalls += 1;
             self.health_changes(1);
             for suspicion in self.suspicions.values_mut() {
                 suspicion.begun += gap;
@@ -706,7 +718,7 @@
             self.send(
                 &relay.asker,
                 relay.address,
-                Kind::Nack {
+                MessageKind::Nack {
                     probe: relay.askers_number,
                 },
                 false,
@@ -719,7 +731,7 @@
             .filter(|(_, s)| s.until <= now)
             .map(|(name, s)| (name.clone(), s.then));
         for (name, then) in ended.collect::<Vec<_>>() {
-            self.becomes(&name, then, Cause::Expired, out);
+            self.becomes(&name, then, Cause::SuspicionExpired, out);
         }
         if self.next_period <= now {
             self.period(out);
@@ -730,18 +742,18 @@
         if self.next_push_pull.is_some_and(|at| at <= now) {
             let doubled = (self.living() / 32).max(1).ilog2() + 1;
             let every =
-                Settings::micros(self.settings.push_pull_ms).saturating_mul(u64::from(doubled));
+                Config::micros(self.settings.push_pull_ms).saturating_mul(u64::from(doubled));
             self.next_push_pull = Some(now + every);
             if let Some((name, address)) = self.some(1, |peer| peer.status == Status::Alive).pop() {
                 self.sync(&name, address, true, out);
             }
         }
         if self.next_reconnect.is_some_and(|at| at <= now) {
-            self.next_reconnect = Some(now + Settings::micros(self.settings.reconnect_ms));
+            self.next_reconnect = Some(now + Config::micros(self.settings.reconnect_ms));
             let mut lost = self.some(1, |peer| peer.status > Status::Suspect);
             if lost.is_empty() {
                 let away = |name| {
-                    self.peers
+                    self.members
                         .get(name)
                         .is_none_or(|peer| peer.status > Status::Suspect)
                 };
@@ -761,8 +773,8 @@
     /// A new protocol period: budgets anew, and what does not wait for this member's health.
     fn period(&mut self, out: &mut Vec<Action>) {
         self.next_period = self.now + self.settings.period();
-        self.verify_left = self.settings.verify;
-        self.syncs_left = MOST_SYNCS;
+        self.verify_left = self.settings.max_verification_pings;
+        self.syncs_left = MAX_PUSH_PULLS_PER_PERIOD;
         self.heal_sync = true;
         self.forget();
         if !self.joined && !self.seeds.is_empty() {
@@ -774,22 +786,22 @@
     /// Ends the last probe and begins the next.
     fn probe(&mut self, out: &mut Vec<Action>) {
         if let Some(probe) = self.probe.take() {
-            self.counts.failed += 1;
+            self.counters.failed_probes += 1;
             let missing = probe.helpers.len().saturating_sub(probe.nacks.len());
             self.health_changes(if probe.helpers.is_empty() {
                 1
             } else {
                 missing as i64
             });
-            let me = self.me.clone();
-            if let Some(peer) = self.peers.get(&probe.target) {
+            let me = self.local_member.clone();
+            if let Some(peer) = self.members.get(&probe.target) {
                 let refutation = peer.refutation;
                 self.suspect(
                     &probe.target,
                     refutation,
                     (&me, &me),
                     Status::Dead,
-                    Cause::Unanswered,
+                    Cause::ProbeFailed,
                     out,
                 );
             }
@@ -797,7 +809,7 @@
         let slower = u64::from(self.health) + 1;
         self.next_probe = self.now + self.settings.period().saturating_mul(slower);
         if let Some((target, address)) = self.next_target() {
-            self.counts.probes += 1;
+            self.counters.probes += 1;
             let number = self.ping(&target, address, out);
             let ask_at = Some(self.now + self.settings.probe_timeout().saturating_mul(slower));
             self.probe = Some(Probe {
@@ -815,7 +827,7 @@
             while let Some(name) = self.round.get(self.place) {
                 self.place += 1;
                 if let Some(peer) = self
-                    .peers
+                    .members
                     .get(name)
                     .filter(|peer| peer.status <= Status::Suspect)
                 {
@@ -826,9 +838,9 @@
                 break;
             }
             let all = self
-                .peers
+                .members
                 .values()
-                .filter(|peer| peer.name != self.me && peer.status <= Status::Suspect);
+                .filter(|peer| peer.name != self.local_member && peer.status <= Status::Suspect);
             self.round = all.map(|peer| peer.name.clone()).collect();
             self.place = 0;
             for at in (1..self.round.len()).rev() {
@@ -844,12 +856,12 @@
             return;
         };
         probe.ask_at = None;
-        if let Some(address) = self.peers.get(&probe.target).map(|peer| peer.address) {
+        if let Some(address) = self.members.get(&probe.target).map(|peer| peer.address) {
             let target = probe.target.clone();
-            for (helper, at) in self.some(self.settings.indirect, |peer| {
+            for (helper, at) in self.some(self.settings.indirect_probes, |peer| {
                 peer.status == Status::Alive && peer.name != target
             }) {
-                let kind = Kind::PingRequest {
+                let kind = MessageKind::IndirectPing {
                     probe: probe.number,
                     target: target.clone(),
                     address,
@@ -869,47 +881,49 @@
     }
 
     fn message(&mut self, from: MemberName, message: Message, out: &mut Vec<Action>) {
-        if from == self.me {
-            self.counts.absurd += 1;
+        if from == self.local_member {
+            self.counters.invalid_updates += 1;
             return;
         }
         if !self.first_hand(&from, &message, out) {
             return;
         }
         let believed = self
-            .peers
+            .members
             .get(&from)
             .is_some_and(|peer| peer.status <= Status::Suspect);
         if believed {
-            for news in message.news.into_iter().take(MOST_NEWS) {
+            for news in message.updates.into_iter().take(MAX_UPDATES_PER_DATAGRAM) {
                 self.hearsay(&from, news, out);
             }
         } else {
             // Held dead or left, it is told so and can refute; it is told so as well of what it says of this member.
             let of_me = message
-                .news
+                .updates
                 .into_iter()
-                .take(MOST_NEWS)
-                .find(|news| news.member == self.me);
+                .take(MAX_UPDATES_PER_DATAGRAM)
+                .find(|news| news.member == self.local_member);
             of_me
                 .into_iter()
                 .for_each(|news| self.of_me(&from, &news, out));
         }
         let address = message.sender.address;
         match message.kind {
-            Kind::Ping { probe } => self.send(&from, address, Kind::Ack { probe }, false, out),
-            Kind::PingRequest {
+            MessageKind::Ping { probe } => {
+                self.send(&from, address, MessageKind::Ack { probe }, false, out)
+            }
+            MessageKind::IndirectPing {
                 probe,
                 target,
                 address: at,
             } => {
-                if target == self.me {
-                    return self.send(&from, address, Kind::Ack { probe }, false, out);
+                if target == self.local_member {
+                    return self.send(&from, address, MessageKind::Ack { probe }, false, out);
                 }
-                if self.relays.len() >= MOST_RELAYS {
+                if self.relays.len() >= MAX_INDIRECT_PROBES {
                     return;
                 }
-                let at = self.peers.get(&target).map_or(at, |peer| peer.address);
+                let at = self.members.get(&target).map_or(at, |peer| peer.address);
                 let number = self.ping(&target, at, out);
                 let until = self.now + self.settings.probe_timeout();
                 self.relays.push(Relay {
@@ -921,7 +935,7 @@
                     until,
                 });
             }
-            Kind::Ack { probe: number } => {
+            MessageKind::Ack { probe: number } => {
                 if let Some(at) = self
                     .relays
                     .iter()
@@ -930,7 +944,7 @@
                     let relay = self.relays.remove(at);
                     // The answer's refutation goes with it.
                     if let Some(peer) = self
-                        .peers
+                        .members
                         .get(&from)
                         .filter(|peer| peer.status == Status::Alive)
                     {
@@ -940,7 +954,7 @@
                     self.send(
                         &relay.asker,
                         relay.address,
-                        Kind::Ack {
+                        MessageKind::Ack {
                             probe: relay.askers_number,
                         },
                         false,
@@ -955,7 +969,7 @@
                     self.answered();
                 }
             }
-            Kind::Nack { probe: number } => {
+            MessageKind::Nack { probe: number } => {
                 if let Some(probe) = self.probe.as_mut()
                     && probe.number == number
                     && probe.helpers.contains(&from)
@@ -964,10 +978,13 @@
                     probe.nacks.push(from);
                 }
             }
-            Kind::Sync { table, answer } => {
+            MessageKind::PushPull {
+                table,
+                reply_wanted: answer,
+            } => {
                 if believed {
                     self.joined |= !answer;
-                    for news in table.into_iter().take(self.settings.most_members) {
+                    for news in table.into_iter().take(self.settings.max_members) {
                         self.hearsay(&from, news, out);
                     }
                 }
@@ -976,7 +993,7 @@
                     self.sync(&from, address, false, out);
                 }
             }
-            Kind::Leave => {}
+            MessageKind::Leave => {}
         }
     }
 
@@ -985,18 +1002,18 @@
         let sender = &message.sender;
         let said = (sender.incarnation, sender.refutation);
         let known = self
-            .peers
+            .members
             .get(from)
             .map(|peer| ((peer.incarnation, peer.refutation), peer.status));
         if known.is_some_and(|((incarnation, _), _)| sender.incarnation < incarnation) {
-            self.counts.stale += 1;
+            self.counters.stale_messages += 1;
             return false;
         }
-        if message.kind == Kind::Leave {
+        if message.kind == MessageKind::Leave {
             if let Some((known, status)) = known
                 && said >= known
                 && status != Status::Left
-                && let Some(peer) = self.peers.get_mut(from)
+                && let Some(peer) = self.members.get_mut(from)
             {
                 (peer.incarnation, peer.refutation) = said;
                 self.becomes(from, Status::Left, Cause::Leaving, out);
@@ -1007,32 +1024,38 @@
             Some((known, status)) if said <= known => {
                 if status > Status::Alive
                     && said == known
-                    && !matches!(message.kind, Kind::Ping { .. })
+                    && !matches!(message.kind, MessageKind::Ping { .. })
                 {
                     self.tell(from, out);
                 }
                 if said == known
-                    && let Some(peer) = self.peers.get_mut(from)
+                    && let Some(peer) = self.members.get_mut(from)
                 {
                     peer.address = sender.address;
                 }
             }
             _ => self.lives(from, sender.clone(), Cause::Heard, out),
         }
-        self.peers.contains_key(from)
+        self.members.contains_key(from)
     }
 
     /// A member lives, with a life or a refutation above the known: it is taken in or comes back.
-    fn lives(&mut self, name: &MemberName, record: Record, cause: Cause, out: &mut Vec<Action>) {
+    fn lives(
+        &mut self,
+        name: &MemberName,
+        record: MemberRecord,
+        cause: Cause,
+        out: &mut Vec<Action>,
+    ) {
         let known = self
-            .peers
+            .members
             .get(name)
             .map(|peer| (peer.incarnation, peer.status, peer.since));
         if known.is_none() && !self.make_room() {
-            self.counts.full += 1;
+            self.counters.rejected_members += 1;
             return;
         }
-        let Record {
+        let MemberRecord {
             site,
             address,
             incarnation,
@@ -1045,7 +1068,7 @@
             _ => self.now,
         };
         let name = name.clone();
-        let peer = Peer {
+        let peer = Member {
             name: name.clone(),
             site,
             address,
@@ -1058,7 +1081,7 @@
         if from != Some(Status::Alive) || !same_life {
             let (member, site) = (name.clone(), peer.site.clone());
             let to = Status::Alive;
-            out.push(Action::Changed(Change {
+            out.push(Action::StatusChanged(StatusChange {
                 member,
                 site,
                 incarnation,
@@ -1067,10 +1090,10 @@
                 cause: cause.clone(),
             }));
         }
-        self.peers.insert(name.clone(), peer);
+        self.members.insert(name.clone(), peer);
         self.suspicions.remove(&name);
         self.rumours.remove(&name);
-        let most = self.settings.most_members.saturating_mul(2);
+        let most = self.settings.max_members.saturating_mul(2);
         if from.is_none_or(|from| from > Status::Suspect) && self.round.len() < most {
             let at = self.place + self.below((self.round.len() - self.place) as u64 + 1) as usize;
             self.round.insert(at, name.clone());
@@ -1083,30 +1106,30 @@
     }
 
     /// What one member says of another.
-    fn hearsay(&mut self, via: &MemberName, news: News, out: &mut Vec<Action>) {
-        if news.member == self.me {
+    fn hearsay(&mut self, via: &MemberName, news: MemberUpdate, out: &mut Vec<Action>) {
+        if news.member == self.local_member {
             return self.of_me(via, &news, out);
         }
         if news.member == *via {
             return;
         }
-        let News {
+        let MemberUpdate {
             member,
             incarnation,
             refutation,
-            claim,
+            kind: claim,
         } = news;
         let known = self
-            .peers
+            .members
             .get(&member)
             .map(|peer| (peer.incarnation, peer.refutation, peer.status));
         let Some((life, held, status)) = known.filter(|known| known.0 >= incarnation) else {
             // A member or a life not known: seen to be true before it is taken in.
-            if let Claim::Alive { site, address } = claim {
+            if let UpdateKind::Alive { site, address } = claim {
                 self.rumour(
                     via,
                     member,
-                    Record {
+                    MemberRecord {
                         site,
                         address,
                         incarnation,
@@ -1125,31 +1148,31 @@
         if incarnation < life || refutation < held {
             return;
         }
-        if refutation - held > MOST_RISE {
-            self.counts.absurd += 1;
+        if refutation - held > MAX_REFUTATION_INCREASE {
+            self.counters.invalid_updates += 1;
             return;
         }
         match claim {
-            Claim::Alive { .. } if refutation > held => {
-                let peer = &self.peers[&member];
+            UpdateKind::Alive { .. } if refutation > held => {
+                let peer = &self.members[&member];
                 let (site, address) = (peer.site.clone(), peer.address);
-                let record = Record {
+                let record = MemberRecord {
                     site,
                     address,
                     incarnation,
                     refutation,
                 };
-                self.lives(&member, record, Cause::Told(via.clone()), out);
+                self.lives(&member, record, Cause::ReportedBy(via.clone()), out);
             }
             // Both sides hold the same and differ: the member itself decides.
-            Claim::Alive { .. } if status > Status::Suspect => self.tell(&member, out),
-            Claim::Alive { .. } => {}
-            Claim::Suspect { by } => {
-                let cause = Cause::Told(by.clone());
+            UpdateKind::Alive { .. } if status > Status::Suspect => self.tell(&member, out),
+            UpdateKind::Alive { .. } => {}
+            UpdateKind::Suspect { by } => {
+                let cause = Cause::ReportedBy(by.clone());
                 self.suspect(&member, refutation, (&by, via), Status::Dead, cause, out);
             }
-            Claim::Dead | Claim::Left => {
-                let then = if claim == Claim::Left {
+            UpdateKind::Dead | UpdateKind::Left => {
+                let then = if claim == UpdateKind::Left {
                     Status::Left
                 } else {
                     Status::Dead
@@ -1158,9 +1181,9 @@
                 if second {
                     self.ended_there(&member, via, then);
                 } else if then == Status::Left && status == Status::Dead && refutation == held {
-                    self.becomes(&member, then, Cause::Told(via.clone()), out);
+                    self.becomes(&member, then, Cause::ReportedBy(via.clone()), out);
                 } else if status < Status::Dead || refutation > held {
-                    let cause = Cause::Told(via.clone());
+                    let cause = Cause::ReportedBy(via.clone());
                     self.suspect(&member, refutation, (via, via), then, cause, out);
                     self.tell(&member, out);
                 }
@@ -1169,15 +1192,15 @@
     }
 
     /// What one member says of this one.
-    fn of_me(&mut self, via: &MemberName, news: &News, out: &mut Vec<Action>) {
-        let Some(own) = self.peers.get_mut(&self.me) else {
+    fn of_me(&mut self, via: &MemberName, news: &MemberUpdate, out: &mut Vec<Action>) {
+        let Some(own) = self.members.get_mut(&self.local_member) else {
             return;
         };
         if news.incarnation > own.incarnation {
-            self.counts.absurd += 1;
+            self.counters.invalid_updates += 1;
             return;
         }
-        let bad = !matches!(news.claim, Claim::Alive { .. });
+        let bad = !matches!(news.kind, UpdateKind::Alive { .. });
         let behind = if bad {
             news.refutation >= own.refutation
         } else {
@@ -1188,16 +1211,16 @@
         }
         own.refutation = news
             .refutation
-            .min(own.refutation.saturating_add(MOST_RISE))
+            .min(own.refutation.saturating_add(MAX_REFUTATION_INCREASE))
             .saturating_add(1);
-        self.counts.refuted += 1;
+        self.counters.refutations += 1;
         let (site, incarnation) = (own.site.clone(), own.incarnation);
         if !std::mem::replace(&mut self.worsened, true) {
             self.health_changes(1);
         }
-        let (member, to) = (self.me.clone(), Status::Alive);
+        let (member, to) = (self.local_member.clone(), Status::Alive);
         let cause = Cause::Refuted(via.clone());
-        out.push(Action::Changed(Change {
+        out.push(Action::StatusChanged(StatusChange {
             member,
             site,
             incarnation,
@@ -1206,9 +1229,9 @@
             cause,
         }));
         // A refutation races the suspicions: some hear it at once, as far as the period's pings on hearsay reach.
-        for (name, address) in
-            self.some(self.settings.indirect, |peer| peer.status == Status::Alive)
-        {
+        for (name, address) in self.some(self.settings.indirect_probes, |peer| {
+            peer.status == Status::Alive
+        }) {
             if self.verify_left > 0 {
                 self.verify_left -= 1;
                 self.ping(&name, address, out);
@@ -1229,7 +1252,7 @@
         let (least, longest) = self.settings.suspicion(self.living());
         let enough = (self.settings.confirmations as usize).min(self.living().saturating_sub(2));
         let now = self.now;
-        let Some(peer) = self.peers.get_mut(name) else {
+        let Some(peer) = self.members.get_mut(name) else {
             return;
         };
         if peer.status > Status::Suspect && refutation <= peer.refutation {
@@ -1267,18 +1290,18 @@
                 self.becomes(name, Status::Suspect, cause, out);
             }
         }
-        let Some(peer) = self.peers.get(name) else {
+        let Some(peer) = self.members.get(name) else {
             return;
         };
         let (member, incarnation) = (name.clone(), peer.incarnation);
-        let claim = Claim::Suspect { by: by.0.clone() };
-        self.queue_news(News {
+        let claim = UpdateKind::Suspect { by: by.0.clone() };
+        self.queue_news(MemberUpdate {
             member,
             incarnation,
             refutation,
-            claim,
+            kind: claim,
         });
-        if by.1 == &self.me {
+        if by.1 == &self.local_member {
             // The suspected is told first.
             self.tell(name, out);
         }
@@ -1297,7 +1320,7 @@
 
     fn becomes(&mut self, name: &MemberName, to: Status, cause: Cause, out: &mut Vec<Action>) {
         let now = self.now;
-        let Some(peer) = self.peers.get_mut(name) else {
+        let Some(peer) = self.members.get_mut(name) else {
             return;
         };
         let from = Some(peer.status);
@@ -1315,18 +1338,18 @@
                 self.probe = None;
             }
             let claim = if to == Status::Left {
-                Claim::Left
+                UpdateKind::Left
             } else {
-                Claim::Dead
+                UpdateKind::Dead
             };
-            self.queue_news(News {
+            self.queue_news(MemberUpdate {
                 member: member.clone(),
                 incarnation,
                 refutation,
-                claim,
+                kind: claim,
             });
         }
-        out.push(Action::Changed(Change {
+        out.push(Action::StatusChanged(StatusChange {
             member,
             site,
             incarnation,
@@ -1345,7 +1368,7 @@
             self.answered();
         }
         if self
-            .peers
+            .members
             .get(name)
             .is_some_and(|peer| peer.status > Status::Alive)
         {
@@ -1355,16 +1378,16 @@
 
     fn leave(&mut self, out: &mut Vec<Action>) {
         let others = self
-            .peers
+            .members
             .values()
-            .filter(|peer| peer.name != self.me && peer.status <= Status::Suspect);
+            .filter(|peer| peer.name != self.local_member && peer.status <= Status::Suspect);
         let others: Vec<_> = others
             .map(|peer| (peer.name.clone(), peer.address))
             .collect();
         for (name, address) in others {
-            self.send(&name, address, Kind::Leave, false, out);
+            self.send(&name, address, MessageKind::Leave, false, out);
         }
-        let me = self.me.clone();
+        let me = self.local_member.clone();
         self.becomes(&me, Status::Left, Cause::Leaving, out);
         self.left = true;
     }
@@ -1374,16 +1397,16 @@
         &mut self,
         via: &MemberName,
         name: MemberName,
-        record: Record,
+        record: MemberRecord,
         out: &mut Vec<Action>,
     ) {
-        let Record {
+        let MemberRecord {
             site,
             address,
             incarnation,
             refutation,
         } = record;
-        if !self.rumours.contains_key(&name) && self.rumours.len() >= self.settings.most_members {
+        if !self.rumours.contains_key(&name) && self.rumours.len() >= self.settings.max_members {
             return;
         }
         let fresh = Rumour {
@@ -1414,17 +1437,17 @@
 
     /// Pings a member soon to tell it what is held of it, so that it can refute.
     fn tell(&mut self, name: &MemberName, out: &mut Vec<Action>) {
-        let Some(peer) = self.peers.get(name) else {
+        let Some(peer) = self.members.get(name) else {
             return;
         };
-        let Peer {
+        let Member {
             site,
             address,
             incarnation,
             refutation,
             ..
         } = peer.clone();
-        if self.rumours.contains_key(name) || self.rumours.len() >= self.settings.most_members {
+        if self.rumours.contains_key(name) || self.rumours.len() >= self.settings.max_members {
             return;
         }
         let rumour = Rumour {
@@ -1462,7 +1485,7 @@
         for name in names {
             // One that is suspected is told for as long as it is.
             let suspected = self
-                .peers
+                .members
                 .get(&name)
                 .is_some_and(|peer| peer.status == Status::Suspect);
             if suspected
@@ -1478,7 +1501,7 @@
                 continue;
             };
             let newer = self
-                .peers
+                .members
                 .get(&name)
                 .is_none_or(|peer| peer.incarnation < rumour.incarnation);
             if let (true, [_, second]) = (newer, rumour.vouchers.as_slice()) {
@@ -1489,13 +1512,13 @@
                     refutation,
                     ..
                 } = rumour.clone();
-                let record = Record {
+                let record = MemberRecord {
                     site,
                     address,
                     incarnation,
-                    refutation: refutation.min(MOST_RISE),
+                    refutation: refutation.min(MAX_REFUTATION_INCREASE),
                 };
-                self.lives(&name, record, Cause::Told(second.clone()), out);
+                self.lives(&name, record, Cause::ReportedBy(second.clone()), out);
             }
         }
     }
@@ -1516,25 +1539,34 @@
     fn sync(&mut self, to: &MemberName, address: SocketAddr, answer: bool, out: &mut Vec<Action>) {
         let mut table = Vec::new();
         for peer in self
-            .peers
+            .members
             .values()
-            .filter(|peer| peer.name != self.me && peer.name != *to)
+            .filter(|peer| peer.name != self.local_member && peer.name != *to)
         {
             if peer.status <= Status::Suspect {
                 table.push(alive(peer));
             }
             if peer.status > Status::Alive {
-                table.push(held(peer, &self.me));
+                table.push(held(peer, &self.local_member));
             }
         }
-        table.truncate(self.settings.most_members);
-        self.send(to, address, Kind::Sync { table, answer }, true, out);
+        table.truncate(self.settings.max_members);
+        self.send(
+            to,
+            address,
+            MessageKind::PushPull {
+                table,
+                reply_wanted: answer,
+            },
+            true,
+            out,
+        );
     }
 
     fn ping(&mut self, to: &MemberName, address: SocketAddr, out: &mut Vec<Action>) -> u32 {
         self.numbers = self.numbers.wrapping_add(1);
         let number = self.numbers;
-        self.send(to, address, Kind::Ping { probe: number }, false, out);
+        self.send(to, address, MessageKind::Ping { probe: number }, false, out);
         number
     }
 
@@ -1543,21 +1575,21 @@
         &mut self,
         to: &MemberName,
         address: SocketAddr,
-        kind: Kind,
+        kind: MessageKind,
         reliable: bool,
         out: &mut Vec<Action>,
     ) {
-        let own = &self.peers[&self.me];
-        let sender = Record {
+        let own = &self.members[&self.local_member];
+        let sender = MemberRecord {
             site: own.site.clone(),
             address: own.address,
             incarnation: own.incarnation,
             refutation: own.refutation,
         };
-        let mut room = self.settings.most_bytes;
+        let mut room = self.settings.max_datagram_bytes;
         let fixed = 1 + sender.site.as_str().len() + address_bytes(&sender.address) + 10 + 5 + 3;
         let more = match &kind {
-            Kind::PingRequest {
+            MessageKind::IndirectPing {
                 target, address, ..
             } => 7 + target.as_str().len() + address_bytes(address),
             _ => 6,
@@ -1565,18 +1597,18 @@
         room = room.saturating_sub(fixed + more);
         let mut news = Vec::new();
         if let Some(peer) = self
-            .peers
+            .members
             .get(to)
             .filter(|peer| peer.status > Status::Alive)
         {
-            let said = held(peer, &self.me);
+            let said = held(peer, &self.local_member);
             room = room.saturating_sub(said.bytes());
             news.push(said);
         }
         if !reliable {
             let limit = self.settings.retransmits(self.living());
             let mut sent = Vec::new();
-            for (key, said) in self.queue.iter().take(MOST_NEWS - 1) {
+            for (key, said) in self.queue.iter().take(MAX_UPDATES_PER_DATAGRAM - 1) {
                 if said.member == *to {
                     // What is held of the receiver is there already, and that it lives it knows.
                     continue;
@@ -1603,13 +1635,17 @@
         out.push(Action::Send {
             to: to.clone(),
             address,
-            message: Message { sender, kind, news },
+            message: Message {
+                sender,
+                kind,
+                updates: news,
+            },
             reliable,
         });
     }
 
     /// News replace older ones of the same member.
-    fn queue_news(&mut self, news: News) {
+    fn queue_news(&mut self, news: MemberUpdate) {
         if let Some(key) = self.queued.remove(&news.member) {
             self.queue.remove(&key);
         }
@@ -1621,11 +1657,11 @@
 
     /// Room for one more member: if need be the one that is dead or left for longest goes.
     fn make_room(&mut self) -> bool {
-        if self.peers.len() < self.settings.most_members {
+        if self.members.len() < self.settings.max_members {
             return true;
         }
         let gone = self
-            .peers
+            .members
             .values()
             .filter(|peer| peer.status > Status::Suspect);
         let Some(oldest) = gone
@@ -1639,12 +1675,12 @@
     }
 
     fn forget(&mut self) {
-        let keep = Settings::micros(self.settings.forget_ms);
+        let keep = Config::micros(self.settings.reap_after_ms);
         let now = self.now;
         let old =
-            |peer: &&Peer| peer.status > Status::Suspect && now.saturating_sub(peer.since) > keep;
+            |peer: &&Member| peer.status > Status::Suspect && now.saturating_sub(peer.since) > keep;
         let old: Vec<_> = self
-            .peers
+            .members
             .values()
             .filter(old)
             .map(|peer| peer.name.clone())
@@ -1653,7 +1689,7 @@
     }
 
     fn drop_peer(&mut self, name: &MemberName) {
-        self.peers.remove(name);
+        self.members.remove(name);
         self.suspicions.remove(name);
         self.rumours.remove(name);
         if let Some(key) = self.queued.remove(name) {
@@ -1662,23 +1698,27 @@
     }
 
     fn living(&self) -> usize {
-        self.peers
+        self.members
             .values()
             .filter(|peer| peer.status <= Status::Suspect)
             .count()
     }
 
     fn health_changes(&mut self, by: i64) {
-        let most = i64::from(self.settings.most_health);
+        let most = i64::from(self.settings.max_health_multiplier);
         self.health = (i64::from(self.health) + by).clamp(0, most) as u32;
     }
 
     /// Up to `count` others, drawn.
-    fn some(&mut self, count: usize, of: impl Fn(&Peer) -> bool) -> Vec<(MemberName, SocketAddr)> {
+    fn some(
+        &mut self,
+        count: usize,
+        of: impl Fn(&Member) -> bool,
+    ) -> Vec<(MemberName, SocketAddr)> {
         let others = self
-            .peers
+            .members
             .values()
-            .filter(|peer| peer.name != self.me && of(peer));
+            .filter(|peer| peer.name != self.local_member && of(peer));
         let mut others: Vec<_> = others
             .map(|peer| (peer.name.clone(), peer.address))
             .collect();
@@ -1699,32 +1739,32 @@
     }
 }
 
-fn alive(peer: &Peer) -> News {
-    let claim = Claim::Alive {
+fn alive(peer: &Member) -> MemberUpdate {
+    let claim = UpdateKind::Alive {
         site: peer.site.clone(),
         address: peer.address,
     };
     let (member, incarnation) = (peer.name.clone(), peer.incarnation);
-    News {
+    MemberUpdate {
         member,
         incarnation,
         refutation: peer.refutation,
-        claim,
+        kind: claim,
     }
 }
 
 /// What is held against a member that is not alive.
-fn held(peer: &Peer, me: &MemberName) -> News {
+fn held(peer: &Member, me: &MemberName) -> MemberUpdate {
     let claim = match peer.status {
-        Status::Dead => Claim::Dead,
-        Status::Left => Claim::Left,
-        Status::Alive | Status::Suspect => Claim::Suspect { by: me.clone() },
+        Status::Dead => UpdateKind::Dead,
+        Status::Left => UpdateKind::Left,
+        Status::Alive | Status::Suspect => UpdateKind::Suspect { by: me.clone() },
     };
     let (member, incarnation) = (peer.name.clone(), peer.incarnation);
-    News {
+    MemberUpdate {
         member,
         incarnation,
         refutation: peer.refutation,
-        claim,
+        kind: claim,
     }
 }
--- a/src/fleet/node.rs
+++ b/src/fleet/node.rs
@@ -6,7 +6,7 @@
 //! to it, with the clock read just before the act.
 
 use crate::fleet::lease::{self, Holder, LeaseChange, Watch};
-use crate::fleet::membership::{self, View};
+use crate::fleet::membership::{self, Membership};
 use crate::fleet::message::Message;
 use crate::fleet::raft::{self, Group};
 use crate::fleet::renewal::{self, Confirmation, Gathering, Renewal};
@@ -26,7 +26,7 @@
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
     /// Of the view.
-    pub view: membership::Settings,
+    pub view: membership::Config,
     /// Of the group.
     pub group: raft::Settings,
     /// Of the leases.
@@ -69,7 +69,7 @@
 #[derive(Clone, Debug)]
 pub struct Start {
     /// This member, in this life.
-    pub me: membership::Me,
+    pub me: membership::LocalMember,
     /// The number that its store drew when it was formatted.
     pub store: u64,
     /// The voters of the first configuration, from the operator's file.
@@ -133,7 +133,7 @@
     /// Write to the store before anything that follows.
     Persist(raft::Write),
     /// The view of a member changed.
-    View(membership::Change),
+    View(membership::StatusChange),
     /// This member's own standing to a lease changed: carry it to [`lease::Rights`] and into the history.
     Lease(LeaseChange),
     /// Who leads the group, as far as this member knows.
@@ -248,11 +248,11 @@
 /// One member: see the module.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Node {
-    me: membership::Me,
+    me: membership::LocalMember,
     who: MemberInstance,
     bounds: Bounds,
     limits: Limits,
-    view: View,
+    view: Membership,
     group: Group,
     state: FleetState,
     holder: Holder,
@@ -305,7 +305,7 @@
         };
         let most_wants = settings.node.most_wants;
         Node {
-            view: View::new(me.clone(), settings.view, draw(1)),
+            view: Membership::new(me.clone(), settings.view, draw(1)),
             group: Group::new(voter, &voters, settings.group, draw(2), restored, now)
                 .with_relays(relays.clone()),
             state: FleetState::new(),
@@ -357,7 +357,11 @@
                 from,
                 message: Message::Renewal(message),
             } => {
-                self.look(now, membership::Event::Reached(from.clone()), out);
+                self.look(
+                    now,
+                    membership::Event::ContactedElsewhere(from.clone()),
+                    out,
+                );
                 self.hear_renewal(now, from, message, &mut asks, out);
             }
             Event::Message {
@@ -368,7 +372,11 @@
                 from,
                 message: Message::Group(message),
             } => {
-                self.look(now, membership::Event::Reached(from.clone()), out);
+                self.look(
+                    now,
+                    membership::Event::ContactedElsewhere(from.clone()),
+                    out,
+                );
                 asks.push_back(raft::Event::Message { from, message });
             }
             Event::Want(name) => self.hold(now, lease::Event::Want(name), &mut asks, out),
@@ -422,7 +430,7 @@
     }
 
     /// What this member believes of the others.
-    pub fn view(&self) -> &View {
+    pub fn view(&self) -> &Membership {
         &self.view
     }
 
@@ -455,7 +463,7 @@
             (false, Some(_)) => "acting",
             (false, None) => "waiting",
         };
-        let member = |peer: &membership::Peer| StatusMember {
+        let member = |peer: &membership::Member| StatusMember {
             name: peer.name.clone(),
             site: peer.site.clone(),
             incarnation: peer.incarnation,
@@ -480,7 +488,7 @@
             term: self.group.term(),
             commit: self.group.commit(),
             applied: self.state.applied(),
-            members: self.view.peers().map(member).collect(),
+            members: self.view.members().map(member).collect(),
             leases: table.grants().map(lease).collect(),
             epoch: self.state.policy().epoch(),
         }
@@ -503,7 +511,7 @@
                 message: Message::View(message),
                 reliable,
             },
-            membership::Action::Changed(change) => Action::View(change),
+            membership::Action::StatusChanged(change) => Action::View(change),
         }));
     }
 
@@ -559,7 +567,7 @@
                 match action {
                     raft::Action::Persist(write) => out.push(Action::Persist(write)),
                     raft::Action::Send { to, message } => {
-                        let address = self.view.peer(&to).map(|peer| peer.address);
+                        let address = self.view.member(&to).map(|peer| peer.address);
                         out.push(Action::Send {
                             to,
                             address,
@@ -831,7 +839,7 @@
         }
         let lives = |name: &&MemberName| {
             self.view
-                .peer(name)
+                .member(name)
                 .is_some_and(|peer| peer.status == membership::Status::Alive)
         };
         let ways: Vec<&MemberName> = self
@@ -845,7 +853,7 @@
     }
 
     fn send_renewal(&self, to: MemberName, message: renewal::Message, out: &mut Vec<Action>) {
-        let address = self.view.peer(&to).map(|peer| peer.address);
+        let address = self.view.member(&to).map(|peer| peer.address);
         out.push(Action::Send {
             to,
             address,
--- a/src/fleet/node/tests.rs
+++ b/src/fleet/node/tests.rs
@@ -17,7 +17,7 @@
     fn new(voter: &str) -> Alone {
         let site = SiteName::try_from("here").expect("a name");
         let address = SocketAddr::from((Ipv4Addr::LOCALHOST, 7001));
-        let me = membership::Me {
+        let me = membership::LocalMember {
             name: member("c1"),
             site,
             address,
--- a/src/fleet/transport/drive.rs
+++ b/src/fleet/transport/drive.rs
@@ -58,7 +58,7 @@
     /// A life begins: nothing that was told of the state before counts any more.
     Life(&'a MemberInstance),
     /// A belief about a member changed.
-    View(&'a membership::Change),
+    View(&'a membership::StatusChange),
     /// The conductor gained or lost its right to act as itself.
     MayAct(bool),
     /// The log did something.
@@ -279,7 +279,7 @@
         self.fleet.tell(&Told::Life(&who));
         let key = [who.incarnation.0.to_le_bytes(), store_id.to_le_bytes()].concat();
         let seed = xxh3_64_with_seed(&key, self.seed);
-        let me = membership::Me {
+        let me = membership::LocalMember {
             name: who.name.clone(),
             site: self.config.site.clone(),
             address: self.config.peer,
@@ -331,7 +331,7 @@
     }
 
     async fn drive(&mut self, mut life: Life, wants: &mut Vec<LeaseName>) -> Over {
-        let mut buffer = vec![0; most_frame(self.config.settings.view.most_bytes) + 1];
+        let mut buffer = vec![0; most_frame(self.config.settings.view.max_datagram_bytes) + 1];
         let looks = LOOKS.saturating_mul(self.config.most_members as u32);
         let mut looks = Bucket::new(self.now(), looks, looks);
         let mut seconds = tokio::time::interval(Duration::from_secs(1));
@@ -496,7 +496,7 @@
             return;
         };
         let payload = message.encode();
-        if reliable || payload.len() > self.config.settings.view.most_bytes {
+        if reliable || payload.len() > self.config.settings.view.max_datagram_bytes {
             return life.links.send(to, address, payload);
         }
         let sent = life.sealer.seal(to, MESSAGE, &payload).ok();
@@ -696,7 +696,7 @@
     /// Lets go of what belongs to members that the view has forgotten.
     fn tidy(&self, life: &mut Life) {
         let known = |name: &MemberName| {
-            life.node.view().peer(name).is_some() || self.config.peers.contains_key(name)
+            life.node.view().member(name).is_some() || self.config.peers.contains_key(name)
         };
         let gone: Vec<MemberName> = life
             .links
--- a/src/fleet/transport/history.rs
+++ b/src/fleet/transport/history.rs
@@ -103,7 +103,7 @@
     }
 
     /// A belief about a member changed.
-    pub fn view(&self, change: &membership::Change) {
+    pub fn view(&self, change: &membership::StatusChange) {
         let (peer, life, to) = (
             change.member.as_str(),
             change.incarnation.0,
@@ -114,7 +114,7 @@
             change.cause.as_str(),
         );
         let by = match &change.cause {
-            membership::Cause::Told(by) | membership::Cause::Refuted(by) => Some(by.as_str()),
+            membership::Cause::ReportedBy(by) | membership::Cause::Refuted(by) => Some(by.as_str()),
             _ => None,
         };
         let site = change.site.as_str();
--- a/src/fleet/transport/mod.rs
+++ b/src/fleet/transport/mod.rs
@@ -227,7 +227,7 @@
 /// The bounds of frames, by the fleet's configuration.
 fn bounds(config: &FleetConfig) -> Bounds {
     Bounds {
-        most_datagram: config.settings.view.most_bytes,
+        most_datagram: config.settings.view.max_datagram_bytes,
         most_stream_frame: config.most_frame_bytes(),
         most_senders: 2 * config.most_members,
         per_second: config.most_frames_per_s,
--- a/src/fleet/transport/sites.rs
+++ b/src/fleet/transport/sites.rs
@@ -204,7 +204,7 @@
     }
 
     /// A belief about a member changed.
-    fn seen(self: &Rc<Self>, change: &membership::Change) {
+    fn seen(self: &Rc<Self>, change: &membership::StatusChange) {
         let Some(site) = self
             .names
             .iter()
--- a/tests/golden/messages.rs
+++ b/tests/golden/messages.rs
@@ -15,79 +15,88 @@
 
 fn view_examples() -> Vec<Example<Message>> {
     vec![
-        ("view-ping", view(membership::Kind::Ping { probe: 401 })),
+        (
+            "view-ping",
+            view(membership::MessageKind::Ping { probe: 401 }),
+        ),
         ("view-ping-request", view(ping_request())),
-        ("view-ack", view(membership::Kind::Ack { probe: 403 })),
-        ("view-nack", view(membership::Kind::Nack { probe: 404 })),
+        (
+            "view-ack",
+            view(membership::MessageKind::Ack { probe: 403 }),
+        ),
+        (
+            "view-nack",
+            view(membership::MessageKind::Nack { probe: 404 }),
+        ),
         ("view-sync", view(sync())),
-        ("view-leave", view(membership::Kind::Leave)),
+        ("view-leave", view(membership::MessageKind::Leave)),
     ]
 }
 
-fn view(kind: membership::Kind) -> Message {
+fn view(kind: membership::MessageKind) -> Message {
     Message::View(membership::Message {
-        sender: membership::Record {
+        sender: membership::MemberRecord {
             site: site("north"),
             address: "127.0.0.1:7101".parse().unwrap(),
             incarnation: Incarnation(1_700_000_000_000_001),
             refutation: 3,
         },
         kind,
-        news: vec![suspect()],
+        updates: vec![suspect()],
     })
 }
 
-fn ping_request() -> membership::Kind {
-    membership::Kind::PingRequest {
+fn ping_request() -> membership::MessageKind {
+    membership::MessageKind::IndirectPing {
         probe: 402,
         target: member("c4"),
         address: "[::1]:7104".parse().unwrap(),
     }
 }
 
-fn sync() -> membership::Kind {
-    membership::Kind::Sync {
+fn sync() -> membership::MessageKind {
+    membership::MessageKind::PushPull {
         table: vec![alive(), suspect(), dead(), left()],
-        answer: true,
+        reply_wanted: true,
     }
 }
 
-fn alive() -> membership::News {
-    membership::News {
+fn alive() -> membership::MemberUpdate {
+    membership::MemberUpdate {
         member: member("c5"),
         incarnation: Incarnation(21),
         refutation: 31,
-        claim: membership::Claim::Alive {
+        kind: membership::UpdateKind::Alive {
             site: site("south"),
             address: "[2001:db8::5]:7105".parse().unwrap(),
         },
     }
 }
 
-fn suspect() -> membership::News {
-    membership::News {
+fn suspect() -> membership::MemberUpdate {
+    membership::MemberUpdate {
         member: member("c2"),
         incarnation: Incarnation(22),
         refutation: 32,
-        claim: membership::Claim::Suspect { by: member("c3") },
+        kind: membership::UpdateKind::Suspect { by: member("c3") },
     }
 }
 
-fn dead() -> membership::News {
-    membership::News {
+fn dead() -> membership::MemberUpdate {
+    membership::MemberUpdate {
         member: member("c6"),
         incarnation: Incarnation(23),
         refutation: 33,
-        claim: membership::Claim::Dead,
+        kind: membership::UpdateKind::Dead,
     }
 }
 
-fn left() -> membership::News {
-    membership::News {
+fn left() -> membership::MemberUpdate {
+    membership::MemberUpdate {
         member: member("c7"),
         incarnation: Incarnation(24),
         refutation: 34,
-        claim: membership::Claim::Left,
+        kind: membership::UpdateKind::Left,
     }
 }
 
