--- a/lab/src/sim/views.rs
+++ b/lab/src/sim/views.rs
@@ -328,7 +328,7 @@
 /// Within so many periods after the last fault all views agree: the longest suspicion, twice (one that began as the
 /// faults stopped, and one for whoever is missed in the first round), two rounds of probes, and 20 pings to the dead.
 pub fn settling_periods(settings: &Config, members: usize) -> u64 {
-    let (_, longest) = settings.suspicion(members);
+    let longest = settings.suspicion_timeouts(members).longest;
     let period = settings.period_ms * 1000;
     (2 * longest + 20 * settings.reconnect_ms * 1000).div_ceil(period) + 2 * members as u64
 }
--- a/lab/tests/sim_view.rs
+++ b/lab/tests/sim_view.rs
@@ -256,7 +256,7 @@
 fn changes_reach_all_in_logarithmic_time(#[case] members: usize) {
     let mut fleet = Fleet::settled(Plan::new(members, 5), 200).expect("settles");
     let rounds = 2 * u64::from(members.ilog2());
-    let (shortest, _) = Config::default().suspicion(members);
+    let shortest = Config::default().suspicion_timeouts(members).shortest;
     let suspicion = shortest.div_ceil(fleet.period());
     fleet.leave(members - 1);
     fleet.until_agreed(rounds).expect("the leave is known");
--- a/src/fleet/config.rs
+++ b/src/fleet/config.rs
@@ -251,7 +251,7 @@
             ));
         }
         if let Err(error) = self.settings.view.validate() {
-            return Err(("fleet.view", error.0.to_owned()));
+            return Err(("fleet.view", error.to_string()));
         }
         let group = &self.settings.group;
         if group.heartbeat_us == 0 || group.heartbeat_us.saturating_mul(5) > group.election_us {
