--- a/lab/src/experiments/view.rs
+++ b/lab/src/experiments/view.rs
@@ -57,7 +57,7 @@
                 let gossip = self == Whose::Foca;
                 Box::new(FocaFleet::new(
                     members,
-                    &plan.settings,
+                    &plan.config,
                     plan.link,
                     seed,
                     gossip,
--- a/lab/src/sim/bed.rs
+++ b/lab/src/sim/bed.rs
@@ -104,7 +104,7 @@
         let peer = self
             .world
             .machine(by)
-            .and_then(|member| member.view.member(&self.names[of]));
+            .and_then(|member| member.membership.member(&self.names[of]));
         peer.is_some_and(|peer| peer.status <= Status::Suspect)
     }
 
--- a/lab/src/sim/views.rs
+++ b/lab/src/sim/views.rs
@@ -1,4 +1,4 @@
-//! A fleet of views over the simulated network, and the check of promise 1.
+//! Members of the membership protocol over the simulated network, and the check that they converge.
 
 use super::faults::{self, Fault};
 use super::network::{Link, Network, Sent};
@@ -15,24 +15,24 @@
 /// What a frame and the layers below add to a message: 28 bytes of UDP and IP, and the transport's header with its MAC.
 pub const FRAME: usize = 28 + 72;
 
-/// A way in which a member is broken, so that the check can be seen to catch it.
+/// A fault in the implementation of a member, to show that the check detects it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Broken {
-    /// It is not.
-    No,
-    /// It never hears what others hold of it, so it never refutes.
-    Deaf,
-    /// It claims in each message that all others are dead.
-    Slanders,
-    /// It claims later lives, absurd refutations, unknown members, and leaves of others.
-    Raves,
+pub enum Misbehaviour {
+    /// It works as it should.
+    None,
+    /// It drops updates about itself, so it never refutes.
+    IgnoresUpdatesAboutItself,
+    /// Each of its messages reports all other members dead.
+    ReportsAllDead,
+    /// It reports later incarnations, impossible refutations, unknown members, and leaves of others.
+    SendsInvalidUpdates,
 }
 
 /// One member.
 pub struct Member {
-    /// Its view.
-    pub view: Membership,
-    broken: Broken,
+    /// Its membership protocol.
+    pub membership: Membership,
+    misbehaviour: Misbehaviour,
     names: Arc<Vec<MemberName>>,
 }
 
@@ -57,7 +57,7 @@
 
     fn event(&mut self, now: Micros, event: Event, out: &mut Outbox<Message, StatusChange>) {
         let mut actions = Vec::new();
-        self.view.handle(now, event, &mut actions);
+        self.membership.handle(now, event, &mut actions);
         for action in actions {
             match action {
                 Action::Send {
@@ -67,7 +67,7 @@
                     ..
                 } => {
                     let Some(to) = self.node(&to) else { continue };
-                    self.lie(&mut message, to);
+                    self.falsify(&mut message, to);
                     let bytes =
                         postcard::to_allocvec(&message).map_or(0, |bytes| bytes.len()) + FRAME;
                     out.sent.push(Sent {
@@ -82,34 +82,41 @@
         }
     }
 
-    fn lie(&self, message: &mut Message, to: usize) {
-        if !matches!(self.broken, Broken::Slanders | Broken::Raves) {
+    fn falsify(&self, message: &mut Message, to: usize) {
+        if !matches!(
+            self.misbehaviour,
+            Misbehaviour::ReportsAllDead | Misbehaviour::SendsInvalidUpdates
+        ) {
             return;
         }
-        let me = &self.view.local_member().name;
-        for peer in self.view.members().filter(|peer| peer.name != *me) {
+        let local = &self.membership.local_member().name;
+        for member in self
+            .membership
+            .members()
+            .filter(|member| member.name != *local)
+        {
             let (member, incarnation, refutation) =
-                (peer.name.clone(), peer.incarnation, peer.refutation);
+                (member.name.clone(), member.incarnation, member.refutation);
             let claim = membership::UpdateKind::Dead;
-            let mut news = membership::MemberUpdate {
+            let mut update = membership::MemberUpdate {
                 member,
                 incarnation,
                 refutation,
                 kind: claim,
             };
-            if self.broken == Broken::Raves {
+            if self.misbehaviour == Misbehaviour::SendsInvalidUpdates {
                 let alive = membership::UpdateKind::Alive {
                     site: site(to),
                     address: address(to),
                 };
                 match refutation.wrapping_add(to as u32) % 4 {
-                    0 => (news.refutation, news.kind) = (u32::MAX, alive),
-                    1 => (news.incarnation, news.kind) = (Incarnation(u64::MAX), alive),
-                    2 => news.kind = membership::UpdateKind::Left,
-                    _ => (news.member, news.kind) = (name(90_000 + to), alive),
+                    0 => (update.refutation, update.kind) = (u32::MAX, alive),
+                    1 => (update.incarnation, update.kind) = (Incarnation(u64::MAX), alive),
+                    2 => update.kind = membership::UpdateKind::Left,
+                    _ => (update.member, update.kind) = (name(90_000 + to), alive),
                 }
             }
-            message.updates.push(news);
+            message.updates.push(update);
         }
     }
 }
@@ -129,11 +136,11 @@
         mut message: Message,
         out: &mut Outbox<Message, StatusChange>,
     ) {
-        if self.broken == Broken::Deaf {
-            let me = &self.view.local_member().name;
-            message.updates.retain(|news| news.member != *me);
+        if self.misbehaviour == Misbehaviour::IgnoresUpdatesAboutItself {
+            let local = &self.membership.local_member().name;
+            message.updates.retain(|update| update.member != *local);
             if let MessageKind::PushPull { table, .. } = &mut message.kind {
-                table.retain(|news| news.member != *me);
+                table.retain(|update| update.member != *local);
             }
         }
         let from = self.names[from].clone();
@@ -141,7 +148,7 @@
     }
 
     fn timeout(&self) -> Option<Micros> {
-        self.view.timeout()
+        self.membership.timeout()
     }
 }
 
@@ -150,94 +157,97 @@
 pub struct Plan {
     /// How many members.
     pub members: usize,
-    /// How their views work.
-    pub settings: Config,
+    /// Their configuration.
+    pub config: Config,
     /// The links to begin with.
     pub link: Link,
-    /// Which members are broken, and how.
-    pub broken: Vec<(usize, Broken)>,
+    /// Faulty members and their faults.
+    pub misbehaving: Vec<(usize, Misbehaviour)>,
     /// Decides all that is drawn.
     pub seed: u64,
 }
 
 impl Plan {
-    /// A fleet that is not broken, with the usual settings and links.
+    /// A fleet without faulty members, with default configuration and links.
     pub fn new(members: usize, seed: u64) -> Plan {
-        let settings = Config {
+        let config = Config {
             max_members: members.max(16) * 2,
             ..Config::default()
         };
         Plan {
             members,
-            settings,
+            config,
             link: Link::default(),
-            broken: Vec::new(),
+            misbehaving: Vec::new(),
             seed,
         }
     }
 }
 
-/// A fleet of views.
+/// A fleet of members.
 pub struct Fleet {
     /// Machines, network and time.
     pub world: World<Member>,
     plan: Plan,
     pub(super) names: Arc<Vec<MemberName>>,
-    lives: Vec<u64>,
+    incarnations: Vec<u64>,
 }
 
 impl Fleet {
-    /// A fleet none of which runs yet.
+    /// A fleet in which no member runs yet.
     pub fn new(plan: Plan) -> Fleet {
         let names = Arc::new((0..plan.members).map(name).collect());
         let network = Network::new(plan.members, plan.link.clone(), plan.seed);
         let world = World::new(network, plan.members);
-        let lives = vec![0; plan.members];
+        let incarnations = vec![0; plan.members];
         Fleet {
             world,
             plan,
             names,
-            lives,
+            incarnations,
         }
     }
 
-    /// A fleet whose members all know each other: all run, and time has passed until they agree, at most `periods`.
+    /// A fleet of running members that all know each other.
+    ///
+    /// # Errors
+    /// What is still wrong after `periods`.
     pub fn settled(plan: Plan, periods: u64) -> Result<Fleet, String> {
         let mut fleet = Fleet::new(plan);
         (0..fleet.plan.members).for_each(|node| fleet.start(node));
-        fleet.until_agreed(periods)?;
+        fleet.run_until_converged(periods)?;
         fleet.world.take_notes();
         Ok(fleet)
     }
 
     /// The protocol period.
     pub fn period(&self) -> Micros {
-        self.plan.settings.period_ms * 1000
+        self.plan.config.period_ms * 1000
     }
 
-    /// Starts a member in its next life; it joins through the others, from 17 members on through the first three.
+    /// Starts a member in its next incarnation. It joins through the others; above 16 members, through the first three.
     pub fn start(&mut self, node: usize) {
-        self.lives[node] += 1;
-        let me = LocalMember {
+        self.incarnations[node] += 1;
+        let local = LocalMember {
             name: name(node),
             site: site(node),
             address: address(node),
-            incarnation: Incarnation(self.lives[node]),
+            incarnation: Incarnation(self.incarnations[node]),
         };
-        let seed =
-            self.plan.seed.wrapping_mul(31).wrapping_add(node as u64) ^ (self.lives[node] << 40);
-        let view = Membership::new(me, self.plan.settings.clone(), seed);
-        let broken = self
+        let seed = self.plan.seed.wrapping_mul(31).wrapping_add(node as u64)
+            ^ (self.incarnations[node] << 40);
+        let membership = Membership::new(local, self.plan.config.clone(), seed);
+        let misbehaviour = self
             .plan
-            .broken
+            .misbehaving
             .iter()
-            .find(|(broken, _)| *broken == node)
-            .map_or(Broken::No, |b| b.1);
+            .find(|(faulty, _)| *faulty == node)
+            .map_or(Misbehaviour::None, |(_, misbehaviour)| *misbehaviour);
         self.world.start(
             node,
             Member {
-                view,
-                broken,
+                membership,
+                misbehaviour,
                 names: self.names.clone(),
             },
         );
@@ -252,7 +262,7 @@
         });
     }
 
-    /// A member leaves and ends.
+    /// A member leaves and stops.
     pub fn leave(&mut self, node: usize) {
         self.world.with(node, |member, now, out| {
             member.event(now, Event::Leave, out)
@@ -260,7 +270,7 @@
         self.world.crash(node);
     }
 
-    /// Puts a fault in.
+    /// Injects a fault.
     pub fn fault(&mut self, fault: &Fault) {
         match fault {
             Fault::Start(node) => self.start(*node),
@@ -270,37 +280,37 @@
         }
     }
 
-    /// Lets time pass by so many periods.
+    /// Lets `periods` pass.
     pub fn run_periods(&mut self, periods: u64) {
         self.world.run(self.world.now() + periods * self.period());
     }
 
-    /// What is not as it is: every running member is to hold every running one alive in its present life, and nobody
-    /// else alive or suspected.
-    pub fn wrong(&self) -> Option<String> {
+    /// A disagreement, if there is one: every running member has to see every running one alive in its current
+    /// incarnation, and no other as alive or suspected.
+    pub fn disagreement(&self) -> Option<String> {
         for a in 0..self.plan.members {
             let Some(member) = self.world.machine(a) else {
                 continue;
             };
             for b in 0..self.plan.members {
-                let held = member.view.member(&self.names[b]);
-                let said = held.map(|peer| (peer.status, peer.incarnation.0));
-                let right = match self.world.machine(b) {
-                    Some(_) => said == Some((Status::Alive, self.lives[b])),
-                    None => said.is_none_or(|(status, _)| status > Status::Suspect),
+                let seen = member.membership.member(&self.names[b]);
+                let status = seen.map(|member| (member.status, member.incarnation.0));
+                let correct = match self.world.machine(b) {
+                    Some(_) => status == Some((Status::Alive, self.incarnations[b])),
+                    None => status.is_none_or(|(status, _)| status > Status::Suspect),
                 };
-                if !right {
-                    let life = self.lives[b];
+                if !correct {
+                    let incarnation = self.incarnations[b];
                     let runs = self.world.machine(b).is_some();
                     return Some(format!(
-                        "{a} holds {b} {said:?}; it runs: {runs}, life {life}"
+                        "{a} sees {b} as {status:?}; it runs: {runs}, incarnation {incarnation}"
                     ));
                 }
             }
             if let Some(known) = member
-                .view
+                .membership
                 .members()
-                .find(|peer| self.names.binary_search(&peer.name).is_err())
+                .find(|member| self.names.binary_search(&member.name).is_err())
             {
                 return Some(format!("{a} knows {}, which does not exist", known.name));
             }
@@ -308,14 +318,14 @@
         None
     }
 
-    /// Lets time pass until all views are right; says after how long.
+    /// Lets time pass until all members agree, and returns how long that took.
     ///
     /// # Errors
-    /// What is wrong still after so many periods.
-    pub fn until_agreed(&mut self, periods: u64) -> Result<Micros, String> {
+    /// What is still wrong after `periods`.
+    pub fn run_until_converged(&mut self, periods: u64) -> Result<Micros, String> {
         let from = self.world.now();
         let step = self.period() / 4;
-        while let Some(wrong) = self.wrong() {
+        while let Some(wrong) = self.disagreement() {
             if self.world.now() >= from + periods * self.period() {
                 return Err(wrong);
             }
@@ -325,23 +335,23 @@
     }
 }
 
-/// Within so many periods after the last fault all views agree: the longest suspicion, twice (one that began as the
-/// faults stopped, and one for whoever is missed in the first round), two rounds of probes, and 20 pings to the dead.
-pub fn settling_periods(settings: &Config, members: usize) -> u64 {
-    let longest = settings.suspicion_timeouts(members).longest;
-    let period = settings.period_ms * 1000;
-    (2 * longest + 20 * settings.reconnect_ms * 1000).div_ceil(period) + 2 * members as u64
+/// Upper bound of the periods between the last fault and convergence: twice the longest suspicion (one that began as the
+/// faults stopped, and one for a member missed in the first round), two rounds of probes, and 20 reconnect intervals.
+pub fn settling_periods(config: &Config, members: usize) -> u64 {
+    let longest = config.suspicion_timeouts(members).longest;
+    let period = config.period_ms * 1000;
+    (2 * longest + 20 * config.reconnect_ms * 1000).div_ceil(period) + 2 * members as u64
 }
 
-/// Promise 1 for one seed: a drawn fault script, then quiet; all views are to agree within [`settling_periods`] and to
-/// stay so. Says how long it took.
+/// Runs a random fault script and then no faults: all members have to agree within [`settling_periods`] and to go on
+/// agreeing. Returns how long convergence took.
 ///
 /// # Errors
-/// What was wrong.
-pub fn promise(plan: Plan, faults: usize) -> Result<Micros, String> {
+/// What is still wrong.
+pub fn converges_after_faults(plan: Plan, faults: usize) -> Result<Micros, String> {
     let seed = plan.seed;
     let members = plan.members;
-    let periods = settling_periods(&plan.settings, members);
+    let periods = settling_periods(&plan.config, members);
     let mut fleet = Fleet::new(plan);
     (0..members).for_each(|node| fleet.start(node));
     let period = fleet.period();
@@ -353,11 +363,11 @@
     let settled = fleet.world.now();
     loop {
         let spent = (fleet.world.now() - settled) / period;
-        fleet.until_agreed(periods.saturating_sub(spent))?;
+        fleet.run_until_converged(periods.saturating_sub(spent))?;
         let took = fleet.world.now() - settled;
-        // It stays so. Hearsay of a life that has ended since may come late; that ends within the same time.
+        // They go on agreeing. A late update about an ended incarnation may disturb that; it has to end within the bound.
         fleet.run_periods(20);
-        if fleet.wrong().is_none() {
+        if fleet.disagreement().is_none() {
             return Ok(took);
         }
     }
--- a/lab/tests/model_view.rs
+++ b/lab/tests/model_view.rs
@@ -1,5 +1,5 @@
-//! The very view that runs, in every order of messages: from any pattern of cuts, with loss, duplication, reordering, a
-//! crash and a restart, the fleet settles.
+//! Model check of the membership protocol: from any pattern of one-way partitions, with loss, duplication, reordering,
+//! a crash and a restart, members converge.
 
 use stateright::{Checker, Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
@@ -12,28 +12,28 @@
 use whinhaven_lab::sim::views::{address, name};
 
 const PERIOD_MS: u64 = 10;
-/// How long the fair schedule may take from any state.
-const SETTLES: Micros = 60 * PERIOD_MS * 1000;
+/// Upper bound of the time to convergence from any state.
+const MAX_CONVERGENCE: Micros = 60 * PERIOD_MS * 1000;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     now: Micros,
-    views: Vec<Option<Membership>>,
-    lives: Vec<u64>,
-    /// What is on its way, encoded, and how often.
+    memberships: Vec<Option<Membership>>,
+    incarnations: Vec<u64>,
+    /// Messages in flight, encoded, with their number of copies.
     network: BTreeMap<(usize, usize, Vec<u8>), u8>,
     crashes: u8,
     restarts: u8,
     duplicates: u8,
-    /// A life or a refutation went back, or a datagram was too large.
-    broke: bool,
+    /// A version went back, or a datagram was too large.
+    violated: bool,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 enum Step {
     Deliver(usize, usize, Vec<u8>),
     Duplicate(usize, usize, Vec<u8>),
-    /// Time passes to the next timer, and that member's ticks.
+    /// Time passes to the next timer, which is that member's.
     Tick(usize),
     Crash(usize),
     Restart(usize),
@@ -41,15 +41,15 @@
 
 struct Fleet {
     members: usize,
-    /// For how many periods cuts last before the search begins.
-    cut_periods: Vec<u64>,
+    /// How many periods partitions last before the search begins.
+    partition_periods: Vec<u64>,
     crashes: u8,
     duplicates: u8,
-    /// A broken build: members never hear what is held of them.
-    deaf: bool,
+    /// A faulty implementation: members drop updates about themselves.
+    never_refutes: bool,
 }
 
-fn settings() -> Config {
+fn config() -> Config {
     Config {
         period_ms: PERIOD_MS,
         probe_timeout_ms: 3,
@@ -69,24 +69,25 @@
 impl Fleet {
     fn event(&self, state: &mut State, at: usize, mut event: Event) {
         let now = state.now;
-        let Some(view) = state.views[at].as_mut() else {
+        let Some(membership) = state.memberships[at].as_mut() else {
             return;
         };
-        if let (true, Event::Message { message, .. }) = (self.deaf, &mut event) {
+        if let (true, Event::Message { message, .. }) = (self.never_refutes, &mut event) {
             message.updates.retain(|news| news.member != name(at));
         }
-        let stands = |view: &Membership| -> BTreeMap<MemberName, (Incarnation, u32)> {
-            view.members()
-                .map(|peer| (peer.name.clone(), (peer.incarnation, peer.refutation)))
+        let versions = |membership: &Membership| -> BTreeMap<MemberName, (Incarnation, u32)> {
+            membership
+                .members()
+                .map(|member| (member.name.clone(), (member.incarnation, member.refutation)))
                 .collect()
         };
-        let before = stands(view);
+        let before = versions(membership);
         let mut actions = Vec::new();
-        view.handle(now, event, &mut actions);
-        let after = stands(view);
-        state.broke |= before
+        membership.handle(now, event, &mut actions);
+        let after = versions(membership);
+        state.violated |= before
             .iter()
-            .any(|(name, stand)| after.get(name).is_none_or(|now| now < stand));
+            .any(|(name, version)| after.get(name).is_none_or(|now| now < version));
         for action in actions {
             if let Action::Send {
                 to,
@@ -96,13 +97,13 @@
             } = action
             {
                 let message = postcard::to_allocvec(&message).expect("encodes");
-                state.broke |= !reliable && message.len() > settings().max_datagram_bytes;
+                state.violated |= !reliable && message.len() > config().max_datagram_bytes;
                 *state.network.entry((at, node(&to), message)).or_default() += 1;
             }
         }
     }
 
-    fn arrives(&self, state: &mut State, from: usize, to: usize, message: &[u8]) {
+    fn deliver(&self, state: &mut State, from: usize, to: usize, message: &[u8]) {
         let message: Message = postcard::from_bytes(message).expect("decodes");
         self.event(
             state,
@@ -115,19 +116,19 @@
     }
 
     fn start(&self, state: &mut State, at: usize) {
-        state.lives[at] += 1;
+        state.incarnations[at] += 1;
         let site = SiteName::try_from("here").expect("a plain name");
-        let incarnation = Incarnation(state.lives[at]);
-        let me = LocalMember {
+        let incarnation = Incarnation(state.incarnations[at]);
+        let local = LocalMember {
             name: name(at),
             site,
             address: address(at),
             incarnation,
         };
-        state.views[at] = Some(Membership::new(
-            me,
-            settings(),
-            at as u64 + 7 * state.lives[at],
+        state.memberships[at] = Some(Membership::new(
+            local,
+            config(),
+            at as u64 + 7 * state.incarnations[at],
         ));
         let seeds = (0..self.members)
             .map(|node| (name(node), address(node)))
@@ -135,18 +136,23 @@
         self.event(state, at, Event::Join { seeds });
     }
 
-    /// MemberInstance ticks next, and when.
+    /// The member whose timer is next, and when.
     fn due(&self, state: &State) -> Option<(Micros, usize)> {
-        let timeout = |at: usize| Some((state.views[at].as_ref()?.timeout()?.max(state.now), at));
+        let timeout = |at: usize| {
+            Some((
+                state.memberships[at].as_ref()?.timeout()?.max(state.now),
+                at,
+            ))
+        };
         (0..self.members).filter_map(timeout).min()
     }
 
-    /// One step of the fair schedule: what is on its way arrives, but over cut links, before time passes.
-    fn fair(&self, state: &mut State, cuts: &BTreeSet<(usize, usize)>) {
+    /// One step of the fair schedule: messages in flight arrive, except over cut links, before time passes.
+    fn step_fairly(&self, state: &mut State, cuts: &BTreeSet<(usize, usize)>) {
         if let Some(((from, to, message), count)) = state.network.pop_first() {
             for _ in 0..count {
                 if !cuts.contains(&(from, to)) {
-                    self.arrives(state, from, to, &message);
+                    self.deliver(state, from, to, &message);
                 }
             }
         } else if let Some((at, node)) = self.due(state) {
@@ -155,34 +161,34 @@
         }
     }
 
-    fn agreed(&self, state: &State) -> bool {
-        let holds = |view: &Membership, at: usize| {
-            let held = view
+    fn has_converged(&self, state: &State) -> bool {
+        let holds = |membership: &Membership, at: usize| {
+            let seen = membership
                 .member(&name(at))
-                .map(|peer| (peer.status, peer.incarnation.0));
-            match state.views[at] {
-                Some(_) => held == Some((Status::Alive, state.lives[at])),
-                None => held.is_none_or(|(status, _)| status > Status::Suspect),
+                .map(|member| (member.status, member.incarnation.0));
+            match state.memberships[at] {
+                Some(_) => seen == Some((Status::Alive, state.incarnations[at])),
+                None => seen.is_none_or(|(status, _)| status > Status::Suspect),
             }
         };
         state
-            .views
+            .memberships
             .iter()
             .flatten()
-            .all(|view| (0..self.members).all(|at| holds(view, at)))
+            .all(|membership| (0..self.members).all(|at| holds(membership, at)))
     }
 
-    fn settles(&self, state: &State, loses_all: bool) -> bool {
+    fn converges(&self, state: &State, loses_all: bool) -> bool {
         let mut state = state.clone();
         if loses_all {
             state.network.clear();
         }
-        let end = state.now + SETTLES;
+        let end = state.now + MAX_CONVERGENCE;
         while state.now < end {
-            if state.network.is_empty() && self.agreed(&state) {
+            if state.network.is_empty() && self.has_converged(&state) {
                 return true;
             }
-            self.fair(&mut state, &BTreeSet::new());
+            self.step_fairly(&mut state, &BTreeSet::new());
         }
         false
     }
@@ -192,22 +198,22 @@
     type State = State;
     type Action = Step;
 
-    /// All patterns of one-way cuts, for some periods each, out of a settled fleet.
+    /// All patterns of one-way partitions of a converged fleet.
     fn init_states(&self) -> Vec<State> {
         let n = self.members;
         let mut state = State {
             now: 0,
-            views: vec![None; n],
-            lives: vec![0; n],
+            memberships: vec![None; n],
+            incarnations: vec![0; n],
             network: BTreeMap::new(),
             crashes: self.crashes,
             restarts: self.crashes,
             duplicates: self.duplicates,
-            broke: false,
+            violated: false,
         };
         (0..n).for_each(|at| self.start(&mut state, at));
-        while !self.agreed(&state) {
-            self.fair(&mut state, &BTreeSet::new());
+        while !self.has_converged(&state) {
+            self.step_fairly(&mut state, &BTreeSet::new());
         }
         let links: Vec<_> = (0..n * n)
             .map(|link| (link / n, link % n))
@@ -220,11 +226,11 @@
                 .enumerate()
                 .filter(|(bit, _)| pattern >> bit & 1 == 1);
             let cuts: BTreeSet<_> = cut.map(|(_, link)| *link).collect();
-            for periods in &self.cut_periods {
+            for periods in &self.partition_periods {
                 let mut cut_off = state.clone();
                 let until = state.now + periods * PERIOD_MS * 1000;
                 while cut_off.now < until {
-                    self.fair(&mut cut_off, &cuts);
+                    self.step_fairly(&mut cut_off, &cuts);
                 }
                 if !states.contains(&cut_off) {
                     states.push(cut_off);
@@ -242,7 +248,7 @@
             }
         }
         actions.extend(self.due(state).map(|(_, node)| Step::Tick(node)));
-        let runs = |at: &usize| state.views[*at].is_some();
+        let runs = |at: &usize| state.memberships[*at].is_some();
         if state.crashes > 0 {
             actions.extend((0..self.members).filter(runs).map(Step::Crash));
         }
@@ -260,11 +266,11 @@
                 if left > 0 {
                     state.network.insert(key.clone(), left);
                 }
-                self.arrives(&mut state, from, to, &key.2);
+                self.deliver(&mut state, from, to, &key.2);
             }
             Step::Duplicate(from, to, message) => {
                 state.duplicates -= 1;
-                self.arrives(&mut state, from, to, &message);
+                self.deliver(&mut state, from, to, &message);
             }
             Step::Tick(at) => {
                 state.now = self.due(&state)?.0;
@@ -272,7 +278,7 @@
             }
             Step::Crash(at) => {
                 state.crashes -= 1;
-                state.views[at] = None;
+                state.memberships[at] = None;
             }
             Step::Restart(at) => {
                 state.restarts -= 1;
@@ -285,14 +291,14 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always(
-                "settles when all on its way arrives",
-                |fleet: &Fleet, state| fleet.settles(state, false),
+                "converges when messages in flight arrive",
+                |fleet: &Fleet, state| fleet.converges(state, false),
             ),
             Property::always(
-                "settles when all on its way is lost",
-                |fleet: &Fleet, state| fleet.settles(state, true),
+                "converges when messages in flight are lost",
+                |fleet: &Fleet, state| fleet.converges(state, true),
             ),
-            Property::always("nothing goes back", |_, state: &State| !state.broke),
+            Property::always("versions never go back", |_, state: &State| !state.violated),
         ]
     }
 }
@@ -317,31 +323,31 @@
 }
 
 #[test]
-fn three_views_settle_from_everywhere() {
+fn three_members_converge() {
     let fleet = Fleet {
         members: 3,
-        cut_periods: vec![6],
+        partition_periods: vec![6],
         crashes: 1,
         duplicates: 1,
-        deaf: false,
+        never_refutes: false,
     };
     check(fleet, 5).assert_properties();
 }
 
-/// The search would see it: members that never hear what is held of them stay dead to the others.
+/// The search detects a faulty implementation: members that never refute stay dead for the others.
 #[test]
-fn a_view_that_never_refutes_is_caught() {
+fn members_that_never_refute_do_not_converge() {
     let fleet = Fleet {
         members: 3,
-        cut_periods: vec![6],
+        partition_periods: vec![6],
         crashes: 0,
         duplicates: 0,
-        deaf: true,
+        never_refutes: true,
     };
     let checker = check(fleet, 2);
     assert!(
         checker
-            .discovery("settles when all on its way is lost")
+            .discovery("converges when messages in flight are lost")
             .is_some()
     );
 }
@@ -349,13 +355,13 @@
 /// By hand, in a release build: `cargo test --release -p whinhaven-lab --test model_view -- --ignored --nocapture`.
 #[test]
 #[ignore = "minutes"]
-fn three_views_settle_from_further_away() {
+fn three_members_converge_after_longer_partitions() {
     let fleet = Fleet {
         members: 3,
-        cut_periods: vec![2, 4, 6, 8],
+        partition_periods: vec![2, 4, 6, 8],
         crashes: 1,
         duplicates: 1,
-        deaf: false,
+        never_refutes: false,
     };
     check(fleet, 6).assert_properties();
 }
@@ -363,13 +369,13 @@
 /// By hand, as above.
 #[test]
 #[ignore = "minutes"]
-fn four_views_settle() {
+fn four_members_converge() {
     let fleet = Fleet {
         members: 4,
-        cut_periods: vec![8],
+        partition_periods: vec![8],
         crashes: 1,
         duplicates: 0,
-        deaf: false,
+        never_refutes: false,
     };
     check(fleet, 3).assert_properties();
 }
--- a/lab/tests/sim_view.rs
+++ b/lab/tests/sim_view.rs
@@ -1,4 +1,4 @@
-//! Promise 1 in simulation: once faults stop all views agree, whatever the faults were.
+//! Convergence of membership in simulation: once faults stop, all members agree, whatever the faults were.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -8,24 +8,24 @@
     MessageKind, Status, UpdateKind,
 };
 use whinhaven::fleet::{Incarnation, SiteName};
-use whinhaven_lab::sim::views::{Broken, Fleet, Plan, address, name, promise};
+use whinhaven_lab::sim::views::{Fleet, Misbehaviour, Plan, address, converges_after_faults, name};
 
-/// Seeds from an environment variable by hand (`VIEW_SEEDS=1000`), a few in the usual run.
-fn seeds(usual: u64) -> u64 {
+/// Number of seeds: from the environment (`VIEW_SEEDS=1000`), else `default`.
+fn seed_count(default: u64) -> u64 {
     std::env::var("VIEW_SEEDS")
         .ok()
         .and_then(|seeds| seeds.parse().ok())
-        .unwrap_or(usual)
+        .unwrap_or(default)
 }
 
 #[rstest]
 #[case::three(3, 12)]
 #[case::five(5, 12)]
 #[case::ten(10, 8)]
-fn all_views_agree_once_faults_stop(#[case] members: usize, #[case] usual: u64) {
+fn members_converge_after_faults_stop(#[case] members: usize, #[case] default_seeds: u64) {
     let mut took = Vec::new();
-    for seed in 0..seeds(usual) {
-        match promise(Plan::new(members, seed), 25) {
+    for seed in 0..seed_count(default_seeds) {
+        match converges_after_faults(Plan::new(members, seed), 25) {
             Ok(after) => took.push(after),
             Err(wrong) => panic!("{members} members, seed {seed}: {wrong}"),
         }
@@ -39,29 +39,32 @@
 }
 
 #[rstest]
-#[case::never_refutes(Broken::Deaf, true)]
-#[case::never_pings_the_dead(Broken::No, false)]
-fn a_broken_build_is_caught(#[case] broken: Broken, #[case] reconnects: bool) {
+#[case::never_refutes(Misbehaviour::IgnoresUpdatesAboutItself, true)]
+#[case::never_pings_the_dead(Misbehaviour::None, false)]
+fn faulty_implementation_fails_convergence(
+    #[case] misbehaviour: Misbehaviour,
+    #[case] reconnects: bool,
+) {
     let caught = (0..12).filter(|seed| {
         let mut plan = Plan::new(5, *seed);
-        plan.broken = (0..5).map(|node| (node, broken)).collect();
+        plan.misbehaving = (0..5).map(|node| (node, misbehaviour)).collect();
         if !reconnects {
-            plan.settings.reconnect_ms = 0;
+            plan.config.reconnect_ms = 0;
         }
-        promise(plan, 25).is_err()
+        converges_after_faults(plan, 25).is_err()
     });
     assert!(caught.count() > 0);
 }
 
-/// One member that lies in all it sends: the others doubt, ask, and hold nobody dead who lives.
+/// One member sends false updates in every message: no other member declares a live one dead.
 #[rstest]
-#[case::slanders(Broken::Slanders)]
-#[case::raves(Broken::Raves)]
-fn a_liar_harms_nobody(#[case] broken: Broken) {
-    for seed in 0..seeds(4) {
+#[case::reports_all_dead(Misbehaviour::ReportsAllDead)]
+#[case::sends_invalid_updates(Misbehaviour::SendsInvalidUpdates)]
+fn false_updates_do_not_remove_live_members(#[case] misbehaviour: Misbehaviour) {
+    for seed in 0..seed_count(4) {
         let mut plan = Plan::new(6, seed);
         plan.link.loss = 0.1;
-        plan.broken = vec![(5, broken)];
+        plan.misbehaving = vec![(5, misbehaviour)];
         let mut fleet = Fleet::new(plan);
         (0..6).for_each(|node| fleet.start(node));
         fleet.run_periods(200);
@@ -81,13 +84,13 @@
             );
         }
         let member = fleet.world.machine(0).expect("it runs");
-        assert_eq!(member.view.members().count(), 6, "seed {seed}");
+        assert_eq!(member.membership.members().count(), 6, "seed {seed}");
     }
 }
 
-/// Each member's own probes cost the same in a fleet of any size.
+/// The number of probes a member sends does not depend on the size of the fleet.
 #[rstest]
-fn probes_cost_the_same_at_any_size() {
+fn probe_rate_is_independent_of_fleet_size() {
     let probes = |members| {
         let mut fleet = Fleet::settled(Plan::new(members, 1), 200).expect("settles");
         let count = |fleet: &Fleet| {
@@ -95,7 +98,7 @@
                 .world
                 .machine(1)
                 .expect("it runs")
-                .view
+                .membership
                 .counters()
                 .probes
         };
@@ -106,24 +109,24 @@
     assert_eq!((probes(5), probes(40)), (40, 40));
 }
 
-/// Whatever comes, at whatever time: no panic, no table above its bound, no datagram above its.
+/// Arbitrary messages at arbitrary times: no panic, and table and datagrams stay within their bounds.
 #[test]
-fn any_message_is_borne() {
-    for seed in 0..seeds(30) {
+fn arbitrary_messages_keep_bounds() {
+    for seed in 0..seed_count(30) {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let settings = Config {
+        let config = Config {
             max_members: 16,
             max_datagram_bytes: 512,
             ..Config::default()
         };
         let site = SiteName::try_from("s".repeat(64)).expect("a name");
-        let me = LocalMember {
+        let local = LocalMember {
             name: name(0),
             site: site.clone(),
             address: address(0),
             incarnation: Incarnation(5),
         };
-        let mut view = Membership::new(me, settings, seed);
+        let mut membership = Membership::new(local, config, seed);
         let mut now: u64 = 0;
         for _ in 0..2000 {
             let mut number = || [0, 5, 1030, u64::MAX, u64::MAX, u64::MAX][rng.random_range(0..6)];
@@ -187,7 +190,7 @@
             };
             now += [0, 1_000, 400_000, 1 << 40][rng.random_range(0..4)];
             let mut actions = Vec::new();
-            view.handle(now, event, &mut actions);
+            membership.handle(now, event, &mut actions);
             for action in actions {
                 if let Action::Send {
                     message,
@@ -199,49 +202,55 @@
                     assert!(bytes <= 512, "seed {seed}: {bytes} bytes");
                 }
             }
-            assert!(view.members().count() <= 16, "seed {seed}");
+            assert!(membership.members().count() <= 16, "seed {seed}");
             assert_eq!(
-                (view.local_member().status, view.local_member().incarnation),
+                (
+                    membership.local_member().status,
+                    membership.local_member().incarnation
+                ),
                 (Status::Alive, Incarnation(5))
             );
         }
     }
 }
 
-/// A member that stood still judges nobody by what it missed, and comes back in the same life.
+/// A member that was stopped declares nobody dead by what it missed, and returns in the same incarnation.
 #[test]
-fn a_stopped_member_comes_back_without_a_restart() {
+fn stopped_member_returns_in_same_incarnation() {
     let mut fleet = Fleet::settled(Plan::new(5, 3), 40).expect("settles");
-    // It is stopped just as it suspects one that lives.
+    // It is stopped while it suspects a live member.
     (0..5).for_each(|other| fleet.world.network.cut(3, other));
-    let held = |fleet: &Fleet, by: usize, of: usize| {
+    let status = |fleet: &Fleet, by: usize, of: usize| {
         let member = fleet.world.machine(by).expect("it runs");
-        member.view.member(&name(of)).map(|peer| peer.status)
+        member
+            .membership
+            .member(&name(of))
+            .map(|member| member.status)
     };
-    while held(&fleet, 4, 3) == Some(Status::Alive) {
+    while status(&fleet, 4, 3) == Some(Status::Alive) {
         fleet.run_periods(1);
     }
     fleet.world.pause(4);
     fleet.world.network.heal_all();
     fleet.run_periods(80);
-    assert!((0..4).all(|by| held(&fleet, by, 4) == Some(Status::Dead)));
+    assert!((0..4).all(|by| status(&fleet, by, 4) == Some(Status::Dead)));
     fleet.world.take_notes();
     fleet.world.resume(4);
     fleet
-        .until_agreed(20)
+        .run_until_converged(20)
         .expect("it is alive again in its life");
     fleet.run_periods(40);
     let notes = fleet.world.take_notes();
-    let ended: Vec<_> = notes
+    let gone: Vec<_> = notes
         .iter()
         .filter(|(_, _, change)| change.to > Status::Suspect)
         .collect();
-    assert!(ended.is_empty(), "{ended:?}");
+    assert!(gone.is_empty(), "{gone:?}");
 }
 
-/// Where one direction of a link is cut, helpers answer for both ends: nobody is even suspected.
+/// With one direction of a link cut, indirect pings succeed: nobody is suspected.
 #[test]
-fn a_one_way_cut_is_bridged() {
+fn indirect_pings_bridge_one_way_partition() {
     let mut fleet = Fleet::settled(Plan::new(5, 4), 40).expect("settles");
     fleet.world.network.cut(0, 1);
     fleet.run_periods(400);
@@ -249,21 +258,25 @@
     assert!(notes.is_empty(), "{:?}", notes.first());
 }
 
-/// A join, a leave and a crash reach all within a few times log2 n periods beyond the suspicion, at any size.
+/// A join, a leave and a crash are known to all within a few times log2 n periods beyond the suspicion timeout.
 #[rstest]
 #[case(8)]
 #[case(64)]
-fn changes_reach_all_in_logarithmic_time(#[case] members: usize) {
+fn updates_spread_in_logarithmic_time(#[case] members: usize) {
     let mut fleet = Fleet::settled(Plan::new(members, 5), 200).expect("settles");
     let rounds = 2 * u64::from(members.ilog2());
     let shortest = Config::default().suspicion_timeouts(members).shortest;
     let suspicion = shortest.div_ceil(fleet.period());
     fleet.leave(members - 1);
-    fleet.until_agreed(rounds).expect("the leave is known");
+    fleet
+        .run_until_converged(rounds)
+        .expect("the leave is known");
     fleet.start(members - 1);
-    fleet.until_agreed(rounds).expect("the new life is known");
+    fleet
+        .run_until_converged(rounds)
+        .expect("the new life is known");
     fleet.world.crash(members - 1);
     fleet
-        .until_agreed(2 * suspicion + rounds)
+        .run_until_converged(2 * suspicion + rounds)
         .expect("the crash is known");
 }
