--- a/lab/tests/model_takeover.rs
+++ b/lab/tests/model_takeover.rs
@@ -7,7 +7,7 @@
 
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
-use whinhaven::fleet::work::recorder::{Action, Event, Hands, Ticket, Verdict};
+use whinhaven::fleet::work::recorder::{Action, Decision, Event, OperationId, WorkRecorder};
 use whinhaven::fleet::work::*;
 use whinhaven::fleet::{Incarnation, Index, MemberInstance, MemberName};
 use whinhaven_lab::explore::explore;
@@ -45,7 +45,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Conductor {
-    hands: Hands,
+    hands: WorkRecorder,
     now: u64,
     /// The process is gone.
     crashed: bool,
@@ -62,7 +62,7 @@
     involved: BTreeSet<usize>,
     conductors: Vec<Conductor>,
     /// On their way to the log, in no order.
-    proposals: BTreeSet<(usize, Ticket, String, CommandBox)>,
+    proposals: BTreeSet<(usize, OperationId, String, CommandBox)>,
     /// Times that each request was sent to a writer before its answer had begun.
     first_runs: BTreeMap<u8, u8>,
     /// Times that each request's tool call ran.
@@ -94,7 +94,7 @@
     /// A client asks at a conductor, for the rest if it was asked before.
     Ask(u8, usize),
     /// The log takes a proposal.
-    Commit(usize, Ticket),
+    Commit(usize, OperationId),
     /// A conductor hears the next of what the log has applied.
     Hear(usize),
     /// A conductor's questions run out of time.
@@ -156,7 +156,7 @@
             .get(&request)
             .map_or(0, |f| f.step as u64);
         let ticket =
-            Ticket((u64::from(world.asked[&request]) * 8 + step) * 16 + u64::from(request));
+            OperationId((u64::from(world.asked[&request]) * 8 + step) * 16 + u64::from(request));
         let until = world.conductors[c].now + 1;
         self.act(
             world,
@@ -176,7 +176,7 @@
             7
         };
         let ticket =
-            Ticket((u64::from(world.asked[&request]) * 8 + step) * 16 + u64::from(request));
+            OperationId((u64::from(world.asked[&request]) * 8 + step) * 16 + u64::from(request));
         self.act(world, c, Event::Tell { ticket, command });
     }
 
@@ -216,7 +216,7 @@
                 bounds: ROOM,
             },
             Step::Answer => {
-                let answer = Final::Done {
+                let answer = FinalResponse::Done {
                     text: Some(format!("by {c}")),
                     last: Vec::new(),
                 };
@@ -231,13 +231,13 @@
     }
 
     /// The front's part: what it does when it hears that it may, or may not.
-    fn verdict(&self, world: &mut World, c: usize, ticket: Ticket, verdict: Verdict) {
+    fn verdict(&self, world: &mut World, c: usize, ticket: OperationId, verdict: Decision) {
         let request = (ticket.0 % 16) as u8;
         let Some(front) = world.conductors[c].fronts.get_mut(&request) else {
             return;
         };
         let name = request.to_string();
-        let said = |world: &mut World, answer: &Final| {
+        let said = |world: &mut World, answer: &FinalResponse| {
             world
                 .heard
                 .entry(request)
@@ -246,17 +246,17 @@
             world.conductors[c].fronts.remove(&request);
         };
         match (front.step, verdict) {
-            (Step::Claim, Verdict::Claimed(record)) => {
+            (Step::Claim, Decision::Claimed(record)) => {
                 front.generation = record.generation;
-                front.step = if record.stage == Stage::Began {
+                front.step = if record.stage == RequestStage::Began {
                     Step::Call
                 } else {
                     Step::Send
                 };
                 self.next(world, c, request);
             }
-            (_, Verdict::Ended(answer)) => said(world, &answer),
-            (Step::Send, Verdict::Go) => {
+            (_, Decision::Ended(answer)) => said(world, &answer),
+            (Step::Send, Decision::Go) => {
                 front.step = Step::Call;
                 let generation = front.generation;
                 if self.flaw != Flaw::SendsFirst {
@@ -265,7 +265,7 @@
                 self.tell(world, c, request, Command::Began { name, generation });
                 self.next(world, c, request);
             }
-            (Step::Call, Verdict::Go) => {
+            (Step::Call, Decision::Go) => {
                 front.step = Step::Answer;
                 *world.tool_runs.entry(request).or_default() += 1;
                 self.tell(
@@ -280,20 +280,20 @@
                 );
                 self.next(world, c, request);
             }
-            (Step::Call, Verdict::Known(stage)) if stage != CallStage::Out => {
+            (Step::Call, Decision::Known(stage)) if stage != CallState::Out => {
                 front.step = Step::Answer;
-                if self.flaw == Flaw::RepeatsUnknown && stage == CallStage::Unknown {
+                if self.flaw == Flaw::RepeatsUnknown && stage == CallState::Unknown {
                     *world.tool_runs.entry(request).or_default() += 1;
                 }
                 self.next(world, c, request);
             }
-            (Step::Call, Verdict::Late) if self.flaw == Flaw::CallsOnHope => {
+            (Step::Call, Decision::Late) if self.flaw == Flaw::CallsOnHope => {
                 front.step = Step::Answer;
                 *world.tool_runs.entry(request).or_default() += 1;
                 self.next(world, c, request);
             }
-            (Step::Answer, Verdict::Go) => {
-                let answer = Final::Done {
+            (Step::Answer, Decision::Go) => {
+                let answer = FinalResponse::Done {
                     text: Some(format!("by {c}")),
                     last: Vec::new(),
                 };
@@ -311,7 +311,7 @@
 
     fn init_states(&self) -> Vec<World> {
         let conductor = |c| {
-            let mut hands = Hands::new(who(c), 8);
+            let mut hands = WorkRecorder::new(who(c), 8);
             hands.handle(0, Event::MayAct(true), &mut Vec::new());
             Conductor {
                 hands,
@@ -473,7 +473,7 @@
     }
 }
 
-fn deliver(world: &mut World, notices: Vec<Notice>) {
+fn deliver(world: &mut World, notices: Vec<RecordChange>) {
     // Where nothing waits or will, a notice changes nothing.
     let idle = |c: &Conductor| c.hands.waiting() == 0 && c.inbox.is_empty() && c.fronts.is_empty();
     for conductor in world
--- a/src/fleet/node.rs
+++ b/src/fleet/node.rs
@@ -265,7 +265,7 @@
     may_act: bool,
     life_ended: bool,
     leaving: bool,
-    keeper: work::Keeper,
+    keeper: work::RetentionTracker,
     /// When the leader looks next for records that may be forgotten.
     keep_at: Micros,
     /// The proposal of a policy that this leader has seen under way, and when it ends it.
@@ -321,7 +321,7 @@
             may_act: false,
             life_ended: false,
             leaving: false,
-            keeper: work::Keeper::default(),
+            keeper: work::RetentionTracker::default(),
             keep_at: now.saturating_add(KEEP),
             policy_due: None,
             relays,
--- a/src/fleet/state.rs
+++ b/src/fleet/state.rs
@@ -103,7 +103,7 @@
     /// A lease changed.
     Lease(lease::Change),
     /// A record of work in hand changed in a way that others wait for.
-    Takeover(work::Notice),
+    Takeover(work::RecordChange),
     /// The policy, or a proposal of one, went on.
     Policy(policy_epoch::Notice),
     /// Other bounds are in force.
--- a/src/fleet/transport/work.rs
+++ b/src/fleet/transport/work.rs
@@ -11,8 +11,8 @@
 use crate::fleet::MemberInstance;
 use crate::fleet::config::TakeoverConfig;
 use crate::fleet::state::{Answer, Command, Effect, Refusal as Unlooked};
-use crate::fleet::work::recorder::{Action, Event, Hands, Ticket, Verdict};
-use crate::fleet::work::{self, Bounds, MOST_OVER, Notice, Refusal, Reply};
+use crate::fleet::work::recorder::{Action, Decision, Event, OperationId, WorkRecorder};
+use crate::fleet::work::{self, Bounds, MAX_IDS_PER_COMMAND, RecordChange, Rejection, Reply};
 use crate::routing::policy::call_permission::ReleaseHistory;
 use crate::routing::types::{Micros, Outcome, ReleasePermit, ReleaseReason, WorkerId};
 use bytes::Bytes;
@@ -42,9 +42,9 @@
     fleet: Fleet,
     clock: Clock,
     settings: TakeoverConfig,
-    hands: RefCell<Hands>,
-    verdicts: RefCell<HashMap<Ticket, oneshot::Sender<Verdict>>>,
-    written: RefCell<HashMap<Ticket, oneshot::Sender<()>>>,
+    hands: RefCell<WorkRecorder>,
+    verdicts: RefCell<HashMap<OperationId, oneshot::Sender<Decision>>>,
+    written: RefCell<HashMap<OperationId, oneshot::Sender<()>>>,
     next: Cell<u64>,
     woken: Notify,
     moved: RefCell<Vec<Moved>>,
@@ -56,7 +56,7 @@
 impl Work {
     /// Begins to listen to the fleet.
     pub fn start(fleet: Fleet, clock: Clock, settings: TakeoverConfig) -> Rc<Self> {
-        let hands = Hands::new(fleet.who(), settings.most_waiting);
+        let hands = WorkRecorder::new(fleet.who(), settings.most_waiting);
         let work = Rc::new(Work {
             fleet: fleet.clone(),
             clock,
@@ -111,7 +111,7 @@
     }
 
     /// Asks whether something may go out, and waits for the answer until `until` at the latest.
-    pub async fn ask(self: &Rc<Self>, command: work::Command, until: Micros) -> Verdict {
+    pub async fn ask(self: &Rc<Self>, command: work::Command, until: Micros) -> Decision {
         let ticket = self.ticket();
         let (answer, answered) = oneshot::channel();
         self.verdicts.borrow_mut().insert(ticket, answer);
@@ -120,23 +120,23 @@
             command,
             until,
         });
-        let verdict = answered.await.unwrap_or(Verdict::Cut);
+        let verdict = answered.await.unwrap_or(Decision::Cut);
         // The machine's word may be as old as the last event: the clock is read anew before anything is let out.
-        if verdict == Verdict::Go && !self.may_act() {
-            Verdict::Cut
+        if verdict == Decision::Go && !self.may_act() {
+            Decision::Cut
         } else {
             verdict
         }
     }
 
     /// Asks, with the time that the settings give a record to be written.
-    pub async fn ask_soon(self: &Rc<Self>, command: work::Command) -> Verdict {
+    pub async fn ask_soon(self: &Rc<Self>, command: work::Command) -> Decision {
         let until = self.clock.now() + self.settings.record_within_ms * 1_000;
         self.ask(command, until).await
     }
 
     /// Asks, with the time that a client may wait for a conductor that may be dying, and not past its deadline.
-    pub async fn ask_for(self: &Rc<Self>, command: work::Command, deadline: Micros) -> Verdict {
+    pub async fn ask_for(self: &Rc<Self>, command: work::Command, deadline: Micros) -> Decision {
         let within = self.clock.now() + self.settings.claim_within_ms * 1_000;
         self.ask(command, within.min(deadline)).await
     }
@@ -146,7 +146,7 @@
         self: &Rc<Self>,
         command: work::Command,
         patience: Duration,
-    ) -> Verdict {
+    ) -> Decision {
         let record = Duration::from_millis(self.settings.record_within_ms);
         let until = self.clock.now() + (record + patience).as_micros() as Micros;
         self.ask(command, until).await
@@ -169,10 +169,10 @@
         self.handle(Event::Tell { ticket, command });
     }
 
-    fn ticket(&self) -> Ticket {
+    fn ticket(&self) -> OperationId {
         let ticket = self.next.get();
         self.next.set(ticket + 1);
-        Ticket(ticket)
+        OperationId(ticket)
     }
 
     fn handle(self: &Rc<Self>, event: Event) {
@@ -197,7 +197,7 @@
         self.woken.notify_one();
     }
 
-    fn propose(self: &Rc<Self>, ticket: Ticket, command: work::Command) {
+    fn propose(self: &Rc<Self>, ticket: OperationId, command: work::Command) {
         let work = self.clone();
         let me = self.fleet.who();
         tokio::task::spawn_local(async move {
@@ -205,7 +205,7 @@
                 Ok(Answer::Takeover(reply)) => Some(reply),
                 // The log knows nothing more of it: this life is over.
                 Ok(Answer::Refused(Unlooked::OldLife | Unlooked::MostMembers)) => {
-                    Some(Reply::Refused(Refusal::LifeEnded))
+                    Some(Reply::Refused(Rejection::LifeEnded))
                 }
                 _ => None,
             };
@@ -227,15 +227,16 @@
     fn told(self: &Rc<Self>, told: &Told) {
         match told {
             Told::Life(who) => {
-                *self.hands.borrow_mut() = Hands::new((*who).clone(), self.settings.most_waiting);
+                *self.hands.borrow_mut() =
+                    WorkRecorder::new((*who).clone(), self.settings.most_waiting);
                 // Dropped unanswered: whoever asked in the life before hears that it may not act.
                 self.verdicts.borrow_mut().clear();
             }
             Told::MayAct(may) => self.handle(Event::MayAct(*may)),
             Told::Effect(_, Effect::Takeover(notice)) => {
                 match notice {
-                    Notice::Orphaned { dead, .. } => self.orphan(dead.clone()),
-                    Notice::Adopted { dead, .. } => {
+                    RecordChange::Orphaned { dead, .. } => self.orphan(dead.clone()),
+                    RecordChange::Adopted { dead, .. } => {
                         self.orphaned.borrow_mut().retain(|d| d != dead)
                     }
                     _ => {}
@@ -300,7 +301,7 @@
                     History(me).adopted(&dead, sends.len());
                     self.release_all(sends, &outbound).await;
                 }
-                Ok(Answer::Takeover(Reply::Refused(Refusal::Nothing))) => {
+                Ok(Answer::Takeover(Reply::Refused(Rejection::Nothing))) => {
                     self.orphaned.borrow_mut().retain(|d| *d != dead);
                 }
                 _ => tokio::time::sleep(AGAIN).await,
@@ -332,7 +333,7 @@
                 None => break,
             }
         }
-        for ids in over.chunks(MOST_OVER) {
+        for ids in over.chunks(MAX_IDS_PER_COMMAND) {
             self.tell(work::Command::Over { ids: ids.to_vec() });
         }
     }
@@ -445,7 +446,7 @@
                     (id, worker, taken)
                 });
             }
-            for ids in over.chunks(MOST_OVER) {
+            for ids in over.chunks(MAX_IDS_PER_COMMAND) {
                 self.work.tell(work::Command::Over { ids: ids.to_vec() });
             }
         }
@@ -469,7 +470,7 @@
             verdict = self.work.ask(command, within.min(most)) => verdict,
         };
         match verdict {
-            Verdict::Go => self.inner.send(attempt),
+            Decision::Go => self.inner.send(attempt),
             other => {
                 log::info!(
                     "request {}: not sent, not on record: {other:?}",
--- a/src/fleet/work.rs
+++ b/src/fleet/work.rs
@@ -24,11 +24,11 @@
 use std::collections::BTreeMap;
 
 /// The longest name of a request or id of a send, in bytes.
-pub const MOST_KEY: usize = 64;
+pub const MAX_KEY_BYTES: usize = 64;
 /// What a record takes beside its texts, in bytes.
-const RECORD: u64 = 192;
+const RECORD_OVERHEAD_BYTES: u64 = 192;
 /// Most ids in one [`Command::Over`].
-pub const MOST_OVER: usize = 256;
+pub const MAX_IDS_PER_COMMAND: usize = 256;
 
 /// Bounds under which a proposer asks for room. They travel with the command, so that all members decide alike
 /// whatever their files say.
@@ -106,7 +106,7 @@
         /// The generation of the claim.
         generation: u64,
         /// The answer.
-        answer: Final,
+        answer: FinalResponse,
     },
     /// The owner ends without a final answer: its client left, or the stream broke. Whoever is asked may go on.
     LetGo {
@@ -138,7 +138,7 @@
 
 /// A request's one final answer.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Final {
+pub enum FinalResponse {
     /// It may have run, and nobody knows whether.
     Failed,
     /// Its client took it back.
@@ -152,11 +152,11 @@
     },
 }
 
-impl Final {
+impl FinalResponse {
     fn bytes(&self) -> u64 {
         match self {
-            Final::Failed | Final::Cancelled => 0,
-            Final::Done { text, last } => {
+            FinalResponse::Failed | FinalResponse::Cancelled => 0,
+            FinalResponse::Done { text, last } => {
                 (text.as_ref().map_or(0, String::len) + last.len()) as u64
             }
         }
@@ -165,7 +165,7 @@
 
 /// How far a named request has come.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Stage {
+pub enum RequestStage {
     /// Taken; nothing is out, or only reads are: nothing can have run.
     Taken,
     /// Sent to a host that writes; no event has come.
@@ -173,12 +173,12 @@
     /// Its answer has begun. The client comes for the rest.
     Began,
     /// It has its final answer.
-    Ended(Final),
+    Ended(FinalResponse),
 }
 
 /// How far a tool call has come.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum CallStage {
+pub enum CallState {
     /// It may be out.
     Out,
     /// Its outcome.
@@ -189,18 +189,18 @@
 
 /// A tool call of a named request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Call {
+pub struct ToolCall {
     /// The life that made it.
     pub by: MemberInstance,
     /// A digest of its method and arguments.
     pub arguments: u128,
     /// How far it has come.
-    pub stage: CallStage,
+    pub stage: CallState,
 }
 
 /// A request under a lasting name.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Named {
+pub struct ClientRequestRecord {
     /// The life that has it, if any.
     pub owner: Option<MemberInstance>,
     /// Rises each time it changes hands.
@@ -208,40 +208,40 @@
     /// Whether its class must not run twice.
     pub once: bool,
     /// How far it has come.
-    pub stage: Stage,
+    pub stage: RequestStage,
     /// Sends since it was taken, or since its answer last began.
     pub attempts: u32,
     /// Its tool calls, by their place in the answer.
-    pub calls: BTreeMap<u32, Call>,
+    pub calls: BTreeMap<u32, ToolCall>,
     /// The entry that last changed it.
     pub changed: Index,
 }
 
-impl Named {
+impl ClientRequestRecord {
     fn bytes(&self, name: &str) -> u64 {
-        let outcome = |c: &Call| match &c.stage {
-            CallStage::Ended(outcome) => outcome.len() as u64,
-            CallStage::Out | CallStage::Unknown => 0,
+        let outcome = |c: &ToolCall| match &c.stage {
+            CallState::Ended(outcome) => outcome.len() as u64,
+            CallState::Out | CallState::Unknown => 0,
         };
-        let answer = if let Stage::Ended(answer) = &self.stage {
+        let answer = if let RequestStage::Ended(answer) = &self.stage {
             answer.bytes()
         } else {
             0
         };
-        RECORD
+        RECORD_OVERHEAD_BYTES
             + name.len() as u64
             + answer
             + self
                 .calls
                 .values()
-                .map(|c| RECORD + outcome(c))
+                .map(|c| RECORD_OVERHEAD_BYTES + outcome(c))
                 .sum::<u64>()
     }
 }
 
 /// A request that went to model hosts and may hold something there.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Sent {
+pub struct UpstreamSendRecord {
     /// The life that has to release it: the sender, or who adopted it.
     pub owner: MemberInstance,
     /// The host it went to last.
@@ -256,22 +256,22 @@
     /// Written down.
     Done,
     /// The request is the asker's now, as this record says; what is in it came before.
-    Claimed(Box<Named>),
+    Claimed(Box<ClientRequestRecord>),
     /// The request has ended, with this answer.
-    Ended(Final),
+    Ended(FinalResponse),
     /// The tool call may go out now.
     Go,
     /// The tool call is on record already, and must not go out again.
-    Known(CallStage),
+    Known(CallState),
     /// Adopted: ids to be released, and the hosts they went to last.
     Adopted(Vec<(String, String)>),
     /// Not written down.
-    Refused(Refusal),
+    Refused(Rejection),
 }
 
 /// Why something was not written down.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Refusal {
+pub enum Rejection {
     /// The asker's life has ended.
     LifeEnded,
     /// Another life has the request.
@@ -294,7 +294,7 @@
 
 /// What all members hear of what was written down.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Notice {
+pub enum RecordChange {
     /// A request has changed hands while its owner lives: that one ends its client's connection.
     Moved {
         /// The request's name.
@@ -340,25 +340,25 @@
 /// All records, as the group's log makes them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Table {
-    named: BTreeMap<String, Named>,
-    sent: BTreeMap<String, Sent>,
+    named: BTreeMap<String, ClientRequestRecord>,
+    sent: BTreeMap<String, UpstreamSendRecord>,
     orphans: BTreeMap<MemberInstance, u64>,
     bytes: u64,
 }
 
 impl Table {
     /// The record of a named request.
-    pub fn named(&self, name: &str) -> Option<&Named> {
+    pub fn named(&self, name: &str) -> Option<&ClientRequestRecord> {
         self.named.get(name)
     }
 
     /// All named requests.
-    pub fn all_named(&self) -> impl Iterator<Item = (&str, &Named)> {
+    pub fn all_named(&self) -> impl Iterator<Item = (&str, &ClientRequestRecord)> {
         self.named.iter().map(|(name, r)| (name.as_str(), r))
     }
 
     /// The record of a send.
-    pub fn sent(&self, id: &str) -> Option<&Sent> {
+    pub fn sent(&self, id: &str) -> Option<&UpstreamSendRecord> {
         self.sent.get(id)
     }
 
@@ -389,10 +389,10 @@
         who: &MemberInstance,
         alive: bool,
         command: Command,
-        out: &mut Vec<Notice>,
+        out: &mut Vec<RecordChange>,
     ) -> Reply {
         if !alive {
-            return Reply::Refused(Refusal::LifeEnded);
+            return Reply::Refused(Rejection::LifeEnded);
         }
         let result = match command {
             Command::Claim {
@@ -410,7 +410,7 @@
                 bounds,
             } => self.send(at, who, id, worker, name, reads, most_attempts, bounds),
             Command::Began { name, generation } => self.change(&name, who, generation, |r| {
-                (r.stage, r.attempts, r.changed) = (Stage::Began, 0, at);
+                (r.stage, r.attempts, r.changed) = (RequestStage::Began, 0, at);
                 Ok(Reply::Done)
             }),
             Command::Call {
@@ -431,11 +431,11 @@
                 answer,
             } => {
                 let reply = self.change(&name, who, generation, |r| {
-                    (r.stage, r.owner, r.changed) = (Stage::Ended(answer), None, at);
+                    (r.stage, r.owner, r.changed) = (RequestStage::Ended(answer), None, at);
                     Ok(Reply::Done)
                 });
                 if reply.is_ok() {
-                    out.push(Notice::Ended { name });
+                    out.push(RecordChange::Ended { name });
                 }
                 reply
             }
@@ -446,24 +446,24 @@
             } => {
                 let reply = self.change(&name, who, generation, |r| {
                     (r.owner, r.changed) = (None, at);
-                    if harmless && r.stage == Stage::Sent {
-                        (r.stage, r.attempts) = (Stage::Taken, 0);
+                    if harmless && r.stage == RequestStage::Sent {
+                        (r.stage, r.attempts) = (RequestStage::Taken, 0);
                     }
                     // What must not run twice and may have run has had its chance: see `life_ended`.
                     r.settle();
                     Ok(Reply::Done)
                 });
                 if reply.is_ok() {
-                    out.push(Notice::Open { name });
+                    out.push(RecordChange::Open { name });
                 }
                 reply
             }
-            Command::Over { ids } if ids.len() > MOST_OVER => Err(Refusal::Malformed),
+            Command::Over { ids } if ids.len() > MAX_IDS_PER_COMMAND => Err(Rejection::Malformed),
             Command::Over { ids } => {
                 for id in ids {
                     if self.sent.get(&id).is_some_and(|s| s.owner == *who) {
                         self.sent.remove(&id);
-                        self.bytes -= RECORD + id.len() as u64;
+                        self.bytes -= RECORD_OVERHEAD_BYTES + id.len() as u64;
                     }
                 }
                 Ok(Reply::Done)
@@ -477,7 +477,7 @@
                         self.named.remove(&name);
                         Ok(Reply::Done)
                     }
-                    _ => Err(Refusal::Superseded),
+                    _ => Err(Rejection::Superseded),
                 }
             }
         };
@@ -486,13 +486,13 @@
 
     /// A life has ended, by the log: its named requests are settled by effect and stage, its calls without an outcome
     /// are unknown for good, and what it left at model hosts waits to be adopted.
-    pub fn life_ended(&mut self, at: Index, dead: &MemberInstance, out: &mut Vec<Notice>) {
+    pub fn life_ended(&mut self, at: Index, dead: &MemberInstance, out: &mut Vec<RecordChange>) {
         for (name, r) in &mut self.named {
             let mut changed = false;
             for (ordinal, call) in r.calls.iter_mut().filter(|(_, c)| c.by == *dead) {
-                if call.stage == CallStage::Out {
-                    (call.stage, changed) = (CallStage::Unknown, true);
-                    out.push(Notice::CallEnded {
+                if call.stage == CallState::Out {
+                    (call.stage, changed) = (CallState::Unknown, true);
+                    out.push(RecordChange::CallEnded {
                         name: name.clone(),
                         ordinal: *ordinal,
                     });
@@ -502,10 +502,10 @@
                 (r.owner, changed) = (None, true);
                 r.settle();
                 let name = name.clone();
-                out.push(if matches!(r.stage, Stage::Ended(_)) {
-                    Notice::Ended { name }
+                out.push(if matches!(r.stage, RequestStage::Ended(_)) {
+                    RecordChange::Ended { name }
                 } else {
-                    Notice::Open { name }
+                    RecordChange::Open { name }
                 });
             }
             if changed {
@@ -515,17 +515,17 @@
         let sends = self.sent.values().filter(|s| s.owner == *dead).count() as u64;
         if sends > 0 {
             self.orphans.insert(dead.clone(), sends);
-            out.push(Notice::Orphaned {
+            out.push(RecordChange::Orphaned {
                 dead: dead.clone(),
                 sends,
             });
         }
     }
 
-    fn room(&self, records: u64, bytes: u64, bounds: Bounds) -> Result<(), Refusal> {
+    fn room(&self, records: u64, bytes: u64, bounds: Bounds) -> Result<(), Rejection> {
         let fits =
             self.len() as u64 + records <= bounds.records && self.bytes + bytes <= bounds.bytes;
-        if fits { Ok(()) } else { Err(Refusal::Full) }
+        if fits { Ok(()) } else { Err(Rejection::Full) }
     }
 
     /// Changes a record on behalf of its owner, and counts its bytes anew.
@@ -534,14 +534,14 @@
         name: &str,
         who: &MemberInstance,
         generation: u64,
-        change: impl FnOnce(&mut Named) -> Result<Reply, Refusal>,
-    ) -> Result<Reply, Refusal> {
-        let record = self.named.get_mut(name).ok_or(Refusal::Superseded)?;
-        if let Stage::Ended(answer) = &record.stage {
+        change: impl FnOnce(&mut ClientRequestRecord) -> Result<Reply, Rejection>,
+    ) -> Result<Reply, Rejection> {
+        let record = self.named.get_mut(name).ok_or(Rejection::Superseded)?;
+        if let RequestStage::Ended(answer) = &record.stage {
             return Ok(Reply::Ended(answer.clone()));
         }
         if record.owner.as_ref() != Some(who) || record.generation != generation {
-            return Err(Refusal::Superseded);
+            return Err(Rejection::Superseded);
         }
         let before = record.bytes(name);
         let reply = change(record);
@@ -558,15 +558,15 @@
         once: bool,
         resumes: bool,
         bounds: Bounds,
-        out: &mut Vec<Notice>,
-    ) -> Result<Reply, Refusal> {
-        if name.is_empty() || name.len() > MOST_KEY {
-            return Err(Refusal::Malformed);
+        out: &mut Vec<RecordChange>,
+    ) -> Result<Reply, Rejection> {
+        if name.is_empty() || name.len() > MAX_KEY_BYTES {
+            return Err(Rejection::Malformed);
         }
         let Some(record) = self.named.get_mut(&name) else {
             let owner = Some(who.clone());
-            let (generation, stage, calls) = (1, Stage::Taken, BTreeMap::new());
-            let record = Named {
+            let (generation, stage, calls) = (1, RequestStage::Taken, BTreeMap::new());
+            let record = ClientRequestRecord {
                 owner,
                 generation,
                 once,
@@ -586,26 +586,26 @@
             record.settle();
             record.changed = at;
         }
-        if let Stage::Ended(answer) = &record.stage {
+        if let RequestStage::Ended(answer) = &record.stage {
             if record.owner.take().is_some() {
                 // Settled just now: others may wait for what comes of it.
-                out.push(Notice::Ended { name });
+                out.push(RecordChange::Ended { name });
             }
             return Ok(Reply::Ended(answer.clone()));
         }
         if let Some(owner) = record.owner.as_ref().filter(|o| *o != who) {
             // Asking for the rest moves an answer that has begun. What hasn't begun has no rest: a second try beside
             // it could run twice what must not.
-            if !resumes || record.stage != Stage::Began {
-                return Err(Refusal::InHand(owner.clone()));
+            if !resumes || record.stage != RequestStage::Began {
+                return Err(Rejection::InHand(owner.clone()));
             }
-            out.push(Notice::Moved {
+            out.push(RecordChange::Moved {
                 name,
                 from: owner.clone(),
                 to: who.clone(),
             });
-        } else if record.once && !resumes && record.stage == Stage::Began {
-            return Err(Refusal::Begun);
+        } else if record.once && !resumes && record.stage == RequestStage::Began {
+            return Err(Rejection::Begun);
         }
         record.owner = Some(who.clone());
         record.generation += 1;
@@ -624,27 +624,31 @@
         reads: bool,
         most_attempts: u32,
         bounds: Bounds,
-    ) -> Result<Reply, Refusal> {
-        if id.is_empty() || id.len() > MOST_KEY || worker.len() > 4 * MOST_KEY {
-            return Err(Refusal::Malformed);
+    ) -> Result<Reply, Rejection> {
+        if id.is_empty() || id.len() > MAX_KEY_BYTES || worker.len() > 4 * MAX_KEY_BYTES {
+            return Err(Rejection::Malformed);
         }
         let known = self.sent.get(&id);
         if known.is_some_and(|s| s.owner != *who || s.adopted) {
             // Two requests under one id would share what is held; what was adopted is only released.
-            return Err(Refusal::Superseded);
+            return Err(Rejection::Superseded);
         }
         let fresh = known.is_none();
         if fresh {
-            self.room(1, RECORD + id.len() as u64, bounds)?;
+            self.room(1, RECORD_OVERHEAD_BYTES + id.len() as u64, bounds)?;
         }
         if let Some((name, generation)) = name {
             let reply = self.change(&name, who, generation, |r| {
                 if r.attempts >= most_attempts {
-                    return Err(Refusal::Spent);
+                    return Err(Rejection::Spent);
                 }
                 (r.attempts, r.changed) = (r.attempts + 1, at);
-                if r.stage != Stage::Began {
-                    r.stage = if reads { Stage::Taken } else { Stage::Sent };
+                if r.stage != RequestStage::Began {
+                    r.stage = if reads {
+                        RequestStage::Taken
+                    } else {
+                        RequestStage::Sent
+                    };
                 }
                 Ok(Reply::Done)
             })?;
@@ -653,11 +657,11 @@
             }
         }
         if fresh {
-            self.bytes += RECORD + id.len() as u64;
+            self.bytes += RECORD_OVERHEAD_BYTES + id.len() as u64;
         }
         self.sent.insert(
             id,
-            Sent {
+            UpstreamSendRecord {
                 owner: who.clone(),
                 worker,
                 adopted: false,
@@ -676,22 +680,22 @@
         ordinal: u32,
         arguments: u128,
         bounds: Bounds,
-    ) -> Result<Reply, Refusal> {
-        let room = self.room(0, RECORD, bounds);
+    ) -> Result<Reply, Rejection> {
+        let room = self.room(0, RECORD_OVERHEAD_BYTES, bounds);
         self.change(name, who, generation, |r| {
             if let Some(call) = r.calls.get(&ordinal) {
                 if call.arguments != arguments {
-                    return Err(Refusal::OtherArguments);
+                    return Err(Rejection::OtherArguments);
                 }
                 return Ok(Reply::Known(call.stage.clone()));
             }
             room?;
             r.calls.insert(
                 ordinal,
-                Call {
+                ToolCall {
                     by: who.clone(),
                     arguments,
-                    stage: CallStage::Out,
+                    stage: CallState::Out,
                 },
             );
             r.changed = at;
@@ -706,22 +710,25 @@
         name: String,
         ordinal: u32,
         outcome: Option<Vec<u8>>,
-        out: &mut Vec<Notice>,
-    ) -> Result<Reply, Refusal> {
-        let record = self.named.get_mut(&name).ok_or(Refusal::Superseded)?;
+        out: &mut Vec<RecordChange>,
+    ) -> Result<Reply, Rejection> {
+        let record = self.named.get_mut(&name).ok_or(Rejection::Superseded)?;
         let before = record.bytes(&name);
-        let call = record.calls.get_mut(&ordinal).ok_or(Refusal::Superseded)?;
-        if call.by != *who || call.stage != CallStage::Out {
-            return Err(Refusal::Superseded);
+        let call = record
+            .calls
+            .get_mut(&ordinal)
+            .ok_or(Rejection::Superseded)?;
+        if call.by != *who || call.stage != CallState::Out {
+            return Err(Rejection::Superseded);
         }
         // Room was asked for when the call was let out; an outcome is always taken, or the call would be lost.
         match outcome {
-            Some(outcome) => call.stage = CallStage::Ended(outcome),
+            Some(outcome) => call.stage = CallState::Ended(outcome),
             None => _ = record.calls.remove(&ordinal),
         }
         record.changed = at;
         self.bytes = self.bytes - before + record.bytes(&name);
-        out.push(Notice::CallEnded { name, ordinal });
+        out.push(RecordChange::CallEnded { name, ordinal });
         Ok(Reply::Done)
     }
 
@@ -729,15 +736,15 @@
         &mut self,
         who: &MemberInstance,
         dead: MemberInstance,
-        out: &mut Vec<Notice>,
-    ) -> Result<Reply, Refusal> {
-        self.orphans.remove(&dead).ok_or(Refusal::Nothing)?;
+        out: &mut Vec<RecordChange>,
+    ) -> Result<Reply, Rejection> {
+        self.orphans.remove(&dead).ok_or(Rejection::Nothing)?;
         let mut adopted = Vec::new();
         for (id, sent) in self.sent.iter_mut().filter(|(_, s)| s.owner == dead) {
             (sent.owner, sent.adopted) = (who.clone(), true);
             adopted.push((id.clone(), sent.worker.clone()));
         }
-        out.push(Notice::Adopted {
+        out.push(RecordChange::Adopted {
             dead,
             adopter: who.clone(),
         });
@@ -745,12 +752,12 @@
     }
 }
 
-impl Named {
+impl ClientRequestRecord {
     /// Nobody has it any more: what must not run twice and may have run is failed for good. All else stays open for
     /// whoever its client asks next.
     fn settle(&mut self) {
-        if self.once && self.stage == Stage::Sent {
-            self.stage = Stage::Ended(Final::Failed);
+        if self.once && self.stage == RequestStage::Sent {
+            self.stage = RequestStage::Ended(FinalResponse::Failed);
         }
     }
 }
@@ -758,11 +765,11 @@
 /// When records are forgotten: the leader's part, by its own clock. A new leader counts anew, so a record may be
 /// remembered for longer than the time set and never for less.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Keeper {
+pub struct RetentionTracker {
     seen: BTreeMap<String, (Index, u64)>,
 }
 
-impl Keeper {
+impl RetentionTracker {
     /// What may be forgotten at `now`, at most `most` at once; `remember` in microseconds.
     pub fn due(&mut self, now: u64, remember: u64, most: usize, table: &Table) -> Vec<Command> {
         let at_rest = |name: &String| table.named(name).is_some_and(|r| r.owner.is_none());
--- a/src/fleet/work/recorder.rs
+++ b/src/fleet/work/recorder.rs
@@ -5,14 +5,16 @@
 //! way), and gives one [`Verdict`] for each question, by a given time at the latest. What comes after that time
 //! frees what nobody will act on any more. Without a valid life lease no verdict lets anything out.
 
-use super::{CallStage, Command, Final, Named, Notice, Refusal, Reply};
+use super::{
+    CallState, ClientRequestRecord, Command, FinalResponse, RecordChange, Rejection, Reply,
+};
 use crate::fleet::MemberInstance;
 use crate::routing::types::Micros;
 use std::collections::BTreeMap;
 
 /// Names a question; the asker's own, never used twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Ticket(pub u64);
+pub struct OperationId(pub u64);
 
 /// What happens to the machine.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -22,7 +24,7 @@
     /// Something wants to act. Answered by one [`Action::Verdict`], by `until` at the latest.
     Ask {
         /// Names the question.
-        ticket: Ticket,
+        ticket: OperationId,
         /// What is to be written down first.
         command: Command,
         /// When the answer is of no use any more.
@@ -31,19 +33,19 @@
     /// Something has happened that the group has to know, and nobody waits for it: it is told until it is written.
     Tell {
         /// Names the message.
-        ticket: Ticket,
+        ticket: OperationId,
         /// What is to be written down.
         command: Command,
     },
     /// The group has answered.
     Reply {
         /// The question's name.
-        ticket: Ticket,
+        ticket: OperationId,
         /// The answer; `None`: it is not known whether the command was or will be written down.
         reply: Option<Reply>,
     },
     /// Something was written down, by whomever.
-    Notice(Notice),
+    Notice(RecordChange),
     /// A snapshot took the place of notices: whatever is waited for may have happened.
     Restored,
     /// Whether the life lease can be counted on.
@@ -56,16 +58,16 @@
     /// Put this to the group; answered by [`Event::Reply`] with the ticket.
     Propose {
         /// The question's name.
-        ticket: Ticket,
+        ticket: OperationId,
         /// The command.
         command: Command,
     },
     /// The answer to a question.
     Verdict {
         /// The question's name.
-        ticket: Ticket,
+        ticket: OperationId,
         /// The answer.
-        verdict: Verdict,
+        verdict: Decision,
     },
     /// Another conductor has taken over this request, asked by its client: end it here.
     Moved {
@@ -76,19 +78,19 @@
 
 /// Whether something may go out.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Verdict {
+pub enum Decision {
     /// The request is in hand here now; what is in the record came before.
-    Claimed(Box<Named>),
+    Claimed(Box<ClientRequestRecord>),
     /// The request has this final answer already.
-    Ended(Final),
+    Ended(FinalResponse),
     /// Another life has the request, and has not let go of it in time.
     InHand(MemberInstance),
     /// It is written down and may go out now.
     Go,
     /// The call was made before: its outcome, or that it is unknown for good.
-    Known(CallStage),
+    Known(CallState),
     /// It must not go out.
-    Refused(Refusal),
+    Refused(Rejection),
     /// The group has not answered in time; it must not go out.
     Late,
     /// This conductor may not act.
@@ -107,7 +109,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Question {
+struct PendingOperation {
     command: Command,
     until: Option<Micros>,
     wait: Wait,
@@ -115,9 +117,9 @@
     stirred: bool,
 }
 
-impl Question {
+impl PendingOperation {
     /// Asks anew: what has changed is on record, and another waiter may have been first.
-    fn stir(&mut self, ticket: Ticket, out: &mut Vec<Action>) {
+    fn stir(&mut self, ticket: OperationId, out: &mut Vec<Action>) {
         if self.wait == Wait::Reply {
             self.stirred = true;
         } else {
@@ -132,23 +134,23 @@
 
 /// The machine.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Hands {
+pub struct WorkRecorder {
     me: MemberInstance,
     may_act: bool,
     most: usize,
-    open: BTreeMap<Ticket, Question>,
+    open: BTreeMap<OperationId, PendingOperation>,
     /// Questions given up whose answer may still come.
-    late: BTreeMap<Ticket, Command>,
+    late: BTreeMap<OperationId, Command>,
     next_own: u64,
 }
 
 /// Tickets of the machine's own have this bit; askers' have not.
 const OWN: u64 = 1 << 63;
 
-impl Hands {
+impl WorkRecorder {
     /// A machine for one life of a member, with at most `most` questions open and as many given up.
     pub fn new(me: MemberInstance, most: usize) -> Self {
-        Hands {
+        WorkRecorder {
             me,
             may_act: false,
             most,
@@ -180,11 +182,11 @@
                 until,
             } => {
                 let verdict = if !self.may_act {
-                    Some(Verdict::Cut)
+                    Some(Decision::Cut)
                 } else if now >= until {
-                    Some(Verdict::Late)
+                    Some(Decision::Late)
                 } else if self.open.len() >= self.most {
-                    Some(Verdict::Refused(Refusal::Full))
+                    Some(Decision::Refused(Rejection::Full))
                 } else {
                     None
                 };
@@ -204,7 +206,7 @@
             Event::MayAct(may) => {
                 self.may_act = may;
                 if !may {
-                    let asked: Vec<Ticket> = self
+                    let asked: Vec<OperationId> = self
                         .open
                         .iter()
                         .filter(|(_, q)| q.until.is_some())
@@ -212,7 +214,7 @@
                         .collect();
                     asked
                         .into_iter()
-                        .for_each(|t| self.end(t, Verdict::Cut, out));
+                        .for_each(|t| self.end(t, Decision::Cut, out));
                 }
             }
         }
@@ -220,7 +222,7 @@
 
     fn put(
         &mut self,
-        ticket: Ticket,
+        ticket: OperationId,
         command: Command,
         until: Option<Micros>,
         out: &mut Vec<Action>,
@@ -231,7 +233,7 @@
         });
         self.open.insert(
             ticket,
-            Question {
+            PendingOperation {
                 command,
                 until,
                 wait: Wait::Reply,
@@ -241,11 +243,11 @@
     }
 
     /// Gives a verdict; if the group's answer may still come, what it then grants is given back.
-    fn end(&mut self, ticket: Ticket, verdict: Verdict, out: &mut Vec<Action>) {
+    fn end(&mut self, ticket: OperationId, verdict: Decision, out: &mut Vec<Action>) {
         let Some(question) = self.open.remove(&ticket) else {
             return;
         };
-        if question.wait == Wait::Reply && matches!(verdict, Verdict::Late | Verdict::Cut) {
+        if question.wait == Wait::Reply && matches!(verdict, Decision::Late | Decision::Cut) {
             if self.late.len() >= self.most {
                 self.late.pop_first();
             }
@@ -255,7 +257,7 @@
     }
 
     fn give_up(&mut self, now: Micros, out: &mut Vec<Action>) {
-        let over: Vec<Ticket> = self
+        let over: Vec<OperationId> = self
             .open
             .iter()
             .filter(|(_, q)| q.until.is_some_and(|u| u <= now))
@@ -263,15 +265,15 @@
             .collect();
         for ticket in over {
             let verdict = match self.open.get(&ticket).map(|q| &q.wait) {
-                Some(Wait::Open(owner)) => Verdict::InHand(owner.clone()),
-                Some(Wait::Outcome) => Verdict::Known(CallStage::Out),
-                _ => Verdict::Late,
+                Some(Wait::Open(owner)) => Decision::InHand(owner.clone()),
+                Some(Wait::Outcome) => Decision::Known(CallState::Out),
+                _ => Decision::Late,
             };
             self.end(ticket, verdict, out);
         }
     }
 
-    fn reply(&mut self, ticket: Ticket, reply: Option<Reply>, out: &mut Vec<Action>) {
+    fn reply(&mut self, ticket: OperationId, reply: Option<Reply>, out: &mut Vec<Action>) {
         if let Some(command) = self.late.remove(&ticket) {
             return self.came_late(command, reply, out);
         }
@@ -294,23 +296,28 @@
             return;
         }
         let verdict = match reply {
-            Some(Reply::Claimed(record)) => Verdict::Claimed(record),
-            Some(Reply::Ended(answer)) => Verdict::Ended(answer),
-            Some(Reply::Done | Reply::Go | Reply::Adopted(_)) => Verdict::Go,
-            Some(Reply::Known(CallStage::Out)) => {
+            Some(Reply::Claimed(record)) => Decision::Claimed(record),
+            Some(Reply::Ended(answer)) => Decision::Ended(answer),
+            Some(Reply::Done | Reply::Go | Reply::Adopted(_)) => Decision::Go,
+            Some(Reply::Known(CallState::Out)) => {
                 return Self::wait(question, ticket, Wait::Outcome, out);
             }
-            Some(Reply::Known(stage)) => Verdict::Known(stage),
-            Some(Reply::Refused(Refusal::InHand(owner))) => {
+            Some(Reply::Known(stage)) => Decision::Known(stage),
+            Some(Reply::Refused(Rejection::InHand(owner))) => {
                 return Self::wait(question, ticket, Wait::Open(owner), out);
             }
-            Some(Reply::Refused(refusal)) => Verdict::Refused(refusal),
-            None => Verdict::Late,
+            Some(Reply::Refused(refusal)) => Decision::Refused(refusal),
+            None => Decision::Late,
         };
         self.end(ticket, verdict, out);
     }
 
-    fn wait(question: &mut Question, ticket: Ticket, wait: Wait, out: &mut Vec<Action>) {
+    fn wait(
+        question: &mut PendingOperation,
+        ticket: OperationId,
+        wait: Wait,
+        out: &mut Vec<Action>,
+    ) {
         if std::mem::take(&mut question.stirred) {
             out.push(Action::Propose {
                 ticket,
@@ -338,21 +345,21 @@
             _ => return,
         };
         self.next_own += 1;
-        self.put(Ticket(self.next_own), back, None, out);
+        self.put(OperationId(self.next_own), back, None, out);
     }
 
-    fn notice(&mut self, notice: Notice, out: &mut Vec<Action>) {
+    fn notice(&mut self, notice: RecordChange, out: &mut Vec<Action>) {
         for (ticket, question) in &mut self.open {
             let concerned = match (&question.command, &notice) {
                 (
                     Command::Claim { name, .. },
-                    Notice::Open { name: n }
-                    | Notice::Ended { name: n }
-                    | Notice::Moved { name: n, .. },
+                    RecordChange::Open { name: n }
+                    | RecordChange::Ended { name: n }
+                    | RecordChange::Moved { name: n, .. },
                 ) => name == n,
                 (
                     Command::Call { name, ordinal, .. },
-                    Notice::CallEnded {
+                    RecordChange::CallEnded {
                         name: n,
                         ordinal: o,
                     },
@@ -363,7 +370,7 @@
                 question.stir(*ticket, out);
             }
         }
-        if let Notice::Moved { name, from, .. } = notice
+        if let RecordChange::Moved { name, from, .. } = notice
             && from == self.me
         {
             out.push(Action::Moved { name });
--- a/src/fleet/work/recorder/tests.rs
+++ b/src/fleet/work/recorder/tests.rs
@@ -34,11 +34,11 @@
     }
 }
 
-struct Side(Hands, Vec<Action>);
+struct Side(WorkRecorder, Vec<Action>);
 
 impl Side {
     fn start() -> Side {
-        let mut side = Side(Hands::new(who("c1"), 4), Vec::new());
+        let mut side = Side(WorkRecorder::new(who("c1"), 4), Vec::new());
         side.tell(0, Event::MayAct(true));
         side
     }
@@ -52,7 +52,7 @@
         self.tell(
             0,
             Event::Ask {
-                ticket: Ticket(ticket),
+                ticket: OperationId(ticket),
                 command,
                 until,
             },
@@ -63,16 +63,16 @@
         self.tell(
             now,
             Event::Reply {
-                ticket: Ticket(ticket),
+                ticket: OperationId(ticket),
                 reply: Some(reply),
             },
         )
     }
 }
 
-fn verdict(ticket: u64, verdict: Verdict) -> Action {
+fn verdict(ticket: u64, verdict: Decision) -> Action {
     Action::Verdict {
-        ticket: Ticket(ticket),
+        ticket: OperationId(ticket),
         verdict,
     }
 }
@@ -83,17 +83,17 @@
     assert_eq!(
         side.ask(1, call(), 100),
         [Action::Propose {
-            ticket: Ticket(1),
+            ticket: OperationId(1),
             command: call()
         }]
     );
-    assert!(side.reply(1, 1, Reply::Known(CallStage::Out)).is_empty());
-    let other = Notice::CallEnded {
+    assert!(side.reply(1, 1, Reply::Known(CallState::Out)).is_empty());
+    let other = RecordChange::CallEnded {
         name: "r".into(),
         ordinal: 1,
     };
     assert!(side.tell(2, Event::Notice(other)).is_empty());
-    let ended = Notice::CallEnded {
+    let ended = RecordChange::CallEnded {
         name: "r".into(),
         ordinal: 0,
     };
@@ -101,12 +101,12 @@
     assert_eq!(
         again,
         [Action::Propose {
-            ticket: Ticket(1),
+            ticket: OperationId(1),
             command: call()
         }]
     );
-    let known = side.reply(3, 1, Reply::Known(CallStage::Unknown));
-    assert_eq!(known, [verdict(1, Verdict::Known(CallStage::Unknown))]);
+    let known = side.reply(3, 1, Reply::Known(CallState::Unknown));
+    assert_eq!(known, [verdict(1, Decision::Known(CallState::Unknown))]);
 }
 
 #[rstest]
@@ -119,17 +119,17 @@
     let mut side = Side::start();
     side.ask(1, claim(), 100);
     assert!(
-        side.reply(1, 1, Reply::Refused(Refusal::InHand(who("c2"))))
+        side.reply(1, 1, Reply::Refused(Rejection::InHand(who("c2"))))
             .is_empty()
     );
-    let actions = side.tell(at, Event::Notice(Notice::Open { name: "r".into() }));
+    let actions = side.tell(at, Event::Notice(RecordChange::Open { name: "r".into() }));
     let wanted = if asked_again {
         Action::Propose {
-            ticket: Ticket(1),
+            ticket: OperationId(1),
             command: claim(),
         }
     } else {
-        verdict(1, Verdict::InHand(who("c2")))
+        verdict(1, Decision::InHand(who("c2")))
     };
     assert_eq!(actions, [wanted]);
 }
@@ -140,14 +140,14 @@
     let mut side = Side::start();
     side.ask(1, claim(), 100);
     assert!(
-        side.tell(1, Event::Notice(Notice::Open { name: "r".into() }))
+        side.tell(1, Event::Notice(RecordChange::Open { name: "r".into() }))
             .is_empty()
     );
-    let again = side.reply(2, 1, Reply::Refused(Refusal::InHand(who("c2"))));
+    let again = side.reply(2, 1, Reply::Refused(Rejection::InHand(who("c2"))));
     assert_eq!(
         again,
         [Action::Propose {
-            ticket: Ticket(1),
+            ticket: OperationId(1),
             command: claim()
         }]
     );
@@ -158,7 +158,7 @@
 fn what_is_granted_too_late_goes_out_nowhere_and_is_given_back() {
     let mut side = Side::start();
     side.ask(1, call(), 100);
-    assert_eq!(side.tell(100, Event::Tick), [verdict(1, Verdict::Late)]);
+    assert_eq!(side.tell(100, Event::Tick), [verdict(1, Decision::Late)]);
     let actions = side.reply(101, 1, Reply::Go);
     let back = Command::CallEnded {
         name: "r".into(),
@@ -177,9 +177,9 @@
     side.ask(1, call(), 100);
     assert_eq!(
         side.tell(1, Event::MayAct(false)),
-        [verdict(1, Verdict::Cut)]
+        [verdict(1, Decision::Cut)]
     );
-    assert_eq!(side.ask(2, call(), 100), [verdict(2, Verdict::Cut)]);
+    assert_eq!(side.ask(2, call(), 100), [verdict(2, Decision::Cut)]);
     assert!(
         side.reply(2, 1, Reply::Go)
             .iter()
@@ -192,7 +192,7 @@
     let mut side = Side::start();
     side.ask(1, call(), 100);
     let actions = side.reply(5_000, 1, Reply::Go);
-    assert_eq!(actions[0], verdict(1, Verdict::Late));
+    assert_eq!(actions[0], verdict(1, Decision::Late));
 }
 
 #[test]
@@ -203,30 +203,30 @@
     }
     assert_eq!(
         side.ask(9, call(), 100),
-        [verdict(9, Verdict::Refused(Refusal::Full))]
+        [verdict(9, Decision::Refused(Rejection::Full))]
     );
     let tell = Event::Tell {
-        ticket: Ticket(10),
+        ticket: OperationId(10),
         command: claim(),
     };
     assert_eq!(
         side.tell(0, tell),
         [Action::Propose {
-            ticket: Ticket(10),
+            ticket: OperationId(10),
             command: claim()
         }]
     );
     let again = side.tell(
         1,
         Event::Reply {
-            ticket: Ticket(10),
+            ticket: OperationId(10),
             reply: None,
         },
     );
     assert_eq!(
         again,
         [Action::Propose {
-            ticket: Ticket(10),
+            ticket: OperationId(10),
             command: claim()
         }]
     );
--- a/src/fleet/work/tests.rs
+++ b/src/fleet/work/tests.rs
@@ -19,7 +19,7 @@
 struct Log {
     table: Table,
     index: u64,
-    notices: Vec<Notice>,
+    notices: Vec<RecordChange>,
     ended: Vec<MemberInstance>,
 }
 
@@ -50,7 +50,7 @@
             .table
             .sent
             .keys()
-            .map(|id| RECORD + id.len() as u64)
+            .map(|id| RECORD_OVERHEAD_BYTES + id.len() as u64)
             .sum();
         sent + self
             .table
@@ -137,19 +137,22 @@
     }
     assert_eq!(
         log.claim("c2", false),
-        Reply::Refused(Refusal::InHand(who("c1")))
+        Reply::Refused(Rejection::InHand(who("c1")))
     );
     log.end("c1");
     let reply = log.claim("c2", false);
     if failed {
         // The same at whichever conductor its client asks, however often.
-        assert_eq!(reply, Reply::Ended(Final::Failed));
-        assert_eq!(log.claim("c3", true), Reply::Ended(Final::Failed));
+        assert_eq!(reply, Reply::Ended(FinalResponse::Failed));
+        assert_eq!(log.claim("c3", true), Reply::Ended(FinalResponse::Failed));
     } else {
         assert_eq!(generation(reply), g + 1);
     }
     // Late writes of an owner that was only stopped.
-    assert_eq!(log.send("c1", g, false), Reply::Refused(Refusal::LifeEnded));
+    assert_eq!(
+        log.send("c1", g, false),
+        Reply::Refused(Rejection::LifeEnded)
+    );
 }
 
 #[test]
@@ -174,9 +177,9 @@
     let mut log = Log::default();
     let g = generation(log.claim("c1", false));
     log.send("c1", g, false);
-    assert_eq!(log.claim("c1", false), Reply::Ended(Final::Failed));
+    assert_eq!(log.claim("c1", false), Reply::Ended(FinalResponse::Failed));
     // Whoever waits for it at another conductor hears of that.
-    assert_eq!(log.notices, [Notice::Ended { name: "r".into() }]);
+    assert_eq!(log.notices, [RecordChange::Ended { name: "r".into() }]);
 }
 
 #[test]
@@ -199,7 +202,7 @@
             harmless: false,
         },
     );
-    assert_eq!(log.claim("c2", false), Reply::Refused(Refusal::Begun));
+    assert_eq!(log.claim("c2", false), Reply::Refused(Rejection::Begun));
     assert_eq!(generation(log.claim("c2", true)), g + 1);
 }
 
@@ -218,25 +221,25 @@
     assert_eq!(log.call("c1", g1, 7), Reply::Go);
     // Its client moves on while c1 lives: c2 has the request, the call stays c1's.
     let g2 = generation(log.claim("c2", true));
-    assert!(log.notices.contains(&Notice::Moved {
+    assert!(log.notices.contains(&RecordChange::Moved {
         name: "r".into(),
         from: who("c1"),
         to: who("c2")
     }));
-    assert_eq!(log.call("c2", g2, 7), Reply::Known(CallStage::Out));
+    assert_eq!(log.call("c2", g2, 7), Reply::Known(CallState::Out));
     assert_eq!(
         log.call("c2", g2, 8),
-        Reply::Refused(Refusal::OtherArguments)
+        Reply::Refused(Rejection::OtherArguments)
     );
-    assert_eq!(log.call("c1", g1, 7), Reply::Refused(Refusal::Superseded));
+    assert_eq!(log.call("c1", g1, 7), Reply::Refused(Rejection::Superseded));
     assert_eq!(
         log.call_ended("c2", Some(b"x")),
-        Reply::Refused(Refusal::Superseded)
+        Reply::Refused(Rejection::Superseded)
     );
     assert_eq!(log.call_ended("c1", Some(b"out")), Reply::Done);
     assert_eq!(
         log.call("c2", g2, 7),
-        Reply::Known(CallStage::Ended(b"out".to_vec()))
+        Reply::Known(CallState::Ended(b"out".to_vec()))
     );
 }
 
@@ -250,10 +253,10 @@
     log.end("c1");
     assert_eq!(
         log.call_ended("c1", Some(b"late")),
-        Reply::Refused(Refusal::LifeEnded)
+        Reply::Refused(Rejection::LifeEnded)
     );
     let g2 = generation(log.claim("c2", true));
-    assert_eq!(log.call("c2", g2, 7), Reply::Known(CallStage::Unknown));
+    assert_eq!(log.call("c2", g2, 7), Reply::Known(CallState::Unknown));
 }
 
 #[test]
@@ -263,14 +266,14 @@
     log.send("c1", g, true);
     assert_eq!(
         log.put("c2", Command::Adopt { dead: who("c1") }),
-        Reply::Refused(Refusal::Nothing)
+        Reply::Refused(Rejection::Nothing)
     );
     log.end("c1");
     let left = Reply::Adopted(vec![("id-c1".into(), "w".into())]);
     assert_eq!(log.put("c2", Command::Adopt { dead: who("c1") }), left);
     assert_eq!(
         log.put("c3", Command::Adopt { dead: who("c1") }),
-        Reply::Refused(Refusal::Nothing)
+        Reply::Refused(Rejection::Nothing)
     );
     log.end("c2");
     assert_eq!(log.put("c3", Command::Adopt { dead: who("c2") }), left);
@@ -294,19 +297,19 @@
     log.end("c1");
     let g2 = generation(log.claim("c2", false));
     assert_eq!(log.send("c2", g2, true), Reply::Done);
-    assert_eq!(log.send("c2", g2, true), Reply::Refused(Refusal::Spent));
-    let done = Final::Done {
+    assert_eq!(log.send("c2", g2, true), Reply::Refused(Rejection::Spent));
+    let done = FinalResponse::Done {
         text: Some("text".into()),
         last: b"{}".to_vec(),
     };
-    let answer = |answer: &Final| Command::Answer {
+    let answer = |answer: &FinalResponse| Command::Answer {
         name: "r".into(),
         generation: g2,
         answer: answer.clone(),
     };
     assert_eq!(log.put("c2", answer(&done)), Reply::Done);
     assert_eq!(
-        log.put("c2", answer(&Final::Failed)),
+        log.put("c2", answer(&FinalResponse::Failed)),
         Reply::Ended(done.clone())
     );
     assert_eq!(log.claim("c3", true), Reply::Ended(done));
@@ -326,7 +329,7 @@
         bounds,
     };
     generation(log.put("c1", claim("a")));
-    assert_eq!(log.put("c1", claim("b")), Reply::Refused(Refusal::Full));
+    assert_eq!(log.put("c1", claim("b")), Reply::Refused(Rejection::Full));
     assert!(log.table.named("a").is_some());
     let narrow = Bounds {
         records: 9,
@@ -339,12 +342,12 @@
         arguments: 1,
         bounds: narrow,
     };
-    assert_eq!(log.put("c1", call), Reply::Refused(Refusal::Full));
+    assert_eq!(log.put("c1", call), Reply::Refused(Rejection::Full));
 }
 
 #[test]
 fn a_record_is_forgotten_only_when_it_rests_for_the_time_set() {
-    let (mut log, mut keeper) = (Log::default(), Keeper::default());
+    let (mut log, mut keeper) = (Log::default(), RetentionTracker::default());
     generation(log.claim("c1", false));
     assert!(keeper.due(0, 10, 9, &log.table).is_empty());
     log.end("c1");
@@ -354,7 +357,7 @@
     // Taken up again meanwhile: what was due is void.
     assert_eq!(
         log.put("c3", due[0].clone()),
-        Reply::Refused(Refusal::Superseded)
+        Reply::Refused(Rejection::Superseded)
     );
     log.end("c2");
     keeper.due(20, 10, 9, &log.table);
--- a/src/front/jsonrpc.rs
+++ b/src/front/jsonrpc.rs
@@ -13,7 +13,7 @@
 use crate::config::ToolSettings;
 use crate::exchange::{Answer, Call, Feed, Frame, Presence, is_plain_id};
 use crate::fleet::transport::work::Work;
-use crate::fleet::work::Final;
+use crate::fleet::work::FinalResponse;
 use crate::routing::types::{Ask, Micros, RequestId};
 use bytes::{Bytes, BytesMut};
 use hyper::header::{CONTENT_TYPE, HeaderValue};
@@ -755,7 +755,7 @@
             answered = waiting => answered,
             stop = async { in_hand.stop.wait_for(|s| *s != Stop::No).await.map_or(Stop::Moved, |s| *s) } => {
                 if let Some(claim) = claim.filter(|_| stop == Stop::Cancelled) {
-                    claim.ends(Final::Cancelled);
+                    claim.ends(FinalResponse::Cancelled);
                 }
                 return Err(CANCELLED);
             }
@@ -769,7 +769,9 @@
                 Err(Fault::refused(retry_after))
             }
             Answer::Failed => {
-                claim.iter().for_each(|claim| claim.ends(Final::Failed));
+                claim
+                    .iter()
+                    .for_each(|claim| claim.ends(FinalResponse::Failed));
                 Err(FAILED)
             }
             Answer::Stream(feed) => {
@@ -803,7 +805,7 @@
         params: &Params,
         deadline: Micros,
         in_hand: &mut InHand,
-    ) -> Result<Result<Option<Claim>, Final>, Fault> {
+    ) -> Result<Result<Option<Claim>, FinalResponse>, Fault> {
         let Some(work) = self.work.clone() else {
             return Ok(Ok(None));
         };
@@ -906,16 +908,18 @@
                 };
                 if let Some(claim) = &job.claim {
                     // On record before the client hears it: it is the same then at whichever conductor it asks.
-                    let answer = Final::Done {
+                    let answer = FinalResponse::Done {
                         text: job.text.take(),
                         last: encode(&last),
                     };
                     match claim.end(answer).await {
-                        Some(Final::Done { last: stands, .. }) => {
+                        Some(FinalResponse::Done { last: stands, .. }) => {
                             last = serde_json::from_slice(&stands).map_err(|_| Ended::Broken)?;
                         }
-                        Some(Final::Failed) => return Ok(error_line(job.id.as_deref(), &FAILED.1)),
-                        Some(Final::Cancelled) => {
+                        Some(FinalResponse::Failed) => {
+                            return Ok(error_line(job.id.as_deref(), &FAILED.1));
+                        }
+                        Some(FinalResponse::Cancelled) => {
                             return Ok(error_line(job.id.as_deref(), &CANCELLED.1));
                         }
                         None => return Err(Ended::Broken),
@@ -932,7 +936,7 @@
             Err(Ended::Cancelled) => {
                 job.claim
                     .iter()
-                    .for_each(|claim| claim.ends(Final::Cancelled));
+                    .for_each(|claim| claim.ends(FinalResponse::Cancelled));
                 Ok(error_line(job.id.as_deref(), &CANCELLED.1))
             }
             Err(ended) => Err(ended),
@@ -1116,12 +1120,12 @@
     id: Option<Box<RawValue>>,
     name: Rc<str>,
     params: &Params,
-    answer: Final,
+    answer: FinalResponse,
 ) -> Result<Begun, Fault> {
     let (text, last) = match answer {
-        Final::Failed => return Err(FAILED),
-        Final::Cancelled => return Err(CANCELLED),
-        Final::Done { text, last } => (text, last),
+        FinalResponse::Failed => return Err(FAILED),
+        FinalResponse::Cancelled => return Err(CANCELLED),
+        FinalResponse::Done { text, last } => (text, last),
     };
     let has = params.resume.as_ref().map_or("", |r| r.text.as_str());
     let rest = text
--- a/src/front/record.rs
+++ b/src/front/record.rs
@@ -2,8 +2,8 @@
 
 use super::ledger::{NEVER_RAN, NO_ROOM, Outcome, REUSED, ToolError, UNKNOWN};
 use crate::fleet::transport::work::Work;
-use crate::fleet::work::recorder::Verdict;
-use crate::fleet::work::{CallStage, Command, Final, Named, Refusal};
+use crate::fleet::work::recorder::Decision;
+use crate::fleet::work::{CallState, ClientRequestRecord, Command, FinalResponse, Rejection};
 use crate::routing::types::Micros;
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
@@ -42,7 +42,7 @@
     /// It is in hand here.
     Mine(Claim),
     /// It has its final answer.
-    Ended(Final),
+    Ended(FinalResponse),
     /// Another conductor has it, and was not seen to die in the time that there was.
     InHand,
     /// It has begun, and must not be begun anew.
@@ -94,15 +94,15 @@
             bounds,
         };
         match work.ask_for(command, deadline).await {
-            Verdict::Claimed(record) => Claimed::Mine(Claim::new(work, name, &record)),
-            Verdict::Ended(answer) => Claimed::Ended(answer),
-            Verdict::InHand(_) => Claimed::InHand,
-            Verdict::Refused(Refusal::Begun) => Claimed::Begun,
+            Decision::Claimed(record) => Claimed::Mine(Claim::new(work, name, &record)),
+            Decision::Ended(answer) => Claimed::Ended(answer),
+            Decision::InHand(_) => Claimed::InHand,
+            Decision::Refused(Rejection::Begun) => Claimed::Begun,
             _ => Claimed::NotNow,
         }
     }
 
-    fn new(work: &Rc<Work>, name: &str, record: &Named) -> Self {
+    fn new(work: &Rc<Work>, name: &str, record: &ClientRequestRecord) -> Self {
         let (work, name, generation) = (work.clone(), name.to_owned(), record.generation);
         work.history().claimed(&name, generation);
         Claim(Rc::new(Held {
@@ -148,14 +148,14 @@
         };
         // Another conductor may be at it: its outcome is worth the wait that a call may take.
         let error = match self.0.work.ask_within(command, patience).await {
-            Verdict::Go => {
+            Decision::Go => {
                 self.0.work.history().call_out(&self.0.name, ordinal);
                 return None;
             }
-            Verdict::Known(CallStage::Ended(outcome)) => return Some(decode(&outcome)),
-            Verdict::Known(CallStage::Unknown | CallStage::Out) => UNKNOWN,
-            Verdict::Refused(Refusal::OtherArguments) => REUSED,
-            Verdict::Refused(Refusal::Full) => NO_ROOM,
+            Decision::Known(CallState::Ended(outcome)) => return Some(decode(&outcome)),
+            Decision::Known(CallState::Unknown | CallState::Out) => UNKNOWN,
+            Decision::Refused(Rejection::OtherArguments) => REUSED,
+            Decision::Refused(Rejection::Full) => NO_ROOM,
             _ => NEVER_RAN,
         };
         Some(Outcome::Error(error))
@@ -178,7 +178,7 @@
 
     /// Writes the final answer down. The answer that stands: this one, an earlier one, or none if this conductor can't
     /// say.
-    pub async fn end(&self, answer: Final) -> Option<Final> {
+    pub async fn end(&self, answer: FinalResponse) -> Option<FinalResponse> {
         let (name, generation) = self.key();
         let command = Command::Answer {
             name,
@@ -186,8 +186,8 @@
             answer: answer.clone(),
         };
         let stands = match self.0.work.ask_soon(command).await {
-            Verdict::Go => Some(answer),
-            Verdict::Ended(earlier) => Some(earlier),
+            Decision::Go => Some(answer),
+            Decision::Ended(earlier) => Some(earlier),
             _ => None,
         };
         if stands.is_some() {
@@ -198,7 +198,7 @@
     }
 
     /// The same, where its client is told at once.
-    pub fn ends(&self, answer: Final) {
+    pub fn ends(&self, answer: FinalResponse) {
         let (name, generation) = self.key();
         self.0.ended.set(true);
         self.0.work.tell(Command::Answer {
--- a/tests/golden/commands.rs
+++ b/tests/golden/commands.rs
@@ -85,11 +85,11 @@
         ("takeover-call-not-made", call_ended("order-7", 46, None)),
         (
             "takeover-answer-failed",
-            answer("order-7", 47, work::Final::Failed),
+            answer("order-7", 47, work::FinalResponse::Failed),
         ),
         (
             "takeover-answer-cancelled",
-            answer("order-7", 48, work::Final::Cancelled),
+            answer("order-7", 48, work::FinalResponse::Cancelled),
         ),
         ("takeover-answer-done", answer("order-7", 49, done())),
         ("takeover-let-go", let_go("order-7", 50)),
@@ -151,7 +151,7 @@
     })
 }
 
-fn answer(name: &str, generation: u64, answer: work::Final) -> Command {
+fn answer(name: &str, generation: u64, answer: work::FinalResponse) -> Command {
     Command::Takeover(work::Command::Answer {
         name: name.into(),
         generation,
@@ -159,8 +159,8 @@
     })
 }
 
-fn done() -> work::Final {
-    work::Final::Done {
+fn done() -> work::FinalResponse {
+    work::FinalResponse::Done {
         text: Some("the answer".into()),
         last: vec![123, 125],
     }
