--- /dev/null
+++ b/src/dispatch/dispatcher.rs
@@ -0,0 +1,460 @@
+//! The dispatcher: hands events to routing, carries out its actions, owns the timers and the table of open requests.
+
+use super::invariants::InvariantViolation;
+use super::open_request::OpenRequest;
+use super::timers::{Timer, TimerQueue};
+use super::{Clock, DispatcherEvent, Outbound, ReleaseProgress};
+use crate::counters::{Count, Counters};
+use crate::exchange::{AnswerHandle, Call, Feed};
+use crate::routing::policy::Policy;
+use crate::routing::types::{
+    Action, AttemptCompleted, AttemptIndex, AttemptOutcome, EndReason, Event, Idempotency, Micros,
+    ReleaseReason, RequestId, RequestSpec, RoutingConfig, SendPermit, WorkerId,
+};
+use std::cell::Cell;
+use std::collections::HashMap;
+use std::panic::{AssertUnwindSafe, catch_unwind};
+use std::rc::Rc;
+use tokio::sync::mpsc;
+
+/// Drives one instance of the routing policy.
+pub struct Dispatcher {
+    policy: Policy,
+    config: RoutingConfig,
+    clock: Clock,
+    outbound: Rc<dyn Outbound>,
+    counters: Rc<Counters>,
+    pub(super) open: HashMap<RequestId, OpenRequest>,
+    pub(super) timers: TimerQueue,
+    /// Reused buffer for the actions of one event.
+    actions: Vec<Action>,
+    /// Requests that got their final answer while the actions of one event were carried out.
+    answered: Vec<RequestId>,
+}
+
+impl Dispatcher {
+    /// A dispatcher with a new routing policy.
+    pub fn new(
+        config: RoutingConfig,
+        seed: u64,
+        clock: Clock,
+        outbound: Rc<dyn Outbound>,
+        counters: Rc<Counters>,
+    ) -> Self {
+        Dispatcher {
+            policy: Policy::new(config.clone(), seed),
+            config,
+            clock,
+            outbound,
+            counters,
+            open: HashMap::new(),
+            timers: TimerQueue::default(),
+            actions: Vec::new(),
+            answered: Vec::new(),
+        }
+    }
+
+    /// Runs until every handle is dropped.
+    pub async fn run(mut self, mut queue: mpsc::UnboundedReceiver<DispatcherEvent>) {
+        loop {
+            let next_timer = self.clock.reach(self.timers.next_due());
+            tokio::select! {
+                biased;
+                event = queue.recv() => match event {
+                    Some(event) => self.on_event(event),
+                    None => return,
+                },
+                () = next_timer => {}
+            }
+            // Also after an event: a queue that is never empty must not starve the timers.
+            self.fire_due_timers();
+        }
+    }
+
+    fn fire_due_timers(&mut self) {
+        let now = self.clock.now();
+        while let Some(timer) = self.timers.pop_due(now) {
+            match timer {
+                Timer::Routing(timer) => {
+                    self.route(Event::Timer(timer));
+                    self.check_held_kv_state();
+                }
+                Timer::AnswerDeadline(request) => self.on_answer_deadline(request),
+            }
+        }
+    }
+
+    pub(super) fn on_event(&mut self, event: DispatcherEvent) {
+        match event {
+            DispatcherEvent::RequestArrived {
+                spec,
+                call,
+                answer,
+                gone,
+            } => self.on_request(spec, call, answer, gone),
+            DispatcherEvent::ClientDisconnected(request) => self.on_client_disconnected(request),
+            DispatcherEvent::StreamStarted {
+                request,
+                attempt,
+                feed,
+            } => self.on_stream_started(request, attempt, feed),
+            DispatcherEvent::AttemptCompleted {
+                request,
+                attempt,
+                outcome,
+                cached_tokens,
+                load,
+            } => self.on_attempt_completed(AttemptCompleted {
+                request,
+                attempt,
+                outcome,
+                cached_tokens,
+                report: load,
+                elapsed: 0,
+                request_finished: false,
+            }),
+            DispatcherEvent::ConfigChanged(config) => {
+                self.policy.update_config((*config).clone());
+                self.config = *config;
+            }
+            DispatcherEvent::EndpointsUpdated { kind, entries } => {
+                self.counters.lists.up();
+                self.route(Event::EndpointsUpdated { kind, entries });
+            }
+            DispatcherEvent::SlowStart { allowed } => self.route(Event::SlowStart { allowed }),
+            DispatcherEvent::CountAvoidedWorkers(reply) => {
+                let now = self.clock.now();
+                let workers = self.policy.workers.values();
+                let avoided = workers.filter(|worker| worker.is_avoided(now)).count();
+                let _ = reply.send(avoided);
+            }
+        }
+    }
+
+    fn on_request(
+        &mut self,
+        spec: RequestSpec,
+        call: Rc<Call>,
+        answer: AnswerHandle,
+        gone: Rc<Cell<bool>>,
+    ) {
+        self.counters.taken.up();
+        log::debug!("request {}: {spec:?}", call.id);
+        let class = self
+            .config
+            .classes
+            .iter()
+            .find(|class| class.name == spec.class);
+        let idempotency = class.map_or(Idempotency::NonIdempotent, |class| class.idempotency);
+        let max_attempts = self.config.max_attempts;
+        let (request, deadline) = (spec.request, spec.deadline);
+        let open = OpenRequest::new(call, deadline, answer, gone, max_attempts, idempotency);
+        self.open.insert(request, open);
+        let last_moment = deadline + self.config.response_grace;
+        self.timers.set(last_moment, Timer::AnswerDeadline(request));
+        let open = &self.open;
+        self.timers
+            .purge_deadlines(open.len(), |request| open.contains_key(request));
+        self.route(Event::RequestArrived(spec));
+    }
+
+    fn on_client_disconnected(&mut self, request: RequestId) {
+        let Some(open) = self.open.get_mut(&request) else {
+            return;
+        };
+        self.counters.clients_left.up();
+        // Nobody is there to receive it.
+        open.answer = None;
+        let streaming = open
+            .attempts
+            .iter_mut()
+            .filter(|attempt| attempt.is_streaming);
+        streaming.for_each(|attempt| attempt.cancel());
+        self.route(Event::ClientDisconnected { request });
+        self.forget_if_finished(request);
+    }
+
+    fn on_stream_started(&mut self, request: RequestId, attempt: AttemptIndex, feed: Feed) {
+        let Some(open) = self.open.get_mut(&request) else {
+            return;
+        };
+        let Some(state) = open.attempts.get_mut(attempt.0 as usize) else {
+            return;
+        };
+        // An answer that was already given stands: the feed is dropped, and with it the attempt.
+        let Some(answer) = open.answer.take() else {
+            return;
+        };
+        state.is_streaming = true;
+        let elapsed = self.clock.now().saturating_sub(state.sent_at);
+        log::debug!(
+            "request {}: attempt {} streams after {elapsed} us",
+            open.call.id,
+            attempt.0
+        );
+        self.counters.answered_stream.up();
+        open.monitor.stream_started();
+        if let Some(release) = open.release.take() {
+            release.stop();
+        }
+        answer.stream(feed);
+        self.route(Event::StreamStarted {
+            request,
+            attempt,
+            elapsed,
+        });
+    }
+
+    /// Fills in what the dispatcher knows of the attempt, and tells routing.
+    fn on_attempt_completed(&mut self, mut completed: AttemptCompleted) {
+        let AttemptCompleted {
+            request,
+            attempt,
+            outcome,
+            cached_tokens,
+            ..
+        } = completed;
+        let Some(open) = self.open.get_mut(&request) else {
+            return;
+        };
+        let state = open.attempts.get_mut(attempt.0 as usize);
+        let Some(state) = state.filter(|state| state.outcome.is_none()) else {
+            return;
+        };
+        state.outcome = Some(outcome);
+        state.cancel();
+        completed.elapsed = self.clock.now().saturating_sub(state.sent_at);
+        completed.request_finished = open.answer.is_none();
+        log::debug!(
+            "request {}: attempt {} ended {outcome:?} after {} us, {cached_tokens} kept",
+            open.call.id,
+            attempt.0,
+            completed.elapsed
+        );
+        open.monitor
+            .attempt_completed(attempt.0 as usize, outcome, self.clock.now());
+        open.release_history.attempt_ended(outcome);
+        outcome_counter(&self.counters, outcome).up();
+        self.route(Event::AttemptCompleted(completed));
+        self.forget_if_finished(request);
+    }
+
+    /// Answers a request that routing has lost (after a panic, for example): it is rejected only if nothing can have run.
+    fn on_answer_deadline(&mut self, request: RequestId) {
+        let Some(open) = self.open.get_mut(&request) else {
+            return;
+        };
+        let Some(answer) = open.answer.take() else {
+            return;
+        };
+        log::warn!(
+            "request {}: no decision by its deadline, ended by the driver",
+            open.call.id
+        );
+        if open.monitor.check_rejection().is_ok() {
+            self.counters.answered_refused.up();
+            answer.refuse(None);
+        } else {
+            self.counters.answered_failed.up();
+            answer.fail();
+        }
+        for attempt in &mut open.attempts {
+            attempt.cancel();
+        }
+        self.release(request, ReleaseReason::RequestFinished);
+        self.route(Event::ClientDisconnected { request });
+        self.forget_if_finished(request);
+    }
+
+    fn forget_if_finished(&mut self, request: RequestId) {
+        let open = self.open.get(&request);
+        if open.is_some_and(OpenRequest::is_finished) {
+            self.open.remove(&request);
+        }
+    }
+
+    /// Hands an event to routing and carries out its actions. A panic of the policy costs that decision only: requests
+    /// that it loses are answered at their deadlines.
+    fn route(&mut self, event: Event) {
+        let mut actions = std::mem::take(&mut self.actions);
+        let now = self.clock.now();
+        let (policy, list) = (&mut self.policy, &mut actions);
+        if catch_unwind(AssertUnwindSafe(|| policy.handle(now, event, list))).is_err() {
+            self.counters.panics.up();
+            log::error!("the module panicked; the event is skipped");
+        }
+        for action in actions.drain(..) {
+            self.carry_out(action);
+        }
+        self.actions = actions;
+        // Only now: a release that follows the answer still has to find the request.
+        while let Some(request) = self.answered.pop() {
+            self.forget_if_finished(request);
+        }
+    }
+
+    fn carry_out(&mut self, action: Action) {
+        match action {
+            Action::Send {
+                request,
+                worker,
+                timeout,
+                permit,
+            } => self.send(request, worker, timeout, permit),
+            Action::SendDenied {
+                request,
+                worker,
+                refusal,
+            } => {
+                let open = self.open.get(&request);
+                let id = open.map_or("", |open| &open.call.id);
+                self.counters.sends_refused.up();
+                log::info!("request {id}: not sent to {}: {refusal}", worker.0);
+            }
+            Action::Reject {
+                request,
+                reason,
+                retry_after,
+            } => self.reject(request, reason, retry_after),
+            Action::Fail { request, reason } => self.fail(request, reason),
+            Action::Cancel { request, attempt } => self.cancel(request, attempt),
+            Action::Release { request, reason } => self.release(request, reason),
+            Action::Timer { at, timer } => self.timers.set(at, Timer::Routing(timer)),
+            Action::Subscribe => self.outbound.subscribe(),
+        }
+    }
+
+    fn reject(&mut self, request: RequestId, reason: EndReason, retry_after: Option<Micros>) {
+        let Some(open) = self.open.get_mut(&request) else {
+            return;
+        };
+        let Some(answer) = open.answer.take() else {
+            return;
+        };
+        log::debug!("request {}: refused: {reason:?}", open.call.id);
+        if let Err(violation) = open.monitor.check_rejection() {
+            report_violation(&self.counters, &open.call.id, violation);
+        }
+        self.counters.answered_refused.up();
+        answer.refuse(retry_after);
+        self.answered.push(request);
+    }
+
+    fn fail(&mut self, request: RequestId, reason: EndReason) {
+        let Some(open) = self.open.get_mut(&request) else {
+            return;
+        };
+        let Some(answer) = open.answer.take() else {
+            return;
+        };
+        log::debug!("request {}: failed: {reason:?}", open.call.id);
+        self.counters.answered_failed.up();
+        answer.fail();
+        self.answered.push(request);
+    }
+
+    /// Cancels an attempt, unless it streams already.
+    fn cancel(&mut self, request: RequestId, attempt: AttemptIndex) {
+        let open = self.open.get_mut(&request);
+        let state = open.and_then(|open| open.attempts.get_mut(attempt.0 as usize));
+        if let Some(state) = state.filter(|state| !state.is_streaming) {
+            state.cancel();
+        }
+    }
+
+    fn send(
+        &mut self,
+        request: RequestId,
+        worker: WorkerId,
+        timeout: Option<Micros>,
+        permit: SendPermit,
+    ) {
+        let now = self.clock.now();
+        let open = self.open.get_mut(&request);
+        let Some(open) = open.filter(|open| open.answer.is_some()) else {
+            return;
+        };
+        if let Err(violation) = open.monitor.sent(permit.reads()) {
+            report_violation(&self.counters, &open.call.id, violation);
+        }
+        let until = timeout.map_or(open.deadline, |timeout| {
+            open.deadline.min(now.saturating_add(timeout))
+        });
+        let attempt = open.begin_attempt(request, worker, now, until, permit);
+        log::debug!(
+            "request {}: attempt {} to {}, {} us",
+            attempt.call.id,
+            attempt.attempt.0,
+            attempt.worker.0,
+            until.saturating_sub(now)
+        );
+        self.outbound.send(attempt);
+    }
+
+    fn release(&mut self, request: RequestId, reason: ReleaseReason) {
+        let Some(open) = self.open.get_mut(&request) else {
+            return;
+        };
+        open.monitor.released();
+        let is_releasing = open.is_releasing();
+        let permit = match open.release_history.permit(reason, is_releasing) {
+            Ok(permit) => permit,
+            Err(refusal) => {
+                return log::debug!(
+                    "request {}: no release for {reason:?}: {refusal}",
+                    open.call.id
+                );
+            }
+        };
+        if let Some(last) = &open.release {
+            last.stop();
+        }
+        let progress = Rc::<ReleaseProgress>::default();
+        self.counters.releases.up();
+        if reason == ReleaseReason::SendUnanswered {
+            self.counters.releases_behind_sends.up();
+            log::info!(
+                "request {}: release ordered, its send is not answered yet",
+                open.call.id
+            );
+        } else {
+            log::debug!("request {}: release ordered: {reason:?}", open.call.id);
+        }
+        self.outbound
+            .release(open.call.clone(), permit, progress.clone());
+        open.release = Some(progress);
+    }
+
+    /// Reports KV state that is held for longer than allowed.
+    fn check_held_kv_state(&mut self) {
+        let now = self.clock.now();
+        let limit = self.config.kv_state_hold_limit;
+        for open in self.open.values_mut() {
+            if let Err(violation) = open.monitor.check_held(now, limit) {
+                report_violation(&self.counters, &open.call.id, violation);
+            }
+        }
+    }
+}
+
+/// The counter of attempts that completed with this outcome.
+fn outcome_counter(counters: &Counters, outcome: AttemptOutcome) -> &Count {
+    match outcome {
+        AttemptOutcome::Prefilled => &counters.ended_read,
+        AttemptOutcome::Served => &counters.ended_served,
+        AttemptOutcome::Rejected | AttemptOutcome::KvStateMissing => &counters.ended_turned_away,
+        AttemptOutcome::ConnectFailed => &counters.ended_no_connection,
+        AttemptOutcome::ConnectionLost => &counters.ended_lost,
+        AttemptOutcome::TimedOut => &counters.ended_no_answer,
+        AttemptOutcome::Error => &counters.ended_error,
+        AttemptOutcome::Cancelled => &counters.ended_dropped,
+        AttemptOutcome::NotSent => &counters.ended_not_sent,
+    }
+}
+
+/// Counts and logs a violation; with debug assertions it panics, unless a stalled process explains it.
+fn report_violation(counters: &Counters, id: &str, violation: InvariantViolation) {
+    counters.violations.up();
+    log::error!("request {id}: rule broken: {violation}");
+    debug_assert!(violation.may_come_of_a_stall(), "request {id}: {violation}");
+}
--- a/src/core/tests.rs
+++ b/src/dispatch/tests.rs
@@ -1,28 +1,32 @@
+use super::timers::MAX_STALE_DEADLINES;
 use super::*;
+use crate::exchange::Call;
+use crate::routing::types::*;
 use bytes::Bytes;
+use std::rc::Rc;
 
 struct Nowhere;
 
 impl Outbound for Nowhere {
     fn send(&self, _: Attempt) {}
-    fn release(&self, _: Rc<Call>, _: ReleasePermit, _: Rc<Releasing>) {}
+    fn release(&self, _: Rc<Call>, _: ReleasePermit, _: Rc<ReleaseProgress>) {}
     fn subscribe(&self) {}
 }
 
-/// Guards against memory that grows with every request for as long as the longest deadline that clients state.
+/// Else memory would grow with each request for as long as the longest deadline that clients state.
 #[tokio::test]
-async fn requests_that_have_ended_leave_no_guards_behind() {
+async fn finished_requests_leave_no_deadline_timers() {
     let clock = Clock::start();
-    let (handle, mut queue) = CoreHandle::channel(clock);
-    let mut core = Core::new(
+    let (handle, mut queue) = DispatcherHandle::channel(clock);
+    let mut dispatcher = Dispatcher::new(
         RoutingConfig::default(),
         1,
         clock,
         Rc::new(Nowhere),
         Rc::default(),
     );
-    for _ in 0..5 * MOST_DUE {
-        let ask = RequestSpec {
+    for _ in 0..5 * MAX_STALE_DEADLINES {
+        let spec = RequestSpec {
             request: RequestId(0),
             deadline: clock.now() + 600_000_000,
             session: None,
@@ -43,16 +47,20 @@
             keeps: None,
             name: None,
         };
-        drop(handle.ask(ask, call));
+        drop(handle.submit(spec, call));
         while let Ok(input) = queue.try_recv() {
-            core.input(input);
+            dispatcher.on_event(input);
         }
     }
-    assert!(core.open.is_empty());
-    assert!(core.due.len() <= MOST_DUE + 1, "{}", core.due.len());
+    assert!(dispatcher.open.is_empty());
+    assert!(
+        dispatcher.timers.len() <= MAX_STALE_DEADLINES + 1,
+        "{}",
+        dispatcher.timers.len()
+    );
 }
 
-/// Keeps the attempts that it is given.
+/// Records the attempts that it is given.
 #[derive(Default)]
 struct Sent(std::cell::RefCell<Vec<Attempt>>);
 
@@ -60,15 +68,15 @@
     fn send(&self, attempt: Attempt) {
         self.0.borrow_mut().push(attempt);
     }
-    fn release(&self, _: Rc<Call>, _: ReleasePermit, _: Rc<Releasing>) {}
+    fn release(&self, _: Rc<Call>, _: ReleasePermit, _: Rc<ReleaseProgress>) {}
     fn subscribe(&self) {}
 }
 
-/// Guards against a fleet's record that allows an open request fewer attempts than it began with.
+/// Else the fleet's record would allow an open request fewer attempts than it began with.
 #[tokio::test]
-async fn attempts_carry_the_number_that_their_request_began_under() {
+async fn attempts_carry_the_attempt_limit_of_their_request() {
     let clock = Clock::start();
-    let (handle, mut queue) = CoreHandle::channel(clock);
+    let (handle, mut queue) = DispatcherHandle::channel(clock);
     let class = RequestClass {
         name: "chat".into(),
         ttft_objective: 1_000_000,
@@ -88,7 +96,7 @@
         ..RoutingConfig::default()
     };
     let sent = Rc::<Sent>::default();
-    let mut core = Core::new(settings(6), 1, clock, sent.clone(), Rc::default());
+    let mut dispatcher = Dispatcher::new(settings(6), 1, clock, sent.clone(), Rc::default());
     let entries = (0..4).map(|i| Endpoint {
         worker: WorkerId(format!("w{i}").into()),
         zone: String::new(),
@@ -98,12 +106,12 @@
         weight: 1.0,
         started: None,
     });
-    core.input(Input::List {
+    dispatcher.on_event(DispatcherEvent::EndpointsUpdated {
         kind: EndpointUpdate::Full,
         entries: entries.collect(),
     });
     let ask = || {
-        let ask = RequestSpec {
+        let spec = RequestSpec {
             request: RequestId(0),
             deadline: clock.now() + 8_000_000,
             session: None,
@@ -116,8 +124,8 @@
             tenant: None,
         };
         let (id, target, body) = (String::new(), String::new(), Bytes::new());
-        handle.ask(
-            ask,
+        handle.submit(
+            spec,
             Call {
                 id,
                 target,
@@ -129,8 +137,8 @@
         )
     };
     let _open = ask();
-    core.input(queue.try_recv().unwrap());
-    core.input(Input::Settings(Box::new(settings(2))));
+    dispatcher.on_event(queue.try_recv().unwrap());
+    dispatcher.on_event(DispatcherEvent::ConfigChanged(Box::new(settings(2))));
     let (request, attempt) = sent
         .0
         .borrow()
@@ -138,20 +146,20 @@
         .map(|a| (a.request, a.attempt))
         .unwrap();
     let outcome = AttemptOutcome::ConnectFailed;
-    core.input(Input::Ended {
+    dispatcher.on_event(DispatcherEvent::AttemptCompleted {
         request,
         attempt,
         outcome,
-        kept: 0,
-        report: None,
+        cached_tokens: 0,
+        load: None,
     });
     let _new = ask();
-    core.input(queue.try_recv().unwrap());
+    dispatcher.on_event(queue.try_recv().unwrap());
     let sent: Vec<_> = sent
         .0
         .borrow()
         .iter()
-        .map(|a| (a.request.0, a.most_attempts))
+        .map(|a| (a.request.0, a.max_attempts))
         .collect();
     assert_eq!(sent, [(1, 6), (1, 6), (2, 2)]);
 }
--- a/src/exchange.rs
+++ b/src/exchange.rs
@@ -172,7 +172,7 @@
     }
 }
 
-/// Tells the core, when dropped before [`Presence::finished`], that the client has left.
+/// Tells the dispatcher, when dropped before [`Presence::finished`], that the client has left.
 pub struct Presence(Option<Rc<dyn Fn()>>);
 
 impl Presence {
--- a/src/fleet/transport/mod.rs
+++ b/src/fleet/transport/mod.rs
@@ -17,8 +17,8 @@
 pub mod work;
 
 use crate::config::ConfigError;
-use crate::core::Clock;
 use crate::counters::FleetCounters;
+use crate::dispatch::Clock;
 use crate::fleet::config::{FleetConfig, WhenCutOff};
 use crate::fleet::lease::{Rights, life};
 use crate::fleet::node::Lost;
--- a/src/fleet/transport/policy.rs
+++ b/src/fleet/transport/policy.rs
@@ -2,11 +2,11 @@
 //!
 //! [`Gate`] follows the log. A request begins when [`Gate::begin`] lets it through, under the epoch that stands then.
 //! While a change is closing, new requests wait; this conductor's word that it begins none goes out once those let
-//! through have reached the core, so that the core takes them under the settings they began with.
+//! through have reached the dispatcher, so that the dispatcher takes them under the settings they began with.
 
 use super::history::{History, unix_us};
 use super::{Fleet, Told};
-use crate::core::CoreHandle;
+use crate::dispatch::DispatcherHandle;
 use crate::fleet::MemberInstance;
 use crate::fleet::config::PolicyConfig;
 use crate::fleet::policy_content as content;
@@ -36,7 +36,7 @@
 /// What lets requests begin.
 pub struct Gate {
     fleet: Fleet,
-    core: CoreHandle,
+    dispatcher: DispatcherHandle,
     live: Rc<LiveSettings>,
     config: PolicyConfig,
     own: Value,
@@ -47,7 +47,7 @@
     /// Whether the epoch in force is held here.
     held: Cell<bool>,
     staged: RefCell<Option<Staged>>,
-    /// Requests let through that are not at the core yet.
+    /// Requests let through that are not at the dispatcher yet.
     passing: Cell<usize>,
     waiting: Cell<usize>,
     changed: Notify,
@@ -56,7 +56,7 @@
     closed: RefCell<Option<(MemberInstance, u64)>>,
 }
 
-/// A request let through. To be dropped once the core has the request.
+/// A request let through. To be dropped once the dispatcher has the request.
 pub struct Pass(Rc<Gate>);
 
 impl Drop for Pass {
@@ -84,7 +84,7 @@
     /// What is wrong with the policy in that table.
     pub fn start(
         fleet: Fleet,
-        core: CoreHandle,
+        dispatcher: DispatcherHandle,
         live: Rc<LiveSettings>,
         config: PolicyConfig,
         own: Value,
@@ -92,7 +92,7 @@
         let (own_content, _) = content::take(&own)?;
         let gate = Rc::new(Gate {
             fleet: fleet.clone(),
-            core,
+            dispatcher,
             live,
             config,
             own,
@@ -130,8 +130,8 @@
     /// # Errors
     /// It can't begin; trying again is harmless.
     pub async fn begin(self: &Rc<Self>, deadline: Micros) -> Result<Pass, Shut> {
-        let until = self.core.clock.now() + self.config.hold_ms * 1_000;
-        let until = self.core.clock.instant(until.min(deadline));
+        let until = self.dispatcher.clock.now() + self.config.hold_ms * 1_000;
+        let until = self.dispatcher.clock.instant(until.min(deadline));
         loop {
             let at = unix_us();
             // Read at this moment, and nothing waits between this and the pass.
--- a/src/fleet/transport/reception.rs
+++ b/src/fleet/transport/reception.rs
@@ -7,8 +7,8 @@
     Bounds, Inbound, Keys, Opener, Refused, Session, StreamSealer, frame_length, length_prefix,
 };
 use super::{ADMIN, MESSAGE, draw, within};
-use crate::core::Clock;
 use crate::counters::FleetCounters;
+use crate::dispatch::Clock;
 use crate::fleet::message::Message;
 use crate::fleet::{MemberInstance, MemberName};
 use crate::net::fault::pause_after_accept;
--- a/src/fleet/transport/sites.rs
+++ b/src/fleet/transport/sites.rs
@@ -1,13 +1,13 @@
 //! What the fleet makes of its sites, carried out: what this conductor sees goes to
 //! [`Member`](crate::fleet::sites::member::Member), and what that says goes to the group, to the history, and as weights
-//! into the list of hosts that the core has. New requests are not refused here yet.
+//! into the list of hosts that the dispatcher has. New requests are not refused here yet.
 //!
 //! Hosts are tried by small requests of their own, one host of each site in turn: any answer counts, whatever it says,
 //! since a connection alone may be taken by something in between.
 
 use super::history::History;
 use super::{Fleet, Told};
-use crate::core::{Clock, CoreHandle, Input};
+use crate::dispatch::{Clock, DispatcherEvent, DispatcherHandle};
 use crate::fleet::MemberName;
 use crate::fleet::membership;
 use crate::fleet::sites::describe;
@@ -37,7 +37,7 @@
     /// Where they are.
     pub directory: Rc<Directory>,
     /// MemberInstance chooses among them.
-    pub core: CoreHandle,
+    pub dispatcher: DispatcherHandle,
     /// What they do, by their kinds.
     pub kinds: Vec<WorkerKind>,
 }
@@ -146,10 +146,12 @@
     fn obey(&self) {
         let mut entries: Vec<Endpoint> = self.list.borrow().values().cloned().collect();
         self.weigh_by_orders(&mut entries);
-        self.hosts.core.tell(Input::List {
-            kind: EndpointUpdate::Incremental,
-            entries,
-        });
+        self.hosts
+            .dispatcher
+            .tell(DispatcherEvent::EndpointsUpdated {
+                kind: EndpointUpdate::Incremental,
+                entries,
+            });
     }
 
     /// Looks at which hosts discovery's list has now.
--- a/src/fleet/transport/work.rs
+++ b/src/fleet/transport/work.rs
@@ -1,12 +1,14 @@
 //! Work in hand, carried out: asks the fleet before something goes out, and releases what ended lives have left.
 //!
 //! [`Work`] drives [`Hands`](crate::fleet::work::recorder::Hands) with the program's clock and proposals. [`Recording`] stands
-//! between the core and the client side: what goes to a model host is written down first, and taken off the record when
+//! between the dispatcher and the client side: what goes to a model host is written down first, and taken off the record when
 //! nothing of its request is left.
 
 use super::history::History;
 use super::{Fleet, Told};
-use crate::core::{Attempt, Clock, CoreHandle, Input, Outbound, Releasing};
+use crate::dispatch::{
+    Attempt, Clock, DispatcherEvent, DispatcherHandle, Outbound, ReleaseProgress,
+};
 use crate::exchange::Call;
 use crate::fleet::MemberInstance;
 use crate::fleet::config::TakeoverConfig;
@@ -359,7 +361,7 @@
             keeps: None,
             name: None,
         };
-        let releasing = Rc::new(Releasing::default());
+        let releasing = Rc::new(ReleaseProgress::default());
         let Ok(permit) = ReleaseHistory::default().permit(ReleaseReason::RouterFailed, false)
         else {
             return false;
@@ -378,7 +380,7 @@
 pub struct Recording {
     inner: Rc<dyn Outbound>,
     work: Rc<Work>,
-    core: CoreHandle,
+    dispatcher: DispatcherHandle,
     reads: Box<dyn Fn(&WorkerId) -> bool>,
     /// What is on record, by id.
     noted: RefCell<HashMap<String, Noted>>,
@@ -391,7 +393,7 @@
     /// Where it went last.
     worker: WorkerId,
     /// The release since then, if there was one.
-    releasing: Option<Rc<Releasing>>,
+    releasing: Option<Rc<ReleaseProgress>>,
 }
 
 impl Recording {
@@ -399,14 +401,14 @@
     pub fn start(
         inner: Rc<dyn Outbound>,
         work: Rc<Work>,
-        core: CoreHandle,
+        dispatcher: DispatcherHandle,
         reads: Box<dyn Fn(&WorkerId) -> bool>,
     ) -> Rc<Self> {
         let noted = RefCell::default();
         let recording = Rc::new(Recording {
             inner,
             work,
-            core,
+            dispatcher,
             reads,
             noted,
         });
@@ -457,13 +459,13 @@
 struct Going {
     inner: Rc<dyn Outbound>,
     work: Rc<Work>,
-    core: CoreHandle,
+    dispatcher: DispatcherHandle,
 }
 
 impl Going {
     async fn send(self, mut attempt: Attempt, command: work::Command) {
         let most = attempt.until;
-        let within = self.core.clock.now() + self.work.settings.record_within_ms * 1_000;
+        let within = self.dispatcher.clock.now() + self.work.settings.record_within_ms * 1_000;
         let verdict = tokio::select! {
             biased;
             _ = &mut attempt.cancelled => return self.not_sent(&attempt, AttemptOutcome::Cancelled),
@@ -483,12 +485,12 @@
 
     fn not_sent(&self, attempt: &Attempt, outcome: AttemptOutcome) {
         let (request, attempt) = (attempt.request, attempt.attempt);
-        self.core.tell(Input::Ended {
+        self.dispatcher.tell(DispatcherEvent::AttemptCompleted {
             request,
             attempt,
             outcome,
-            kept: 0,
-            report: None,
+            cached_tokens: 0,
+            load: None,
         });
     }
 }
@@ -516,18 +518,18 @@
             worker: attempt.worker.0.to_string(),
             name: call.name.clone(),
             reads: (self.reads)(&attempt.worker),
-            most_attempts: attempt.most_attempts,
+            most_attempts: attempt.max_attempts,
             bounds: self.work.bounds(),
         };
         let going = Going {
             inner: self.inner.clone(),
             work: self.work.clone(),
-            core: self.core.clone(),
+            dispatcher: self.dispatcher.clone(),
         };
         tokio::task::spawn_local(going.send(attempt, command));
     }
 
-    fn release(&self, call: Rc<Call>, permit: ReleasePermit, releasing: Rc<Releasing>) {
+    fn release(&self, call: Rc<Call>, permit: ReleasePermit, releasing: Rc<ReleaseProgress>) {
         if let Some(noted) = self.noted.borrow_mut().get_mut(&call.id) {
             noted.releasing = Some(releasing.clone());
         }
--- a/src/front/jsonrpc.rs
+++ b/src/front/jsonrpc.rs
@@ -713,7 +713,7 @@
             Ok(claim) => claim,
             Err(answer) => return recorded(message.id, in_hand.name.clone(), &params, answer),
         };
-        // SIGHUP may have changed the class meanwhile, and the claim would promise what the core does not keep.
+        // SIGHUP may have changed the class meanwhile, and the claim would promise what the dispatcher does not keep.
         if !self.shared.knows(&message.method) || self.shared.is_once(&message.method) != once {
             claim.iter().for_each(Claim::refused);
             return Err(Fault::refused(Some(COME_BACK)));
@@ -749,7 +749,7 @@
             keeps: None,
             name: claim.as_ref().map(Claim::key),
         };
-        let waiting = self.shared.core.ask(ask, call).answer();
+        let waiting = self.shared.dispatcher.submit(ask, call).answer();
         drop(pass);
         let (answer, presence) = tokio::select! {
             answered = waiting => answered,
@@ -962,7 +962,7 @@
                     id: event.id,
                     method,
                     params: event.params,
-                    arrived: self.shared.core.clock.now(),
+                    arrived: self.shared.dispatcher.clock.now(),
                 };
                 if !message.is_valid() {
                     return Err(Ended::Broken);
--- a/src/front/shared.rs
+++ b/src/front/shared.rs
@@ -1,7 +1,7 @@
 //! What the server's connections and the fronts share.
 
-use crate::core::CoreHandle;
 use crate::counters::Counters;
+use crate::dispatch::DispatcherHandle;
 use crate::fleet::transport::policy::{Gate, Pass, Shut, once};
 use crate::ops::figures::Figures;
 use crate::routing::types::{Micros, RequestClass};
@@ -19,7 +19,7 @@
 /// What all connections of the edge share.
 pub struct Shared {
     /// The core.
-    pub core: CoreHandle,
+    pub dispatcher: DispatcherHandle,
     /// Classes that the settings in force name.
     pub classes: RefCell<Vec<RequestClass>>,
     /// Lets requests begin under the fleet's policy, where there is one.
@@ -49,7 +49,7 @@
         once(&self.classes.borrow()).any(|c| c.name == class)
     }
 
-    /// Lets a request begin; hold on to the pass until the core has the request.
+    /// Lets a request begin; hold on to the pass until the dispatcher has the request.
     ///
     /// # Errors
     /// It can't begin now: the advice when to come back.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
 //! A request router in front of a language model that separate prefill and decode workers serve.
 //!
 //! All routing decisions are in [`Policy`], which the simulator's adapter ([`wire`]) and the real conductor
-//! share. In the real conductor [`core`] drives it, the server and the client side of [`net`] meet in an
+//! share. In the real conductor [`dispatch`] drives it, the server and the client side of [`net`] meet in an
 //! [`exchange`] only, and [`front`] holds what clients speak.
 //!
 //! [`Policy`] is a state machine without input or output of its own: the caller hands it events with the time,
@@ -60,8 +60,8 @@
 //! ```
 
 pub mod config;
-pub mod core;
 pub mod counters;
+pub mod dispatch;
 pub mod exchange;
 pub mod fleet;
 pub mod front;
--- a/src/live_settings.rs
+++ b/src/live_settings.rs
@@ -2,7 +2,7 @@
 //!
 //! A policy epoch of the fleet and a configuration read at SIGHUP both end in [`LiveSettings::replace`].
 
-use crate::core::{CoreHandle, Input};
+use crate::dispatch::{DispatcherEvent, DispatcherHandle};
 use crate::routing::types::RoutingConfig;
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -11,15 +11,15 @@
 
 /// Tells every part that follows the settings of new ones.
 pub struct LiveSettings {
-    core: CoreHandle,
+    dispatcher: DispatcherHandle,
     followers: RefCell<Vec<Follower>>,
 }
 
 impl LiveSettings {
-    /// Settings of which the core is told; others follow by [`LiveSettings::on_change`].
-    pub fn new(core: CoreHandle) -> Rc<Self> {
+    /// Settings of which the dispatcher is told; others follow by [`LiveSettings::on_change`].
+    pub fn new(dispatcher: DispatcherHandle) -> Rc<Self> {
         Rc::new(LiveSettings {
-            core,
+            dispatcher,
             followers: RefCell::default(),
         })
     }
@@ -36,6 +36,7 @@
             .borrow()
             .iter()
             .for_each(|follower| follower(&settings));
-        self.core.tell(Input::Settings(Box::new(settings)));
+        self.dispatcher
+            .tell(DispatcherEvent::ConfigChanged(Box::new(settings)));
     }
 }
--- a/src/net/client.rs
+++ b/src/net/client.rs
@@ -4,8 +4,10 @@
 use super::discovery::Directory;
 use super::pool::{ConnectError, Connection, Pool, Target};
 use super::releases::LateFollower;
-use crate::core::{Attempt, Clock, CoreHandle, Input, Outbound, Releasing};
 use crate::counters::Counters;
+use crate::dispatch::{
+    Attempt, Clock, DispatcherEvent, DispatcherHandle, Outbound, ReleaseProgress,
+};
 use crate::exchange::{Call, FeedSource, Frame, Reply, feed};
 use crate::routing::types::{
     AttemptIndex, AttemptOutcome, CallDenial, CallState, Micros, ReleasePermit, RequestId,
@@ -35,7 +37,7 @@
 /// How long a read waits for a release before it: within that time some fifteen hosts of all zones are asked.
 const RELEASE_FIRST: Duration = Duration::from_millis(250);
 
-/// The client side: an [`Outbound`] for the core, and a tower service for one call at one model host.
+/// The client side: an [`Outbound`] for the dispatcher, and a tower service for one call at one model host.
 #[derive(Clone)]
 pub struct Hosts {
     /// Where model hosts are.
@@ -43,7 +45,7 @@
     /// Connections to them.
     pub pool: Pool,
     /// Whom outcomes are told.
-    pub core: CoreHandle,
+    pub dispatcher: DispatcherHandle,
     /// Counters.
     pub counters: Rc<Counters>,
     /// Asks for a new watch.
@@ -107,7 +109,7 @@
 
 /// Reports an attempt's end however its task ends: a panic in it must not leave the request without an outcome.
 struct Ending {
-    core: CoreHandle,
+    dispatcher: DispatcherHandle,
     request: RequestId,
     attempt: AttemptIndex,
     end: Option<End>,
@@ -124,12 +126,12 @@
             .take()
             .unwrap_or(AttemptOutcome::ConnectionLost.into());
         let (request, attempt) = (self.request, self.attempt);
-        self.core.tell(Input::Ended {
+        self.dispatcher.tell(DispatcherEvent::AttemptCompleted {
             request,
             attempt,
             outcome,
-            kept,
-            report,
+            cached_tokens: kept,
+            load: report,
         });
     }
 }
@@ -152,7 +154,7 @@
 
     async fn attempt(self, mut attempt: Attempt) {
         let mut ending = Ending {
-            core: self.core.clone(),
+            dispatcher: self.dispatcher.clone(),
             request: attempt.request,
             attempt: attempt.attempt,
             end: None,
@@ -184,7 +186,7 @@
         attempt: &mut Attempt,
         give_up_at: Micros,
     ) -> Result<(Target, Connection), AttemptOutcome> {
-        let clock: Clock = self.core.clock;
+        let clock: Clock = self.dispatcher.clock;
         let mut target = self
             .target(&attempt.worker)
             .ok_or(AttemptOutcome::NotSent)?;
@@ -241,7 +243,7 @@
         permit: WritePermit,
         give_up_at: Micros,
     ) -> End {
-        let clock: Clock = self.core.clock;
+        let clock: Clock = self.dispatcher.clock;
         let left = give_up_at.saturating_sub(clock.now());
         let Some(request) = passed_on(&attempt.call, left) else {
             return AttemptOutcome::NotSent.into();
@@ -334,7 +336,7 @@
     /// that the host drains, the client may have left, or the time in which a repeat is dropped may be over.
     fn may_write(&self, attempt: &Attempt) -> Option<WritePermit> {
         let state = WriteState {
-            now: self.core.clock.now(),
+            now: self.dispatcher.clock.now(),
             is_in_service: self.directory.is_ready(&attempt.worker),
             has_client_left: attempt.gone.get(),
         };
@@ -371,7 +373,7 @@
             feed,
         ) = feed(content_type);
         let (request, index) = (attempt.request, attempt.attempt);
-        self.core.tell(Input::First {
+        self.dispatcher.tell(DispatcherEvent::StreamStarted {
             request,
             attempt: index,
             feed,
@@ -492,7 +494,7 @@
         tokio::task::spawn_local(self.clone().attempt(attempt));
     }
 
-    fn release(&self, call: Rc<Call>, permit: ReleasePermit, releasing: Rc<Releasing>) {
+    fn release(&self, call: Rc<Call>, permit: ReleasePermit, releasing: Rc<ReleaseProgress>) {
         let (hosts, entered) = (self.clone(), self.pending.enter());
         tokio::task::spawn_local(async move {
             let _entered = entered;
--- a/src/net/client/tests.rs
+++ b/src/net/client/tests.rs
@@ -13,10 +13,10 @@
 /// Far more than the system takes in for a peer that doesn't read.
 const LARGE_BODY: usize = 64 * 1024 * 1024;
 
-/// The client side in front of one host, and what it tells the core.
+/// The client side in front of one host, and what it tells the dispatcher.
 struct Rig {
     hosts: Hosts,
-    told: mpsc::UnboundedReceiver<Input>,
+    told: mpsc::UnboundedReceiver<DispatcherEvent>,
 }
 
 impl Rig {
@@ -37,7 +37,7 @@
             entries: vec![(entry, Some(address))],
         });
         let counters = Rc::new(Counters::default());
-        let (core, told) = CoreHandle::channel(Clock::start());
+        let (dispatcher, told) = DispatcherHandle::channel(Clock::start());
         let hosts = Hosts {
             directory,
             pool: Pool::new(
@@ -46,7 +46,7 @@
                 Duration::from_secs(10),
                 counters.clone(),
             ),
-            core,
+            dispatcher,
             counters,
             watch_again: Rc::default(),
             pending: Rc::default(),
@@ -69,7 +69,7 @@
         time: Duration,
         send_by: Option<Duration>,
     ) -> (Attempt, oneshot::Sender<()>) {
-        let after = |time: Duration| self.hosts.core.clock.now() + time.as_micros() as u64;
+        let after = |time: Duration| self.hosts.dispatcher.clock.now() + time.as_micros() as u64;
         let call = Call {
             id: "id-1".into(),
             target: "/v1/chat/completions".into(),
@@ -84,7 +84,7 @@
             attempt: AttemptIndex(0),
             worker: WorkerId(HOST.into()),
             call: Rc::new(call),
-            most_attempts: 4,
+            max_attempts: 4,
             until: after(time),
             permit: SendPermit::for_test(send_by.map(after)),
             after: None,
@@ -97,7 +97,7 @@
     /// The end of the attempt.
     async fn ended(&mut self) -> AttemptOutcome {
         match self.told.recv().await {
-            Some(Input::Ended { outcome, .. }) => outcome,
+            Some(DispatcherEvent::AttemptCompleted { outcome, .. }) => outcome,
             _ => panic!("something else than the attempt's end"),
         }
     }
@@ -129,7 +129,7 @@
     all
 }
 
-/// Guards against work that runs twice, or is refused while it runs: what the core does on an end goes out on other
+/// Guards against work that runs twice, or is refused while it runs: what the dispatcher does on an end goes out on other
 /// connections, and reached its receivers while the attempt that it followed was still open at its host.
 #[rstest]
 #[case::silent("", AttemptOutcome::TimedOut)]
@@ -216,7 +216,7 @@
             let (listener, address) = listen().await;
             let rig = Rig::new(address);
             let (mut attempt, _cancel) = rig.attempt(Bytes::new(), TIME, None);
-            let releasing = Rc::<Releasing>::default();
+            let releasing = Rc::<ReleaseProgress>::default();
             attempt.after = Some(releasing.clone());
             rig.hosts.send(attempt);
             tokio::time::advance(RELEASE).await;
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -8,8 +8,8 @@
 use super::Local;
 use super::host_starts::{HostStarts, Reading};
 use super::stream::SteadyStream;
-use crate::core::{CoreHandle, Input};
 use crate::counters::Counters;
+use crate::dispatch::{DispatcherEvent, DispatcherHandle};
 use crate::routing::types::{Endpoint, EndpointUpdate, Micros, Role, Status, WorkerId, WorkerKind};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty};
@@ -331,7 +331,7 @@
     /// What it keeps.
     pub directory: Rc<Directory>,
     /// Whom it tells.
-    pub core: CoreHandle,
+    pub dispatcher: DispatcherHandle,
     /// Called for hosts whose idle connections are of no more use.
     pub hang_up: Box<dyn Fn(&WorkerId)>,
     /// Where discovery has to be asked for its list: the module's word that it is time for it.
@@ -340,14 +340,14 @@
     pub fetch_list: Rc<Notify>,
     /// Counters.
     pub counters: Rc<Counters>,
-    /// Changes what the core is told of a list, once the directory has it.
+    /// Changes what the dispatcher is told of a list, once the directory has it.
     pub weigh: Option<Weigh>,
     /// When hosts started.
     pub starts: RefCell<HostStarts>,
 }
 
 impl Follower {
-    /// Takes a listing in and tells the core.
+    /// Takes a listing in and tells the dispatcher.
     pub fn take(&self, listing: Listing, kind: EndpointUpdate) {
         for (entry, _) in &listing.entries {
             let level = if kind == EndpointUpdate::Incremental {
@@ -381,12 +381,13 @@
         if let Some(weigh) = &self.weigh {
             weigh(kind, &mut entries);
         }
-        self.core.tell(Input::List { kind, entries });
+        self.dispatcher
+            .tell(DispatcherEvent::EndpointsUpdated { kind, entries });
     }
 
-    /// Turns the starts of hosts, told as Unix time, into moments of the core's clock.
+    /// Turns the starts of hosts, told as Unix time, into moments of the dispatcher's clock.
     fn judge_starts(&self, entries: &mut [Endpoint], kind: EndpointUpdate) {
-        let reading = Reading::at(self.core.clock.now());
+        let reading = Reading::at(self.dispatcher.clock.now());
         let mut starts = self.starts.borrow_mut();
         for Endpoint {
             worker, started, ..
@@ -459,7 +460,7 @@
             } else {
                 calls.failures = 0;
             }
-            self.core.tell(Input::List {
+            self.dispatcher.tell(DispatcherEvent::EndpointsUpdated {
                 kind: EndpointUpdate::Failed,
                 entries: Vec::new(),
             });
@@ -567,7 +568,7 @@
             return;
         };
         let since = date.duration_since(UNIX_EPOCH).unwrap_or_default();
-        let reading = Reading::at(self.core.clock.now());
+        let reading = Reading::at(self.dispatcher.clock.now());
         let ahead = (i128::from(reading.wall) - since.as_micros() as i128) / 1_000_000;
         log::debug!("discovery: answered at {since:?}, {ahead} s behind this machine's clock");
         if self
--- a/src/net/discovery/tests.rs
+++ b/src/net/discovery/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::core::Clock;
+use crate::dispatch::Clock;
 use rstest::rstest;
 use tokio::io::{AsyncReadExt, AsyncWriteExt, DuplexStream};
 use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
@@ -162,7 +162,7 @@
 /// A follower that holds version 1 with one host, and the discovery that it follows.
 struct Rig {
     directory: Rc<Directory>,
-    told: UnboundedReceiver<Input>,
+    told: UnboundedReceiver<DispatcherEvent>,
     wires: UnboundedReceiver<DuplexStream>,
     /// Connections that will never come up.
     lost: Rc<Cell<u32>>,
@@ -174,12 +174,12 @@
 
 impl Rig {
     fn start(on_request: bool) -> Rig {
-        let (core, told) = CoreHandle::channel(Clock::start());
+        let (dispatcher, told) = DispatcherHandle::channel(Clock::start());
         let (directory, counters) = (Rc::<Directory>::default(), Rc::<Counters>::default());
         let (ask, fetch_list) = (Rc::<Notify>::default(), Rc::<Notify>::default());
         let follower = Follower {
             directory: directory.clone(),
-            core,
+            dispatcher,
             hang_up: Box::new(|_| {}),
             ask: on_request.then(|| ask.clone()),
             fetch_list: fetch_list.clone(),
@@ -228,15 +228,15 @@
         Call { target, wire }
     }
 
-    /// What the core is told next.
+    /// What the dispatcher is told next.
     async fn told(&mut self) -> EndpointUpdate {
         match self.told.recv().await.unwrap() {
-            Input::List { kind, .. } => kind,
+            DispatcherEvent::EndpointsUpdated { kind, .. } => kind,
             _ => panic!("only lists are told"),
         }
     }
 
-    /// Waits until the core is told so, whatever comes before.
+    /// Waits until the dispatcher is told so, whatever comes before.
     async fn until(&mut self, wanted: EndpointUpdate) {
         while self.told().await != wanted {}
     }
--- a/src/net/host_starts.rs
+++ b/src/net/host_starts.rs
@@ -28,12 +28,12 @@
 pub struct Reading {
     /// Microseconds since 1970.
     pub wall: Micros,
-    /// The monotonic clock of the core.
+    /// The dispatcher's monotonic clock.
     pub now: Micros,
 }
 
 impl Reading {
-    /// Reads the wall clock beside a moment of the core's clock.
+    /// Reads the wall clock beside a moment of the dispatcher's clock.
     pub fn at(now: Micros) -> Self {
         let since = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -55,7 +55,7 @@
 struct Start {
     /// As the list gives it: microseconds since 1970.
     born: Micros,
-    /// On the core's clock.
+    /// On the dispatcher's clock.
     at: Micros,
 }
 
--- a/src/net/releases.rs
+++ b/src/net/releases.rs
@@ -4,7 +4,7 @@
 use super::late_arrivals::{ANSWERS_WITHIN, LateArrivals, Round};
 use super::pool::ConnectError;
 use super::release::{Fanout, HEDGE};
-use crate::core::{Attempt, Releasing};
+use crate::dispatch::{Attempt, ReleaseProgress};
 use crate::exchange::Call;
 use crate::routing::types::{AttemptOutcome, CallState, ReleasePermit, WorkerId};
 use bytes::Bytes;
@@ -59,7 +59,7 @@
         &self,
         call: &Call,
         permit: ReleasePermit,
-        releasing: Rc<Releasing>,
+        releasing: Rc<ReleaseProgress>,
     ) {
         tokio::time::sleep(SETTLE).await;
         // The calls end with this: one that arrives later would take what the next read leaves.
@@ -104,7 +104,12 @@
     }
 
     /// One call of a release; whether the host took it.
-    async fn ask_release(self, worker: WorkerId, id: String, releasing: Rc<Releasing>) -> bool {
+    async fn ask_release(
+        self,
+        worker: WorkerId,
+        id: String,
+        releasing: Rc<ReleaseProgress>,
+    ) -> bool {
         let request =
             Request::delete(format!("/internal/reservations/{id}")).header("host", "model-host");
         let (Some(mut target), Ok(request)) =
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -82,7 +82,7 @@
             return self.bad(StatusCode::BAD_REQUEST, "ambiguous framing\n");
         }
         let waited = head.arrived.elapsed().as_micros() as Micros;
-        let arrived = self.shared.core.clock.now().saturating_sub(waited);
+        let arrived = self.shared.dispatcher.clock.now().saturating_sub(waited);
         let path = request.uri().path();
         if path == "/healthz" && request.method() == Method::GET {
             let ready = (self.shared.ready)() && (self.shared.may_serve)();
@@ -180,7 +180,7 @@
             keeps,
             name: None,
         };
-        let asked = shared.core.ask(intake.ask, call);
+        let asked = shared.dispatcher.submit(intake.ask, call);
         drop(pass);
         let (answer, presence) = asked.answer().await;
         platform::encode(answer, presence)
--- a/src/net/server/tests.rs
+++ b/src/net/server/tests.rs
@@ -4,7 +4,7 @@
 use super::super::client_connection::LINGER;
 use super::super::framing::Watched;
 use super::*;
-use crate::core::Clock;
+use crate::dispatch::Clock;
 use crate::ops::figures::Figures;
 use rstest::rstest;
 use socket2::SockRef;
@@ -73,9 +73,9 @@
 }
 
 fn shared(budget: usize) -> Rc<Shared> {
-    let (core, _) = crate::core::CoreHandle::channel(Clock::start());
+    let (dispatcher, _) = crate::dispatch::DispatcherHandle::channel(Clock::start());
     Rc::new(Shared {
-        core,
+        dispatcher,
         classes: RefCell::default(),
         gate: None,
         ready: Box::new(|| true),
@@ -764,11 +764,11 @@
         .run_until(async {
             let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
             let mut client = connect(&listener);
-            let (core, _) = crate::core::CoreHandle::channel(Clock::start());
+            let (dispatcher, _) = crate::dispatch::DispatcherHandle::channel(Clock::start());
             let panics = Cell::new(true);
             let ready = Box::new(move || !panics.take() || panic!("on purpose"));
             let shared = Rc::new(Shared {
-                core,
+                dispatcher,
                 ready,
                 ..Rc::into_inner(shared(64 * 1024)).unwrap()
             });
--- a/src/net/upgrade.rs
+++ b/src/net/upgrade.rs
@@ -12,7 +12,7 @@
 use super::pool::Pool;
 use super::server::{Connections, OVER};
 use crate::config::ConfigError;
-use crate::core::Input;
+use crate::dispatch::DispatcherEvent;
 use crate::front::shared::{Held, Shared};
 use seat::{Claim, Phase, Seat, SeatError};
 use share::{Shares, Split};
@@ -193,7 +193,9 @@
             .borrow_mut()
             .update(self.phase.get(), other.map(|claim| claim.phase));
         if let Some(allowed) = right {
-            self.shared.core.tell(Input::SlowStart { allowed });
+            self.shared
+                .dispatcher
+                .tell(DispatcherEvent::SlowStart { allowed });
         }
         let Place::Shared(seat) = &self.place else {
             return false;
--- a/src/ops/door.rs
+++ b/src/ops/door.rs
@@ -5,7 +5,7 @@
 //! makes room.
 
 use super::figures::{Figures, Gauges};
-use crate::core::Input;
+use crate::dispatch::DispatcherEvent;
 use crate::front::shared::Shared;
 use crate::net::Local;
 use crate::net::discovery::Directory;
@@ -45,7 +45,7 @@
 const MOST_HEAD: usize = 16 * 1024;
 /// The longest body of a call; none of them needs one.
 const MOST_BODY: usize = 4 * 1024;
-/// How long the figures wait for the core; past that the count of skipped hosts is the last one known.
+/// How long the figures wait for the dispatcher; past that the count of skipped hosts is the last one known.
 const CORE_WITHIN: Duration = Duration::from_millis(300);
 
 /// What the calls look at and switch.
@@ -58,7 +58,7 @@
     pub directory: Rc<Directory>,
     /// Whether clients are sent away.
     pub drain: Rc<DrainSwitch>,
-    /// Model hosts that were skipped when the core was last asked.
+    /// Model hosts that were skipped when the dispatcher was last asked.
     pub skipped: Cell<usize>,
 }
 
@@ -175,10 +175,12 @@
             .to_string()
     }
 
-    /// Asks the core, whose module knows what it avoids.
+    /// Asks the dispatcher, whose module knows what it avoids.
     async fn skipped_hosts(&self) -> usize {
         let (reply, skipped) = oneshot::channel();
-        self.shared.core.tell(Input::CountAvoided(reply));
+        self.shared
+            .dispatcher
+            .tell(DispatcherEvent::CountAvoidedWorkers(reply));
         if let Ok(Ok(count)) = tokio::time::timeout(CORE_WITHIN, skipped).await {
             self.skipped.set(count);
         }
--- a/src/run.rs
+++ b/src/run.rs
@@ -12,8 +12,8 @@
 use tokio::sync::{Notify, watch};
 use tokio::time::{Instant, MissedTickBehavior};
 use whinhaven::config::{Config, ConfigError};
-use whinhaven::core::{Clock, Core, CoreHandle, Outbound};
 use whinhaven::counters::Counters;
+use whinhaven::dispatch::{Clock, Dispatcher, DispatcherHandle, Outbound};
 use whinhaven::fleet::LeaseName;
 use whinhaven::fleet::transport::policy::Gate;
 use whinhaven::fleet::transport::sites::{Seen, Sites};
@@ -155,8 +155,8 @@
     };
     let counters = Rc::new(Counters::default());
     let clock = Clock::start();
-    let (core, queue) = CoreHandle::channel(clock);
-    let live = LiveSettings::new(core.clone());
+    let (dispatcher, queue) = DispatcherHandle::channel(clock);
+    let live = LiveSettings::new(dispatcher.clone());
     let settings = config.settings.clone();
     // Every request in hand may hold a socket of either side; clients that say nothing hold some more of theirs.
     let spare = SPARE_SOCKETS
@@ -196,7 +196,7 @@
     let hosts = Hosts {
         directory: directory.clone(),
         pool: pool.clone(),
-        core: core.clone(),
+        dispatcher: dispatcher.clone(),
         counters: counters.clone(),
         watch_again: watch_again.clone(),
         pending: pending.clone(),
@@ -225,7 +225,7 @@
         (Some(fleet), Some((own, plans))) => {
             let seen = Seen {
                 directory: directory.clone(),
-                core: core.clone(),
+                dispatcher: dispatcher.clone(),
                 kinds: settings.kinds.clone(),
             };
             Some(Sites::start(
@@ -243,7 +243,7 @@
     let gate = match (&fleet, config.fleet.as_ref().and_then(|f| f.policy.clone())) {
         (Some(fleet), Some(policy)) => {
             let own = config.settings_table.clone();
-            let gate = Gate::start(fleet.clone(), core.clone(), live.clone(), policy, own);
+            let gate = Gate::start(fleet.clone(), dispatcher.clone(), live.clone(), policy, own);
             Some(gate.map_err(|e| ConfigError(format!("settings: {e}")))?)
         }
         _ => None,
@@ -267,9 +267,9 @@
         let reads = Box::new(move |worker: &WorkerId| {
             directory.role(worker, &kinds) == Some(Role::Prefill)
         });
-        outbound = Recording::start(outbound, work.clone(), core.clone(), reads);
+        outbound = Recording::start(outbound, work.clone(), dispatcher.clone(), reads);
     }
-    let driver = Core::new(
+    let driver = Dispatcher::new(
         settings.clone(),
         own_seed,
         clock,
@@ -278,7 +278,7 @@
     );
     let follower = Follower {
         directory: directory.clone(),
-        core: core.clone(),
+        dispatcher: dispatcher.clone(),
         hang_up: Box::new({
             let pool = pool.clone();
             move |worker| pool.hang_up(worker)
@@ -335,7 +335,7 @@
         tokio::task::spawn_local(refresh(fleet.clone(), period, refresh_list));
     }
     let shared = Rc::new(Shared {
-        core,
+        dispatcher,
         classes: RefCell::new(settings.classes.clone()),
         gate: gate.clone(),
         ready: Box::new(ready),
--- a/tests/held.rs
+++ b/tests/held.rs
@@ -8,7 +8,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::{sleep, sleep_until, timeout};
-use whinhaven::core::{Attempt, Clock, Core, CoreHandle, Input, Outbound, Releasing};
+use whinhaven::dispatch::{
+    Attempt, Clock, Dispatcher, DispatcherEvent, DispatcherHandle, Outbound, ReleaseProgress,
+};
 use whinhaven::exchange::{Answer, Call, Frame, feed};
 use whinhaven::routing::types::*;
 
@@ -29,7 +31,7 @@
 }
 
 struct World {
-    core: CoreHandle,
+    dispatcher: DispatcherHandle,
     held: RefCell<BTreeMap<String, Held>>,
     random: Cell<u64>,
     /// How many of ten connections don't come up.
@@ -53,7 +55,7 @@
 
     /// What is held for a request, after a look whether that has been for too long.
     fn look(&self, id: &str, change: impl FnOnce(&mut Held)) {
-        let (mut all, now) = (self.held.borrow_mut(), self.core.clock.now());
+        let (mut all, now) = (self.held.borrow_mut(), self.dispatcher.clock.now());
         let held = all.entry(id.to_owned()).or_default();
         if held.some && held.out == 0 && now > held.since + RELEASE + SLACK {
             self.broken
@@ -65,7 +67,7 @@
     }
 
     async fn attempt(&self, attempt: &mut Attempt) -> AttemptOutcome {
-        let clock = self.core.clock;
+        let clock = self.dispatcher.clock;
         if let Some(releasing) = &attempt.after {
             let _ = timeout(Duration::from_millis(250), releasing.over()).await;
         }
@@ -112,7 +114,7 @@
         if outcome == AttemptOutcome::Served {
             let (source, feed) = feed(None);
             self.look(&id, |held| held.some = false);
-            self.core.tell(Input::First {
+            self.dispatcher.tell(DispatcherEvent::StreamStarted {
                 request: attempt.request,
                 attempt: attempt.attempt,
                 feed,
@@ -138,17 +140,17 @@
         tokio::task::spawn_local(async move {
             let outcome = world.attempt(&mut attempt).await;
             let (request, attempt) = (attempt.request, attempt.attempt);
-            world.core.tell(Input::Ended {
+            world.dispatcher.tell(DispatcherEvent::AttemptCompleted {
                 request,
                 attempt,
                 outcome,
-                kept: 0,
-                report: None,
+                cached_tokens: 0,
+                load: None,
             });
         });
     }
 
-    fn release(&self, call: Rc<Call>, _: ReleasePermit, releasing: Rc<Releasing>) {
+    fn release(&self, call: Rc<Call>, _: ReleasePermit, releasing: Rc<ReleaseProgress>) {
         let world = self.0.clone();
         tokio::task::spawn_local(async move {
             // The hosts asked first may be silent.
@@ -225,9 +227,9 @@
     for seed in 1..=90u64 {
         let local = tokio::task::LocalSet::new();
         let clock = Clock::start();
-        let (core, queue) = CoreHandle::channel(clock);
+        let (dispatcher, queue) = DispatcherHandle::channel(clock);
         let world = Rc::new(World {
-            core: core.clone(),
+            dispatcher: dispatcher.clone(),
             held: RefCell::default(),
             random: Cell::new(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15)),
             silent: [2, 5, 8][seed as usize % 3],
@@ -236,7 +238,7 @@
             releases: Cell::new(0),
             served: Cell::new(0),
         });
-        let driver = Core::new(
+        let driver = Dispatcher::new(
             settings(),
             seed,
             clock,
@@ -254,7 +256,7 @@
                 weight: 1.0,
                 started: None,
             });
-            core.tell(Input::List {
+            dispatcher.tell(DispatcherEvent::EndpointsUpdated {
                 kind: EndpointUpdate::Full,
                 entries: entries.collect(),
             });
@@ -276,7 +278,7 @@
                     tenant: None,
                 };
                 let (id, target, body) = (format!("{seed}-{i}"), String::new(), Bytes::new());
-                let server = core.ask(
+                let server = dispatcher.submit(
                     ask,
                     Call {
                         id,
--- a/tests/releases.rs
+++ b/tests/releases.rs
@@ -11,8 +11,8 @@
 use std::time::{Duration, Instant};
 use support::*;
 use tokio::sync::oneshot;
-use whinhaven::core::{Attempt, Clock, CoreHandle, Input, Outbound};
 use whinhaven::counters::Counters as Counts;
+use whinhaven::dispatch::{Attempt, Clock, DispatcherEvent, DispatcherHandle, Outbound};
 use whinhaven::exchange::Call;
 use whinhaven::net::client::Hosts;
 use whinhaven::net::discovery::{Directory, Listing};
@@ -151,7 +151,7 @@
         .build()
         .unwrap();
     let outcome = tokio::task::LocalSet::new().block_on(&runtime, async {
-        let (core, mut queue) = CoreHandle::channel(Clock::start());
+        let (dispatcher, mut queue) = DispatcherHandle::channel(Clock::start());
         let (counters, directory) = (Rc::<Counts>::default(), Rc::<Directory>::default());
         let worker = WorkerId("prompt-0".into());
         let (zone, kind) = (String::new(), "prompt".into());
@@ -173,7 +173,7 @@
         let hosts = Hosts {
             directory,
             pool: Pool::new(64, wait, wait, counters.clone()),
-            core: core.clone(),
+            dispatcher: dispatcher.clone(),
             counters,
             watch_again: Rc::default(),
             pending: Rc::default(),
@@ -197,15 +197,15 @@
                 keeps: None,
                 name: None,
             }),
-            most_attempts: 6,
-            until: core.clock.now() + 60_000_000,
+            max_attempts: 6,
+            until: dispatcher.clock.now() + 60_000_000,
             permit: permit_to_send_to(entry),
             after: None,
             cancelled,
             gone: Rc::new(Cell::new(left)),
         });
         match queue.recv().await {
-            Some(Input::Ended { outcome, .. }) => outcome,
+            Some(DispatcherEvent::AttemptCompleted { outcome, .. }) => outcome,
             _ => panic!("no end of the attempt"),
         }
     });
