--- a/src/ops/figures/tests.rs
+++ b/src/admin/metrics/tests.rs
@@ -10,8 +10,8 @@
         .collect()
 }
 
-fn lines(figures: &Figures, known: &[RequestClass]) -> Vec<String> {
-    figures
+fn lines(metrics: &Metrics, known: &[RequestClass]) -> Vec<String> {
+    metrics
         .report(known, Gauges::default())
         .to_string()
         .lines()
@@ -21,7 +21,7 @@
 
 #[test]
 fn a_report_names_each_class_of_the_settings_before_anything_of_it_has_ended() {
-    let figures = Rc::new(Figures::default());
+    let metrics = Rc::new(Metrics::default());
     let gauges = Gauges {
         upstream_tries: 1,
         known_model_hosts: 2,
@@ -33,37 +33,37 @@
                   conductor.upstream_tries=1\nconductor.in_progress=0\nconductor.known_model_hosts=2\n\
                   conductor.skipped_model_hosts=3\nconductor.loads=4\nconductor.load_errors=5\n";
     assert_eq!(
-        figures.report(&classes(&["chat"]), gauges).to_string(),
+        metrics.report(&classes(&["chat"]), gauges).to_string(),
         wanted
     );
 }
 
 #[test]
 fn a_request_is_counted_once_and_in_progress_from_its_last_byte_to_its_end() {
-    let (figures, known) = (Rc::new(Figures::default()), classes(&["chat"]));
-    let tally = figures.begin(Some("chat"), &known);
-    assert!(lines(&figures, &known).contains(&"conductor.in_progress=0".into()));
-    tally.take();
-    tally.take();
-    assert!(lines(&figures, &known).contains(&"conductor.in_progress=1".into()));
-    tally.end(Ending::Passed);
-    tally.end(Ending::BadGateway);
-    tally.take();
-    drop(tally);
-    let lines = lines(&figures, &known);
+    let (metrics, known) = (Rc::new(Metrics::default()), classes(&["chat"]));
+    let request = metrics.begin(Some("chat"), &known);
+    assert!(lines(&metrics, &known).contains(&"conductor.in_progress=0".into()));
+    request.begin_progress();
+    request.begin_progress();
+    assert!(lines(&metrics, &known).contains(&"conductor.in_progress=1".into()));
+    request.end(RequestOutcome::Served);
+    request.end(RequestOutcome::Failed);
+    request.begin_progress();
+    drop(request);
+    let lines = lines(&metrics, &known);
     for line in ["passed.chat=1", "bad_gateway.chat=0", "in_progress=0"] {
         assert!(lines.contains(&format!("conductor.{line}")), "{lines:?}");
     }
 }
 
 #[test]
-fn one_whose_client_left_is_no_longer_in_progress_and_not_counted() {
-    let (figures, known) = (Rc::new(Figures::default()), classes(&["chat"]));
-    let tally = figures.begin(Some("chat"), &known);
-    tally.take();
-    drop(tally);
+fn disconnected_request_is_neither_in_progress_nor_counted() {
+    let (metrics, known) = (Rc::new(Metrics::default()), classes(&["chat"]));
+    let request = metrics.begin(Some("chat"), &known);
+    request.begin_progress();
+    drop(request);
     assert!(
-        lines(&figures, &known)
+        lines(&metrics, &known)
             .iter()
             .all(|line| line.ends_with("=0"))
     );
@@ -72,30 +72,32 @@
 /// Guards against memory that grows with each name that a client makes up, and against counts lost at a
 /// reload.
 #[test]
-fn classes_that_are_unknown_leave_nothing_and_those_that_went_keep_their_counts() {
-    let (figures, known) = (Rc::new(Figures::default()), classes(&["chat"]));
-    figures
+fn unknown_classes_are_not_counted_and_removed_classes_keep_their_counts() {
+    let (metrics, known) = (Rc::new(Metrics::default()), classes(&["chat"]));
+    metrics
         .begin(Some("nobody's"), &known)
-        .end(Ending::BadGateway);
-    figures.begin(None, &known).end(Ending::BadGateway);
+        .end(RequestOutcome::Failed);
+    metrics.begin(None, &known).end(RequestOutcome::Failed);
     assert!(
-        lines(&figures, &known)
+        lines(&metrics, &known)
             .iter()
             .all(|line| line.ends_with("=0") && !line.contains("nobody"))
     );
-    figures.begin(Some("chat"), &known).end(Ending::Dropped);
-    let lines = lines(&figures, &classes(&["batch"]));
+    metrics
+        .begin(Some("chat"), &known)
+        .end(RequestOutcome::Rejected);
+    let lines = lines(&metrics, &classes(&["batch"]));
     for line in ["dropped.chat=1", "dropped.batch=0"] {
         assert!(lines.contains(&format!("conductor.{line}")), "{lines:?}");
     }
 }
 
 #[test]
-fn only_429_and_503_are_refusals() {
-    let of = |status| Ending::of_status(StatusCode::from_u16(status).unwrap());
-    assert_eq!([429, 503].map(of), [Ending::Dropped; 2]);
+fn only_429_and_503_count_as_rejected() {
+    let of = |status| RequestOutcome::of_status(StatusCode::from_u16(status).unwrap());
+    assert_eq!([429, 503].map(of), [RequestOutcome::Rejected; 2]);
     assert_eq!(
         [400, 409, 413, 500, 502, 504].map(of),
-        [Ending::BadGateway; 6]
+        [RequestOutcome::Failed; 6]
     );
 }
--- /dev/null
+++ b/src/admin/server.rs
@@ -0,0 +1,242 @@
+//! HTTP/1.1 server of the admin endpoint: one request a connection.
+//!
+//! Nothing here waits on requests of clients, model hosts or discovery. A caller that does not complete its request can't
+//! delay the others: connections are few, their time is bounded, and the oldest one without a complete request
+//! is displaced.
+
+use super::connections::{Connection, ConnectionSlot, Connections, MAX_CONNECTIONS};
+use super::metrics::{Gauges, Metrics};
+use crate::dispatch::DispatcherEvent;
+use crate::front::shared::Shared;
+use crate::net::Local;
+use crate::net::discovery::Directory;
+use crate::net::drain::DrainSwitch;
+use crate::net::fault::pause_after_accept;
+use crate::net::stream::{SteadyStream, end_sending, uninterrupted};
+use bytes::Bytes;
+use http_body_util::{BodyExt, Full, Limited};
+use hyper::body::Incoming;
+use hyper::header::{ALLOW, CONTENT_TYPE, HeaderValue};
+use hyper::server::conn::http1;
+use hyper::service::service_fn;
+use hyper::{Method, Request, Response, StatusCode};
+use hyper_util::rt::TokioIo;
+use std::cell::Cell;
+use std::convert::Infallible;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::oneshot;
+
+/// Descriptors that the endpoint may hold: its listener, its connections, and the one that is just accepted.
+pub const ADMIN_SOCKETS: usize = MAX_CONNECTIONS + 2;
+/// Time from the accept until a request has to be complete.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time that a caller has to read the response and close: a socket closed over unread bytes is reset.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
+/// Bytes that are read and discarded meanwhile.
+const MAX_LINGER_BYTES: usize = 64 * 1024;
+/// Longest head of a request, in bytes.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// Longest body of a request, in bytes; no request needs one.
+const MAX_BODY_BYTES: usize = 4 * 1024;
+/// How long metrics wait for the dispatcher; after that the count of avoided workers is the last one known.
+const DISPATCHER_TIMEOUT: Duration = Duration::from_millis(300);
+
+/// What the requests read and switch.
+pub struct AdminServer {
+    /// State shared with the clients' connections.
+    pub shared: Rc<Shared>,
+    /// Whether this process can serve; a drain does not change that.
+    pub can_serve: Box<dyn Fn() -> bool>,
+    /// The endpoint list.
+    pub directory: Rc<Directory>,
+    /// The drain switch.
+    pub drain: Rc<DrainSwitch>,
+    /// Workers that routing avoided when the dispatcher was last asked.
+    pub avoided_workers: Cell<usize>,
+}
+
+impl AdminServer {
+    /// Answers requests for as long as the process runs.
+    pub async fn serve(self: Rc<Self>, listener: TcpListener) {
+        let connections = Rc::new(Connections::default());
+        loop {
+            connections.make_room().await;
+            match listener.accept().await {
+                Ok((stream, _)) => {
+                    let slot = connections.enter();
+                    tokio::task::spawn_local(self.clone().serve_connection(stream, slot));
+                }
+                Err(error) => {
+                    log::warn!("admin endpoint: accept: {error}");
+                    if let Some(pause) = pause_after_accept(&error) {
+                        tokio::time::sleep(pause).await;
+                    }
+                }
+            }
+        }
+    }
+
+    /// Runs one connection until it ends or is displaced.
+    async fn serve_connection(self: Rc<Self>, stream: TcpStream, slot: ConnectionSlot) {
+        let connection = slot.connection.clone();
+        tokio::select! {
+            biased;
+            () = connection.displaced.notified() => {}
+            () = self.answer(stream, connection.clone()) => {}
+        }
+    }
+
+    async fn answer(self: Rc<Self>, stream: TcpStream, connection: Rc<Connection>) {
+        let _ = stream.set_nodelay(true);
+        let service = service_fn(move |request: Request<Incoming>| -> ResponseFuture {
+            let (server, connection) = (self.clone(), connection.clone());
+            Box::pin(async move { Ok(server.respond(request, &connection).await) })
+        });
+        let serving = http1::Builder::new()
+            .keep_alive(false)
+            .half_close(true)
+            .header_read_timeout(None)
+            .max_buf_size(MAX_HEAD_BYTES)
+            .serve_connection(TokioIo::new(SteadyStream(stream)), service)
+            .without_shutdown();
+        match tokio::time::timeout(REQUEST_TIMEOUT, serving).await {
+            Ok(Ok(parts)) => linger(parts.io.into_inner().0).await,
+            Ok(Err(error)) => log::debug!("admin endpoint: {error}"),
+            Err(_) => log::debug!("admin endpoint: incomplete request"),
+        }
+    }
+
+    /// Answers a request once it is complete.
+    async fn respond(
+        &self,
+        request: Request<Incoming>,
+        connection: &Connection,
+    ) -> Response<Full<Bytes>> {
+        let (head, body) = request.into_parts();
+        if Limited::new(body, MAX_BODY_BYTES).collect().await.is_err() {
+            return plain(StatusCode::PAYLOAD_TOO_LARGE, "body too long or broken\n");
+        }
+        connection.is_answering.set(true);
+        let response = self.dispatch(&head.method, head.uri.path()).await;
+        connection.is_answering.set(false);
+        response
+    }
+
+    async fn dispatch(&self, method: &Method, path: &str) -> Response<Full<Bytes>> {
+        let Some(route) = Route::at(path) else {
+            return plain(StatusCode::NOT_FOUND, "no such path\n");
+        };
+        if route.method() != method {
+            let mut response = plain(StatusCode::METHOD_NOT_ALLOWED, "wrong method\n");
+            let allowed = HeaderValue::from_str(route.method().as_str())
+                .expect("a method is a header's value");
+            response.headers_mut().insert(ALLOW, allowed);
+            return response;
+        }
+        match route {
+            Route::Readiness if (self.can_serve)() => plain(StatusCode::OK, "ready\n"),
+            Route::Readiness => plain(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
+            Route::Stats => plain(StatusCode::OK, self.metrics_report().await),
+            Route::DrainStart => {
+                if self.drain.start() {
+                    log::info!("admin endpoint: drain started");
+                }
+                plain(StatusCode::OK, "draining\n")
+            }
+            Route::DrainStop => {
+                if self.drain.stop() {
+                    log::info!("admin endpoint: drain stopped");
+                }
+                plain(StatusCode::OK, "not draining\n")
+            }
+        }
+    }
+
+    async fn metrics_report(&self) -> String {
+        let avoided = self.count_avoided_workers().await;
+        let counters = &self.shared.counters;
+        let gauges = Gauges {
+            upstream_tries: counters.written_whole.get(),
+            known_model_hosts: self.directory.count() as u64,
+            skipped_model_hosts: avoided as u64,
+            loads: counters.reloads.get(),
+            load_errors: counters.reloads_failed.get(),
+        };
+        let metrics: &Metrics = &self.shared.metrics;
+        metrics
+            .report(&self.shared.classes.borrow(), gauges)
+            .to_string()
+    }
+
+    /// Asks the dispatcher how many listed workers routing avoids.
+    async fn count_avoided_workers(&self) -> usize {
+        let (reply, count) = oneshot::channel();
+        self.shared
+            .dispatcher
+            .tell(DispatcherEvent::CountAvoidedWorkers(reply));
+        if let Ok(Ok(count)) = tokio::time::timeout(DISPATCHER_TIMEOUT, count).await {
+            self.avoided_workers.set(count);
+        }
+        self.avoided_workers.get()
+    }
+}
+
+/// Future of the response to one request.
+type ResponseFuture = Local<Result<Response<Full<Bytes>>, Infallible>>;
+
+/// The routes of the endpoint.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Route {
+    Readiness,
+    Stats,
+    DrainStart,
+    DrainStop,
+}
+
+impl Route {
+    fn at(path: &str) -> Option<Self> {
+        match path {
+            "/ops/readiness" => Some(Route::Readiness),
+            "/ops/stats" => Some(Route::Stats),
+            "/ops/drain/start" => Some(Route::DrainStart),
+            "/ops/drain/stop" => Some(Route::DrainStop),
+            _ => None,
+        }
+    }
+
+    fn method(self) -> Method {
+        match self {
+            Route::Readiness | Route::Stats => Method::GET,
+            Route::DrainStart | Route::DrainStop => Method::POST,
+        }
+    }
+}
+
+fn plain(status: StatusCode, text: impl Into<Bytes>) -> Response<Full<Bytes>> {
+    let mut response = Response::new(Full::new(text.into()));
+    *response.status_mut() = status;
+    response
+        .headers_mut()
+        .insert(CONTENT_TYPE, HeaderValue::from_static("text/plain"));
+    response
+}
+
+/// Shuts down the sending side, then reads and discards until the caller has closed, so that it can read the response
+/// though it still sends.
+async fn linger(stream: TcpStream) {
+    let _ = end_sending(&stream);
+    let drained = async {
+        let (mut scrap, mut left) = (vec![0; 4 * 1024], MAX_LINGER_BYTES);
+        while left > 0 && stream.readable().await.is_ok() {
+            match uninterrupted(|| stream.try_read(&mut scrap)) {
+                Ok(0) => return,
+                Ok(n) => left = left.saturating_sub(n),
+                Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => {}
+                Err(_) => return,
+            }
+        }
+    };
+    let _ = tokio::time::timeout(LINGER_TIMEOUT, drained).await;
+}
--- a/src/front/shared.rs
+++ b/src/front/shared.rs
@@ -1,9 +1,9 @@
 //! What the server's connections and the fronts share.
 
+use crate::admin::metrics::Metrics;
 use crate::counters::Counters;
 use crate::dispatch::DispatcherHandle;
 use crate::fleet::transport::policy::{Gate, Pass, Shut, once};
-use crate::ops::figures::Figures;
 use crate::routing::types::{Micros, RequestClass};
 use std::cell::{Cell, RefCell};
 use std::collections::HashSet;
@@ -31,7 +31,7 @@
     /// Counters.
     pub counters: Rc<Counters>,
     /// How requests of each class ended, for operators.
-    pub figures: Rc<Figures>,
+    pub metrics: Rc<Metrics>,
     /// Bytes of bodies that may be held at once.
     pub budget: Cell<usize>,
     /// Ids in hand.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -59,6 +59,7 @@
 //! assert!(sent_to_prefill_worker);
 //! ```
 
+pub mod admin;
 pub mod config;
 pub mod counters;
 pub mod dispatch;
@@ -68,7 +69,6 @@
 pub mod haproxy;
 pub mod live_settings;
 pub mod net;
-pub mod ops;
 pub mod routing;
 pub mod storage;
 pub mod wire;
--- a/src/net/client_connection.rs
+++ b/src/net/client_connection.rs
@@ -5,10 +5,10 @@
 use super::framing::{Standing, Watch, Watched};
 use super::server::{DAWDLES, SILENT_CLIENT, Stage};
 use super::stream::{end_sending, uninterrupted};
+use crate::admin::metrics::{RequestMetrics, RequestOutcome};
 use crate::counters::Counters;
 use crate::front::platform::{self, AnswerBody};
 use crate::front::shared::{Held, MOST_BODY};
-use crate::ops::figures::{Ending, Tally};
 use crate::routing::policy::close_permit::{
     CloseCause, CloseDenial, ClosePermit, ConnectionState, permit_close,
 };
@@ -74,19 +74,23 @@
 pub(super) struct Answering {
     body: AnswerBody,
     watch: Rc<Watch>,
-    tally: Rc<Tally>,
+    request_metrics: Rc<RequestMetrics>,
 }
 
 impl Answering {
     pub fn new(
         response: Response<AnswerBody>,
         watch: Rc<Watch>,
-        tally: Rc<Tally>,
+        request_metrics: Rc<RequestMetrics>,
     ) -> Response<Self> {
         if let AnswerBody::Fixed(_) = response.body() {
-            tally.end(Ending::of_status(response.status()));
+            request_metrics.end(RequestOutcome::of_status(response.status()));
         }
-        response.map(|body| Answering { body, watch, tally })
+        response.map(|body| Answering {
+            body,
+            watch,
+            request_metrics,
+        })
     }
 }
 
@@ -110,8 +114,8 @@
         }
         let next = Pin::new(&mut self.body).poll_frame(cx);
         match &next {
-            Poll::Ready(None) => self.tally.end(Ending::Passed),
-            Poll::Ready(Some(Err(_))) => self.tally.end(Ending::BadGateway),
+            Poll::Ready(None) => self.request_metrics.end(RequestOutcome::Served),
+            Poll::Ready(Some(Err(_))) => self.request_metrics.end(RequestOutcome::Failed),
             Poll::Ready(Some(Ok(_))) | Poll::Pending => {}
         }
         next
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -5,12 +5,12 @@
 use super::fault::pause_after_accept;
 use super::framing::{Standing, Watch};
 use super::upgrade::socket::turn_away_new;
+use crate::admin::metrics::RequestMetrics;
 use crate::counters::Counters;
 use crate::exchange::Call;
 use crate::front::jsonrpc;
 use crate::front::platform::{self, AnswerBody, end_to_end, plain};
 use crate::front::shared::{COME_BACK, CUT_OFF, Held, InHand, MOST_BODY, Shared};
-use crate::ops::figures::Tally;
 use crate::routing::types::Micros;
 use bytes::{Bytes, BytesMut};
 use futures_util::FutureExt;
@@ -61,13 +61,13 @@
         plain(status, text)
     }
 
-    /// Begins the tally of a request whose head has come; ahead of all that may refuse it.
-    fn tally(&self, request: &Request<Incoming>) -> Rc<Tally> {
+    /// Begins the request_metrics of a request whose head has come; ahead of all that may refuse it.
+    fn request_metrics(&self, request: &Request<Incoming>) -> Rc<RequestMetrics> {
         let asks = request.uri().path() == platform::PATH && request.method() == Method::POST;
         let class = request.headers().get("x-class").filter(|_| asks);
         let class = class.and_then(|value| value.to_str().ok()).map(str::trim);
         self.shared
-            .figures
+            .metrics
             .begin(class, &self.shared.classes.borrow())
     }
 
@@ -75,7 +75,7 @@
         let Arrival {
             request,
             watch,
-            tally,
+            request_metrics,
         } = arrival;
         let head = watch.head();
         if !head.is_sound {
@@ -103,7 +103,8 @@
         }
         match (path, request.method()) {
             (platform::PATH, &Method::POST) => {
-                self.platform(request, arrived, &watch, &tally).await
+                self.platform(request, arrived, &watch, &request_metrics)
+                    .await
             }
             (platform::PATH | "/healthz", _) => {
                 self.bad(StatusCode::METHOD_NOT_ALLOWED, "wrong method\n")
@@ -117,7 +118,7 @@
         request: Request<Incoming>,
         arrived: Micros,
         watch: &Watch,
-        tally: &Tally,
+        request_metrics: &RequestMetrics,
     ) -> Response<AnswerBody> {
         let shared = self.shared.clone();
         if !(shared.may_serve)() {
@@ -136,7 +137,7 @@
             Ok(body) => body,
             Err(response) => return response,
         };
-        tally.take();
+        request_metrics.begin_progress();
         let headers = end_to_end(&head.headers);
         if !held.grow(
             headers
@@ -226,7 +227,7 @@
 pub struct Arrival {
     request: Request<Incoming>,
     watch: Rc<Watch>,
-    tally: Rc<Tally>,
+    request_metrics: Rc<RequestMetrics>,
 }
 
 impl Service<Arrival> for Edge {
@@ -479,11 +480,11 @@
                     (service.clone(), seen.clone(), count.clone(), now.clone());
                 let edge = edge.clone();
                 Box::pin(async move {
-                    let tally = edge.tally(&request);
+                    let request_metrics = edge.request_metrics(&request);
                     let arrival = Arrival {
                         request,
                         watch: watch.clone(),
-                        tally: tally.clone(),
+                        request_metrics: request_metrics.clone(),
                     };
                     let mut response = if over {
                         platform::refusal(Some(COME_BACK))
@@ -494,7 +495,7 @@
                         let close = hyper::header::HeaderValue::from_static("close");
                         response.headers_mut().insert("connection", close);
                     }
-                    Ok(Answering::new(response, watch, tally))
+                    Ok(Answering::new(response, watch, request_metrics))
                 })
             };
             serve(
--- a/src/net/server/tests.rs
+++ b/src/net/server/tests.rs
@@ -4,8 +4,8 @@
 use super::super::client_connection::LINGER;
 use super::super::framing::Watched;
 use super::*;
+use crate::admin::metrics::Metrics;
 use crate::dispatch::Clock;
-use crate::ops::figures::Figures;
 use rstest::rstest;
 use socket2::SockRef;
 use std::io;
@@ -80,7 +80,7 @@
         gate: None,
         ready: Box::new(|| true),
         may_serve: Box::new(|| true),
-        figures: Rc::default(),
+        metrics: Rc::default(),
         counters: Rc::default(),
         budget: Cell::new(budget),
         ids: RefCell::default(),
@@ -147,8 +147,8 @@
                     watch.head();
                     let _ = request.into_body().collect().await;
                     watch.whole();
-                    let tally = Rc::<Figures>::default().begin(None, &[]);
-                    Ok(Answering::new(answer(), watch, tally))
+                    let request_metrics = Rc::<Metrics>::default().begin(None, &[]);
+                    Ok(Answering::new(answer(), watch, request_metrics))
                 })
             };
             serve(
--- a/src/run.rs
+++ b/src/run.rs
@@ -11,6 +11,8 @@
 use tokio::net::TcpListener;
 use tokio::sync::{Notify, watch};
 use tokio::time::{Instant, MissedTickBehavior};
+use whinhaven::admin::metrics::Metrics;
+use whinhaven::admin::server::{ADMIN_SOCKETS, AdminServer};
 use whinhaven::config::{Config, ConfigError};
 use whinhaven::counters::Counters;
 use whinhaven::dispatch::{Clock, Dispatcher, DispatcherHandle, Outbound};
@@ -31,8 +33,6 @@
 use whinhaven::net::upgrade::share::{Shares, Split};
 use whinhaven::net::upgrade::slow_start::SlowStartRight;
 use whinhaven::net::upgrade::{self, Place, Sharing};
-use whinhaven::ops::door::{DOOR_SOCKETS, Door};
-use whinhaven::ops::figures::Figures;
 use whinhaven::routing::types::{EndpointUpdate, Role, WorkerId};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -136,7 +136,7 @@
     }
 }
 
-/// Binds the operators' door.
+/// Binds the admin endpoint.
 async fn listen_for_operators(address: SocketAddr) -> Result<TcpListener, ConfigError> {
     TcpListener::bind(address)
         .await
@@ -149,7 +149,7 @@
         None => Place::take(&std::env::temp_dir(), config.listen).await?,
         Some(_) => Place::Exclusive,
     };
-    let door_listener = match config.ops {
+    let admin_listener = match config.ops {
         Some(ops) => Some(listen_for_operators(ops).await?),
         None => None,
     };
@@ -160,7 +160,7 @@
     let settings = config.settings.clone();
     // Every request in hand may hold a socket of either side; clients that say nothing hold some more of theirs.
     let spare = SPARE_SOCKETS
-        + door_listener.as_ref().map_or(0, |_| DOOR_SOCKETS)
+        + admin_listener.as_ref().map_or(0, |_| ADMIN_SOCKETS)
         + config.tools.as_ref().map_or(0, |t| t.max_calls_at_once)
         + config.fleet.as_ref().map_or(0, |f| f.sockets());
     let shares = Shares::new(config.limits.sockets, spare);
@@ -341,7 +341,7 @@
         ready: Box::new(ready),
         may_serve,
         counters: counters.clone(),
-        figures: Rc::new(Figures::default()),
+        metrics: Rc::new(Metrics::default()),
         budget: Cell::new(config.limits.memory_mb * 1024 * 1024 / 3),
         ids: RefCell::default(),
     });
@@ -353,9 +353,9 @@
             }
         }
     });
-    if let Some(listener) = door_listener {
+    if let Some(listener) = admin_listener {
         log::info!(
-            "the operators' door is at {}",
+            "admin endpoint listens on {}",
             listener
                 .local_addr()
                 .map_or_else(|e| e.to_string(), |a| a.to_string())
@@ -363,14 +363,14 @@
         let (shared, directory, drain) = (shared.clone(), directory.clone(), drain.clone());
         let may_serve = shared.clone();
         let can_serve = Box::new(move || can_serve() && (may_serve.may_serve)());
-        let door = Rc::new(Door {
+        let admin_server = Rc::new(AdminServer {
             shared,
             can_serve,
             directory,
             drain,
-            skipped: Cell::new(0),
+            avoided_workers: Cell::new(0),
         });
-        tokio::task::spawn_local(door.serve(listener));
+        tokio::task::spawn_local(admin_server.serve(listener));
     }
     // Ids of sends at model hosts: of this start alone, or two conductors, or two lives of one, would share what is held.
     let seed = xxh3_64_with_seed(config.name.as_bytes(), config.seed ^ random());
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -1,4 +1,4 @@
-//! The operators' door and its figures, held against what clients and model hosts saw of a conductor.
+//! The admin endpoint and its metrics, compared with what clients and model hosts saw.
 
 mod support;
 
@@ -12,16 +12,16 @@
 use std::time::Instant;
 use support::*;
 
-/// A door in an operator's file.
+/// An admin endpoint in an operator's file.
 const DOOR: &str = "ops = \"127.0.0.1:0\"";
-/// More callers without a whole call than the door has places.
+/// More callers without a complete request than the endpoint has connections.
 const HALF_CALLS: usize = 48;
 
 /// A call with a body that is longer than any call's may be.
 const POST_50000: &[u8] =
     b"POST /ops/drain/start HTTP/1.1\r\nhost: a\r\ncontent-length: 50000\r\n\r\n";
 
-/// The figures by their names.
+/// The metrics by their names.
 fn stats(conductor: &Conductor) -> BTreeMap<String, u64> {
     let answer = conductor.call("GET", "/ops/stats");
     assert_eq!((answer.status(), answer.whole), (200, true));
@@ -39,18 +39,18 @@
     answer.text().lines().map(pair).collect()
 }
 
-/// Fetches the figures until one of them has this value: what an observer saw end may be counted a moment
+/// Fetches the metrics until one of them has this value: what an observer saw end may be counted a moment
 /// later.
-fn stats_once(conductor: &Conductor, figure: &str, value: u64) -> BTreeMap<String, u64> {
+fn stats_once(conductor: &Conductor, metric: &str, value: u64) -> BTreeMap<String, u64> {
     let begun = Instant::now();
     loop {
         let stats = stats(conductor);
-        if stats.get(figure) == Some(&value) {
+        if stats.get(metric) == Some(&value) {
             return stats;
         }
         assert!(
             begun.elapsed() < STUCK,
-            "{figure} never was {value}: {stats:#?}"
+            "{metric} never was {value}: {stats:#?}"
         );
     }
 }
@@ -93,9 +93,9 @@
     true
 }
 
-/// Guards against figures that differ from what the peers saw: one history with each kind of end.
+/// One history with each kind of end.
 #[test]
-fn figures_are_what_clients_and_model_hosts_saw() {
+fn metrics_match_what_clients_and_model_hosts_saw() {
     let tries = Arc::new(AtomicU64::new(0));
     let reader = counting(tries.clone(), read_at_once);
     let writer = counting(tries.clone(), write_by_id);
@@ -141,7 +141,7 @@
 /// Guards against tries that are counted by what was planned: one that is turned away and goes on elsewhere
 /// is two, and a host that nobody reaches gets none.
 #[test]
-fn attempts_elsewhere_are_counted_and_those_out_of_reach_are_not() {
+fn retries_are_counted_and_failed_connects_are_not() {
     let tries = Arc::new(AtomicU64::new(0));
     let reader = counting(tries.clone(), read_at_once);
     let turned_away = Arc::new(Mutex::new(0));
@@ -177,7 +177,7 @@
 
 /// Guards against a figure that doesn't follow what the module decides.
 #[test]
-fn hosts_that_are_set_aside_are_skipped_and_those_that_drain() {
+fn ejected_and_draining_hosts_count_as_skipped() {
     let (reader, writer) = (Peer::reader(), Peer::start(write_by_id));
     let file = operator_file(&[reader.address], &[writer.address], DOOR);
     let conductor = Conductor::start(&file);
@@ -202,7 +202,7 @@
 /// Guards against refusals that only some of the program's parts count, and against requests that stay in
 /// progress for good once their client has left.
 #[test]
-fn requests_in_hand_are_in_progress_and_those_refused_are_dropped() {
+fn open_requests_are_in_progress_and_rejected_ones_count_as_dropped() {
     let (begun, begins) = mpsc::channel();
     let begun = Mutex::new(begun);
     let (go, gone) = mpsc::channel::<()>();
@@ -246,7 +246,7 @@
 }
 
 #[test]
-fn files_taken_and_turned_down_are_counted() {
+fn applied_and_rejected_configurations_are_counted() {
     let peer = Peer::reader();
     let file = operator_file(&[peer.address], &[peer.address], DOOR);
     let conductor = Conductor::start(&file);
@@ -290,7 +290,7 @@
 }
 
 #[test]
-fn a_drain_may_be_started_and_stopped_any_number_of_times_and_readiness_stands() {
+fn drain_can_be_started_and_stopped_repeatedly_and_keeps_readiness() {
     let peer = Peer::reader();
     let conductor = Conductor::start(&operator_file(&[peer.address], &[peer.address], DOOR));
     for switch in ["stop", "start", "start", "stop", "stop"] {
@@ -310,7 +310,7 @@
 }
 
 #[test]
-fn nobody_to_read_is_not_ready_and_a_stopping_process_neither() {
+fn router_without_prefill_workers_or_while_stopping_is_not_ready() {
     let conductor = Conductor::start(&operator_file(&[], &[Peer::nobody()], DOOR));
     assert_eq!(conductor.call("GET", "/ops/readiness").status(), 503);
 
@@ -322,7 +322,7 @@
     assert_eq!(conductor.call("GET", "/ops/readiness").status(), 503);
 }
 
-/// Whether the door has ended the connection.
+/// Whether the endpoint has closed the connection.
 fn is_closed(stream: &mut TcpStream) -> bool {
     let mut scrap = Vec::new();
     match stream.read_to_end(&mut scrap) {
@@ -331,12 +331,12 @@
     }
 }
 
-/// Guards against callers that hold the door for themselves: half calls, silence, a length that never comes.
+/// Callers that occupy the endpoint: incomplete requests, silence, a body that never arrives.
 #[rstest]
 #[case::silent(b"")]
 #[case::half_a_head(b"GET /ops/stats HTTP/1.1\r\nhost")]
 #[case::half_a_body(b"POST /ops/drain/start HTTP/1.1\r\nhost: a\r\ncontent-length: 10\r\n\r\nhalf")]
-fn callers_without_a_whole_call_hold_nobody_up(#[case] bytes: &[u8]) {
+fn incomplete_requests_do_not_delay_other_callers(#[case] bytes: &[u8]) {
     let peer = Peer::reader();
     let conductor = Conductor::start(&operator_file(&[peer.address], &[peer.address], DOOR));
     let half = |_| {
@@ -364,7 +364,7 @@
 
 /// Guards against a drain that begins with a call that never came whole.
 #[test]
-fn half_a_call_switches_nothing() {
+fn incomplete_request_has_no_effect() {
     let peer = Peer::reader();
     let conductor = Conductor::start(&operator_file(&[peer.address], &[peer.address], DOOR));
     let mut half = conductor.connect_to_door();
@@ -379,7 +379,7 @@
     // The first drain would be logged before.
     let mut line = conductor.wait_for("");
     while !line.contains("stopping: ") {
-        assert!(!line.contains("a drain begins"), "{line}");
+        assert!(!line.contains("drain started"), "{line}");
         line = conductor.wait_for("");
     }
 }
@@ -391,7 +391,7 @@
 #[case::long_body([POST_50000.to_vec(), vec![b'x'; 50_000]].concat(), 413)]
 #[case::small_body(b"GET /ops/stats HTTP/1.1\r\nhost: a\r\ncontent-length: 2\r\n\r\n{}".to_vec(), 200)]
 #[case::two_calls(b"GET /ops/readiness HTTP/1.1\r\nhost: a\r\n\r\n".repeat(2), 200)]
-fn odd_bytes_get_one_answer_at_most_and_hurt_nobody(#[case] bytes: Vec<u8>, #[case] status: u16) {
+fn malformed_bytes_get_at_most_one_response(#[case] bytes: Vec<u8>, #[case] status: u16) {
     let peer = Peer::reader();
     let conductor = Conductor::start(&operator_file(&[peer.address], &[peer.address], DOOR));
     let mut stream = conductor.connect_to_door();
@@ -408,7 +408,7 @@
 
 /// Guards against a call that only works in one piece.
 #[test]
-fn a_call_may_come_byte_by_byte() {
+fn request_may_arrive_byte_by_byte() {
     let peer = Peer::reader();
     let conductor = Conductor::start(&operator_file(&[peer.address], &[peer.address], DOOR));
     let mut stream = conductor.connect_to_door();
@@ -449,7 +449,7 @@
 }
 
 #[test]
-fn an_address_that_is_none_or_is_taken_is_one_line_and_a_failure() {
+fn invalid_or_occupied_address_fails_the_start_with_one_line() {
     let taken = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let taken = taken.local_addr().unwrap().to_string();
     let ways = [
@@ -471,7 +471,7 @@
 /// Guards against a door that takes its descriptors from those of the clients, or takes some where there is
 /// none.
 #[test]
-fn descriptors_are_set_aside_for_the_door_and_only_where_there_is_one() {
+fn descriptors_are_reserved_only_with_an_admin_endpoint() {
     // Enough for what a conductor needs, and no more.
     let limits = "limits = { sockets = 170 }";
     let hosts = ["127.0.0.1:1".parse().unwrap()];
@@ -497,7 +497,7 @@
 
 /// Guards against refusals that are worded ahead of the module, for want of room, and counted nowhere.
 #[test]
-fn refusals_for_want_of_room_are_dropped_requests() {
+fn rejections_over_a_bound_count_as_dropped() {
     let (go, held) = mpsc::channel::<()>();
     let held = Mutex::new(held);
     let reader = Peer::start(move |message, conn| {
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -81,7 +81,7 @@
             .lines()
             .any(|l| l.starts_with("ops ="));
         if has_door {
-            let line = self.wait_for("the operators' door is at ");
+            let line = self.wait_for("admin endpoint listens on ");
             self.ops = line
                 .rsplit(' ')
                 .next()
