--- a/src/routing/model/prefix_table.rs
+++ b/src/routing/model/prefix_table.rs
@@ -24,9 +24,9 @@
 
 impl PrefixTable {
     /// Counts a request that has come.
-    pub fn record_request(&mut self, ask: &RequestSpec, now: Micros, half_life: Micros) {
+    pub fn record_request(&mut self, spec: &RequestSpec, now: Micros, half_life: Micros) {
         self.requests.add(now, half_life, 1.0);
-        if let Some(prefix) = ask.prefix.clone() {
+        if let Some(prefix) = spec.prefix.clone() {
             self.requests_by_prefix
                 .entry(prefix)
                 .or_default()
@@ -35,8 +35,8 @@
     }
 
     /// The part of all requests of late that have this one's prefix, without the request itself.
-    pub fn share(&self, ask: &RequestSpec, now: Micros, half_life: Micros) -> f64 {
-        let requests = ask
+    pub fn share(&self, spec: &RequestSpec, now: Micros, half_life: Micros) -> f64 {
+        let requests = spec
             .prefix
             .as_ref()
             .and_then(|prefix| self.requests_by_prefix.get(prefix));
@@ -45,10 +45,10 @@
     }
 
     /// Credits a reader that a request is sent to with the request's prefix and session.
-    pub fn credit(&mut self, ask: &RequestSpec, worker: &WorkerId, at: Micros) {
-        if let Some(prefix) = ask.prefix.clone() {
+    pub fn credit(&mut self, spec: &RequestSpec, worker: &WorkerId, at: Micros) {
+        if let Some(prefix) = spec.prefix.clone() {
             let credit = Credit {
-                tokens: ask.prefix_tokens,
+                tokens: spec.prefix_tokens,
                 at,
             };
             self.prefixes
@@ -56,9 +56,9 @@
                 .or_default()
                 .insert(worker.clone(), credit);
         }
-        if let Some(session) = ask.session.clone() {
+        if let Some(session) = spec.session.clone() {
             let credit = Credit {
-                tokens: ask.prompt_tokens,
+                tokens: spec.prompt_tokens,
                 at,
             };
             self.sessions.insert(session, (worker.clone(), credit));
@@ -66,21 +66,21 @@
     }
 
     /// Tokens of a prompt that a reader is credited with since then: the longer of prefix and session.
-    pub fn cached_tokens(&self, ask: &RequestSpec, worker: &WorkerId, since: Micros) -> f64 {
-        let prefix = (ask.prefix.as_ref())
+    pub fn cached_tokens(&self, spec: &RequestSpec, worker: &WorkerId, since: Micros) -> f64 {
+        let prefix = (spec.prefix.as_ref())
             .and_then(|prefix| self.prefixes.get(prefix)?.get(worker))
             .filter(|credit| credit.at >= since)
-            .map_or(0, |credit| credit.tokens.min(ask.prefix_tokens));
-        let session = (ask.session.as_ref())
+            .map_or(0, |credit| credit.tokens.min(spec.prefix_tokens));
+        let session = (spec.session.as_ref())
             .and_then(|session| self.sessions.get(session))
             .filter(|(reader, credit)| reader == worker && credit.at >= since)
             .map_or(0, |(_, credit)| credit.tokens);
-        prefix.max(session).min(ask.prompt_tokens) as f64
+        prefix.max(session).min(spec.prompt_tokens) as f64
     }
 
     /// Whether a reader of the request's session is known.
-    pub fn knows_session(&self, ask: &RequestSpec) -> bool {
-        ask.session
+    pub fn knows_session(&self, spec: &RequestSpec) -> bool {
+        spec.session
             .as_ref()
             .is_some_and(|session| self.sessions.contains_key(session))
     }
@@ -102,7 +102,7 @@
         });
         self.sessions.retain(|_, (_, credit)| credit.at >= before);
         self.requests_by_prefix
-            .retain(|_, requests| requests.at >= before);
+            .retain(|_, requests| requests.updated_at() >= before);
     }
 
     /// Forgets a reader, whose new process keeps nothing.
--- a/src/routing/model/tests.rs
+++ b/src/routing/model/tests.rs
@@ -1,12 +1,26 @@
 use super::*;
+use crate::routing::types::{AttemptOutcome, Idempotency, RequestClass, WorkerId};
 
 /// Guards against memory that grows with every tenant's name that a client makes up.
 #[test]
 fn tenants_that_were_turned_away_are_forgotten() {
     let mut worker = Worker::default();
     for i in 0..10_000 {
-        worker.mark_full((0, Some(i.to_string())), i, i + 10);
-        assert!(worker.is_full(&(0, Some(i.to_string())), i));
+        worker.mark_full(
+            CapacityKey {
+                class: 0,
+                tenant: Some(i.to_string()),
+            },
+            i,
+            i + 10,
+        );
+        assert!(worker.is_full(
+            &CapacityKey {
+                class: 0,
+                tenant: Some(i.to_string()),
+            },
+            i
+        ));
     }
     assert!(worker.full_until.len() <= 10, "{}", worker.full_until.len());
 }
@@ -95,7 +109,7 @@
     let attempt = |writes, outcome| Attempt {
         worker: WorkerId("w".into()),
         is_decode: writes,
-        distance: 0,
+        distance: Distance::SameCell,
         sent_at: 0,
         due_at: 1,
         tokens: 0.0,
--- a/src/routing/policy.rs
+++ b/src/routing/policy.rs
@@ -1,10 +1,13 @@
-//! The decisions. Settings, events and actions: `src/routing/types.rs`. Why it is built so: `docs/design.md`.
+//! Routing decisions. Configuration, events and actions: `src/routing/types.rs`. Rationale:
+//! `docs/design.md`.
 //!
-//! Preble's E2 decides the ordinary path; everything else answers a trouble and says which.
+//! The ordinary path is Preble's E2 (exploit a cached prefix, else explore by load); everything else
+//! handles a failure mode that its comment names.
 
 mod admission;
 pub(crate) mod call_permit;
 pub(crate) mod close_permit;
+mod decode_placement;
 mod health;
 pub(crate) mod kv_state;
 mod membership;
@@ -14,37 +17,63 @@
 mod sending;
 mod slow_start;
 
-use crate::routing::model::*;
-use crate::routing::types::*;
+use crate::routing::model::{
+    DecodeTimeouts, LearnedRates, PerRole, Phase, PrefixTable, Request, TenantQuotas,
+    TimeoutBackoff, Worker, merge_classes,
+};
+use crate::routing::types::{
+    Action, EndReason, Event, Micros, ReleaseReason, RequestId, RoutingConfig, TimerId, WorkerId,
+};
 use std::collections::{BTreeMap, BTreeSet};
-use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// A prefix not sent to a reader for this long is no longer credited there (the design's value).
+/// A prefix last sent to a prefill worker this long ago no longer counts as cached there.
 const PREFIX_TTL: Micros = 30_000_000;
-/// A reader whose load passes this multiple of the mean is not exploited (the design's value).
+/// A prefill worker whose load exceeds this multiple of the mean is not picked for its cached prefix.
 const MAX_LOAD_IMBALANCE: f64 = 2.0;
-/// Weight of a new sample in every learned average: the last ten or so count, enough to outlast one outlier.
+/// Weight of a new sample in the moving averages: about ten samples count, enough to outlast one outlier.
 const EWMA_WEIGHT: f64 = 0.1;
-/// The part of its aim that a read, and a writer's beginning, may take: the third is for another try.
+/// Share of the time-to-first-token objective for one stage; the remaining third leaves room for a retry.
 const STAGE_SHARE: f64 = 1.0 / 3.0;
-/// A worker is set aside when this share of its recent outcomes failed: most of them.
+/// Failure rate above which a worker is ejected.
 const EJECTION_THRESHOLD: f64 = 0.5;
-/// Most trials of a sick worker in a row that double the wait before the next one.
+/// Largest exponent of a doubling backoff.
 const MAX_BACKOFF_DOUBLINGS: u32 = 4;
-/// Sweeps in each release limit: fine enough that nothing held comes near it.
+/// Sweeps within the KV state hold limit: often enough that no hold comes near it.
 const SWEEPS_PER_HOLD_LIMIT: Micros = 12;
-/// News of load is worth half after this: the queues that workers hold without refusing are of seconds.
+/// Shortest interval between sweeps, unless the batch interval is longer.
+const MIN_SWEEP_INTERVAL: Micros = 1_000;
+/// Longest interval between sweeps.
+const MAX_SWEEP_INTERVAL: Micros = 100_000;
+/// Half-life of load reports and of recent outcomes: workers queue for seconds before they reject.
 const LOAD_HALF_LIFE: Micros = 2_000_000;
-/// What is known of streams is worth half after this: they last for seconds.
+/// Half-life of stream statistics: streams last for seconds.
 const STREAM_HALF_LIFE: Micros = 4 * LOAD_HALF_LIFE;
-/// More requests than this that wait are gone on with together.
+/// With more queued requests than this, dispatching is batched.
 const MAX_QUEUED_FOR_IMMEDIATE_DISPATCH: usize = 16;
-/// How long those wait for each other: far less than a request takes, far more than a look at all of them.
+/// Delay of a batched dispatch: far less than a request takes, far more than one pass over the queue.
 const DISPATCH_DELAY: Micros = 10_000;
+/// Timer of the periodic sweep.
 const SWEEP_TIMER: TimerId = TimerId(1);
+/// Timer of a batched dispatch.
 const DISPATCH_TIMER: TimerId = TimerId(2);
 
-/// The decision module of one router.
+/// The timers that are set.
+#[derive(Default)]
+struct Timers {
+    is_sweep_scheduled: bool,
+    is_dispatch_scheduled: bool,
+}
+
+/// Retries of the endpoint list's subscription.
+#[derive(Default)]
+struct EndpointFetch {
+    /// Failures in a row.
+    failures: u32,
+    /// When to try again.
+    due: Option<Micros>,
+}
+
+/// The routing decisions of one router: a state machine without I/O.
 #[derive(Default)]
 pub struct Policy {
     config: RoutingConfig,
@@ -52,51 +81,53 @@
     now: Micros,
     pub(crate) workers: BTreeMap<WorkerId, Worker>,
     requests: BTreeMap<RequestId, Request>,
-    /// The attempts without an outcome at each worker.
+    /// The attempts without an outcome at each worker, as indices into their request's attempts.
     in_flight: BTreeMap<WorkerId, BTreeSet<(RequestId, usize)>>,
     prefix_cache: PrefixTable,
-    tenants: BTreeMap<String, (f64, f64, Micros)>, // this router's part of the promised rate, level, since
+    quotas: TenantQuotas,
     learned: LearnedRates,
-    local_timeouts: DecayingSum, // sends to writers in the reader's cell that did not begin in time
-    remote_timeouts: DecayingSum, // states that did not reach a writer out of the reader's cell in time
-    timeout_backoff: [u32; 2],
-    max_ready: [usize; 3],   // workers of each role seen in service at once
-    slow_start_from: Micros, // nothing goes to workers in slow start before: a predecessor may have sent
-    is_sweep_scheduled: bool,
-    is_dispatch_scheduled: bool,
-    endpoint_fetch_failures: u32,
-    endpoint_fetch_due: Option<Micros>,
+    decode_timeouts: DecodeTimeouts,
+    timeout_backoff: TimeoutBackoff,
+    /// Largest number of workers of each role seen ready at once.
+    max_ready: PerRole<usize>,
+    /// Nothing goes to workers in slow start before: a predecessor process may have sent to them.
+    slow_start_from: Micros,
+    timers: Timers,
+    endpoint_fetch: EndpointFetch,
 }
 
 impl Policy {
-    /// A module that knows nothing yet.
-    pub fn new(settings: RoutingConfig, seed: u64) -> Self {
+    /// A router that knows no workers yet. `seed` makes its random draws differ from those of its peers.
+    pub fn new(config: RoutingConfig, seed: u64) -> Self {
         let mut policy = Policy {
             seed,
             slow_start_from: Micros::MAX,
             ..Policy::default()
         };
-        policy.update_config(settings);
+        policy.update_config(config);
         policy
     }
 
-    /// New requests begin under these settings; see `settle` for what those in hand keep.
-    pub fn update_config(&mut self, settings: RoutingConfig) {
-        self.tenants = levels(&settings, &self.tenants);
-        self.workers
-            .values_mut()
-            .for_each(|w| (w.answers, w.full_until) = Default::default());
+    /// Applies a new configuration. Requests in flight keep their class and their number of attempts.
+    pub fn update_config(&mut self, config: RoutingConfig) {
+        self.quotas.update_config(&config);
+        // Both are keyed by class index, which may now mean another class.
+        for worker in self.workers.values_mut() {
+            worker.answers_by_class.clear();
+            worker.full_until.clear();
+        }
         let requests = self.requests.values_mut();
         self.config = RoutingConfig {
-            classes: merge_classes(&self.config.classes, &settings.classes, requests),
-            ..settings
+            classes: merge_classes(&self.config.classes, &config.classes, requests),
+            ..config
         };
     }
 
-    /// Takes one event in and appends the actions that answer it.
+    /// Processes one event and appends the resulting actions. `now` never runs backwards: an earlier time
+    /// counts as the latest one seen.
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         self.now = self.now.max(now);
-        let ended = matches!(
+        let may_free_capacity = matches!(
             event,
             Event::AttemptCompleted(_)
                 | Event::StreamStarted { .. }
@@ -105,36 +136,35 @@
         );
         match event {
             Event::EndpointsUpdated { kind, entries } => self.apply_endpoints(kind, entries),
-            Event::RequestArrived(ask) => self.on_request_arrived(ask, out),
+            Event::RequestArrived(spec) => self.on_request_arrived(spec, out),
             Event::StreamStarted {
                 request,
                 attempt,
                 elapsed,
             } => self.on_stream_started(request, attempt, elapsed),
-            Event::AttemptCompleted(end) => self.on_attempt_completed(end, out),
+            Event::AttemptCompleted(completed) => self.on_attempt_completed(completed, out),
             Event::ClientDisconnected { request } => self.close(request, out),
-            Event::Timer(timer) if timer == SWEEP_TIMER => self.on_sweep_timer(out),
-            Event::Timer(timer) if timer == DISPATCH_TIMER => {
-                self.is_dispatch_scheduled = false;
+            Event::Timer(SWEEP_TIMER) => self.on_sweep_timer(out),
+            Event::Timer(DISPATCH_TIMER) => {
+                self.timers.is_dispatch_scheduled = false;
                 self.dispatch_queued(false, out);
             }
             Event::HealthCheckCompleted { worker, report, .. } => {
-                self.record_load_report(&worker, report)
+                self.record_load_report(&worker, report);
             }
             Event::SlowStart { allowed } => {
                 let from = now.saturating_add(self.slow_start_window());
                 self.slow_start_from = if allowed { from } else { Micros::MAX };
             }
-            // Nothing is told to peers. Places are never held ahead: the writer is picked after the read.
+            // Routers don't gossip, and reserve no capacity: the decode worker is picked after the prefill.
             Event::Timer(_) | Event::ReservationResult { .. } | Event::GossipReceived { .. } => {}
         }
-        if ended {
+        if may_free_capacity {
             self.schedule_dispatch(out);
         }
-        if !self.is_sweep_scheduled
-            && (!self.requests.is_empty() || self.endpoint_fetch_due.is_some())
-        {
-            self.is_sweep_scheduled = true;
+        let needs_sweep = !self.requests.is_empty() || self.endpoint_fetch.due.is_some();
+        if !self.timers.is_sweep_scheduled && needs_sweep {
+            self.timers.is_sweep_scheduled = true;
             out.push(Action::Timer {
                 at: self.now + self.sweep_interval(),
                 timer: SWEEP_TIMER,
@@ -143,15 +173,17 @@
     }
 
     fn sweep_interval(&self) -> Micros {
+        let shortest = self.config.batch_interval.max(MIN_SWEEP_INTERVAL);
         (self.config.kv_state_hold_limit / SWEEPS_PER_HOLD_LIMIT)
-            .clamp(self.config.batch_interval.max(1_000), 100_000)
+            .clamp(shortest, MAX_SWEEP_INTERVAL)
     }
 
-    /// Looks after all that time alone changes: overdue answers, held states, waiting requests, old entries.
+    /// Handles what only time changes: overdue attempts, KV state holds, queued requests, cache entries,
+    /// retries of the subscription.
     fn on_sweep_timer(&mut self, out: &mut Vec<Action>) {
-        self.is_sweep_scheduled = false;
-        if self.endpoint_fetch_due.is_some_and(|due| due <= self.now) {
-            self.endpoint_fetch_due = None;
+        self.timers.is_sweep_scheduled = false;
+        if self.endpoint_fetch.due.is_some_and(|due| due <= self.now) {
+            self.endpoint_fetch.due = None;
             out.push(Action::Subscribe);
         }
         self.prefix_cache
@@ -159,15 +191,19 @@
         self.dispatch_queued(true, out);
     }
 
-    /// Goes on with what waits: at once, or, where much waits, with all that happens in the next moment
-    /// together. Guards against a process that a jam takes all of its time: each end of an attempt had
-    /// everything that waits looked at.
+    /// Dispatches the queue: at once while it is short, else batched. Guards against a process that spends
+    /// all of its time on passes over a long queue, one for each completed attempt.
     fn schedule_dispatch(&mut self, out: &mut Vec<Action>) {
-        let waits = |r: &&Request| matches!(r.phase, Phase::Queued | Phase::AwaitingDecode);
-        if self.requests.values().filter(waits).count() <= MAX_QUEUED_FOR_IMMEDIATE_DISPATCH {
+        let queued = self
+            .requests
+            .values()
+            .filter(|request| matches!(request.phase, Phase::Queued | Phase::AwaitingDecode))
+            .count();
+        if queued <= MAX_QUEUED_FOR_IMMEDIATE_DISPATCH {
             return self.dispatch_queued(false, out);
         }
-        if !std::mem::replace(&mut self.is_dispatch_scheduled, true) {
+        if !self.timers.is_dispatch_scheduled {
+            self.timers.is_dispatch_scheduled = true;
             out.push(Action::Timer {
                 at: self.now + DISPATCH_DELAY,
                 timer: DISPATCH_TIMER,
@@ -175,72 +211,77 @@
         }
     }
 
-    /// Goes on with what waits, what is worth most first; at a sweep also with what may be overdue.
-    fn dispatch_queued(&mut self, all: bool, out: &mut Vec<Action>) {
-        let mut open: Vec<(RequestId, f64)> = (self.requests.iter())
-            .filter(|(_, r)| match r.phase {
-                Phase::Queued | Phase::AwaitingDecode => true,
-                Phase::Prefilling | Phase::DecodeRequested => all,
-                Phase::Streaming | Phase::Done => false,
-            })
-            .map(|(id, r)| {
-                (
-                    *id,
-                    if r.phase == Phase::AwaitingDecode {
-                        f64::MAX
-                    } else {
-                        self.priority_weight(r)
-                    },
-                )
-            })
-            .collect();
-        open.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.0.cmp(&b.0)));
-        for (id, _) in open {
+    /// Advances queued requests, those with KV state first, then by priority weight; with
+    /// `include_in_flight` also those whose attempt may be overdue.
+    fn dispatch_queued(&mut self, include_in_flight: bool, out: &mut Vec<Action>) {
+        let mut queue = Vec::new();
+        for (id, request) in &self.requests {
+            let weight = match request.phase {
+                Phase::AwaitingDecode => f64::MAX,
+                Phase::Queued => self.priority_weight(request),
+                Phase::Prefilling | Phase::DecodeRequested if include_in_flight => {
+                    self.priority_weight(request)
+                }
+                _ => continue,
+            };
+            queue.push((*id, weight));
+        }
+        queue.sort_by(|(id, weight), (other_id, other_weight)| {
+            other_weight.total_cmp(weight).then(id.cmp(other_id))
+        });
+        for (id, _) in queue {
             self.advance(id, out);
         }
     }
 
     /// Takes a request as far as it can go now.
     fn advance(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        let Some(r) = self.requests.get(&id) else {
+        let Some(request) = self.requests.get(&id) else {
             return;
         };
         let margin = 2 * self.sweep_interval();
+        let is_deadline_near = self.now + margin >= request.spec.deadline;
         // Of unknown fate, and no worker may repeat it: waiting gains its client nothing.
-        let stuck = r.may_have_run() && !self.workers.values().any(|w| self.may_repeat_at(r, w));
-        let hopeless = self.now + margin >= r.spec.deadline;
-        match r.phase {
+        let may_retry = !request.may_have_run()
+            || self
+                .workers
+                .values()
+                .any(|worker| self.may_repeat_at(request, worker));
+        match request.phase {
             Phase::Streaming | Phase::Done => {}
-            // Its time-out is trimmed to the deadline and its outcome comes within the slack.
-            Phase::Prefilling if self.now < r.spec.deadline => {}
-            Phase::DecodeRequested if self.now < r.spec.deadline => {
-                self.release_behind_send(id, out)
+            // The attempt's timeout is capped at the deadline; its outcome comes within the response grace.
+            Phase::Prefilling if self.now < request.spec.deadline => {}
+            Phase::DecodeRequested if self.now < request.spec.deadline => {
+                self.release_behind_send(id, out);
             }
             Phase::Prefilling | Phase::DecodeRequested => {
-                self.end_unanswered(id, EndReason::DeadlineExceeded, out)
+                self.end_unanswered(id, EndReason::DeadlineExceeded, out);
             }
-            _ if hopeless => self.end_unanswered(id, EndReason::DeadlineExceeded, out),
-            _ if r.attempts_exhausted() => {
-                self.end_unanswered(id, EndReason::AttemptsExhausted, out)
+            _ if is_deadline_near => self.end_unanswered(id, EndReason::DeadlineExceeded, out),
+            _ if request.attempts_exhausted() => {
+                self.end_unanswered(id, EndReason::AttemptsExhausted, out);
             }
-            _ if stuck => self.end_unanswered(id, EndReason::RetryNotAllowed, out),
+            _ if !may_retry => self.end_unanswered(id, EndReason::RetryNotAllowed, out),
             Phase::Queued => self.start(id, out),
-            Phase::AwaitingDecode => {
-                let release_at = r.kv_state.release_by(
-                    self.config
-                        .kv_state_hold_limit
-                        .saturating_sub(self.release_margin(kv_state::SWEEPS_BEFORE_RELEASE)),
-                );
-                if self.now >= release_at {
-                    self.release(id, ReleaseReason::HoldExpiring, out);
-                    self.requests
-                        .entry(id)
-                        .and_modify(|r| r.phase = Phase::Queued);
-                    self.start(id, out);
-                } else if let Some(writer) = self.pick_decode_worker(id, r.kv_state.reader()) {
-                    self.send(id, &writer, None, out);
-                }
+            Phase::AwaitingDecode => self.advance_held(id, out),
+        }
+    }
+
+    /// Sends a request with held KV state to a decode worker, or releases the state when its limit is near.
+    fn advance_held(&mut self, id: RequestId, out: &mut Vec<Action>) {
+        let Some(request) = self.requests.get(&id) else {
+            return;
+        };
+        let margin = self.release_margin(kv_state::SWEEPS_BEFORE_RELEASE);
+        let limit = self.config.kv_state_hold_limit.saturating_sub(margin);
+        if self.now >= request.kv_state.release_by(limit) {
+            self.release(id, ReleaseReason::HoldExpiring, out);
+            if let Some(request) = self.requests.get_mut(&id) {
+                request.phase = Phase::Queued;
             }
+            self.start(id, out);
+        } else if let Some(worker) = self.pick_decode_worker(id, request.kv_state.holder()) {
+            self.send(id, &worker, None, out);
         }
     }
 }
--- a/src/routing/policy/admission.rs
+++ b/src/routing/policy/admission.rs
@@ -1,177 +1,239 @@
-//! Which requests begin, which wait, and which end without an answer of a worker.
+//! Admission: which requests start, which stay queued, and which end without an answer of a worker.
 
-use super::*;
+use super::{EWMA_WEIGHT, PREFIX_TTL, Policy, STAGE_SHARE};
+use crate::routing::model::{Attempt, Distance, Phase, Request, class_index};
+use crate::routing::types::{
+    Action, AttemptIndex, EndReason, Micros, ReleaseReason, RequestId, RequestSpec, Role, WorkerId,
+};
+use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Readers may be this many times as fast as the stated share of the aim says.
+/// Prefill workers may be this many times as fast as the configured objectives suggest.
 const MAX_PREFILL_SPEEDUP: f64 = 2.0;
+/// Steps over which retry advice is spread.
+const RETRY_SPREAD_STEPS: Micros = 1_000;
 
-/// Requests of a tenant that may come at once, and two seconds' worth at least: fewer are chance, not excess.
-const MIN_QUOTA_BURST: f64 = 10.0;
+/// How a queued request would start.
+struct StartPlan {
+    worker: WorkerId,
+    /// The request goes straight to a worker that prefills and decodes.
+    is_direct: bool,
+    /// Prompt tokens that the prefill worker has to process; 0 when direct.
+    uncached_tokens: f64,
+    /// Workers that could decode it.
+    decode_worker_count: usize,
+}
+
+/// What to do with a queued request.
+enum Admission {
+    Start,
+    Wait,
+    End(EndReason),
+}
 
 impl Policy {
-    pub(super) fn on_request_arrived(&mut self, ask: RequestSpec, out: &mut Vec<Action>) {
-        let id = ask.request;
-        let class = class_index(&self.config.classes, &ask.class);
-        let over_share = self.take_quota_token(ask.tenant.as_deref());
+    pub(super) fn on_request_arrived(&mut self, spec: RequestSpec, out: &mut Vec<Action>) {
+        let id = spec.request;
+        let class = class_index(&self.config.classes, &spec.class);
+        let over_quota = !self.quotas.take(spec.tenant.as_deref(), self.now);
         self.learned
             .prompt_tokens
-            .add(ask.prompt_tokens as f64, EWMA_WEIGHT);
-        self.learn_rates();
-        self.prefix_cache.record_request(&ask, self.now, PREFIX_TTL);
-        self.requests.insert(
-            id,
-            Request::new(ask, class, self.now, over_share, self.config.max_attempts),
-        );
+            .add(spec.prompt_tokens as f64, EWMA_WEIGHT);
+        self.learn_completion_rates();
+        self.prefix_cache
+            .record_request(&spec, self.now, PREFIX_TTL);
+        let max_attempts = self.config.max_attempts;
+        let request = Request::new(spec, class, self.now, over_quota, max_attempts);
+        self.requests.insert(id, request);
         self.advance(id, out);
     }
 
-    pub(super) fn take_quota_token(&mut self, tenant: Option<&str>) -> bool {
-        let Some((rate, level, at)) = tenant.and_then(|t| self.tenants.get_mut(t)) else {
-            return false;
-        };
-        let refill = *rate * (self.now - *at) as f64 / 1e6;
-        (*level, *at) = (
-            (*level + refill).min(MIN_QUOTA_BURST.max(*rate * 2.0)),
-            self.now,
-        );
-        let over = *level < 1.0;
-        *level -= if over { 0.0 } else { 1.0 };
-        over
-    }
-
-    pub(super) fn priority_weight(&self, r: &Request) -> f64 {
-        let worth = self.config.classes[r.class].priority_weight;
-        if r.over_quota {
-            worth * self.config.over_quota_weight
+    /// The request's weight against others that wait.
+    pub(super) fn priority_weight(&self, request: &Request) -> f64 {
+        let weight = self.config.classes[request.class].priority_weight;
+        if request.over_quota {
+            weight * self.config.over_quota_weight
         } else {
-            worth
+            weight
         }
     }
 
-    pub(super) fn ttft_objective(&self, r: &Request) -> Micros {
-        let class = &self.config.classes[r.class];
-        let grown =
-            class.ttft_objective_per_1000_tokens as f64 * r.spec.prompt_tokens as f64 / 1000.0;
-        class.ttft_objective.saturating_add(grown as Micros)
+    /// The request's time-to-first-token objective.
+    pub(super) fn ttft_objective(&self, request: &Request) -> Micros {
+        let class = &self.config.classes[request.class];
+        let per_1000_tokens = class.ttft_objective_per_1000_tokens as f64;
+        let for_prompt = per_1000_tokens * request.spec.prompt_tokens as f64 / 1000.0;
+        class.ttft_objective.saturating_add(for_prompt as Micros)
     }
 
-    /// Starts a request if both stages can be in time, or half its read at most is ahead; else waits or ends.
+    /// Starts a queued request if both stages can meet its objective, ends it if it can't be answered in
+    /// time, and else leaves it queued.
     pub(super) fn start(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        let (readers, mixed) = (self.usable(Role::Prefill, id), self.usable(Role::Mixed, id));
-        let writers = self.usable(Role::Decode, id).len() + mixed.len();
-        let Some(r) = self.requests.get(&id) else {
+        let Some(request) = self.requests.get(&id) else {
             return;
         };
-        let prompt = r.spec.prompt_tokens as f64;
-        let short = prompt <= self.learned.prompt_tokens.value_or(0.0);
-        let direct = !mixed.is_empty() && (short || readers.is_empty())
-            || readers.is_empty() && self.config.decode_workers_prefill;
-        let target = if direct {
-            self.pick_decode_worker(id, None).map(|w| (w, 0.0))
-        } else {
-            // A read whose writers can't take it would only gather states at the readers.
-            self.pick_prefill_worker(r, &readers)
-                .filter(|_| writers > 0)
-        };
-        let Some((target, unread)) = target else {
+        let Some(plan) = self.plan_start(id, request) else {
             return;
         };
-        let ahead = self.queued_tokens(&target, 0.0);
-        // What nobody has measured yet is not free, or all that waits would begin at once.
+        match self.admit(request, &plan) {
+            Admission::Start => {
+                let uncached_tokens = (!plan.is_direct).then_some(plan.uncached_tokens);
+                self.send(id, &plan.worker, uncached_tokens, out);
+            }
+            Admission::Wait => {}
+            Admission::End(reason) => self.end_unanswered(id, reason, out),
+        }
+    }
+
+    /// Picks the worker for the first stage. `None`: no worker is usable now.
+    fn plan_start(&self, id: RequestId, request: &Request) -> Option<StartPlan> {
+        let prefill_workers = self.usable(Role::Prefill, id);
+        let mixed_workers = self.usable(Role::Mixed, id);
+        let decode_worker_count = self.usable(Role::Decode, id).len() + mixed_workers.len();
+        let mean_prompt_tokens = self.learned.prompt_tokens.value_or(0.0);
+        let is_short = request.spec.prompt_tokens as f64 <= mean_prompt_tokens;
+        let goes_to_mixed = !mixed_workers.is_empty() && (is_short || prefill_workers.is_empty());
+        let is_direct =
+            goes_to_mixed || prefill_workers.is_empty() && self.config.decode_workers_prefill;
+        let (worker, uncached_tokens) = if is_direct {
+            (self.pick_decode_worker(id, None)?, 0.0)
+        } else {
+            let picked = self.pick_prefill_worker(request, &prefill_workers)?;
+            if decode_worker_count == 0 {
+                // Prefills that no decode worker can take would only pile up KV state.
+                return None;
+            }
+            picked
+        };
+        Some(StartPlan {
+            worker,
+            is_direct,
+            uncached_tokens,
+            decode_worker_count,
+        })
+    }
+
+    /// Whether a request may start by this plan.
+    fn admit(&self, request: &Request, plan: &StartPlan) -> Admission {
+        let prompt = request.spec.prompt_tokens as f64;
+        let uncached = plan.uncached_tokens;
+        let queued = self.queued_tokens(&plan.worker, 0.0);
+        let objective = self.ttft_objective(request) as f64;
+        let waited = (self.now - request.arrived_at) as f64;
+
+        // A rate not measured yet is not free, or all that waits would start at once.
         let unmeasured = self.expected_prefill_us_per_token() / MAX_PREFILL_SPEEDUP;
-        let pace =
-            self.learned.prefill_us_per_token.value_or(unmeasured) * self.latency_factor(&target);
-        let takes = |work: f64| pace * (work + self.learned.uncached_tokens.value_or(0.0));
-        let (aim, waited) = (
-            self.ttft_objective(r) as f64,
-            (self.now - r.arrived_at) as f64,
-        );
-        let reads = 2.0 * ahead <= unread || takes(ahead + unread) <= aim * (1.0 - STAGE_SHARE);
-        let coming: Vec<f64> = (self.requests.values())
-            .filter(|r| {
+        let prefill_us_per_token = self.learned.prefill_us_per_token.value_or(unmeasured)
+            * self.latency_factor(&plan.worker);
+        let mean_uncached = self.learned.uncached_tokens.value_or(0.0);
+        let prefill_us = |tokens: f64| prefill_us_per_token * (tokens + mean_uncached);
+
+        let first_token_us_per_token = if plan.is_direct {
+            self.learned.first_token_us_per_token[Distance::Remote]
+        } else {
+            self.learned.mean_first_token_us_per_token
+        };
+        let mean_prompt = self.learned.prompt_tokens.value_or(0.0);
+        let first_token_us =
+            |tokens: f64| first_token_us_per_token.value_or(0.0) * (tokens + mean_prompt);
+
+        let before_decode: Vec<f64> = (self.requests.values())
+            .filter(|request| {
                 matches!(
-                    r.phase,
+                    request.phase,
                     Phase::Prefilling | Phase::AwaitingDecode | Phase::DecodeRequested
                 )
             })
-            .map(|r| r.spec.prompt_tokens as f64)
+            .map(|request| request.spec.prompt_tokens as f64)
             .collect();
-        let pace = if direct {
-            self.learned.first_token_us_per_token[2]
-        } else {
-            self.learned.mean_first_token_us_per_token
-        };
-        let first =
-            |work: f64| pace.value_or(0.0) * (work + self.learned.prompt_tokens.value_or(0.0));
-        let crowd = coming.iter().sum::<f64>() / writers.max(1) as f64;
-        let writes = coming.len() < writers || first(crowd + prompt) <= aim * STAGE_SHARE;
-        // Can't begin before its client leaves, or in time after a read that wasn't answered: another one
-        // would feed the jam. Guards against short deadlines, and jams that grow by repeats of what is late.
-        let left = r.spec.deadline.saturating_sub(self.now) as f64;
-        let doomed = !coming.is_empty() && takes(ahead + unread) + first(prompt) > left;
-        let late = waited + takes(unread) + first(prompt) > aim;
-        let doomed = doomed || r.has_timed_out() && waited + takes(unread) > aim;
-        if reads && writes && !doomed {
-            self.send(id, &target, (!direct).then_some(unread), out);
-        } else if doomed {
-            self.end_unanswered(id, EndReason::DeadlineUnreachable, out);
-        } else if late || r.over_quota {
-            self.end_unanswered(id, EndReason::NoCapacity, out);
+        let tokens_per_decode_worker =
+            before_decode.iter().sum::<f64>() / plan.decode_worker_count.max(1) as f64;
+
+        let can_prefill = 2.0 * queued <= uncached
+            || prefill_us(queued + uncached) <= objective * (1.0 - STAGE_SHARE);
+        let can_decode = before_decode.len() < plan.decode_worker_count
+            || first_token_us(tokens_per_decode_worker + prompt) <= objective * STAGE_SHARE;
+
+        // Can't start before its client leaves, or meet its objective after a timeout: another prefill
+        // would feed the jam. Guards against short deadlines, and against jams that grow by retries of late
+        // requests.
+        let left = request.spec.deadline.saturating_sub(self.now) as f64;
+        let misses_deadline = !before_decode.is_empty()
+            && prefill_us(queued + uncached) + first_token_us(prompt) > left;
+        let misses_objective_after_timeout =
+            request.has_timed_out() && waited + prefill_us(uncached) > objective;
+        if misses_deadline || misses_objective_after_timeout {
+            return Admission::End(EndReason::DeadlineUnreachable);
+        }
+        if can_prefill && can_decode {
+            return Admission::Start;
+        }
+        let misses_objective = waited + prefill_us(uncached) + first_token_us(prompt) > objective;
+        if misses_objective || request.over_quota {
+            return Admission::End(EndReason::NoCapacity);
         }
+        Admission::Wait
     }
 
-    /// Gives the final answer, at once: a refusal with advice where trying again is harmless, else a failure.
+    /// Answers a request without a worker: a rejection, with retry advice, where a retry is harmless; else
+    /// a failure, which promises nothing.
     pub(super) fn end_unanswered(
         &mut self,
         id: RequestId,
         reason: EndReason,
         out: &mut Vec<Action>,
     ) {
-        let Some(r) = self.requests.get(&id) else {
+        let Some(request) = self.requests.get(&id) else {
             return;
         };
-        if matches!(r.phase, Phase::Done | Phase::Streaming) {
+        if matches!(request.phase, Phase::Done | Phase::Streaming) {
             return;
         }
-        if self.may_reject(r) {
-            let retry_after = self.config.advises_retry_after.then(|| {
-                // Spread, so that those refused together don't come back together.
-                let spread = xxh3_64_with_seed(&id.0.to_le_bytes(), self.seed) % 1000;
-                self.config.max_retry_after / 2 + self.config.max_retry_after / 2 * spread / 1000
-            });
-            out.push(Action::Reject {
+        let action = if self.may_reject(request) {
+            Action::Reject {
                 request: id,
                 reason,
-                retry_after,
-            });
+                retry_after: self
+                    .config
+                    .advises_retry_after
+                    .then(|| self.retry_after(id)),
+            }
         } else {
-            out.push(Action::Fail {
+            Action::Fail {
                 request: id,
                 reason,
-            });
-        }
+            }
+        };
+        out.push(action);
         self.close(id, out);
     }
 
-    /// Lets go of all that an answered request still has.
+    /// Retry advice, spread so that requests rejected together don't come back together.
+    fn retry_after(&self, id: RequestId) -> Micros {
+        let half = self.config.max_retry_after / 2;
+        let step = xxh3_64_with_seed(&id.0.to_le_bytes(), self.seed) % RETRY_SPREAD_STEPS;
+        half + half * step / RETRY_SPREAD_STEPS
+    }
+
+    /// Ends an answered request: cancels its attempts, releases its KV state, and forgets it once no
+    /// attempt is in flight.
     pub(super) fn close(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        if let Some(r) = self.requests.get_mut(&id) {
-            r.phase = Phase::Done;
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.phase = Phase::Done;
             if self.config.cancellation_allowed {
-                let open = |a: &Attempt| a.outcome.is_none() && a.first_token_at.is_none();
-                let open = (0..).zip(&r.attempts).filter(|(_, a)| open(a));
-                out.extend(open.map(|(i, _)| Action::Cancel {
+                let is_unanswered = |attempt: &Attempt| {
+                    attempt.outcome.is_none() && attempt.first_token_at.is_none()
+                };
+                let attempts = (0..).zip(&request.attempts);
+                let unanswered = attempts.filter(|(_, attempt)| is_unanswered(attempt));
+                out.extend(unanswered.map(|(index, _)| Action::Cancel {
                     request: id,
-                    attempt: AttemptIndex(i),
+                    attempt: AttemptIndex(index),
                 }));
             }
         }
         self.release(id, ReleaseReason::RequestFinished, out);
-        if self
-            .requests
-            .get(&id)
-            .is_some_and(|r| r.in_flight().next().is_none())
-        {
+        let is_idle = |request: &Request| request.in_flight().next().is_none();
+        if self.requests.get(&id).is_some_and(is_idle) {
             self.requests.remove(&id);
         }
     }
--- a/src/routing/policy/call_permit.rs
+++ b/src/routing/policy/call_permit.rs
@@ -1,8 +1,8 @@
 //! Whether a call beside the attempts may be made now: releases, calls of tools and their results.
 //!
 //! What puts such a call on a connection needs a [`CallPermit`], which only [`permit_call`] makes, and asks
-//! for it when the connection is up: what was known when the call was decided may not hold any more by then.
-//! When a release begins is decided here as well ([`ReleaseHistory::permit`]).
+//! for it when the connection is up: what was known when the call was decided may not hold any more by
+//! then. When a release begins is decided here as well ([`ReleaseHistory::permit`]).
 
 use crate::routing::types::{AttemptOutcome, ReleaseReason};
 
--- a/src/routing/policy/health.rs
+++ b/src/routing/policy/health.rs
@@ -1,148 +1,222 @@
-//! Which workers may be used: what their answers, failures and silences say of them.
+//! Health of workers: outlier ejection, unreachable workers and zones, and which workers are usable for a
+//! request.
 
-use super::*;
+use super::{EJECTION_THRESHOLD, LOAD_HALF_LIFE, MAX_BACKOFF_DOUBLINGS, PREFIX_TTL, Policy};
+use crate::routing::model::{
+    Attempt, CapacityKey, Request, Worker, median, retain_preferred, without_invalid_values,
+};
+use crate::routing::types::{LoadReport, Micros, RequestId, Role, Status, WorkerId};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// First ejection time in connect timeouts.
+const EJECTION_CONNECT_TIMEOUTS: Micros = 4;
+/// Latency factors below this are ordinary differences between workers.
+const MIN_LATENCY_FACTOR: f64 = 1.5;
+/// How long a failed connection counts against the worker's zone, and an answer for the worker.
+const REACHABILITY_WINDOW: Micros = 2 * LOAD_HALF_LIFE;
+
+/// Connect failures and answers of one zone's workers.
+#[derive(Default)]
+struct ZoneReachability {
+    recent_connect_failures: u32,
+    last_connect_failure: Micros,
+    last_success: Micros,
+}
 
 impl Policy {
     pub(super) fn record_load_report(&mut self, worker: &WorkerId, report: Option<LoadReport>) {
-        if let (Some(w), Some(report)) = (self.workers.get_mut(worker), report) {
-            w.report = Some((self.now, without_invalid_values(report)));
+        if let (Some(worker), Some(report)) = (self.workers.get_mut(worker), report) {
+            worker.report = Some((self.now, without_invalid_values(report)));
         }
     }
 
-    pub(super) fn record_success(&mut self, worker: &WorkerId, sent: Micros, class: usize) {
-        if let Some(w) = self.workers.get_mut(worker) {
-            w.answers.entry(class).or_default()[1].add(self.now, LOAD_HALF_LIFE, 1.0);
-            w.last_success_at = self.now;
-            w.faults[1].add(self.now, PREFIX_TTL, 1.0);
-            w.latest_answered_send = w.latest_answered_send.max(sent);
-            w.unreachable = false;
-            w.completed.add(self.now, LOAD_HALF_LIFE, 1.0);
-            w.failure_rate *= EJECTION_THRESHOLD;
-            if w.failure_rate < EJECTION_THRESHOLD {
-                (w.ejections_in_a_row, w.ejected_until) = (0, 0);
-            }
+    /// A worker has answered an attempt of a class (by index) well.
+    pub(super) fn record_success(&mut self, worker: &WorkerId, sent_at: Micros, class: usize) {
+        let now = self.now;
+        let Some(worker) = self.workers.get_mut(worker) else {
+            return;
+        };
+        let answers = worker.answers_by_class.entry(class).or_default();
+        answers.successes.add(now, LOAD_HALF_LIFE, 1.0);
+        worker.last_success_at = now;
+        worker.outcomes.successes.add(now, PREFIX_TTL, 1.0);
+        worker.latest_answered_send = worker.latest_answered_send.max(sent_at);
+        worker.unreachable = false;
+        worker.completed.add(now, LOAD_HALF_LIFE, 1.0);
+        worker.failure_rate *= EJECTION_THRESHOLD;
+        if worker.failure_rate < EJECTION_THRESHOLD {
+            worker.ejections_in_a_row = 0;
+            worker.ejected_until = 0;
         }
     }
 
-    /// Failures set a worker aside for a few connection time-outs, twice as long after each failed trial.
-    pub(super) fn record_failure(&mut self, worker: &WorkerId, sent: Micros) {
-        let (now, base) = (
-            self.now,
-            self.config.connect_timeout.max(self.config.batch_interval) * 4,
-        );
-        if let Some(w) = self.workers.get_mut(worker) {
-            w.failure_rate += (1.0 - w.failure_rate) * EJECTION_THRESHOLD;
-            if (w.failure_rate > EJECTION_THRESHOLD || w.unreachable) && sent >= w.ejected_until {
-                w.ejected_until = now + (base << w.ejections_in_a_row);
-                w.ejections_in_a_row = (w.ejections_in_a_row + 1).min(MAX_BACKOFF_DOUBLINGS);
-            }
+    /// A worker has failed an attempt. Ejects it for a few connect timeouts when most recent attempts
+    /// failed, twice as long after each failed trial.
+    pub(super) fn record_failure(&mut self, worker: &WorkerId, sent_at: Micros) {
+        let connect_timeout = self.config.connect_timeout.max(self.config.batch_interval);
+        let ejection_time = connect_timeout * EJECTION_CONNECT_TIMEOUTS;
+        let Some(worker) = self.workers.get_mut(worker) else {
+            return;
+        };
+        worker.failure_rate += (1.0 - worker.failure_rate) * EJECTION_THRESHOLD;
+        let is_outlier = worker.failure_rate > EJECTION_THRESHOLD || worker.unreachable;
+        if is_outlier && sent_at >= worker.ejected_until {
+            worker.ejected_until = self.now + (ejection_time << worker.ejections_in_a_row);
+            worker.ejections_in_a_row = (worker.ejections_in_a_row + 1).min(MAX_BACKOFF_DOUBLINGS);
         }
     }
 
+    /// How much longer a worker takes than its peers, 1 for ordinary ones; warming up counts as well.
     pub(super) fn latency_factor(&self, worker: &WorkerId) -> f64 {
-        let Some(w) = self.workers.get(worker) else {
+        let Some(worker) = self.workers.get(worker) else {
             return 1.0;
         };
-        let slow = w.latency_factor.value_or(1.0)
-            / self.learned.median_latency_factor[w.role as usize].max(0.1);
-        // Ordinary differences between workers are noise here.
-        (if slow < 1.5 { 1.0 } else { slow }).max(1.0 / self.capacity_fraction(w))
+        let median = self.learned.median_latency_factor[worker.role];
+        let factor = worker.latency_factor.value_or(1.0) / median.max(0.1);
+        let factor = if factor < MIN_LATENCY_FACTOR {
+            1.0
+        } else {
+            factor
+        };
+        factor.max(1.0 / self.capacity_fraction(worker))
     }
 
     pub(super) fn learn_median_latency_factor(&mut self, role: Role) {
-        let peers = self.workers.values().filter(|p| p.role == role);
-        self.learned.median_latency_factor[role as usize] =
-            median(peers.map(|p| p.latency_factor.value_or(1.0)));
+        let peers = self.workers.values().filter(|worker| worker.role == role);
+        self.learned.median_latency_factor[role] =
+            median(peers.map(|worker| worker.latency_factor.value_or(1.0)));
     }
 
     pub(super) fn ready(&self, role: Role) -> impl Iterator<Item = (&WorkerId, &Worker)> {
         self.workers
             .iter()
-            .filter(move |(_, w)| w.role == role && w.status == Status::Ready)
+            .filter(move |(_, worker)| worker.role == role && worker.status == Status::Ready)
     }
 
-    /// Zones of which nothing has come since several workers there could not be reached. Guards against a try
-    /// at each of them by each of many routers, before the list tells of it.
-    pub(super) fn unreachable_zones(&self) -> BTreeSet<&str> {
-        let mut seen = BTreeMap::<&str, (u32, Micros, Micros)>::new();
-        for w in self.workers.values() {
-            let (count, last, good) = seen.entry(&w.zone).or_default();
-            let fresh = w
+    /// Zones without an answer since connections to several of their workers failed. Guards against many
+    /// routers each trying every worker of a lost zone before the endpoint list says so.
+    fn unreachable_zones(&self) -> BTreeSet<&str> {
+        let mut zones = BTreeMap::<&str, ZoneReachability>::new();
+        for worker in self.workers.values() {
+            let zone = zones.entry(&worker.zone).or_default();
+            let recent_failure = worker
                 .connect_failed_at
-                .filter(|at| at + 2 * LOAD_HALF_LIFE > self.now);
-            *count += u32::from(fresh.is_some());
-            (*last, *good) = (
-                (*last).max(fresh.unwrap_or(0)),
-                (*good).max(w.last_success_at),
-            );
+                .filter(|at| at + REACHABILITY_WINDOW > self.now);
+            zone.recent_connect_failures += u32::from(recent_failure.is_some());
+            zone.last_connect_failure = zone.last_connect_failure.max(recent_failure.unwrap_or(0));
+            zone.last_success = zone.last_success.max(worker.last_success_at);
         }
-        seen.into_iter()
-            .filter(|(_, (n, last, good))| *n > 1 && good < last)
-            .map(|(zone, _)| zone)
+        zones
+            .into_iter()
+            .filter(|(_, zone)| {
+                zone.recent_connect_failures > 1 && zone.last_success < zone.last_connect_failure
+            })
+            .map(|(name, _)| name)
             .collect()
     }
 
-    /// The workers of a role that may be sent this request now, healthy ones first.
+    /// The workers of a role that may be sent this request now, without ejected and suspect ones while
+    /// enough others are left.
     pub(super) fn usable(&self, role: Role, id: RequestId) -> Vec<WorkerId> {
         let request = self.requests.get(&id);
-        let any_warm = self.ready(role).any(|(_, w)| !self.is_warming_up(w));
-        let turn = request
-            .filter(|_| role == Role::Prefill && any_warm)
-            .map(|r| self.slow_start_reader(r));
-        let mut ready: Vec<(&WorkerId, &Worker)> = (self.ready(role))
-            .filter(|(_, w)| request.is_none_or(|r| !r.may_have_run() || self.may_repeat_at(r, w)))
-            .filter(|(id, w)| {
-                !self.is_warming_up(w)
-                    || self.has_slow_start_budget(id, w)
-                        && turn.as_ref().is_none_or(|t| t.as_ref() == Some(id))
-            })
-            .collect();
-        let reached = ready.iter().filter(|(_, w)| !w.unreachable).count();
-        let kind = request.map(|r| (r.class, r.spec.tenant.clone()));
-        let full = |w: &Worker| kind.as_ref().is_some_and(|k| w.is_full(k, self.now));
-        retain_preferred(&mut ready, |(_, w)| !full(w));
-        // Another one than those that have just failed it, and out of zones that seem lost.
-        let lost = self.unreachable_zones();
-        retain_preferred(&mut ready, |(_, w)| !lost.contains(&*w.zone));
-        retain_preferred(&mut ready, |(id, _)| {
-            request.is_none_or(|r| !r.failed_at(id))
-        });
-        if request.is_some_and(Request::is_hold_expiring) {
-            // Where something just came from, as from the state's reader: a zone may be cut off.
-            let just = self
-                .workers
-                .values()
-                .filter(|w| w.answered_within(self.now, self.config.kv_state_hold_limit));
-            let zones: BTreeSet<&str> = just.map(|w| &*w.zone).collect();
-            retain_preferred(&mut ready, |(_, w)| zones.contains(&*w.zone));
-            retain_preferred(&mut ready, |(_, w)| {
-                w.answered_within(self.now, 2 * LOAD_HALF_LIFE)
-            });
-        }
+        let mut ready = self.permitted(role, request);
+        let reachable = ready.iter().filter(|(_, w)| !w.unreachable).count();
+        self.retain_preferred_workers(&mut ready, request);
         let healthy: Vec<WorkerId> = (ready.iter())
-            .filter(|(id, w)| {
-                // A trial is out, or an answer is overdue and nothing good has come since: hung, cut off.
-                let on_trial = w.failure_rate > EJECTION_THRESHOLD || w.unreachable;
-                let bad = |a: &Attempt| {
-                    on_trial || a.due_at <= self.now && w.last_success_at <= a.sent_at
-                };
-                w.ejected_until <= self.now
-                    && !self
-                        .in_flight_at(id)
-                        .any(|a| a.first_token_at.is_none() && bad(a))
-            })
+            .filter(|(id, worker)| self.is_healthy(id, worker))
             .map(|(id, _)| (*id).clone())
             .collect();
-        // When most of a role looks bad the cause is elsewhere (a link, the load), and all are used again.
-        // Those that can't be reached stay out all the same, but for their trials, while any other is left.
-        if healthy.len() * 2 >= reached && !healthy.is_empty() {
+        // When most of a role looks bad, the cause is elsewhere (a link, the load), and all are used again.
+        // Unreachable ones still get nothing but trials while any other worker is left.
+        if healthy.len() * 2 >= reachable && !healthy.is_empty() {
             return healthy;
         }
-        // Writers that read by themselves stand in for readers of which none can be reached.
-        let stand_in = role == Role::Prefill && self.config.decode_workers_prefill;
-        let all = ready
+        // Decode workers that prefill replace unreachable prefill workers.
+        let has_substitute = role == Role::Prefill && self.config.decode_workers_prefill;
+        let may_use_unreachable = reachable == 0 && !has_substitute;
+        ready
             .iter()
-            .filter(|(id, w)| !w.unreachable || reached == 0 && !stand_in || healthy.contains(id));
-        all.map(|(id, _)| (*id).clone()).collect()
+            .filter(|(id, worker)| {
+                !worker.unreachable || may_use_unreachable || healthy.contains(id)
+            })
+            .map(|(id, _)| (*id).clone())
+            .collect()
+    }
+
+    /// The ready workers of a role that the rules on retries and on slow start allow for a request.
+    fn permitted(&self, role: Role, request: Option<&Request>) -> Vec<(&WorkerId, &Worker)> {
+        let any_warm = self
+            .ready(role)
+            .any(|(_, worker)| !self.is_warming_up(worker));
+        // Of the prefill workers in slow start, at most one may get a given request while others are warm.
+        let only_warming_up = request
+            .filter(|_| role == Role::Prefill && any_warm)
+            .map(|request| self.slow_start_prefill_worker(request));
+        let may_retry = |worker: &Worker| {
+            request.is_none_or(|request| {
+                !request.may_have_run() || self.may_repeat_at(request, worker)
+            })
+        };
+        let may_start_slowly = |id: &WorkerId, worker: &Worker| {
+            self.has_slow_start_budget(id, worker)
+                && only_warming_up
+                    .as_ref()
+                    .is_none_or(|only| only.as_ref() == Some(id))
+        };
+        self.ready(role)
+            .filter(|(id, worker)| {
+                may_retry(worker) && (!self.is_warming_up(worker) || may_start_slowly(id, worker))
+            })
+            .collect()
+    }
+
+    /// Drops workers that are likely to fail this request, unless none would be left.
+    fn retain_preferred_workers(
+        &self,
+        workers: &mut Vec<(&WorkerId, &Worker)>,
+        request: Option<&Request>,
+    ) {
+        if let Some(request) = request {
+            let key = CapacityKey {
+                class: request.class,
+                tenant: request.spec.tenant.clone(),
+            };
+            retain_preferred(workers, |(_, worker)| !worker.is_full(&key, self.now));
+        }
+        let unreachable_zones = self.unreachable_zones();
+        retain_preferred(workers, |(_, worker)| {
+            !unreachable_zones.contains(&*worker.zone)
+        });
+        let Some(request) = request else {
+            return;
+        };
+        retain_preferred(workers, |(id, _)| !request.failed_at(id));
+        if request.is_hold_expiring() {
+            // Zones that have just answered, such as that of the KV state's holder: another may be cut off.
+            let hold_limit = self.config.kv_state_hold_limit;
+            let answering_zones: BTreeSet<&str> = (self.workers.values())
+                .filter(|worker| worker.answered_within(self.now, hold_limit))
+                .map(|worker| &*worker.zone)
+                .collect();
+            retain_preferred(workers, |(_, worker)| {
+                answering_zones.contains(&*worker.zone)
+            });
+            retain_preferred(workers, |(_, worker)| {
+                worker.answered_within(self.now, REACHABILITY_WINDOW)
+            });
+        }
+    }
+
+    /// Whether a worker is neither ejected nor on trial with an attempt in flight, nor overdue with an
+    /// answer while nothing good has come since (hung, cut off).
+    fn is_healthy(&self, id: &WorkerId, worker: &Worker) -> bool {
+        let is_on_trial = worker.failure_rate > EJECTION_THRESHOLD || worker.unreachable;
+        let is_overdue = |attempt: &Attempt| {
+            attempt.due_at <= self.now && worker.last_success_at <= attempt.sent_at
+        };
+        let is_suspect = |attempt: &Attempt| {
+            attempt.first_token_at.is_none() && (is_on_trial || is_overdue(attempt))
+        };
+        worker.ejected_until <= self.now && !self.in_flight_at(id).any(is_suspect)
     }
 }
--- a/src/routing/policy/kv_state.rs
+++ b/src/routing/policy/kv_state.rs
@@ -1,11 +1,11 @@
 //! What may be held for one request between its two stages, and until when it must be taken or released.
 //!
-//! A read state is held from the end of its read until a writer that runs takes it or a host that runs takes
-//! a release. Writing a request to a connection proves neither: only an answer does
+//! A read state is held from the end of its read until a writer that runs takes it or a host that runs
+//! takes a release. Writing a request to a connection proves neither: only an answer does
 //! ([`AttemptOutcome::proves_arrival`]). So the release limit runs on behind a send until its writer has
-//! been heard from, and a release is ordered when the limit comes near, though the send is still out.
-//! Where the send has arrived that release has no effect, for a release lets go only of what no attempt
-//! waits for; where it has not, the release is what keeps the limit.
+//! been heard from, and a release is ordered when the limit comes near, though the send is still out. Where
+//! the send has arrived that release has no effect, for a release lets go only of what no attempt waits
+//! for; where it has not, the release is what keeps the limit.
 
 use super::Policy;
 use crate::routing::types::{Action, AttemptOutcome, Micros, ReleaseReason, RequestId, WorkerId};
@@ -19,7 +19,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct KvStateHold {
     /// The reader where it may be held; `None`: nothing is known to be held.
-    reader: Option<WorkerId>,
+    holder: Option<WorkerId>,
     /// Since when it may have been held without an attempt that had reached a running worker.
     since: Micros,
     /// A release was ordered while the latest send was out.
@@ -27,29 +27,30 @@
 }
 
 impl KvStateHold {
-    /// The reader where a state may be held.
-    pub fn reader(&self) -> Option<&WorkerId> {
-        self.reader.as_ref()
+    /// The worker where KV state may be held.
+    pub fn holder(&self) -> Option<&WorkerId> {
+        self.holder.as_ref()
     }
 
     /// Whether something may be held.
     pub fn is_held(&self) -> bool {
-        self.reader.is_some()
+        self.holder.is_some()
     }
 
-    /// An attempt at `reader` has ended and may have left a state there.
-    pub fn hold(&mut self, reader: WorkerId, now: Micros) {
+    /// An attempt at `worker` has ended and may have left a state there.
+    pub fn hold(&mut self, worker: WorkerId, now: Micros) {
         *self = KvStateHold {
-            reader: Some(reader),
+            holder: Some(worker),
             since: now,
             is_released_behind_send: false,
         };
     }
 
-    /// Nothing is known to be held any more: taken, or about to be released. Whether something may have been.
+    /// Nothing is known to be held any more: taken, or about to be released. Whether something may have
+    /// been.
     pub fn clear(&mut self) -> bool {
         self.is_released_behind_send = false;
-        self.reader.take().is_some()
+        self.holder.take().is_some()
     }
 
     /// A send to a writer has ended. Its end begins the limit anew only if the send is known to have
@@ -57,7 +58,7 @@
     pub fn send_ended(&mut self, outcome: AttemptOutcome, now: Micros) {
         let released = std::mem::take(&mut self.is_released_behind_send);
         if released && !outcome.may_have_arrived() {
-            self.reader = None;
+            self.holder = None;
         } else if released || outcome.proves_arrival() {
             self.since = now;
         }
@@ -68,8 +69,8 @@
         self.since.saturating_add(limit)
     }
 
-    /// Until when a connection for the next send may take to come up: half of the time that is left, so that
-    /// there is some for another writer, and in the end for the release.
+    /// Until when a connection for the next send may take to come up: half of the time that is left, so
+    /// that there is some for another writer, and in the end for the release.
     pub fn connect_by(&self, now: Micros, limit: Micros) -> Option<Micros> {
         self.is_held()
             .then(|| now.saturating_add(self.release_by(limit).saturating_sub(now) / 2))
@@ -89,23 +90,21 @@
 }
 
 impl Policy {
-    /// How long before the release limit a release is ordered.
+    /// How long before the hold limit a release is ordered.
     pub(super) fn release_margin(&self, sweeps: Micros) -> Micros {
         sweeps * self.sweep_interval() + self.config.batch_interval
     }
 
-    /// Orders the release of a state whose send has not been answered when its limit comes near: that the
-    /// send was written doesn't say that it has arrived.
+    /// Orders a release near the hold limit though a send is in flight: that the send was written does not
+    /// prove that it has arrived.
     pub(super) fn release_behind_send(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        let (limit, margin) = (
-            self.config.kv_state_hold_limit,
-            self.release_margin(SWEEPS_BEFORE_RELEASE_BEHIND_SEND),
-        );
-        let Some(r) = self.requests.get_mut(&id) else {
+        let limit = self.config.kv_state_hold_limit;
+        let margin = self.release_margin(SWEEPS_BEFORE_RELEASE_BEHIND_SEND);
+        let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        if r.kv_state.is_due_behind_send(self.now, limit, margin) {
-            r.kv_state.set_released_behind_send();
+        if request.kv_state.is_due_behind_send(self.now, limit, margin) {
+            request.kv_state.set_released_behind_send();
             out.push(Action::Release {
                 request: id,
                 reason: ReleaseReason::SendUnanswered,
@@ -113,12 +112,12 @@
         }
     }
 
+    /// Releases the KV state of a request, if some may be held.
     pub(super) fn release(&mut self, id: RequestId, reason: ReleaseReason, out: &mut Vec<Action>) {
-        if self
-            .requests
-            .get_mut(&id)
-            .is_some_and(|r| r.kv_state.clear())
-        {
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        if request.kv_state.clear() {
             out.push(Action::Release {
                 request: id,
                 reason,
--- a/src/routing/policy/membership.rs
+++ b/src/routing/policy/membership.rs
@@ -1,111 +1,146 @@
-//! The list of workers: entries, new lives, and how the flow of states divides over zones.
+//! The endpoint list: updates, restarted workers, and how KV transfers are balanced over cells and zones.
 
-use super::*;
+use super::{EWMA_WEIGHT, MAX_BACKOFF_DOUBLINGS, Policy};
+use crate::routing::model::{Ewma, LocalDecodeShare, Worker, hash_to_unit};
+use crate::routing::types::{Endpoint, EndpointUpdate, Micros, Role, Status};
+use std::collections::BTreeMap;
+use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// What a call for the list may take at discovery, one service for all routers; and the longest wait for one:
-/// a change counts as told after 6 s, and it takes half of them to see that a call or a watch is lost.
+/// Time that discovery, one service for all routers, may need for one fetch of the list.
 const FETCH_INTERVAL: Micros = 20_000;
+/// Longest delay of a retry. Endpoint changes count as known after 6 s, and it takes half of that to notice
+/// that a fetch or a watch is lost.
 const MAX_FETCH_DELAY: Micros = 2_000_000;
+/// Memory of a worker whose kind states none, in tokens.
+const DEFAULT_MEMORY_TOKENS: f64 = 1e6;
 
-impl Policy {
-    pub(super) fn apply_endpoints(&mut self, kind: EndpointUpdate, entries: Vec<Endpoint>) {
-        let failures = if kind == EndpointUpdate::Failed {
-            self.endpoint_fetch_failures + 1
-        } else {
-            0
-        };
-        self.endpoint_fetch_failures = failures.min(MAX_BACKOFF_DOUBLINGS);
-        if matches!(kind, EndpointUpdate::Failed | EndpointUpdate::Restored)
-            && self.config.endpoints_on_request
-        {
-            // A span for all routers' calls one by one, doubled with each failure: in step they never end.
-            let span = MAX_FETCH_DELAY.min(
-                (FETCH_INTERVAL * Micros::from(self.config.routers))
-                    << self.endpoint_fetch_failures,
-            );
-            let drawn = hash_to_unit(xxh3_64_with_seed(&self.now.to_le_bytes(), self.seed));
-            self.endpoint_fetch_due = Some(self.now + (span as f64 * drawn) as Micros);
+/// The workers around a worker: those of its zone, or only those of its cell in that zone.
+type Neighbourhood = (String, Option<u64>);
+
+/// Decode and prefill capacity of some workers.
+#[derive(Clone, Copy, Default)]
+struct StageCapacity {
+    decode: f64,
+    prefill: f64,
+}
+
+impl StageCapacity {
+    fn add(&mut self, role: Role, capacity: f64) {
+        if role != Role::Prefill {
+            self.decode += capacity;
+        }
+        if role != Role::Decode {
+            self.prefill += capacity;
         }
-        if kind == EndpointUpdate::Failed {
+    }
+}
+
+impl Policy {
+    pub(super) fn apply_endpoints(&mut self, update: EndpointUpdate, endpoints: Vec<Endpoint>) {
+        self.schedule_endpoint_fetch(update);
+        if update == EndpointUpdate::Failed {
             return;
         }
-        if kind != EndpointUpdate::Incremental {
-            self.workers
-                .values_mut()
-                .for_each(|w| w.status = Status::Gone);
+        if update != EndpointUpdate::Incremental {
+            for worker in self.workers.values_mut() {
+                worker.status = Status::Gone;
+            }
         }
-        for e in entries {
-            self.apply_endpoint(e);
+        for endpoint in endpoints {
+            self.apply_endpoint(endpoint);
         }
         self.balance_kv_transfers();
-        // A gone worker stays known while something of ours is out there.
+        // A worker that is gone stays known while attempts of this router are in flight there.
         self.in_flight.retain(|_, attempts| !attempts.is_empty());
-        let busy = |id: &WorkerId| self.in_flight.contains_key(id);
         self.workers
-            .retain(|id, w| w.status != Status::Gone || busy(id));
+            .retain(|id, worker| worker.status != Status::Gone || self.in_flight.contains_key(id));
         for role in [Role::Prefill, Role::Decode, Role::Mixed] {
-            self.max_ready[role as usize] =
-                self.max_ready[role as usize].max(self.ready(role).count());
+            self.max_ready[role] = self.max_ready[role].max(self.ready(role).count());
             self.learn_median_latency_factor(role);
         }
     }
 
-    pub(super) fn apply_endpoint(&mut self, e: Endpoint) {
-        let kind = self.config.kinds.iter().find(|k| k.name == e.kind);
-        let role = kind.map_or(Role::Mixed, |k| k.role);
-        let memory = kind
-            .and_then(|k| k.memory_tokens)
-            .map_or(1e6, |m| m.max(1) as f64);
-        let weight = if e.weight.is_finite() && e.weight > 0.0 {
-            e.weight
+    /// Schedules the retry of a failed fetch, at a random moment of a span in which all routers can fetch
+    /// one after another; the span doubles with each failure.
+    fn schedule_endpoint_fetch(&mut self, update: EndpointUpdate) {
+        let failures = if update == EndpointUpdate::Failed {
+            self.endpoint_fetch.failures + 1
         } else {
-            1.0
+            0
         };
-        if self
+        self.endpoint_fetch.failures = failures.min(MAX_BACKOFF_DOUBLINGS);
+        let needs_fetch = matches!(update, EndpointUpdate::Failed | EndpointUpdate::Restored);
+        if needs_fetch && self.config.endpoints_on_request {
+            let all_routers = FETCH_INTERVAL * Micros::from(self.config.routers);
+            let span = MAX_FETCH_DELAY.min(all_routers << self.endpoint_fetch.failures);
+            let draw = hash_to_unit(xxh3_64_with_seed(&self.now.to_le_bytes(), self.seed));
+            self.endpoint_fetch.due = Some(self.now + (span as f64 * draw) as Micros);
+        }
+    }
+
+    fn apply_endpoint(&mut self, endpoint: Endpoint) {
+        let kind = (self.config.kinds.iter()).find(|kind| kind.name == endpoint.kind);
+        let role = kind.map_or(Role::Mixed, |kind| kind.role);
+        let memory_tokens = kind
+            .and_then(|kind| kind.memory_tokens)
+            .map_or(DEFAULT_MEMORY_TOKENS, |tokens| tokens.max(1) as f64);
+        let has_restarted = self
             .workers
-            .get(&e.worker)
-            .is_none_or(|w| w.started != e.started || w.role != role)
-        {
-            // A new life: nothing kept, nothing learned, cold if it began lately.
-            self.prefix_cache.forget(&e.worker);
-            let slowness = Ewma::from_prior(1.0, 1.0 / EWMA_WEIGHT); // one odd answer says little
-            let fresh = Worker {
-                latency_factor: slowness,
+            .get(&endpoint.worker)
+            .is_none_or(|worker| worker.started != endpoint.started || worker.role != role);
+        if has_restarted {
+            // A new process: nothing cached, nothing learned, in slow start if it began lately.
+            self.prefix_cache.forget(&endpoint.worker);
+            let worker = Worker {
+                // Weighted so that one outlier says little.
+                latency_factor: Ewma::from_prior(1.0, 1.0 / EWMA_WEIGHT),
                 role,
-                memory_tokens: memory,
-                started: e.started,
+                memory_tokens,
+                started: endpoint.started,
                 ..Worker::default()
             };
-            self.workers.insert(e.worker.clone(), fresh);
+            self.workers.insert(endpoint.worker.clone(), worker);
         }
-        if let Some(w) = self.workers.get_mut(&e.worker) {
-            (w.zone, w.cell, w.status, w.weight) = (e.zone, e.cell, e.status, weight);
+        if let Some(worker) = self.workers.get_mut(&endpoint.worker) {
+            worker.zone = endpoint.zone;
+            worker.cell = endpoint.cell;
+            worker.status = endpoint.status;
+            worker.weight = if endpoint.weight.is_finite() && endpoint.weight > 0.0 {
+                endpoint.weight
+            } else {
+                1.0
+            };
         }
     }
 
-    /// The flow of states that all routers together should make, from the list alone: they stay in their cell
-    /// and zone as far as the writers' part there goes (`keep`; above 1 there is room for others' states).
-    pub(super) fn balance_kv_transfers(&mut self) {
-        let groups = |w: &Worker| [(w.zone.clone(), Some(w.cell)), (w.zone.clone(), None)];
-        let (mut parts, mut all) = (BTreeMap::<_, [f64; 2]>::new(), [0.0; 2]);
-        for w in self.workers.values().filter(|w| w.status == Status::Ready) {
-            let others = [(0, Role::Decode), (1, Role::Prefill)]
-                .into_iter()
-                .filter(|o| o.1 != w.role);
-            for (i, _) in others {
-                all[i] += self.capacity(w);
-                groups(w)
-                    .into_iter()
-                    .for_each(|g| parts.entry(g).or_default()[i] += self.capacity(w));
+    /// Sets each worker's share of the KV transfers that stay in its cell and zone, from the endpoint list
+    /// alone, so that all routers agree on it.
+    fn balance_kv_transfers(&mut self) {
+        let cell = |worker: &Worker| -> Neighbourhood { (worker.zone.clone(), Some(worker.cell)) };
+        let zone = |worker: &Worker| -> Neighbourhood { (worker.zone.clone(), None) };
+        let mut fleet = StageCapacity::default();
+        let mut by_neighbourhood = BTreeMap::<Neighbourhood, StageCapacity>::new();
+        for worker in self.workers.values() {
+            if worker.status != Status::Ready {
+                continue;
+            }
+            let capacity = self.capacity(worker);
+            fleet.add(worker.role, capacity);
+            for neighbourhood in [cell(worker), zone(worker)] {
+                let local = by_neighbourhood.entry(neighbourhood).or_default();
+                local.add(worker.role, capacity);
             }
         }
-        let part = |g| {
-            parts
-                .get(&g)
-                .map_or(1.0, |p| p[1] * all[0] / (p[0] * all[1]).max(1e-9))
+        let decode_share = |neighbourhood: &Neighbourhood| {
+            by_neighbourhood.get(neighbourhood).map_or(1.0, |local| {
+                local.decode * fleet.prefill / (local.prefill * fleet.decode).max(1e-9)
+            })
         };
-        self.workers
-            .values_mut()
-            .for_each(|w| w.local_decode_share = groups(w).map(part));
+        for worker in self.workers.values_mut() {
+            worker.local_decode_share = LocalDecodeShare {
+                cell: decode_share(&cell(worker)),
+                zone: decode_share(&zone(worker)),
+            };
+        }
     }
 }
--- a/src/routing/policy/send_permit.rs
+++ b/src/routing/policy/send_permit.rs
@@ -1,10 +1,10 @@
 //! The one place that decides whether something may be sent, repeated or refused now.
 //!
-//! Every attempt needs a [`SendPermit`], which only [`Policy::permit_send`] makes, so that no other code can
-//! put a request on a connection. A permit is given when the send is decided and checked again when its
+//! Every attempt needs a [`SendPermit`], which only [`Policy::permit_send`] makes, so that no other code
+//! can put a request on a connection. A permit is given when the send is decided and checked again when its
 //! first byte is about to be written, a connection's time later ([`SendPermit::check_write`]). Releases,
-//! calls of tools and their results need a permit of [`super::call_permit`], closes of clients'
-//! connections one of [`super::close_permit`].
+//! calls of tools and their results need a permit of [`super::call_permit`], closes of clients' connections
+//! one of [`super::close_permit`].
 //!
 //! A permit for an attempt goes by what is known of each earlier one: written, answered, ended, never ran.
 //! Until an attempt has ended nobody
@@ -13,9 +13,7 @@
 
 use super::Policy;
 use crate::routing::model::{Phase, Request, Worker};
-use crate::routing::types::{
-    DeduplicationScope, Idempotency, Micros, RequestClass, RequestId, Status, WorkerId,
-};
+use crate::routing::types::{DeduplicationScope, Idempotency, Micros, RequestId, Status, WorkerId};
 
 /// Permission to send one attempt to one worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -86,8 +84,8 @@
         self.send_by
     }
 
-    /// When its connection has to be up, where a state is held for the request: the time that it may be held
-    /// runs on while connections fail to come up.
+    /// When its connection has to be up, where a state is held for the request: the time that it may be
+    /// held runs on while connections fail to come up.
     pub fn connect_by(&self) -> Option<Micros> {
         self.connect_by
     }
@@ -116,15 +114,18 @@
 }
 
 impl Policy {
-    /// Whether a request may be sent to a worker now, and what that send must keep to.
+    /// Whether a request may be sent to a worker now, and until when.
+    ///
+    /// # Errors
+    /// The first rule that denies it.
     pub(super) fn permit_send(
         &self,
         id: RequestId,
-        worker: &WorkerId,
-        writes: bool,
+        worker_id: &WorkerId,
+        is_decode: bool,
     ) -> Result<SendPermit, SendDenial> {
         let request = self.requests.get(&id).ok_or(SendDenial::Unknown)?;
-        let to = self.workers.get(worker).ok_or(SendDenial::Unknown)?;
+        let worker = self.workers.get(worker_id).ok_or(SendDenial::Unknown)?;
         if matches!(request.phase, Phase::Done | Phase::Streaming) {
             return Err(SendDenial::Answered);
         }
@@ -134,64 +135,62 @@
         if request.attempts_exhausted() {
             return Err(SendDenial::AttemptsExhausted);
         }
-        if request.may_have_run() && !self.may_repeat_at(request, to) {
+        if request.may_have_run() && !self.may_repeat_at(request, worker) {
             return Err(SendDenial::MayHaveRun);
         }
-        if to.status != Status::Ready {
+        if worker.status != Status::Ready {
             return Err(SendDenial::NotInService);
         }
-        if self.is_warming_up(to) && !self.has_slow_start_budget(worker, to) {
+        if self.is_warming_up(worker) && !self.has_slow_start_budget(worker_id, worker) {
             return Err(SendDenial::SlowStart);
         }
+        let hold_limit = self.config.kv_state_hold_limit;
         Ok(SendPermit {
             send_by: self
-                .repeat_deadline(request, to)
-                .filter(|by| *by < Micros::MAX),
-            connect_by: request
-                .kv_state
-                .connect_by(self.now, self.config.kv_state_hold_limit),
-            reads: !writes,
+                .repeat_deadline(request, worker)
+                .filter(|deadline| *deadline < Micros::MAX),
+            connect_by: request.kv_state.connect_by(self.now, hold_limit),
+            reads: !is_decode,
         })
     }
 
-    /// Until when a request may be written to a worker, if at all: what may have run, and is not harmless to
-    /// repeat, only inside the group and the window of each earlier attempt.
-    fn repeat_deadline(&self, request: &Request, to: &Worker) -> Option<Micros> {
-        let RequestClass {
-            idempotency: effect,
-            deduplication_window: repeat_window,
-            ..
-        } = self.config.classes[request.class];
-        let drops_repeats_of = |first: &Worker| match effect {
+    /// Until when a request may be written to a worker, if at all. A request that may have run and is not
+    /// harmless to repeat may go only to workers that deduplicate it against each earlier attempt, within
+    /// that attempt's deduplication window.
+    fn repeat_deadline(&self, request: &Request, worker: &Worker) -> Option<Micros> {
+        let class = &self.config.classes[request.class];
+        if class.idempotency == Idempotency::Idempotent {
+            return Some(Micros::MAX);
+        }
+        let deduplicates_against = |earlier: &Worker| match class.idempotency {
             Idempotency::Idempotent | Idempotency::WithKey(DeduplicationScope::All) => true,
-            Idempotency::WithKey(DeduplicationScope::Zone) => first.zone == to.zone,
-            Idempotency::WithKey(DeduplicationScope::Cell) => first.cell == to.cell,
+            Idempotency::WithKey(DeduplicationScope::Zone) => earlier.zone == worker.zone,
+            Idempotency::WithKey(DeduplicationScope::Cell) => earlier.cell == worker.cell,
             Idempotency::NonIdempotent => false,
         };
-        if effect == Idempotency::Idempotent {
-            return Some(Micros::MAX);
-        }
-        let mut until = Micros::MAX;
+        let mut deadline = Micros::MAX;
         for attempt in request.possible_runs() {
-            let first = self.workers.get(&attempt.worker);
-            first.filter(|first| drops_repeats_of(first))?;
-            until = until.min(attempt.sent_at.saturating_add(repeat_window));
+            let earlier = self.workers.get(&attempt.worker)?;
+            if !deduplicates_against(earlier) {
+                return None;
+            }
+            deadline = deadline.min(attempt.sent_at.saturating_add(class.deduplication_window));
         }
-        Some(until)
+        Some(deadline)
     }
 
-    /// Whether what may have run may go to this worker again: a connection may take its whole time-out.
-    pub(super) fn may_repeat_at(&self, request: &Request, to: &Worker) -> bool {
-        let until = self.repeat_deadline(request, to);
-        until.is_some_and(|by| self.now.saturating_add(self.config.connect_timeout) < by)
+    /// Whether a request that may have run may go to this worker again, with time for a connection to come
+    /// up.
+    pub(super) fn may_repeat_at(&self, request: &Request, worker: &Worker) -> bool {
+        let latest_write = self.now.saturating_add(self.config.connect_timeout);
+        self.repeat_deadline(request, worker)
+            .is_some_and(|deadline| latest_write < deadline)
     }
 
-    /// Whether a request may be refused, which tells its client that trying again is harmless.
+    /// Whether a request may be rejected, which tells its client that a retry is harmless.
     pub(super) fn may_reject(&self, request: &Request) -> bool {
-        self.config.classes[request.class]
-            .idempotency
-            .is_harmless_to_repeat()
-            || !request.may_have_run()
+        let idempotency = self.config.classes[request.class].idempotency;
+        idempotency.is_harmless_to_repeat() || !request.may_have_run()
     }
 }
 
--- a/src/routing/policy/slow_start.rs
+++ b/src/routing/policy/slow_start.rs
@@ -1,102 +1,127 @@
-//! Slow start: what a worker that has just started can do, and this router's share of it.
+//! Slow start: the capacity of workers that have just started, and this router's share of it.
 
-use super::*;
+use super::{EWMA_WEIGHT, LOAD_HALF_LIFE, Policy};
+use crate::routing::model::{Request, Worker, affinity_key, hash_to_unit};
+use crate::routing::types::{Micros, Role, WorkerId};
+use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// A worker in slow start that bears fewer calls than this may get three roots of them more, not two.
+/// A budget below this may exceed its mean by two standard deviations, a larger one by one.
 const SMALL_BUDGET: f64 = 30.0;
+/// Part of the slow start's duration within which capacity grows to the full one.
+const RAMP_PART: f64 = 0.7;
+/// Smallest capacity fraction.
+const MIN_CAPACITY_FRACTION: f64 = 0.05;
+/// Completion rates are averaged this many times more slowly than the rest: a sample covers only a few
+/// requests.
+const RATE_SMOOTHING: f64 = 5.0;
 
 impl Policy {
-    /// The least part that a worker can do now of what it does when warm.
-    pub(super) fn capacity_fraction(&self, w: &Worker) -> f64 {
-        let age = w
+    /// The least part of its warm capacity that a worker has now.
+    pub(super) fn capacity_fraction(&self, worker: &Worker) -> f64 {
+        let age = worker
             .started
             .map_or(f64::MAX, |at| self.now.saturating_sub(at) as f64);
-        let part = (age / (0.7 * self.config.slow_start_duration.max(1) as f64)).min(1.0);
-        (self.config.slow_start_initial_capacity
-            + (1.0 - self.config.slow_start_initial_capacity) * part)
-            .max(0.05)
+        let ramp = RAMP_PART * self.config.slow_start_duration.max(1) as f64;
+        let initial = self.config.slow_start_initial_capacity;
+        let fraction = initial + (1.0 - initial) * (age / ramp).min(1.0);
+        fraction.max(MIN_CAPACITY_FRACTION)
     }
 
-    pub(super) fn capacity(&self, w: &Worker) -> f64 {
-        w.weight * self.capacity_fraction(w)
+    /// A worker's capacity now, in warm workers of weight 1.
+    pub(super) fn capacity(&self, worker: &Worker) -> f64 {
+        worker.weight * self.capacity_fraction(worker)
     }
 
-    pub(super) fn is_warming_up(&self, w: &Worker) -> bool {
-        w.started
+    /// Whether a worker is in slow start.
+    pub(super) fn is_warming_up(&self, worker: &Worker) -> bool {
+        worker
+            .started
             .is_some_and(|at| self.now < at.saturating_add(self.config.slow_start_duration))
     }
 
-    /// The one reader in slow start that may get this request, once: one in whose budget this router is one
-    /// of few with a share, for a session of which it knows no reader, else the home of its text.
-    pub(super) fn slow_start_reader(&self, r: &Request) -> Option<WorkerId> {
-        let ready = || self.ready(Role::Prefill);
-        let rank =
-            |id: &WorkerId| xxh3_64_with_seed(id.0.as_bytes(), affinity_key(&r.spec, self.seed, 1));
-        let shares = |id, w| {
-            self.is_warming_up(w) && self.is_concentrated(w) && self.has_slow_start_budget(id, w)
-        };
-        let known = self.prefix_cache.knows_session(&r.spec);
-        let one = ready().filter(|(id, w)| r.attempts.is_empty() && !known && shares(id, w));
-        let one = one.max_by_key(|(id, _)| rank(id)).map(|(id, _)| id.clone());
-        let home = || {
-            self.rendezvous_owner(
-                &r.spec,
-                &ready().map(|(id, _)| id.clone()).collect::<Vec<_>>(),
-            )
+    /// The one prefill worker in slow start that may get this request, once. For a session without a known
+    /// worker: one whose budget only few routers share, of which this is one; else the owner of its prefix.
+    pub(super) fn slow_start_prefill_worker(&self, request: &Request) -> Option<WorkerId> {
+        let key = affinity_key(&request.spec, self.seed, 1);
+        let is_first = request.attempts.is_empty();
+        let picked = (self.ready(Role::Prefill))
+            .filter(|(id, worker)| {
+                is_first
+                    && !self.prefix_cache.knows_session(&request.spec)
+                    && self.is_warming_up(worker)
+                    && self.is_budget_concentrated(worker)
+                    && self.has_slow_start_budget(id, worker)
+            })
+            .max_by_key(|(id, _)| xxh3_64_with_seed(id.0.as_bytes(), key))
+            .map(|(id, _)| id.clone());
+        let owner = || {
+            let ready: Vec<WorkerId> = (self.ready(Role::Prefill))
+                .map(|(id, _)| id.clone())
+                .collect();
+            self.rendezvous_owner(&request.spec, &ready)
         };
-        one.or_else(home)
-            .filter(|id| r.attempts.iter().all(|a| a.worker != *id))
+        picked
+            .or_else(owner)
+            .filter(|id| request.attempts.iter().all(|attempt| attempt.worker != *id))
     }
 
-    /// Learns what a warm worker of each role completes, as requests arrive; that stands while none is warm.
-    pub(super) fn learn_rates(&mut self) {
+    /// Learns what a warm worker of each role completes, as requests arrive. The rate stays while none is
+    /// warm.
+    pub(super) fn learn_completion_rates(&mut self) {
         for role in [Role::Prefill, Role::Decode, Role::Mixed] {
             let warm = || {
                 self.ready(role)
-                    .filter(|(_, w)| !self.is_warming_up(w))
-                    .map(|(_, w)| w)
+                    .filter(|(_, worker)| !self.is_warming_up(worker))
+                    .map(|(_, worker)| worker)
             };
-            let done: f64 = warm()
-                .map(|w| w.completed.value_at(self.now, LOAD_HALF_LIFE))
+            let completed: f64 = warm()
+                .map(|worker| worker.completed.value_at(self.now, LOAD_HALF_LIFE))
                 .sum();
-            let size: f64 = warm().map(|w| w.weight).sum();
-            if size > 0.0 {
-                let rate = done / size * std::f64::consts::LN_2 / LOAD_HALF_LIFE as f64;
-                // Five times slower than else: one sample sums up only a few requests.
-                self.learned.completions_per_us[role as usize].add(rate, EWMA_WEIGHT / 5.0);
+            let weight: f64 = warm().map(|worker| worker.weight).sum();
+            if weight > 0.0 {
+                let rate = completed / weight * std::f64::consts::LN_2 / LOAD_HALF_LIFE as f64;
+                self.learned.completions_per_us[role].add(rate, EWMA_WEIGHT / RATE_SMOOTHING);
             }
         }
     }
 
-    /// The sends that a worker in slow start may get from all routers within `fall`: what it bears by what
-    /// warm ones complete or its part of the promised, and half of what the rule puts down to chance.
-    pub(super) fn slow_start_budget(&self, w: &Worker) -> f64 {
-        let promised = self.tenants.values().map(|t| t.0).sum::<f64>() / 1e6;
-        let role = w.role as usize;
-        let each = self.learned.completions_per_us[role]
+    /// Sends that a worker in slow start may get from all routers within the overload window: its part of
+    /// what warm workers complete, or of the tenants' quotas if that is more, and an allowance for chance.
+    pub(super) fn slow_start_budget(&self, worker: &Worker) -> f64 {
+        let quota_per_us = self.quotas.total_rate_per_s() / 1e6;
+        let per_worker = self.learned.completions_per_us[worker.role]
             .value_or(0.0)
-            .max(promised / self.max_ready[role].max(1) as f64)
-            * w.weight;
-        // What it could do at the beginning of the window: how it grows is not stated.
+            .max(quota_per_us / self.max_ready[worker.role].max(1) as f64)
+            * worker.weight;
+        // Its capacity at the beginning of the window: how it grows is not specified.
         let age = self
             .now
-            .saturating_sub(w.started.unwrap_or(0))
+            .saturating_sub(worker.started.unwrap_or(0))
             .saturating_sub(self.config.overload_window);
-        let age = age as f64 / self.config.slow_start_duration.max(1) as f64;
-        let part = self.config.slow_start_initial_capacity
-            + (1.0 - self.config.slow_start_initial_capacity) * age.min(1.0);
-        let all = each * f64::from(self.config.routers) * part * self.config.overload_window as f64;
-        let bears = (all * self.config.overload_factor).max(1.0);
-        // Where all are in slow start nothing is drawn, so nothing is put down to chance.
-        let roots = match self.ready(w.role).any(|(_, p)| !self.is_warming_up(p)) {
-            false => 0.0,
-            true if bears < SMALL_BUDGET => 2.0,
-            true => 1.0,
+        let age_fraction = age as f64 / self.config.slow_start_duration.max(1) as f64;
+        let initial = self.config.slow_start_initial_capacity;
+        let capacity_fraction = initial + (1.0 - initial) * age_fraction.min(1.0);
+        let expected = per_worker
+            * f64::from(self.config.routers)
+            * capacity_fraction
+            * self.config.overload_window as f64;
+        let mean = (expected * self.config.overload_factor).max(1.0);
+        let any_warm = self
+            .ready(worker.role)
+            .any(|(_, peer)| !self.is_warming_up(peer));
+        // Where all are in slow start nothing is drawn at random, so nothing is allowed for chance.
+        let deviations = if !any_warm {
+            0.0
+        } else if mean < SMALL_BUDGET {
+            2.0
+        } else {
+            1.0
         };
-        bears + roots * (bears.sqrt() + 1.0)
+        mean + deviations * (mean.sqrt() + 1.0)
     }
 
-    /// Sends are counted as they are decided, and written up to a connect time-out later.
+    /// The window of the slow start budget: sends are counted when decided, and written up to a connect
+    /// timeout later.
     pub(super) fn slow_start_window(&self) -> Micros {
         self.config
             .overload_window
@@ -104,34 +129,43 @@
             .saturating_add(self.config.connect_timeout)
     }
 
-    /// Whether too many routers share a worker's budget for each to have a part of it.
-    pub(super) fn is_concentrated(&self, w: &Worker) -> bool {
-        self.slow_start_budget(w) < f64::from(self.config.routers)
+    /// Whether there are more routers than sends in a worker's budget.
+    pub(super) fn is_budget_concentrated(&self, worker: &Worker) -> bool {
+        self.slow_start_budget(worker) < f64::from(self.config.routers)
     }
 
     /// Whether a worker in slow start may get another send of this router: its share of the budget in a
-    /// window, half of it in half of that. Of too many routers, some have one send each, in turns.
-    pub(super) fn has_slow_start_budget(&self, id: &WorkerId, w: &Worker) -> bool {
-        let (routers, window) = (
-            f64::from(self.config.routers.max(1)),
-            self.slow_start_window(),
-        );
-        let budget = self.slow_start_budget(w);
-        let senders = budget / self.config.overload_factor.max(1.0) * window as f64
-            / self.config.overload_window.max(1) as f64;
-        let start = hash_to_unit(xxh3_64_with_seed(id.0.as_bytes(), w.started.unwrap_or(0)));
-        let turn = |index| (f64::from(index) + self.now as f64 / window as f64) / routers + start;
-        // A router without a number counts on no rest.
-        let place = self.config.index.map_or(0.0, |index| turn(index).fract());
-        let share = (if budget < routers {
+    /// window, and half of it in half a window. With more routers than sends, some have one send each, in
+    /// turns.
+    pub(super) fn has_slow_start_budget(&self, id: &WorkerId, worker: &Worker) -> bool {
+        let routers = f64::from(self.config.routers.max(1));
+        let window = self.slow_start_window();
+        let budget = self.slow_start_budget(worker);
+        let overload_window = self.config.overload_window.max(1) as f64;
+        let senders =
+            budget / self.config.overload_factor.max(1.0) * window as f64 / overload_window;
+        let all_routers_share = if budget < routers {
             senders.min(budget).max(1.0)
         } else {
             budget
-        } / routers
-            + place) as usize;
-        let room = |time, most| w.slow_start_sends.within(self.now, time) < most;
+        };
+        let share = (all_routers_share / routers + self.rotation(id, worker)) as usize;
+        let sends_within = |window| worker.recent_sends.count_within(self.now, window);
         self.now >= self.slow_start_from
-            && room(window, share)
-            && room(window / 2, share.div_ceil(2))
+            && sends_within(window) < share
+            && sends_within(window / 2) < share.div_ceil(2)
+    }
+
+    /// This router's place, from 0 to 1, in the order in which routers take turns at a worker. A router
+    /// without an index has none and never gets a fractional send.
+    fn rotation(&self, id: &WorkerId, worker: &Worker) -> f64 {
+        let Some(index) = self.config.index else {
+            return 0.0;
+        };
+        let routers = f64::from(self.config.routers.max(1));
+        let windows = self.now as f64 / self.slow_start_window() as f64;
+        let seed = worker.started.unwrap_or(0);
+        let start = hash_to_unit(xxh3_64_with_seed(id.0.as_bytes(), seed));
+        ((f64::from(index) + windows) / routers + start).fract()
     }
 }
