--- a/lab/tests/model_takeover.rs
+++ b/lab/tests/model_takeover.rs
@@ -1,9 +1,9 @@
-//! Work in hand, checked exhaustively: the very [`Table`] and [`Hands`] that run, over a log that commits proposals in
-//! every order, with answers that come late, owners that die, and owners that were only stopped and run on.
+//! Model check of requests in flight: [`Table`] and [`WorkRecorder`] over a log that commits proposals in every order, with
+//! late replies, owners that die, and owners that were only stopped and run on.
 //!
-//! That the log is one log is the group's own model's business. What is modelled here besides the machines is the front:
-//! it acts when it is told `Go`, and its client comes to another conductor when its connection ends. A stopped life is
-//! told nothing: here nothing but the records stands between a zombie and a second run.
+//! The log itself is checked by the Raft model. Modelled here besides the state machines is the protocol layer: it acts on
+//! [`Decision::Proceed`], and its client retries at another member when its connection ends. A stopped incarnation is
+//! told nothing: only the records keep it from running something a second time.
 
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
@@ -12,22 +12,22 @@
 use whinhaven::fleet::{Incarnation, Index, MemberInstance, MemberName};
 use whinhaven_lab::explore::explore;
 
-/// Nothing is forgotten here, so places in the log need not differ, which keeps states few.
-const AT: Index = Index(1);
-const ROOM: Bounds = Bounds {
+/// No record is removed here, so log entries need not differ, which keeps the state space small.
+const ENTRY: Index = Index(1);
+const CAPACITY: Capacity = Capacity {
     records: 1_000,
     bytes: 1_000_000,
 };
 
-fn who(conductor: usize) -> MemberInstance {
-    let name = MemberName::try_from(["c1", "c2", "c3"][conductor]).unwrap();
+fn member(router: usize) -> MemberInstance {
+    let name = MemberName::try_from(["c1", "c2", "c3"][router]).unwrap();
     MemberInstance {
         name,
         incarnation: Incarnation(1),
     }
 }
 
-/// What the front of a conductor does next for a request.
+/// The next step of a router's protocol layer for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Step {
     Claim,
@@ -36,21 +36,21 @@
     Answer,
 }
 
-/// A request at one conductor.
+/// A request at one router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Front {
+struct ClientHandler {
     step: Step,
     generation: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Conductor {
-    hands: WorkRecorder,
+struct Router {
+    recorder: WorkRecorder,
     now: u64,
     /// The process is gone.
     crashed: bool,
-    fronts: BTreeMap<u8, Front>,
-    /// What it has not yet heard of what the log has applied, in the log's order.
+    handlers: BTreeMap<u8, ClientHandler>,
+    /// Applied entries that it has not seen yet, in log order.
     inbox: Vec<Event>,
 }
 
@@ -58,63 +58,63 @@
 struct World {
     table: Table,
     ended: BTreeSet<usize>,
-    /// Conductors that were asked; the death of another changes nothing.
+    /// Routers that received a request; the death of any other changes nothing.
     involved: BTreeSet<usize>,
-    conductors: Vec<Conductor>,
-    /// On their way to the log, in no order.
-    proposals: BTreeSet<(usize, OperationId, String, CommandBox)>,
-    /// Times that each request was sent to a writer before its answer had begun.
+    routers: Vec<Router>,
+    /// Proposals in flight to the log, unordered.
+    proposals: BTreeSet<(usize, OperationId, String, OrderedCommand)>,
+    /// How often each request was sent to a writing worker before its response started.
     first_runs: BTreeMap<u8, u8>,
-    /// Times that each request's tool call ran.
+    /// How often each request's tool call ran.
     tool_runs: BTreeMap<u8, u8>,
-    /// Final answers that clients have heard.
-    heard: BTreeMap<u8, BTreeSet<String>>,
-    /// Times that each client has asked.
-    asked: BTreeMap<u8, u8>,
+    /// Final responses that clients received.
+    received: BTreeMap<u8, BTreeSet<String>>,
+    /// How often each client has sent its request.
+    client_attempts: BTreeMap<u8, u8>,
 }
 
-/// A command with an order, for the set.
+/// A command with an order, so that it can be an element of a set.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct CommandBox(Command);
+struct OrderedCommand(Command);
 
-impl PartialOrd for CommandBox {
+impl PartialOrd for OrderedCommand {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for CommandBox {
+impl Ord for OrderedCommand {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         format!("{:?}", self.0).cmp(&format!("{:?}", other.0))
     }
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Doing {
-    /// A client asks at a conductor, for the rest if it was asked before.
-    Ask(u8, usize),
-    /// The log takes a proposal.
+enum Transition {
+    /// A client sends its request to a router; it resume if that is not the first time.
+    ClientRequest(u8, usize),
+    /// The log commits a proposal.
     Commit(usize, OperationId),
-    /// A conductor hears the next of what the log has applied.
-    Hear(usize),
-    /// A conductor's questions run out of time.
+    /// A router sees the next applied entry.
+    Receive(usize),
+    /// The deadlines of a router's pending operations pass.
     TimeOut(usize),
     /// A process dies.
     Crash(usize),
-    /// The group ends a life, be its process dead or only stopped.
-    EndLife(usize),
+    /// The log ends an incarnation, whether its process is dead or only stopped.
+    EndIncarnation(usize),
 }
 
-/// A fault put into the front, for the checker to catch.
+/// A fault in the protocol layer that the checker has to detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Flaw {
     None,
-    /// A call is made when the group has not answered in time.
-    CallsOnHope,
+    /// A call is made although the proposal timed out.
+    CallsAfterTimeout,
     /// A call whose outcome is unknown is made again.
-    RepeatsUnknown,
-    /// A request goes out before it is written down.
-    SendsFirst,
+    RepeatsUnknownCall,
+    /// A request goes out before it is recorded.
+    SendsBeforeRecord,
 }
 
 struct Case {
@@ -128,196 +128,205 @@
 impl Case {
     fn act(&self, world: &mut World, c: usize, event: Event) {
         let mut actions = Vec::new();
-        let conductor = &mut world.conductors[c];
-        conductor.hands.handle(conductor.now, event, &mut actions);
+        let router = &mut world.routers[c];
+        router.recorder.handle(router.now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Propose { ticket, command } => {
+                Action::Propose { operation, command } => {
                     let key = format!("{command:?}");
                     world
                         .proposals
-                        .insert((c, ticket, key, CommandBox(command)));
+                        .insert((c, operation, key, OrderedCommand(command)));
                 }
-                Action::Verdict { ticket, verdict } => self.verdict(world, c, ticket, verdict),
-                Action::Moved { name } => {
+                Action::Decided {
+                    operation,
+                    decision,
+                } => self.on_decision(world, c, operation, decision),
+                Action::RequestMoved { name } => {
                     if let Ok(request) = name.parse() {
-                        world.conductors[c].fronts.remove(&request);
+                        world.routers[c].handlers.remove(&request);
                     }
                 }
             }
         }
     }
 
-    fn ask(&self, world: &mut World, c: usize, request: u8, command: Command) {
-        // The request, its client's try and the step name the question: no number that only counts is kept, which
-        // would make one state many.
-        let step = world.conductors[c]
-            .fronts
+    fn request(&self, world: &mut World, c: usize, request: u8, command: Command) {
+        // The id is made of the request, its client's attempt and the step: a counter would multiply the states.
+        let step = world.routers[c]
+            .handlers
             .get(&request)
             .map_or(0, |f| f.step as u64);
-        let ticket =
-            OperationId((u64::from(world.asked[&request]) * 8 + step) * 16 + u64::from(request));
-        let until = world.conductors[c].now + 1;
+        let operation = OperationId(
+            (u64::from(world.client_attempts[&request]) * 8 + step) * 16 + u64::from(request),
+        );
+        let until = world.routers[c].now + 1;
         self.act(
             world,
             c,
-            Event::Ask {
-                ticket,
+            Event::Request {
+                operation,
                 command,
-                until,
+                deadline: until,
             },
         );
     }
 
-    fn tell(&self, world: &mut World, c: usize, request: u8, command: Command) {
-        let step = if matches!(command, Command::Began { .. }) {
+    fn report(&self, world: &mut World, c: usize, request: u8, command: Command) {
+        let step = if matches!(command, Command::ResponseStarted { .. }) {
             6
         } else {
             7
         };
-        let ticket =
-            OperationId((u64::from(world.asked[&request]) * 8 + step) * 16 + u64::from(request));
-        self.act(world, c, Event::Tell { ticket, command });
+        let operation = OperationId(
+            (u64::from(world.client_attempts[&request]) * 8 + step) * 16 + u64::from(request),
+        );
+        self.act(world, c, Event::Report { operation, command });
     }
 
-    fn next(&self, world: &mut World, c: usize, request: u8) {
-        let Some(front) = world.conductors[c].fronts.get(&request).copied() else {
+    fn start_step(&self, world: &mut World, c: usize, request: u8) {
+        let Some(handler) = world.routers[c].handlers.get(&request).copied() else {
             return;
         };
-        let (name, generation) = (request.to_string(), front.generation);
-        let resumes = world.asked[&request] > 1;
-        let command = match front.step {
+        let (name, generation) = (request.to_string(), handler.generation);
+        let resume = world.client_attempts[&request] > 1;
+        let command = match handler.step {
             Step::Claim => Command::Claim {
                 name,
-                once: true,
-                resumes,
-                bounds: ROOM,
+                at_most_once: true,
+                resume,
+                capacity: CAPACITY,
             },
             Step::Send => {
-                if self.flaw == Flaw::SendsFirst {
+                if self.flaw == Flaw::SendsBeforeRecord {
                     *world.first_runs.entry(request).or_default() += 1;
                 }
                 let id = format!("{c}-{request}");
                 let (name, worker) = (Some((name, generation)), "w".to_owned());
-                Command::Send {
+                Command::StartSend {
                     id,
                     worker,
                     name,
-                    reads: false,
-                    most_attempts: 9,
-                    bounds: ROOM,
+                    read_only: false,
+                    max_attempts: 9,
+                    capacity: CAPACITY,
                 }
             }
-            Step::Call => Command::Call {
+            Step::Call => Command::StartCall {
                 name,
                 generation,
                 ordinal: 0,
                 arguments: 7,
-                bounds: ROOM,
+                capacity: CAPACITY,
             },
             Step::Answer => {
-                let answer = FinalResponse::Done {
+                let answer = FinalResponse::Completed {
                     text: Some(format!("by {c}")),
-                    last: Vec::new(),
+                    last_line: Vec::new(),
                 };
-                Command::Answer {
+                Command::Complete {
                     name,
                     generation,
-                    answer,
+                    response: answer,
                 }
             }
         };
-        self.ask(world, c, request, command);
+        self.request(world, c, request, command);
     }
 
-    /// The front's part: what it does when it hears that it may, or may not.
-    fn verdict(&self, world: &mut World, c: usize, ticket: OperationId, verdict: Decision) {
-        let request = (ticket.0 % 16) as u8;
-        let Some(front) = world.conductors[c].fronts.get_mut(&request) else {
+    /// The protocol layer's reaction to a decision.
+    fn on_decision(&self, world: &mut World, c: usize, operation: OperationId, decision: Decision) {
+        let request = (operation.0 % 16) as u8;
+        let Some(handler) = world.routers[c].handlers.get_mut(&request) else {
             return;
         };
         let name = request.to_string();
-        let said = |world: &mut World, answer: &FinalResponse| {
+        let finish = |world: &mut World, answer: &FinalResponse| {
             world
-                .heard
+                .received
                 .entry(request)
                 .or_default()
                 .insert(format!("{answer:?}"));
-            world.conductors[c].fronts.remove(&request);
+            world.routers[c].handlers.remove(&request);
         };
-        match (front.step, verdict) {
+        match (handler.step, decision) {
             (Step::Claim, Decision::Claimed(record)) => {
-                front.generation = record.generation;
-                front.step = if record.stage == RequestStage::Began {
+                handler.generation = record.generation;
+                handler.step = if record.stage == RequestStage::Responding {
                     Step::Call
                 } else {
                     Step::Send
                 };
-                self.next(world, c, request);
+                self.start_step(world, c, request);
             }
-            (_, Decision::Ended(answer)) => said(world, &answer),
-            (Step::Send, Decision::Go) => {
-                front.step = Step::Call;
-                let generation = front.generation;
-                if self.flaw != Flaw::SendsFirst {
+            (_, Decision::Completed(answer)) => finish(world, &answer),
+            (Step::Send, Decision::Proceed) => {
+                handler.step = Step::Call;
+                let generation = handler.generation;
+                if self.flaw != Flaw::SendsBeforeRecord {
                     *world.first_runs.entry(request).or_default() += 1;
                 }
-                self.tell(world, c, request, Command::Began { name, generation });
-                self.next(world, c, request);
+                self.report(
+                    world,
+                    c,
+                    request,
+                    Command::ResponseStarted { name, generation },
+                );
+                self.start_step(world, c, request);
             }
-            (Step::Call, Decision::Go) => {
-                front.step = Step::Answer;
+            (Step::Call, Decision::Proceed) => {
+                handler.step = Step::Answer;
                 *world.tool_runs.entry(request).or_default() += 1;
-                self.tell(
+                self.report(
                     world,
                     c,
                     request,
-                    Command::CallEnded {
+                    Command::CompleteCall {
                         name,
                         ordinal: 0,
                         outcome: Some(vec![1]),
                     },
                 );
-                self.next(world, c, request);
+                self.start_step(world, c, request);
             }
-            (Step::Call, Decision::Known(stage)) if stage != CallState::Out => {
-                front.step = Step::Answer;
-                if self.flaw == Flaw::RepeatsUnknown && stage == CallState::Unknown {
+            (Step::Call, Decision::KnownCall(stage)) if stage != CallState::InFlight => {
+                handler.step = Step::Answer;
+                if self.flaw == Flaw::RepeatsUnknownCall && stage == CallState::OutcomeUnknown {
                     *world.tool_runs.entry(request).or_default() += 1;
                 }
-                self.next(world, c, request);
+                self.start_step(world, c, request);
             }
-            (Step::Call, Decision::Late) if self.flaw == Flaw::CallsOnHope => {
-                front.step = Step::Answer;
+            (Step::Call, Decision::TimedOut) if self.flaw == Flaw::CallsAfterTimeout => {
+                handler.step = Step::Answer;
                 *world.tool_runs.entry(request).or_default() += 1;
-                self.next(world, c, request);
+                self.start_step(world, c, request);
             }
-            (Step::Answer, Decision::Go) => {
-                let answer = FinalResponse::Done {
+            (Step::Answer, Decision::Proceed) => {
+                let answer = FinalResponse::Completed {
                     text: Some(format!("by {c}")),
-                    last: Vec::new(),
+                    last_line: Vec::new(),
                 };
-                said(world, &answer);
+                finish(world, &answer);
             }
-            // Refused, late, cut off: its client hears nothing final from here and comes again.
-            _ => _ = world.conductors[c].fronts.remove(&request),
+            // Rejected, timed out or without a lease: the client receives nothing final from here and retries.
+            _ => _ = world.routers[c].handlers.remove(&request),
         }
     }
 }
 
 impl Model for Case {
     type State = World;
-    type Action = Doing;
+    type Action = Transition;
 
     fn init_states(&self) -> Vec<World> {
-        let conductor = |c| {
-            let mut hands = WorkRecorder::new(who(c), 8);
-            hands.handle(0, Event::MayAct(true), &mut Vec::new());
-            Conductor {
-                hands,
+        let router = |c| {
+            let mut recorder = WorkRecorder::new(member(c), 8);
+            recorder.handle(0, Event::LeaseValid(true), &mut Vec::new());
+            Router {
+                recorder,
                 now: 0,
                 crashed: false,
-                fronts: BTreeMap::new(),
+                handlers: BTreeMap::new(),
                 inbox: Vec::new(),
             }
         };
@@ -325,118 +334,124 @@
             table: Table::default(),
             ended: BTreeSet::new(),
             involved: BTreeSet::new(),
-            conductors: (0..3).map(conductor).collect(),
+            routers: (0..3).map(router).collect(),
             proposals: BTreeSet::new(),
             first_runs: BTreeMap::new(),
             tool_runs: BTreeMap::new(),
-            heard: BTreeMap::new(),
-            asked: (0..self.requests).map(|r| (r, 0)).collect(),
+            received: BTreeMap::new(),
+            client_attempts: (0..self.requests).map(|r| (r, 0)).collect(),
         }]
     }
 
-    fn actions(&self, world: &World, actions: &mut Vec<Doing>) {
-        for (request, asked) in &world.asked {
-            if *asked < self.asks {
+    fn actions(&self, world: &World, actions: &mut Vec<Transition>) {
+        for (request, client_attempts) in &world.client_attempts {
+            if *client_attempts < self.asks {
                 let free = |c: &usize| {
-                    !world.conductors[*c].crashed
-                        && !world.conductors[*c].fronts.contains_key(request)
+                    !world.routers[*c].crashed && !world.routers[*c].handlers.contains_key(request)
                 };
-                // Conductors that nobody has asked are alike: one of them stands for all.
+                // Routers that nobody has client_attempts are alike: one of them stands for all.
                 let fresh = (0..3).find(|c| !world.involved.contains(c));
                 let at = world.involved.iter().copied().chain(fresh);
-                actions.extend(at.filter(free).map(|c| Doing::Ask(*request, c)));
+                actions.extend(
+                    at.filter(free)
+                        .map(|c| Transition::ClientRequest(*request, c)),
+                );
             }
         }
         actions.extend(
             world
                 .proposals
                 .iter()
-                .map(|(c, ticket, ..)| Doing::Commit(*c, *ticket)),
+                .map(|(c, operation, ..)| Transition::Commit(*c, *operation)),
         );
-        for (c, conductor) in world.conductors.iter().enumerate() {
-            if conductor.crashed {
+        for (c, router) in world.routers.iter().enumerate() {
+            if router.crashed {
                 if !world.ended.contains(&c) {
-                    actions.push(Doing::EndLife(c));
+                    actions.push(Transition::EndIncarnation(c));
                 }
                 continue;
             }
-            if !conductor.inbox.is_empty() {
-                actions.push(Doing::Hear(c));
+            if !router.inbox.is_empty() {
+                actions.push(Transition::Receive(c));
             }
-            if conductor.now < self.time_outs && conductor.hands.waiting() > 0 {
-                actions.push(Doing::TimeOut(c));
+            if router.now < self.time_outs && router.recorder.pending_count() > 0 {
+                actions.push(Transition::TimeOut(c));
             }
             let deaths = world
                 .ended
                 .iter()
                 .chain(
                     (0..3)
-                        .filter(|c| world.conductors[*c].crashed)
+                        .filter(|c| world.routers[*c].crashed)
                         .collect::<Vec<_>>()
                         .iter(),
                 )
                 .collect::<BTreeSet<_>>()
                 .len();
             if deaths < self.deaths && world.involved.contains(&c) {
-                actions.push(Doing::Crash(c));
+                actions.push(Transition::Crash(c));
                 if !world.ended.contains(&c) {
-                    actions.push(Doing::EndLife(c));
+                    actions.push(Transition::EndIncarnation(c));
                 }
             }
         }
     }
 
-    fn next_state(&self, last: &World, action: Doing) -> Option<World> {
+    fn next_state(&self, last: &World, action: Transition) -> Option<World> {
         let mut world = last.clone();
         match action {
-            Doing::Ask(request, c) => {
-                *world.asked.get_mut(&request)? += 1;
+            Transition::ClientRequest(request, c) => {
+                *world.client_attempts.get_mut(&request)? += 1;
                 world.involved.insert(c);
-                world.conductors[c].fronts.insert(
+                world.routers[c].handlers.insert(
                     request,
-                    Front {
+                    ClientHandler {
                         step: Step::Claim,
                         generation: 0,
                     },
                 );
-                self.next(&mut world, c, request);
+                self.start_step(&mut world, c, request);
             }
-            Doing::Commit(c, ticket) => {
+            Transition::Commit(c, operation) => {
                 let found = world
                     .proposals
                     .iter()
-                    .find(|p| p.0 == c && p.1 == ticket)
+                    .find(|p| p.0 == c && p.1 == operation)
                     .cloned()?;
                 world.proposals.remove(&found);
-                let mut notices = Vec::new();
+                let mut changes = Vec::new();
                 let alive = !world.ended.contains(&c);
-                let (at, CommandBox(command)) = (AT, found.3);
-                let reply = world.table.apply(at, &who(c), alive, command, &mut notices);
-                world.conductors[c].inbox.push(Event::Reply {
-                    ticket,
+                let (entry, OrderedCommand(command)) = (ENTRY, found.3);
+                let reply = world
+                    .table
+                    .apply(entry, &member(c), alive, command, &mut changes);
+                world.routers[c].inbox.push(Event::Reply {
+                    operation,
                     reply: Some(reply),
                 });
-                deliver(&mut world, notices);
+                deliver(&mut world, changes);
             }
-            Doing::Hear(c) => {
-                let event = world.conductors[c].inbox.remove(0);
+            Transition::Receive(c) => {
+                let event = world.routers[c].inbox.remove(0);
                 self.act(&mut world, c, event);
             }
-            Doing::TimeOut(c) => {
-                world.conductors[c].now += 1;
+            Transition::TimeOut(c) => {
+                world.routers[c].now += 1;
                 self.act(&mut world, c, Event::Tick);
             }
-            Doing::Crash(c) => {
-                let conductor = &mut world.conductors[c];
-                conductor.crashed = true;
-                conductor.fronts.clear();
-                conductor.inbox.clear();
+            Transition::Crash(c) => {
+                let router = &mut world.routers[c];
+                router.crashed = true;
+                router.handlers.clear();
+                router.inbox.clear();
             }
-            Doing::EndLife(c) => {
+            Transition::EndIncarnation(c) => {
                 world.ended.insert(c);
-                let mut notices = Vec::new();
-                world.table.life_ended(AT, &who(c), &mut notices);
-                deliver(&mut world, notices);
+                let mut changes = Vec::new();
+                world
+                    .table
+                    .on_incarnation_ended(ENTRY, &member(c), &mut changes);
+                deliver(&mut world, changes);
             }
         }
         Some(world)
@@ -444,24 +459,24 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("no tool runs twice", |_, w: &World| {
+            Property::always("no tool call runs twice", |_, w: &World| {
                 w.tool_runs.values().all(|n| *n <= 1)
             }),
-            Property::always("nothing unsafe is sent twice", |_, w: &World| {
+            Property::always("no at-most-once request is sent twice", |_, w: &World| {
                 w.first_runs.values().all(|n| *n <= 1)
             }),
-            Property::always("one final answer", |_, w: &World| {
-                w.heard.values().all(|h| h.len() <= 1)
+            Property::always("one final response", |_, w: &World| {
+                w.received.values().all(|h| h.len() <= 1)
             }),
             Property::sometimes(
-                "an answer is finished by another conductor",
+                "a response is completed by another router",
                 |_, w: &World| {
                     let by_other = |a: &String| a.contains("by 1") || a.contains("by 2");
-                    w.crashed(0) && w.heard.values().flatten().any(by_other)
+                    w.crashed(0) && w.received.values().flatten().any(by_other)
                 },
             ),
-            Property::sometimes("what may have run is failed", |_, w: &World| {
-                w.heard.values().flatten().any(|a| a.contains("Failed"))
+            Property::sometimes("a request that may have run fails", |_, w: &World| {
+                w.received.values().flatten().any(|a| a.contains("Failed"))
             }),
         ]
     }
@@ -469,21 +484,18 @@
 
 impl World {
     fn crashed(&self, c: usize) -> bool {
-        self.conductors[c].crashed
+        self.routers[c].crashed
     }
 }
 
-fn deliver(world: &mut World, notices: Vec<RecordChange>) {
-    // Where nothing waits or will, a notice changes nothing.
-    let idle = |c: &Conductor| c.hands.waiting() == 0 && c.inbox.is_empty() && c.fronts.is_empty();
-    for conductor in world
-        .conductors
-        .iter_mut()
-        .filter(|c| !c.crashed && !idle(c))
-    {
-        conductor
+fn deliver(world: &mut World, changes: Vec<RecordChange>) {
+    // A change has no effect where nothing waits or will wait.
+    let idle =
+        |c: &Router| c.recorder.pending_count() == 0 && c.inbox.is_empty() && c.handlers.is_empty();
+    for router in world.routers.iter_mut().filter(|c| !c.crashed && !idle(c)) {
+        router
             .inbox
-            .extend(notices.iter().cloned().map(Event::Notice));
+            .extend(changes.iter().cloned().map(Event::RecordChanged));
     }
 }
 
@@ -496,7 +508,7 @@
 }
 
 #[test]
-fn one_request_and_a_death_in_every_order() {
+fn one_request_and_one_crash_keep_all_properties() {
     check(
         Case {
             requests: 1,
@@ -513,7 +525,7 @@
 /// Minutes: by hand, in a release build.
 #[test]
 #[ignore = "minutes; run it with --release"]
-fn two_deaths_two_requests_and_late_answers_in_every_order() {
+fn more_crashes_requests_and_late_replies_keep_all_properties() {
     check(
         Case {
             requests: 1,
@@ -561,11 +573,11 @@
 }
 
 #[rstest::rstest]
-#[case::calls_on_hope(Flaw::CallsOnHope, "no tool runs twice")]
-#[case::repeats_unknown(Flaw::RepeatsUnknown, "no tool runs twice")]
-#[case::sends_first(Flaw::SendsFirst, "nothing unsafe is sent twice")]
-fn a_front_with_a_flaw_is_caught(#[case] flaw: Flaw, #[case] property: &'static str) {
-    let time_outs = u64::from(flaw == Flaw::CallsOnHope);
+#[case::calls_after_timeout(Flaw::CallsAfterTimeout, "no tool call runs twice")]
+#[case::repeats_unknown_call(Flaw::RepeatsUnknownCall, "no tool call runs twice")]
+#[case::sends_before_record(Flaw::SendsBeforeRecord, "no at-most-once request is sent twice")]
+fn faulty_protocol_layer_is_detected(#[case] flaw: Flaw, #[case] property: &'static str) {
+    let time_outs = u64::from(flaw == Flaw::CallsAfterTimeout);
     let checker = check(
         Case {
             requests: 1,
@@ -578,6 +590,6 @@
     );
     assert!(
         checker.discovery(property).is_some(),
-        "{flaw:?} was not caught"
+        "{flaw:?} was not detected"
     );
 }
--- a/src/fleet/state.rs
+++ b/src/fleet/state.rs
@@ -295,7 +295,7 @@
         out.push(Effect::Lease(change));
         if of_life && self.leases.ended(&dead) {
             let mut notices = Vec::new();
-            self.work.life_ended(index, &dead, &mut notices);
+            self.work.on_incarnation_ended(index, &dead, &mut notices);
             out.extend(notices.into_iter().map(Effect::Takeover));
         }
     }
--- a/src/fleet/transport/work.rs
+++ b/src/fleet/transport/work.rs
@@ -12,7 +12,7 @@
 use crate::fleet::config::TakeoverConfig;
 use crate::fleet::state::{Answer, Command, Effect, Refusal as Unlooked};
 use crate::fleet::work::recorder::{Action, Decision, Event, OperationId, WorkRecorder};
-use crate::fleet::work::{self, Bounds, MAX_IDS_PER_COMMAND, RecordChange, Rejection, Reply};
+use crate::fleet::work::{self, Capacity, MAX_IDS_PER_COMMAND, RecordChange, Rejection, Reply};
 use crate::routing::policy::call_permission::ReleaseHistory;
 use crate::routing::types::{Micros, Outcome, ReleasePermit, ReleaseReason, WorkerId};
 use bytes::Bytes;
@@ -71,7 +71,7 @@
             orphans: Notify::new(),
         });
         // What happened before this could listen.
-        work.handle(Event::MayAct(fleet.lives()));
+        work.handle(Event::LeaseValid(fleet.lives()));
         let listener = Rc::downgrade(&work);
         fleet.listen(Box::new(move |told| {
             if let Some(work) = listener.upgrade() {
@@ -83,8 +83,8 @@
     }
 
     /// Room, as this conductor's settings allow it.
-    pub fn bounds(&self) -> Bounds {
-        Bounds {
+    pub fn bounds(&self) -> Capacity {
+        Capacity {
             records: self.settings.most_records,
             bytes: self.settings.most_bytes,
         }
@@ -115,15 +115,15 @@
         let ticket = self.ticket();
         let (answer, answered) = oneshot::channel();
         self.verdicts.borrow_mut().insert(ticket, answer);
-        self.handle(Event::Ask {
-            ticket,
+        self.handle(Event::Request {
+            operation: ticket,
             command,
-            until,
+            deadline: until,
         });
-        let verdict = answered.await.unwrap_or(Decision::Cut);
+        let verdict = answered.await.unwrap_or(Decision::LeaseLost);
         // The machine's word may be as old as the last event: the clock is read anew before anything is let out.
-        if verdict == Decision::Go && !self.may_act() {
-            Decision::Cut
+        if verdict == Decision::Proceed && !self.may_act() {
+            Decision::LeaseLost
         } else {
             verdict
         }
@@ -157,7 +157,10 @@
         let (written, told) = oneshot::channel();
         let ticket = self.ticket();
         self.written.borrow_mut().insert(ticket, written);
-        self.handle(Event::Tell { ticket, command });
+        self.handle(Event::Report {
+            operation: ticket,
+            command,
+        });
         let patience = Duration::from_millis(self.settings.record_within_ms);
         let _ = tokio::time::timeout(patience, told).await;
         self.written.borrow_mut().remove(&ticket);
@@ -166,7 +169,10 @@
     /// Tells the group; nobody waits.
     pub fn tell(self: &Rc<Self>, command: work::Command) {
         let ticket = self.ticket();
-        self.handle(Event::Tell { ticket, command });
+        self.handle(Event::Report {
+            operation: ticket,
+            command,
+        });
     }
 
     fn ticket(&self) -> OperationId {
@@ -182,13 +188,19 @@
             .handle(self.clock.now(), event, &mut actions);
         for action in actions {
             match action {
-                Action::Propose { ticket, command } => self.propose(ticket, command),
-                Action::Verdict { ticket, verdict } => {
+                Action::Propose {
+                    operation: ticket,
+                    command,
+                } => self.propose(ticket, command),
+                Action::Decided {
+                    operation: ticket,
+                    decision: verdict,
+                } => {
                     if let Some(answer) = self.verdicts.borrow_mut().remove(&ticket) {
                         let _ = answer.send(verdict);
                     }
                 }
-                Action::Moved { name } => {
+                Action::RequestMoved { name } => {
                     self.history().moved(&name);
                     self.moved.borrow().iter().for_each(|moved| moved(&name));
                 }
@@ -205,7 +217,7 @@
                 Ok(Answer::Takeover(reply)) => Some(reply),
                 // The log knows nothing more of it: this life is over.
                 Ok(Answer::Refused(Unlooked::OldLife | Unlooked::MostMembers)) => {
-                    Some(Reply::Refused(Rejection::LifeEnded))
+                    Some(Reply::Rejected(Rejection::IncarnationEnded))
                 }
                 _ => None,
             };
@@ -219,7 +231,10 @@
                 {
                     let _ = written.send(());
                 }
-                work.handle(Event::Reply { ticket, reply });
+                work.handle(Event::Reply {
+                    operation: ticket,
+                    reply,
+                });
             }
         });
     }
@@ -232,23 +247,24 @@
                 // Dropped unanswered: whoever asked in the life before hears that it may not act.
                 self.verdicts.borrow_mut().clear();
             }
-            Told::MayAct(may) => self.handle(Event::MayAct(*may)),
+            Told::MayAct(may) => self.handle(Event::LeaseValid(*may)),
             Told::Effect(_, Effect::Takeover(notice)) => {
                 match notice {
-                    RecordChange::Orphaned { dead, .. } => self.orphan(dead.clone()),
-                    RecordChange::Adopted { dead, .. } => {
+                    RecordChange::Orphaned { ended: dead, .. } => self.orphan(dead.clone()),
+                    RecordChange::TakenOver { ended: dead, .. } => {
                         self.orphaned.borrow_mut().retain(|d| d != dead)
                     }
                     _ => {}
                 }
-                self.handle(Event::Notice(notice.clone()));
+                self.handle(Event::RecordChanged(notice.clone()));
             }
             Told::Restored(state) => {
                 let work = state.work();
                 self.orphaned.borrow_mut().clear();
-                work.orphaned().for_each(|dead| self.orphan(dead.clone()));
+                work.orphaned_incarnations()
+                    .for_each(|dead| self.orphan(dead.clone()));
                 // What is waited for may have happened under the snapshot.
-                self.handle(Event::Restored);
+                self.handle(Event::SnapshotRestored);
             }
             Told::View(_) | Told::Effect(..) | Told::Leading(_) | Told::Sites(_) => {}
         }
@@ -291,17 +307,17 @@
             }
             let answer = self
                 .fleet
-                .propose(Command::Takeover(work::Command::Adopt {
-                    dead: dead.clone(),
+                .propose(Command::Takeover(work::Command::TakeOver {
+                    ended: dead.clone(),
                 }))
                 .await;
             match answer {
-                Ok(Answer::Takeover(Reply::Adopted(sends))) => {
+                Ok(Answer::Takeover(Reply::TakenOver(sends))) => {
                     self.orphaned.borrow_mut().retain(|d| *d != dead);
                     History(me).adopted(&dead, sends.len());
                     self.release_all(sends, &outbound).await;
                 }
-                Ok(Answer::Takeover(Reply::Refused(Rejection::Nothing))) => {
+                Ok(Answer::Takeover(Reply::Rejected(Rejection::NothingToTakeOver))) => {
                     self.orphaned.borrow_mut().retain(|d| *d != dead);
                 }
                 _ => tokio::time::sleep(AGAIN).await,
@@ -334,7 +350,7 @@
             }
         }
         for ids in over.chunks(MAX_IDS_PER_COMMAND) {
-            self.tell(work::Command::Over { ids: ids.to_vec() });
+            self.tell(work::Command::CompleteSends { ids: ids.to_vec() });
         }
     }
 
@@ -447,7 +463,8 @@
                 });
             }
             for ids in over.chunks(MAX_IDS_PER_COMMAND) {
-                self.work.tell(work::Command::Over { ids: ids.to_vec() });
+                self.work
+                    .tell(work::Command::CompleteSends { ids: ids.to_vec() });
             }
         }
     }
@@ -470,7 +487,7 @@
             verdict = self.work.ask(command, within.min(most)) => verdict,
         };
         match verdict {
-            Decision::Go => self.inner.send(attempt),
+            Decision::Proceed => self.inner.send(attempt),
             other => {
                 log::info!(
                     "request {}: not sent, not on record: {other:?}",
@@ -511,13 +528,13 @@
         if noted && call.name.is_none() {
             return self.inner.send(attempt);
         }
-        let command = work::Command::Send {
+        let command = work::Command::StartSend {
             id: call.id.clone(),
             worker: attempt.worker.0.to_string(),
             name: call.name.clone(),
-            reads: (self.reads)(&attempt.worker),
-            most_attempts: attempt.most_attempts,
-            bounds: self.work.bounds(),
+            read_only: (self.reads)(&attempt.worker),
+            max_attempts: attempt.most_attempts,
+            capacity: self.work.bounds(),
         };
         let going = Going {
             inner: self.inner.clone(),
--- a/src/fleet/work/recorder.rs
+++ b/src/fleet/work/recorder.rs
@@ -1,9 +1,9 @@
-//! A conductor's side of work in hand: what may go out now, what has to wait, and what is given up.
+//! One member's access to the table: what may go out now, what has to wait, and what is given up.
 //!
-//! The front and the client side ask before they act; this machine puts the question to the group
-//! ([`super`]), waits where waiting helps (a request whose owner may be dying, a call whose outcome is on its
-//! way), and gives one [`Verdict`] for each question, by a given time at the latest. What comes after that time
-//! frees what nobody will act on any more. Without a valid life lease no verdict lets anything out.
+//! The protocol layer and the upstream client request an operation before they act. This state machine proposes it to the
+//! replicated log ([`super`]), waits where waiting helps (for a request whose owner may be about to die, or for the
+//! outcome of a call under way), and makes one [`Decision`] for each operation before its deadline. A grant that arrives
+//! after the deadline is given back. Without a valid session lease no decision lets anything out.
 
 use super::{
     CallState, ClientRequestRecord, Command, FinalResponse, RecordChange, Rejection, Reply,
@@ -12,368 +12,390 @@
 use crate::routing::types::Micros;
 use std::collections::BTreeMap;
 
-/// Names a question; the asker's own, never used twice.
+/// Identifies an operation; chosen by the caller and never used twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct OperationId(pub u64);
 
-/// What happens to the machine.
+/// Ids of the recorder's own operations have this bit set; those of callers do not.
+const OWN_OPERATION_BIT: u64 = 1 << 63;
+
+/// An input of [`WorkRecorder`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
     /// Time has passed.
     Tick,
-    /// Something wants to act. Answered by one [`Action::Verdict`], by `until` at the latest.
-    Ask {
-        /// Names the question.
-        ticket: OperationId,
-        /// What is to be written down first.
+    /// A caller wants to act. Answered by one [`Action::Decided`], by the deadline at the latest.
+    Request {
+        /// The operation.
+        operation: OperationId,
+        /// The change to record first.
         command: Command,
-        /// When the answer is of no use any more.
-        until: Micros,
+        /// When the decision is of no use any more.
+        deadline: Micros,
     },
-    /// Something has happened that the group has to know, and nobody waits for it: it is told until it is written.
-    Tell {
-        /// Names the message.
-        ticket: OperationId,
-        /// What is to be written down.
+    /// Something has happened that has to be recorded, and no caller waits for it: proposed until it is recorded.
+    Report {
+        /// The operation.
+        operation: OperationId,
+        /// The change to record.
         command: Command,
     },
-    /// The group has answered.
+    /// The reply to a proposal.
     Reply {
-        /// The question's name.
-        ticket: OperationId,
-        /// The answer; `None`: it is not known whether the command was or will be written down.
+        /// The operation.
+        operation: OperationId,
+        /// The reply; `None` if it is not known whether the command was or will be recorded.
         reply: Option<Reply>,
     },
-    /// Something was written down, by whomever.
-    Notice(RecordChange),
-    /// A snapshot took the place of notices: whatever is waited for may have happened.
-    Restored,
-    /// Whether the life lease can be counted on.
-    MayAct(bool),
+    /// A record has changed, by the command of any member.
+    RecordChanged(RecordChange),
+    /// A snapshot replaced the table: any change that is waited for may have happened.
+    SnapshotRestored,
+    /// Whether the session lease is valid.
+    LeaseValid(bool),
 }
 
-/// What is to be done.
+/// An output of [`WorkRecorder`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// Put this to the group; answered by [`Event::Reply`] with the ticket.
+    /// Propose a command; answered by [`Event::Reply`].
     Propose {
-        /// The question's name.
-        ticket: OperationId,
+        /// The operation.
+        operation: OperationId,
         /// The command.
         command: Command,
     },
-    /// The answer to a question.
-    Verdict {
-        /// The question's name.
-        ticket: OperationId,
-        /// The answer.
-        verdict: Decision,
+    /// The decision on an operation.
+    Decided {
+        /// The operation.
+        operation: OperationId,
+        /// The decision.
+        decision: Decision,
     },
-    /// Another conductor has taken over this request, asked by its client: end it here.
-    Moved {
+    /// Another member has claimed this request for its client: end it here.
+    RequestMoved {
         /// The request's name.
         name: String,
     },
 }
 
-/// Whether something may go out.
+/// Whether an operation may go ahead.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Decision {
-    /// The request is in hand here now; what is in the record came before.
+    /// The request is owned here now. The record shows what happened before.
     Claimed(Box<ClientRequestRecord>),
-    /// The request has this final answer already.
-    Ended(FinalResponse),
-    /// Another life has the request, and has not let go of it in time.
-    InHand(MemberInstance),
-    /// It is written down and may go out now.
-    Go,
-    /// The call was made before: its outcome, or that it is unknown for good.
-    Known(CallState),
-    /// It must not go out.
-    Refused(Rejection),
-    /// The group has not answered in time; it must not go out.
-    Late,
-    /// This conductor may not act.
-    Cut,
+    /// The request has completed with this response.
+    Completed(FinalResponse),
+    /// Another incarnation owns the request, and has not released it in time.
+    OwnedBy(MemberInstance),
+    /// The change is recorded, and the operation may go ahead.
+    Proceed,
+    /// The call was made before: its outcome, or that it will never be known.
+    KnownCall(CallState),
+    /// The operation must not go ahead.
+    Rejected(Rejection),
+    /// There was no reply in time; the operation must not go ahead.
+    TimedOut,
+    /// The local member has no valid session lease.
+    LeaseLost,
 }
 
-/// What a question waits for.
+/// What an operation waits for.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Wait {
-    /// The group's answer.
+enum WaitingFor {
+    /// The reply to its proposal.
     Reply,
-    /// Whoever has the request lets go of it, or its life ends.
-    Open(MemberInstance),
-    /// The outcome of a call that is out.
-    Outcome,
+    /// The release of the request by its owner, or the end of the owner's incarnation.
+    Release(MemberInstance),
+    /// The outcome of a call under way.
+    CallOutcome,
 }
 
+/// An operation without a decision.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct PendingOperation {
     command: Command,
-    until: Option<Micros>,
-    wait: Wait,
-    /// What it would wait for has happened while its answer was on the way: answers and notices may pass each other.
-    stirred: bool,
+    /// `None` for a report: nobody waits for it.
+    deadline: Option<Micros>,
+    waiting_for: WaitingFor,
+    /// A change that it would wait for has arrived before the reply: replies and changes may overtake each other.
+    propose_again: bool,
 }
 
 impl PendingOperation {
-    /// Asks anew: what has changed is on record, and another waiter may have been first.
-    fn stir(&mut self, ticket: OperationId, out: &mut Vec<Action>) {
-        if self.wait == Wait::Reply {
-            self.stirred = true;
+    /// Proposes the command again after a change that concerns it; another waiter may have been first.
+    fn on_change(&mut self, operation: OperationId, out: &mut Vec<Action>) {
+        if self.waiting_for == WaitingFor::Reply {
+            self.propose_again = true;
+        } else {
+            self.waiting_for = WaitingFor::Reply;
+            out.push(self.proposal(operation));
+        }
+    }
+
+    /// Waits, unless the change has arrived already.
+    fn wait_for(&mut self, operation: OperationId, waiting_for: WaitingFor, out: &mut Vec<Action>) {
+        if std::mem::take(&mut self.propose_again) {
+            out.push(self.proposal(operation));
         } else {
-            self.wait = Wait::Reply;
-            out.push(Action::Propose {
-                ticket,
-                command: self.command.clone(),
-            });
+            self.waiting_for = waiting_for;
+        }
+    }
+
+    fn proposal(&self, operation: OperationId) -> Action {
+        Action::Propose {
+            operation,
+            command: self.command.clone(),
+        }
+    }
+
+    /// The decision if the deadline passes now.
+    fn decision_at_deadline(&self) -> Decision {
+        match &self.waiting_for {
+            WaitingFor::Release(owner) => Decision::OwnedBy(owner.clone()),
+            WaitingFor::CallOutcome => Decision::KnownCall(CallState::InFlight),
+            WaitingFor::Reply => Decision::TimedOut,
+        }
+    }
+
+    /// Whether the change may alter the reply to the command.
+    fn is_concerned_by(&self, change: &RecordChange) -> bool {
+        match (&self.command, change) {
+            (
+                Command::Claim { name, .. },
+                RecordChange::Released { name: changed }
+                | RecordChange::Completed { name: changed }
+                | RecordChange::Moved { name: changed, .. },
+            ) => name == changed,
+            (
+                Command::StartCall { name, ordinal, .. },
+                RecordChange::CallCompleted {
+                    name: changed,
+                    ordinal: changed_ordinal,
+                },
+            ) => name == changed && ordinal == changed_ordinal,
+            _ => false,
         }
     }
 }
 
-/// The machine.
+/// The state machine of one incarnation of a member: see the module.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct WorkRecorder {
-    me: MemberInstance,
-    may_act: bool,
-    most: usize,
-    open: BTreeMap<OperationId, PendingOperation>,
-    /// Questions given up whose answer may still come.
-    late: BTreeMap<OperationId, Command>,
-    next_own: u64,
+    local: MemberInstance,
+    lease_valid: bool,
+    max_pending: usize,
+    pending: BTreeMap<OperationId, PendingOperation>,
+    /// Operations that were given up and whose reply may still arrive.
+    abandoned: BTreeMap<OperationId, Command>,
+    last_own_operation: u64,
 }
 
-/// Tickets of the machine's own have this bit; askers' have not.
-const OWN: u64 = 1 << 63;
-
 impl WorkRecorder {
-    /// A machine for one life of a member, with at most `most` questions open and as many given up.
-    pub fn new(me: MemberInstance, most: usize) -> Self {
+    /// A recorder for one incarnation, with at most `max_pending` operations pending and as many abandoned.
+    pub fn new(local: MemberInstance, max_pending: usize) -> Self {
         WorkRecorder {
-            me,
-            may_act: false,
-            most,
-            open: BTreeMap::new(),
-            late: BTreeMap::new(),
-            next_own: OWN,
+            local,
+            lease_valid: false,
+            max_pending,
+            pending: BTreeMap::new(),
+            abandoned: BTreeMap::new(),
+            last_own_operation: OWN_OPERATION_BIT,
         }
     }
 
-    /// Questions that have no verdict yet.
-    pub fn waiting(&self) -> usize {
-        self.open.len()
+    /// Number of operations without a decision.
+    pub fn pending_count(&self) -> usize {
+        self.pending.len()
     }
 
-    /// When to call [`Hands::handle`] with [`Event::Tick`].
+    /// When [`WorkRecorder::handle`] is to be called with [`Event::Tick`].
     pub fn timeout(&self) -> Option<Micros> {
-        self.open.values().filter_map(|q| q.until).min()
+        let operations = self.pending.values();
+        operations.filter_map(|operation| operation.deadline).min()
     }
 
-    /// Takes one event in and appends what is to be done.
+    /// Handles an event and appends the actions that follow.
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
-        // First of all: what waited past its time must not be let out by what comes late.
-        self.give_up(now, out);
+        // First of all: an operation past its deadline must not be granted by a late reply.
+        self.expire(now, out);
         match event {
             Event::Tick => {}
-            Event::Ask {
-                ticket,
+            Event::Request {
+                operation,
                 command,
-                until,
-            } => {
-                let verdict = if !self.may_act {
-                    Some(Decision::Cut)
-                } else if now >= until {
-                    Some(Decision::Late)
-                } else if self.open.len() >= self.most {
-                    Some(Decision::Refused(Rejection::Full))
-                } else {
-                    None
-                };
-                if let Some(verdict) = verdict {
-                    return out.push(Action::Verdict { ticket, verdict });
-                }
-                self.put(ticket, command, Some(until), out);
-            }
-            Event::Tell { ticket, command } => self.put(ticket, command, None, out),
-            Event::Reply { ticket, reply } => self.reply(ticket, reply, out),
-            Event::Notice(notice) => self.notice(notice, out),
-            Event::Restored => {
-                for (ticket, question) in &mut self.open {
-                    question.stir(*ticket, out);
+                deadline,
+            } => self.on_request(now, operation, command, deadline, out),
+            Event::Report { operation, command } => self.propose(operation, command, None, out),
+            Event::Reply { operation, reply } => self.on_reply(operation, reply, out),
+            Event::RecordChanged(change) => self.on_record_changed(change, out),
+            Event::SnapshotRestored => {
+                for (operation, pending) in &mut self.pending {
+                    pending.on_change(*operation, out);
                 }
             }
-            Event::MayAct(may) => {
-                self.may_act = may;
-                if !may {
-                    let asked: Vec<OperationId> = self
-                        .open
-                        .iter()
-                        .filter(|(_, q)| q.until.is_some())
-                        .map(|(t, _)| *t)
-                        .collect();
-                    asked
-                        .into_iter()
-                        .for_each(|t| self.end(t, Decision::Cut, out));
+            Event::LeaseValid(valid) => {
+                self.lease_valid = valid;
+                if !valid {
+                    self.cancel_requests(out);
                 }
             }
         }
     }
 
-    fn put(
+    fn on_request(
         &mut self,
-        ticket: OperationId,
+        now: Micros,
+        operation: OperationId,
         command: Command,
-        until: Option<Micros>,
+        deadline: Micros,
         out: &mut Vec<Action>,
     ) {
-        out.push(Action::Propose {
-            ticket,
-            command: command.clone(),
+        let decision = if !self.lease_valid {
+            Decision::LeaseLost
+        } else if now >= deadline {
+            Decision::TimedOut
+        } else if self.pending.len() >= self.max_pending {
+            Decision::Rejected(Rejection::CapacityExceeded)
+        } else {
+            return self.propose(operation, command, Some(deadline), out);
+        };
+        out.push(Action::Decided {
+            operation,
+            decision,
         });
-        self.open.insert(
-            ticket,
-            PendingOperation {
-                command,
-                until,
-                wait: Wait::Reply,
-                stirred: false,
-            },
-        );
     }
 
-    /// Gives a verdict; if the group's answer may still come, what it then grants is given back.
-    fn end(&mut self, ticket: OperationId, verdict: Decision, out: &mut Vec<Action>) {
-        let Some(question) = self.open.remove(&ticket) else {
+    fn propose(
+        &mut self,
+        operation: OperationId,
+        command: Command,
+        deadline: Option<Micros>,
+        out: &mut Vec<Action>,
+    ) {
+        let pending = PendingOperation {
+            command,
+            deadline,
+            waiting_for: WaitingFor::Reply,
+            propose_again: false,
+        };
+        out.push(pending.proposal(operation));
+        self.pending.insert(operation, pending);
+    }
+
+    /// Decides an operation. If the reply to its proposal may still arrive, a grant in it will be given back.
+    fn decide(&mut self, operation: OperationId, decision: Decision, out: &mut Vec<Action>) {
+        let Some(pending) = self.pending.remove(&operation) else {
             return;
         };
-        if question.wait == Wait::Reply && matches!(verdict, Decision::Late | Decision::Cut) {
-            if self.late.len() >= self.most {
-                self.late.pop_first();
+        let given_up = matches!(decision, Decision::TimedOut | Decision::LeaseLost);
+        if given_up && pending.waiting_for == WaitingFor::Reply {
+            if self.abandoned.len() >= self.max_pending {
+                self.abandoned.pop_first();
             }
-            self.late.insert(ticket, question.command);
+            self.abandoned.insert(operation, pending.command);
+        }
+        out.push(Action::Decided {
+            operation,
+            decision,
+        });
+    }
+
+    /// Decides the operations whose deadline has passed.
+    fn expire(&mut self, now: Micros, out: &mut Vec<Action>) {
+        let expired: Vec<_> = self
+            .pending
+            .iter()
+            .filter(|(_, pending)| pending.deadline.is_some_and(|deadline| deadline <= now))
+            .map(|(operation, pending)| (*operation, pending.decision_at_deadline()))
+            .collect();
+        for (operation, decision) in expired {
+            self.decide(operation, decision, out);
         }
-        out.push(Action::Verdict { ticket, verdict });
     }
 
-    fn give_up(&mut self, now: Micros, out: &mut Vec<Action>) {
-        let over: Vec<OperationId> = self
-            .open
+    /// Without a lease nothing may go out; reports stay pending.
+    fn cancel_requests(&mut self, out: &mut Vec<Action>) {
+        let requests: Vec<_> = self
+            .pending
             .iter()
-            .filter(|(_, q)| q.until.is_some_and(|u| u <= now))
-            .map(|(t, _)| *t)
+            .filter(|(_, pending)| pending.deadline.is_some())
+            .map(|(operation, _)| *operation)
             .collect();
-        for ticket in over {
-            let verdict = match self.open.get(&ticket).map(|q| &q.wait) {
-                Some(Wait::Open(owner)) => Decision::InHand(owner.clone()),
-                Some(Wait::Outcome) => Decision::Known(CallState::Out),
-                _ => Decision::Late,
-            };
-            self.end(ticket, verdict, out);
+        for operation in requests {
+            self.decide(operation, Decision::LeaseLost, out);
         }
     }
 
-    fn reply(&mut self, ticket: OperationId, reply: Option<Reply>, out: &mut Vec<Action>) {
-        if let Some(command) = self.late.remove(&ticket) {
-            return self.came_late(command, reply, out);
+    fn on_reply(&mut self, operation: OperationId, reply: Option<Reply>, out: &mut Vec<Action>) {
+        if let Some(command) = self.abandoned.remove(&operation) {
+            return self.on_late_reply(command, reply, out);
         }
-        let Some(question) = self.open.get_mut(&ticket) else {
+        let Some(pending) = self.pending.get_mut(&operation) else {
             return;
         };
-        if question.wait != Wait::Reply {
+        if pending.waiting_for != WaitingFor::Reply {
             return;
         }
-        if question.until.is_none() {
-            // Told, not asked: over when it is written down, or of no use any more.
+        if pending.deadline.is_none() {
+            // A report is done when it is recorded, or rejected as of no use any more.
             if reply.is_some() {
-                self.open.remove(&ticket);
+                self.pending.remove(&operation);
             } else {
-                out.push(Action::Propose {
-                    ticket,
-                    command: question.command.clone(),
-                });
+                out.push(pending.proposal(operation));
             }
             return;
         }
-        let verdict = match reply {
+        let decision = match reply {
             Some(Reply::Claimed(record)) => Decision::Claimed(record),
-            Some(Reply::Ended(answer)) => Decision::Ended(answer),
-            Some(Reply::Done | Reply::Go | Reply::Adopted(_)) => Decision::Go,
-            Some(Reply::Known(CallState::Out)) => {
-                return Self::wait(question, ticket, Wait::Outcome, out);
+            Some(Reply::Completed(response)) => Decision::Completed(response),
+            Some(Reply::Recorded | Reply::Proceed | Reply::TakenOver(_)) => Decision::Proceed,
+            Some(Reply::KnownCall(CallState::InFlight)) => {
+                return pending.wait_for(operation, WaitingFor::CallOutcome, out);
             }
-            Some(Reply::Known(stage)) => Decision::Known(stage),
-            Some(Reply::Refused(Rejection::InHand(owner))) => {
-                return Self::wait(question, ticket, Wait::Open(owner), out);
+            Some(Reply::KnownCall(state)) => Decision::KnownCall(state),
+            Some(Reply::Rejected(Rejection::OwnedBy(owner))) => {
+                return pending.wait_for(operation, WaitingFor::Release(owner), out);
             }
-            Some(Reply::Refused(refusal)) => Decision::Refused(refusal),
-            None => Decision::Late,
+            Some(Reply::Rejected(rejection)) => Decision::Rejected(rejection),
+            None => Decision::TimedOut,
         };
-        self.end(ticket, verdict, out);
+        self.decide(operation, decision, out);
     }
 
-    fn wait(
-        question: &mut PendingOperation,
-        ticket: OperationId,
-        wait: Wait,
-        out: &mut Vec<Action>,
-    ) {
-        if std::mem::take(&mut question.stirred) {
-            out.push(Action::Propose {
-                ticket,
-                command: question.command.clone(),
-            });
-        } else {
-            question.wait = wait;
-        }
-    }
-
-    /// The group has granted what nobody waits for any more.
-    fn came_late(&mut self, command: Command, reply: Option<Reply>, out: &mut Vec<Action>) {
-        let back = match (command, reply) {
-            (Command::Claim { name, .. }, Some(Reply::Claimed(record))) => Command::LetGo {
+    /// Gives back what was granted after the operation was given up.
+    fn on_late_reply(&mut self, command: Command, reply: Option<Reply>, out: &mut Vec<Action>) {
+        let undo = match (command, reply) {
+            (Command::Claim { name, .. }, Some(Reply::Claimed(record))) => Command::Release {
                 name,
                 generation: record.generation,
-                harmless: false,
-            },
-            // It was let out and never went: whoever asks for it next may make it.
-            (Command::Call { name, ordinal, .. }, Some(Reply::Go)) => Command::CallEnded {
-                name,
-                ordinal,
-                outcome: None,
+                not_executed: false,
             },
+            // The call was granted and never went out: the next member that asks may make it.
+            (Command::StartCall { name, ordinal, .. }, Some(Reply::Proceed)) => {
+                Command::CompleteCall {
+                    name,
+                    ordinal,
+                    outcome: None,
+                }
+            }
             _ => return,
         };
-        self.next_own += 1;
-        self.put(OperationId(self.next_own), back, None, out);
+        self.last_own_operation += 1;
+        let operation = OperationId(self.last_own_operation);
+        self.propose(operation, undo, None, out);
     }
 
-    fn notice(&mut self, notice: RecordChange, out: &mut Vec<Action>) {
-        for (ticket, question) in &mut self.open {
-            let concerned = match (&question.command, &notice) {
-                (
-                    Command::Claim { name, .. },
-                    RecordChange::Open { name: n }
-                    | RecordChange::Ended { name: n }
-                    | RecordChange::Moved { name: n, .. },
-                ) => name == n,
-                (
-                    Command::Call { name, ordinal, .. },
-                    RecordChange::CallEnded {
-                        name: n,
-                        ordinal: o,
-                    },
-                ) => name == n && ordinal == o,
-                _ => false,
-            };
-            if concerned {
-                question.stir(*ticket, out);
+    fn on_record_changed(&mut self, change: RecordChange, out: &mut Vec<Action>) {
+        for (operation, pending) in &mut self.pending {
+            if pending.is_concerned_by(&change) {
+                pending.on_change(*operation, out);
             }
         }
-        if let RecordChange::Moved { name, from, .. } = notice
-            && from == self.me
+        if let RecordChange::Moved { name, from, .. } = change
+            && from == self.local
         {
-            out.push(Action::Moved { name });
+            out.push(Action::RequestMoved { name });
         }
     }
 }
--- a/src/fleet/work/recorder/tests.rs
+++ b/src/fleet/work/recorder/tests.rs
@@ -1,14 +1,14 @@
-use super::super::Bounds;
+use super::super::Capacity;
 use super::*;
 use crate::fleet::{Incarnation, MemberName};
 use rstest::rstest;
 
-const NO_BOUNDS: Bounds = Bounds {
+const NO_BOUNDS: Capacity = Capacity {
     records: u64::MAX,
     bytes: u64::MAX,
 };
 
-fn who(name: &str) -> MemberInstance {
+fn member(name: &str) -> MemberInstance {
     MemberInstance {
         name: MemberName::try_from(name).unwrap(),
         incarnation: Incarnation(1),
@@ -18,149 +18,164 @@
 fn claim() -> Command {
     Command::Claim {
         name: "r".into(),
-        once: true,
-        resumes: true,
-        bounds: NO_BOUNDS,
+        at_most_once: true,
+        resume: true,
+        capacity: NO_BOUNDS,
     }
 }
 
 fn call() -> Command {
-    Command::Call {
+    Command::StartCall {
         name: "r".into(),
         generation: 1,
         ordinal: 0,
         arguments: 7,
-        bounds: NO_BOUNDS,
+        capacity: NO_BOUNDS,
     }
 }
 
-struct Side(WorkRecorder, Vec<Action>);
+struct TestRecorder(WorkRecorder, Vec<Action>);
 
-impl Side {
-    fn start() -> Side {
-        let mut side = Side(WorkRecorder::new(who("c1"), 4), Vec::new());
-        side.tell(0, Event::MayAct(true));
-        side
+impl TestRecorder {
+    fn start() -> TestRecorder {
+        let mut recorder = TestRecorder(WorkRecorder::new(member("c1"), 4), Vec::new());
+        recorder.handle(0, Event::LeaseValid(true));
+        recorder
     }
 
-    fn tell(&mut self, now: Micros, event: Event) -> Vec<Action> {
+    fn handle(&mut self, now: Micros, event: Event) -> Vec<Action> {
         self.0.handle(now, event, &mut self.1);
         std::mem::take(&mut self.1)
     }
 
-    fn ask(&mut self, ticket: u64, command: Command, until: Micros) -> Vec<Action> {
-        self.tell(
+    fn request(&mut self, operation: u64, command: Command, deadline: Micros) -> Vec<Action> {
+        self.handle(
             0,
-            Event::Ask {
-                ticket: OperationId(ticket),
+            Event::Request {
+                operation: OperationId(operation),
                 command,
-                until,
+                deadline,
             },
         )
     }
 
-    fn reply(&mut self, now: Micros, ticket: u64, reply: Reply) -> Vec<Action> {
-        self.tell(
+    fn reply(&mut self, now: Micros, operation: u64, reply: Reply) -> Vec<Action> {
+        self.handle(
             now,
             Event::Reply {
-                ticket: OperationId(ticket),
+                operation: OperationId(operation),
                 reply: Some(reply),
             },
         )
     }
 }
 
-fn verdict(ticket: u64, verdict: Decision) -> Action {
-    Action::Verdict {
-        ticket: OperationId(ticket),
-        verdict,
+fn decided(operation: u64, decision: Decision) -> Action {
+    Action::Decided {
+        operation: OperationId(operation),
+        decision,
     }
 }
 
 #[test]
-fn a_call_in_flight_elsewhere_is_waited_for_and_asked_for_anew() {
-    let mut side = Side::start();
+fn call_in_flight_elsewhere_is_awaited_and_proposed_again() {
+    let mut recorder = TestRecorder::start();
     assert_eq!(
-        side.ask(1, call(), 100),
+        recorder.request(1, call(), 100),
         [Action::Propose {
-            ticket: OperationId(1),
+            operation: OperationId(1),
             command: call()
         }]
     );
-    assert!(side.reply(1, 1, Reply::Known(CallState::Out)).is_empty());
-    let other = RecordChange::CallEnded {
+    assert!(
+        recorder
+            .reply(1, 1, Reply::KnownCall(CallState::InFlight))
+            .is_empty()
+    );
+    let other = RecordChange::CallCompleted {
         name: "r".into(),
         ordinal: 1,
     };
-    assert!(side.tell(2, Event::Notice(other)).is_empty());
-    let ended = RecordChange::CallEnded {
+    assert!(recorder.handle(2, Event::RecordChanged(other)).is_empty());
+    let ended = RecordChange::CallCompleted {
         name: "r".into(),
         ordinal: 0,
     };
-    let again = side.tell(2, Event::Notice(ended));
+    let again = recorder.handle(2, Event::RecordChanged(ended));
     assert_eq!(
         again,
         [Action::Propose {
-            ticket: OperationId(1),
+            operation: OperationId(1),
             command: call()
         }]
     );
-    let known = side.reply(3, 1, Reply::Known(CallState::Unknown));
-    assert_eq!(known, [verdict(1, Decision::Known(CallState::Unknown))]);
+    let known = recorder.reply(3, 1, Reply::KnownCall(CallState::OutcomeUnknown));
+    assert_eq!(
+        known,
+        [decided(1, Decision::KnownCall(CallState::OutcomeUnknown))]
+    );
 }
 
 #[rstest]
 #[case::in_time(50, true)]
 #[case::too_late(100, false)]
-fn a_request_in_other_hands_is_waited_for_until_its_time(
-    #[case] at: Micros,
-    #[case] asked_again: bool,
-) {
-    let mut side = Side::start();
-    side.ask(1, claim(), 100);
+fn request_of_other_owner_is_awaited_until_deadline(#[case] at: Micros, #[case] asked_again: bool) {
+    let mut recorder = TestRecorder::start();
+    recorder.request(1, claim(), 100);
     assert!(
-        side.reply(1, 1, Reply::Refused(Rejection::InHand(who("c2"))))
+        recorder
+            .reply(1, 1, Reply::Rejected(Rejection::OwnedBy(member("c2"))))
             .is_empty()
     );
-    let actions = side.tell(at, Event::Notice(RecordChange::Open { name: "r".into() }));
+    let actions = recorder.handle(
+        at,
+        Event::RecordChanged(RecordChange::Released { name: "r".into() }),
+    );
     let wanted = if asked_again {
         Action::Propose {
-            ticket: OperationId(1),
+            operation: OperationId(1),
             command: claim(),
         }
     } else {
-        verdict(1, Decision::InHand(who("c2")))
+        decided(1, Decision::OwnedBy(member("c2")))
     };
     assert_eq!(actions, [wanted]);
 }
 
-/// Guards against a wait for what has happened already.
+/// Guards against waiting for a change that has already happened.
 #[test]
-fn an_answer_that_a_notice_has_overtaken_is_asked_for_anew() {
-    let mut side = Side::start();
-    side.ask(1, claim(), 100);
+fn reply_overtaken_by_change_is_proposed_again() {
+    let mut recorder = TestRecorder::start();
+    recorder.request(1, claim(), 100);
     assert!(
-        side.tell(1, Event::Notice(RecordChange::Open { name: "r".into() }))
+        recorder
+            .handle(
+                1,
+                Event::RecordChanged(RecordChange::Released { name: "r".into() })
+            )
             .is_empty()
     );
-    let again = side.reply(2, 1, Reply::Refused(Rejection::InHand(who("c2"))));
+    let again = recorder.reply(2, 1, Reply::Rejected(Rejection::OwnedBy(member("c2"))));
     assert_eq!(
         again,
         [Action::Propose {
-            ticket: OperationId(1),
+            operation: OperationId(1),
             command: claim()
         }]
     );
 }
 
-/// Guards against a call that goes out when nobody waits for it, and against one that then nobody may make.
+/// Guards against a call that goes out without a waiter, and against one that then nobody may make.
 #[test]
-fn what_is_granted_too_late_goes_out_nowhere_and_is_given_back() {
-    let mut side = Side::start();
-    side.ask(1, call(), 100);
-    assert_eq!(side.tell(100, Event::Tick), [verdict(1, Decision::Late)]);
-    let actions = side.reply(101, 1, Reply::Go);
-    let back = Command::CallEnded {
+fn late_grant_is_given_back() {
+    let mut recorder = TestRecorder::start();
+    recorder.request(1, call(), 100);
+    assert_eq!(
+        recorder.handle(100, Event::Tick),
+        [decided(1, Decision::TimedOut)]
+    );
+    let actions = recorder.reply(101, 1, Reply::Proceed);
+    let back = Command::CompleteCall {
         name: "r".into(),
         ordinal: 0,
         outcome: None,
@@ -172,64 +187,68 @@
 }
 
 #[test]
-fn without_a_life_lease_nothing_goes_out() {
-    let mut side = Side::start();
-    side.ask(1, call(), 100);
+fn operations_are_rejected_without_session_lease() {
+    let mut recorder = TestRecorder::start();
+    recorder.request(1, call(), 100);
+    assert_eq!(
+        recorder.handle(1, Event::LeaseValid(false)),
+        [decided(1, Decision::LeaseLost)]
+    );
     assert_eq!(
-        side.tell(1, Event::MayAct(false)),
-        [verdict(1, Decision::Cut)]
+        recorder.request(2, call(), 100),
+        [decided(2, Decision::LeaseLost)]
     );
-    assert_eq!(side.ask(2, call(), 100), [verdict(2, Decision::Cut)]);
     assert!(
-        side.reply(2, 1, Reply::Go)
+        recorder
+            .reply(2, 1, Reply::Proceed)
             .iter()
-            .all(|a| !matches!(a, Action::Verdict { .. }))
+            .all(|a| !matches!(a, Action::Decided { .. }))
     );
 }
 
 #[test]
-fn a_process_that_was_stopped_past_the_time_is_not_let_out_by_an_old_answer() {
-    let mut side = Side::start();
-    side.ask(1, call(), 100);
-    let actions = side.reply(5_000, 1, Reply::Go);
-    assert_eq!(actions[0], verdict(1, Decision::Late));
+fn reply_after_deadline_does_not_grant() {
+    let mut recorder = TestRecorder::start();
+    recorder.request(1, call(), 100);
+    let actions = recorder.reply(5_000, 1, Reply::Proceed);
+    assert_eq!(actions[0], decided(1, Decision::TimedOut));
 }
 
 #[test]
-fn questions_are_bounded_and_what_is_told_is_told_until_it_is_written() {
-    let mut side = Side::start();
+fn pending_operations_are_bounded_and_reports_are_retried() {
+    let mut recorder = TestRecorder::start();
     for ticket in 0..4 {
-        side.ask(ticket, call(), 100);
+        recorder.request(ticket, call(), 100);
     }
     assert_eq!(
-        side.ask(9, call(), 100),
-        [verdict(9, Decision::Refused(Rejection::Full))]
+        recorder.request(9, call(), 100),
+        [decided(9, Decision::Rejected(Rejection::CapacityExceeded))]
     );
-    let tell = Event::Tell {
-        ticket: OperationId(10),
+    let tell = Event::Report {
+        operation: OperationId(10),
         command: claim(),
     };
     assert_eq!(
-        side.tell(0, tell),
+        recorder.handle(0, tell),
         [Action::Propose {
-            ticket: OperationId(10),
+            operation: OperationId(10),
             command: claim()
         }]
     );
-    let again = side.tell(
+    let again = recorder.handle(
         1,
         Event::Reply {
-            ticket: OperationId(10),
+            operation: OperationId(10),
             reply: None,
         },
     );
     assert_eq!(
         again,
         [Action::Propose {
-            ticket: OperationId(10),
+            operation: OperationId(10),
             command: claim()
         }]
     );
-    assert!(side.reply(2, 10, Reply::Done).is_empty());
-    assert_eq!(side.0.waiting(), 4);
+    assert!(recorder.reply(2, 10, Reply::Recorded).is_empty());
+    assert_eq!(recorder.0.pending_count(), 4);
 }
--- a/src/fleet/work/tests.rs
+++ b/src/fleet/work/tests.rs
@@ -1,73 +1,73 @@
 use super::*;
-use crate::fleet::{Incarnation, MemberName};
+use crate::fleet::{Incarnation, Index, MemberInstance, MemberName};
 use rstest::rstest;
 
-const ROOM: Bounds = Bounds {
+const CAPACITY: Capacity = Capacity {
     records: 100,
     bytes: 100_000,
 };
 
-fn who(name: &str) -> MemberInstance {
+fn member(name: &str) -> MemberInstance {
     MemberInstance {
         name: MemberName::try_from(name).unwrap(),
         incarnation: Incarnation(1),
     }
 }
 
-/// A table driven by a log of its own.
+/// A table and a log that drives it.
 #[derive(Default)]
 struct Log {
     table: Table,
     index: u64,
-    notices: Vec<RecordChange>,
+    changes: Vec<RecordChange>,
     ended: Vec<MemberInstance>,
 }
 
 impl Log {
-    fn put(&mut self, by: &str, command: Command) -> Reply {
+    fn apply(&mut self, by: &str, command: Command) -> Reply {
         self.index += 1;
-        let alive = !self.ended.contains(&who(by));
+        let alive = !self.ended.contains(&member(by));
         let reply = self.table.apply(
             Index(self.index),
-            &who(by),
+            &member(by),
             alive,
             command,
-            &mut self.notices,
+            &mut self.changes,
         );
         assert_eq!(self.table.bytes(), self.counted());
         reply
     }
 
-    fn end(&mut self, life: &str) {
+    fn end_incarnation(&mut self, name: &str) {
         self.index += 1;
-        self.ended.push(who(life));
+        self.ended.push(member(name));
         self.table
-            .life_ended(Index(self.index), &who(life), &mut self.notices);
+            .on_incarnation_ended(Index(self.index), &member(name), &mut self.changes);
     }
 
     fn counted(&self) -> u64 {
         let sent: u64 = self
             .table
-            .sent
+            .upstream_sends
             .keys()
             .map(|id| RECORD_OVERHEAD_BYTES + id.len() as u64)
             .sum();
         sent + self
             .table
-            .named
+            .client_requests
             .iter()
-            .map(|(n, r)| r.bytes(n))
+            .map(|(n, r)| r.size_bytes(n))
             .sum::<u64>()
     }
 
     fn claim(&mut self, by: &str, resumes: bool) -> Reply {
-        self.put(
+        self.apply(
             by,
             Command::Claim {
                 name: "r".into(),
-                once: true,
-                resumes,
-                bounds: ROOM,
+                at_most_once: true,
+                resume: resumes,
+                capacity: CAPACITY,
             },
         )
     }
@@ -75,38 +75,38 @@
     fn send(&mut self, by: &str, generation: u64, reads: bool) -> Reply {
         let name = Some(("r".to_owned(), generation));
         let (id, worker) = (format!("id-{by}"), "w".to_owned());
-        self.put(
+        self.apply(
             by,
-            Command::Send {
+            Command::StartSend {
                 id,
                 worker,
                 name,
-                reads,
-                most_attempts: 3,
-                bounds: ROOM,
+                read_only: reads,
+                max_attempts: 3,
+                capacity: CAPACITY,
             },
         )
     }
 
     fn call(&mut self, by: &str, generation: u64, arguments: u128) -> Reply {
         let name = "r".to_owned();
-        self.put(
+        self.apply(
             by,
-            Command::Call {
+            Command::StartCall {
                 name,
                 generation,
                 ordinal: 0,
                 arguments,
-                bounds: ROOM,
+                capacity: CAPACITY,
             },
         )
     }
 
     fn call_ended(&mut self, by: &str, outcome: Option<&[u8]>) -> Reply {
         let outcome = outcome.map(<[u8]>::to_vec);
-        self.put(
+        self.apply(
             by,
-            Command::CallEnded {
+            Command::CompleteCall {
                 name: "r".into(),
                 ordinal: 0,
                 outcome,
@@ -126,242 +126,289 @@
 #[case::nothing_went_out(None, false)]
 #[case::only_a_read(Some(true), false)]
 #[case::a_write_that_may_have_run(Some(false), true)]
-fn a_dead_owner_s_request_is_settled_by_how_far_it_came(
-    #[case] sent: Option<bool>,
-    #[case] failed: bool,
-) {
+fn request_of_dead_owner_is_settled_by_its_stage(#[case] sent: Option<bool>, #[case] failed: bool) {
     let mut log = Log::default();
     let g = generation(log.claim("c1", false));
     if let Some(reads) = sent {
-        assert_eq!(log.send("c1", g, reads), Reply::Done);
+        assert_eq!(log.send("c1", g, reads), Reply::Recorded);
     }
     assert_eq!(
         log.claim("c2", false),
-        Reply::Refused(Rejection::InHand(who("c1")))
+        Reply::Rejected(Rejection::OwnedBy(member("c1")))
     );
-    log.end("c1");
+    log.end_incarnation("c1");
     let reply = log.claim("c2", false);
     if failed {
-        // The same at whichever conductor its client asks, however often.
-        assert_eq!(reply, Reply::Ended(FinalResponse::Failed));
-        assert_eq!(log.claim("c3", true), Reply::Ended(FinalResponse::Failed));
+        // The same at every member, however often the client asks.
+        assert_eq!(reply, Reply::Completed(FinalResponse::Failed));
+        assert_eq!(
+            log.claim("c3", true),
+            Reply::Completed(FinalResponse::Failed)
+        );
     } else {
         assert_eq!(generation(reply), g + 1);
     }
-    // Late writes of an owner that was only stopped.
+    // Late writes of an owner that was only stopped are rejected.
     assert_eq!(
         log.send("c1", g, false),
-        Reply::Refused(Rejection::LifeEnded)
+        Reply::Rejected(Rejection::IncarnationEnded)
     );
 }
 
 #[test]
-fn a_request_that_was_refused_may_be_tried_again() {
+fn request_released_as_not_executed_may_be_claimed_again() {
     let mut log = Log::default();
     let g = generation(log.claim("c1", false));
     log.send("c1", g, false);
-    log.put(
+    log.apply(
         "c1",
-        Command::LetGo {
+        Command::Release {
             name: "r".into(),
             generation: g,
-            harmless: true,
+            not_executed: true,
         },
     );
     assert_eq!(generation(log.claim("c2", false)), g + 1);
 }
 
-/// Found by the model: a front that gave up waiting after its send, and was asked again by the same client.
+/// Found by the model: the owner timed out after its send, and the same client asked it again.
 #[test]
-fn an_owner_that_asks_anew_after_a_send_that_may_have_run_does_not_send_again() {
+fn second_claim_by_owner_after_send_fails_request() {
     let mut log = Log::default();
     let g = generation(log.claim("c1", false));
     log.send("c1", g, false);
-    assert_eq!(log.claim("c1", false), Reply::Ended(FinalResponse::Failed));
-    // Whoever waits for it at another conductor hears of that.
-    assert_eq!(log.notices, [RecordChange::Ended { name: "r".into() }]);
+    assert_eq!(
+        log.claim("c1", false),
+        Reply::Completed(FinalResponse::Failed)
+    );
+    // Waiters at other members see the change.
+    assert_eq!(log.changes, [RecordChange::Completed { name: "r".into() }]);
 }
 
 #[test]
-fn what_must_not_run_twice_and_has_begun_is_not_begun_anew() {
+fn started_at_most_once_request_can_only_be_resumed() {
     let mut log = Log::default();
     let g = generation(log.claim("c1", false));
     log.send("c1", g, false);
-    log.put(
+    log.apply(
         "c1",
-        Command::Began {
+        Command::ResponseStarted {
             name: "r".into(),
             generation: g,
         },
     );
-    log.put(
+    log.apply(
         "c1",
-        Command::LetGo {
+        Command::Release {
             name: "r".into(),
             generation: g,
-            harmless: false,
+            not_executed: false,
         },
     );
-    assert_eq!(log.claim("c2", false), Reply::Refused(Rejection::Begun));
+    assert_eq!(
+        log.claim("c2", false),
+        Reply::Rejected(Rejection::AlreadyStarted)
+    );
     assert_eq!(generation(log.claim("c2", true)), g + 1);
 }
 
 #[test]
-fn a_call_goes_out_once_whoever_asks_for_it_again() {
+fn tool_call_goes_out_once_across_owners() {
     let mut log = Log::default();
     let g1 = generation(log.claim("c1", false));
     log.send("c1", g1, false);
-    log.put(
+    log.apply(
         "c1",
-        Command::Began {
+        Command::ResponseStarted {
             name: "r".into(),
             generation: g1,
         },
     );
-    assert_eq!(log.call("c1", g1, 7), Reply::Go);
-    // Its client moves on while c1 lives: c2 has the request, the call stays c1's.
+    assert_eq!(log.call("c1", g1, 7), Reply::Proceed);
+    // The client moves on while c1 lives: c2 owns the request, the call remains c1's.
     let g2 = generation(log.claim("c2", true));
-    assert!(log.notices.contains(&RecordChange::Moved {
+    assert!(log.changes.contains(&RecordChange::Moved {
         name: "r".into(),
-        from: who("c1"),
-        to: who("c2")
+        from: member("c1"),
+        to: member("c2")
     }));
-    assert_eq!(log.call("c2", g2, 7), Reply::Known(CallState::Out));
+    assert_eq!(log.call("c2", g2, 7), Reply::KnownCall(CallState::InFlight));
     assert_eq!(
         log.call("c2", g2, 8),
-        Reply::Refused(Rejection::OtherArguments)
+        Reply::Rejected(Rejection::ArgumentsDiffer)
+    );
+    assert_eq!(
+        log.call("c1", g1, 7),
+        Reply::Rejected(Rejection::Superseded)
     );
-    assert_eq!(log.call("c1", g1, 7), Reply::Refused(Rejection::Superseded));
     assert_eq!(
         log.call_ended("c2", Some(b"x")),
-        Reply::Refused(Rejection::Superseded)
+        Reply::Rejected(Rejection::Superseded)
     );
-    assert_eq!(log.call_ended("c1", Some(b"out")), Reply::Done);
+    assert_eq!(log.call_ended("c1", Some(b"out")), Reply::Recorded);
     assert_eq!(
         log.call("c2", g2, 7),
-        Reply::Known(CallState::Ended(b"out".to_vec()))
+        Reply::KnownCall(CallState::Completed(b"out".to_vec()))
     );
 }
 
 #[test]
-fn a_call_whose_conductor_died_is_unknown_for_good_and_one_that_never_left_may_go() {
+fn call_of_dead_owner_is_unknown_and_unsent_call_may_be_retried() {
     let mut log = Log::default();
     let g1 = generation(log.claim("c1", false));
-    assert_eq!(log.call("c1", g1, 7), Reply::Go);
-    assert_eq!(log.call_ended("c1", None), Reply::Done);
-    assert_eq!(log.call("c1", g1, 7), Reply::Go);
-    log.end("c1");
+    assert_eq!(log.call("c1", g1, 7), Reply::Proceed);
+    assert_eq!(log.call_ended("c1", None), Reply::Recorded);
+    assert_eq!(log.call("c1", g1, 7), Reply::Proceed);
+    log.end_incarnation("c1");
     assert_eq!(
         log.call_ended("c1", Some(b"late")),
-        Reply::Refused(Rejection::LifeEnded)
+        Reply::Rejected(Rejection::IncarnationEnded)
     );
     let g2 = generation(log.claim("c2", true));
-    assert_eq!(log.call("c2", g2, 7), Reply::Known(CallState::Unknown));
+    assert_eq!(
+        log.call("c2", g2, 7),
+        Reply::KnownCall(CallState::OutcomeUnknown)
+    );
 }
 
 #[test]
-fn what_a_dead_life_left_is_adopted_by_one_and_again_when_that_one_dies() {
+fn orphaned_sends_are_taken_over_once_and_again_after_new_owner_dies() {
     let mut log = Log::default();
     let g = generation(log.claim("c1", false));
     log.send("c1", g, true);
     assert_eq!(
-        log.put("c2", Command::Adopt { dead: who("c1") }),
-        Reply::Refused(Rejection::Nothing)
+        log.apply(
+            "c2",
+            Command::TakeOver {
+                ended: member("c1")
+            }
+        ),
+        Reply::Rejected(Rejection::NothingToTakeOver)
     );
-    log.end("c1");
-    let left = Reply::Adopted(vec![("id-c1".into(), "w".into())]);
-    assert_eq!(log.put("c2", Command::Adopt { dead: who("c1") }), left);
+    log.end_incarnation("c1");
+    let left = Reply::TakenOver(vec![("id-c1".into(), "w".into())]);
     assert_eq!(
-        log.put("c3", Command::Adopt { dead: who("c1") }),
-        Reply::Refused(Rejection::Nothing)
+        log.apply(
+            "c2",
+            Command::TakeOver {
+                ended: member("c1")
+            }
+        ),
+        left
     );
-    log.end("c2");
-    assert_eq!(log.put("c3", Command::Adopt { dead: who("c2") }), left);
-    log.put(
+    assert_eq!(
+        log.apply(
+            "c3",
+            Command::TakeOver {
+                ended: member("c1")
+            }
+        ),
+        Reply::Rejected(Rejection::NothingToTakeOver)
+    );
+    log.end_incarnation("c2");
+    assert_eq!(
+        log.apply(
+            "c3",
+            Command::TakeOver {
+                ended: member("c2")
+            }
+        ),
+        left
+    );
+    log.apply(
         "c3",
-        Command::Over {
+        Command::CompleteSends {
             ids: vec!["id-c1".into()],
         },
     );
-    assert!(log.table.sent("id-c1").is_none());
-    log.end("c3");
-    assert_eq!(log.table.orphaned().count(), 0);
+    assert!(log.table.upstream_send("id-c1").is_none());
+    log.end_incarnation("c3");
+    assert_eq!(log.table.orphaned_incarnations().count(), 0);
 }
 
 #[test]
-fn attempts_belong_to_the_request_and_the_first_final_answer_stands() {
+fn attempts_survive_takeover_and_first_final_response_stands() {
     let mut log = Log::default();
     let g1 = generation(log.claim("c1", false));
     log.send("c1", g1, true);
     log.send("c1", g1, true);
-    log.end("c1");
+    log.end_incarnation("c1");
     let g2 = generation(log.claim("c2", false));
-    assert_eq!(log.send("c2", g2, true), Reply::Done);
-    assert_eq!(log.send("c2", g2, true), Reply::Refused(Rejection::Spent));
-    let done = FinalResponse::Done {
+    assert_eq!(log.send("c2", g2, true), Reply::Recorded);
+    assert_eq!(
+        log.send("c2", g2, true),
+        Reply::Rejected(Rejection::AttemptsExhausted)
+    );
+    let done = FinalResponse::Completed {
         text: Some("text".into()),
-        last: b"{}".to_vec(),
+        last_line: b"{}".to_vec(),
     };
-    let answer = |answer: &FinalResponse| Command::Answer {
+    let answer = |answer: &FinalResponse| Command::Complete {
         name: "r".into(),
         generation: g2,
-        answer: answer.clone(),
+        response: answer.clone(),
     };
-    assert_eq!(log.put("c2", answer(&done)), Reply::Done);
+    assert_eq!(log.apply("c2", answer(&done)), Reply::Recorded);
     assert_eq!(
-        log.put("c2", answer(&FinalResponse::Failed)),
-        Reply::Ended(done.clone())
+        log.apply("c2", answer(&FinalResponse::Failed)),
+        Reply::Completed(done.clone())
     );
-    assert_eq!(log.claim("c3", true), Reply::Ended(done));
+    assert_eq!(log.claim("c3", true), Reply::Completed(done));
 }
 
 #[test]
-fn full_means_nothing_new_and_nothing_recorded_is_dropped() {
+fn full_table_rejects_new_records_and_drops_none() {
     let mut log = Log::default();
-    let bounds = Bounds {
+    let bounds = Capacity {
         records: 1,
         bytes: 100_000,
     };
     let claim = |name: &str| Command::Claim {
         name: name.into(),
-        once: true,
-        resumes: false,
-        bounds,
+        at_most_once: true,
+        resume: false,
+        capacity: bounds,
     };
-    generation(log.put("c1", claim("a")));
-    assert_eq!(log.put("c1", claim("b")), Reply::Refused(Rejection::Full));
-    assert!(log.table.named("a").is_some());
-    let narrow = Bounds {
+    generation(log.apply("c1", claim("a")));
+    assert_eq!(
+        log.apply("c1", claim("b")),
+        Reply::Rejected(Rejection::CapacityExceeded)
+    );
+    assert!(log.table.client_request("a").is_some());
+    let narrow = Capacity {
         records: 9,
         bytes: log.table.bytes(),
     };
-    let call = Command::Call {
+    let call = Command::StartCall {
         name: "a".into(),
         generation: 1,
         ordinal: 0,
         arguments: 1,
-        bounds: narrow,
+        capacity: narrow,
     };
-    assert_eq!(log.put("c1", call), Reply::Refused(Rejection::Full));
+    assert_eq!(
+        log.apply("c1", call),
+        Reply::Rejected(Rejection::CapacityExceeded)
+    );
 }
 
 #[test]
-fn a_record_is_forgotten_only_when_it_rests_for_the_time_set() {
-    let (mut log, mut keeper) = (Log::default(), RetentionTracker::default());
+fn record_is_removed_only_after_unchanged_retention_time() {
+    let (mut log, mut tracker) = (Log::default(), RetentionTracker::default());
     generation(log.claim("c1", false));
-    assert!(keeper.due(0, 10, 9, &log.table).is_empty());
-    log.end("c1");
-    assert!(keeper.due(5, 10, 9, &log.table).is_empty());
-    let due = keeper.due(15, 10, 9, &log.table);
+    assert!(tracker.due(0, 10, 9, &log.table).is_empty());
+    log.end_incarnation("c1");
+    assert!(tracker.due(5, 10, 9, &log.table).is_empty());
+    let due = tracker.due(15, 10, 9, &log.table);
     generation(log.claim("c2", false));
-    // Taken up again meanwhile: what was due is void.
+    // Claimed again meanwhile: the command is void.
     assert_eq!(
-        log.put("c3", due[0].clone()),
-        Reply::Refused(Rejection::Superseded)
+        log.apply("c3", due[0].clone()),
+        Reply::Rejected(Rejection::Superseded)
     );
-    log.end("c2");
-    keeper.due(20, 10, 9, &log.table);
-    let due = keeper.due(30, 10, 9, &log.table);
-    assert_eq!(log.put("c3", due[0].clone()), Reply::Done);
+    log.end_incarnation("c2");
+    tracker.due(20, 10, 9, &log.table);
+    let due = tracker.due(30, 10, 9, &log.table);
+    assert_eq!(log.apply("c3", due[0].clone()), Reply::Recorded);
     assert!(log.table.is_empty() && log.table.bytes() == 0);
 }
--- a/src/front/jsonrpc.rs
+++ b/src/front/jsonrpc.rs
@@ -908,12 +908,14 @@
                 };
                 if let Some(claim) = &job.claim {
                     // On record before the client hears it: it is the same then at whichever conductor it asks.
-                    let answer = FinalResponse::Done {
+                    let answer = FinalResponse::Completed {
                         text: job.text.take(),
-                        last: encode(&last),
+                        last_line: encode(&last),
                     };
                     match claim.end(answer).await {
-                        Some(FinalResponse::Done { last: stands, .. }) => {
+                        Some(FinalResponse::Completed {
+                            last_line: stands, ..
+                        }) => {
                             last = serde_json::from_slice(&stands).map_err(|_| Ended::Broken)?;
                         }
                         Some(FinalResponse::Failed) => {
@@ -1125,7 +1127,10 @@
     let (text, last) = match answer {
         FinalResponse::Failed => return Err(FAILED),
         FinalResponse::Cancelled => return Err(CANCELLED),
-        FinalResponse::Done { text, last } => (text, last),
+        FinalResponse::Completed {
+            text,
+            last_line: last,
+        } => (text, last),
     };
     let has = params.resume.as_ref().map_or("", |r| r.text.as_str());
     let rest = text
--- a/src/front/record.rs
+++ b/src/front/record.rs
@@ -28,10 +28,10 @@
     fn drop(&mut self) {
         if !self.ended.get() {
             let (name, generation) = (self.name.clone(), self.generation);
-            self.work.tell(Command::LetGo {
+            self.work.tell(Command::Release {
                 name,
                 generation,
-                harmless: self.harmless.get(),
+                not_executed: self.harmless.get(),
             });
         }
     }
@@ -89,15 +89,15 @@
         let bounds = work.bounds();
         let command = Command::Claim {
             name: name.into(),
-            once,
-            resumes,
-            bounds,
+            at_most_once: once,
+            resume: resumes,
+            capacity: bounds,
         };
         match work.ask_for(command, deadline).await {
             Decision::Claimed(record) => Claimed::Mine(Claim::new(work, name, &record)),
-            Decision::Ended(answer) => Claimed::Ended(answer),
-            Decision::InHand(_) => Claimed::InHand,
-            Decision::Refused(Rejection::Begun) => Claimed::Begun,
+            Decision::Completed(answer) => Claimed::Ended(answer),
+            Decision::OwnedBy(_) => Claimed::InHand,
+            Decision::Rejected(Rejection::AlreadyStarted) => Claimed::Begun,
             _ => Claimed::NotNow,
         }
     }
@@ -132,30 +132,32 @@
     /// Its answer has begun.
     pub fn began(&self) {
         let (name, generation) = self.key();
-        self.0.work.tell(Command::Began { name, generation });
+        self.0
+            .work
+            .tell(Command::ResponseStarted { name, generation });
     }
 
     /// Asks to make a tool call. `None`: it may go out now, and by this conductor alone. Else its outcome.
     pub async fn call(&self, ordinal: u32, arguments: u128, patience: Duration) -> Option<Outcome> {
         let (name, generation) = self.key();
         let bounds = self.0.work.bounds();
-        let command = Command::Call {
+        let command = Command::StartCall {
             name,
             generation,
             ordinal,
             arguments,
-            bounds,
+            capacity: bounds,
         };
         // Another conductor may be at it: its outcome is worth the wait that a call may take.
         let error = match self.0.work.ask_within(command, patience).await {
-            Decision::Go => {
+            Decision::Proceed => {
                 self.0.work.history().call_out(&self.0.name, ordinal);
                 return None;
             }
-            Decision::Known(CallState::Ended(outcome)) => return Some(decode(&outcome)),
-            Decision::Known(CallState::Unknown | CallState::Out) => UNKNOWN,
-            Decision::Refused(Rejection::OtherArguments) => REUSED,
-            Decision::Refused(Rejection::Full) => NO_ROOM,
+            Decision::KnownCall(CallState::Completed(outcome)) => return Some(decode(&outcome)),
+            Decision::KnownCall(CallState::OutcomeUnknown | CallState::InFlight) => UNKNOWN,
+            Decision::Rejected(Rejection::ArgumentsDiffer) => REUSED,
+            Decision::Rejected(Rejection::CapacityExceeded) => NO_ROOM,
             _ => NEVER_RAN,
         };
         Some(Outcome::Error(error))
@@ -167,7 +169,7 @@
         let (name, outcome) = (self.0.name.clone(), (!never).then(|| encode(outcome)));
         self.0
             .work
-            .told_soon(Command::CallEnded {
+            .told_soon(Command::CompleteCall {
                 name,
                 ordinal,
                 outcome,
@@ -180,14 +182,14 @@
     /// say.
     pub async fn end(&self, answer: FinalResponse) -> Option<FinalResponse> {
         let (name, generation) = self.key();
-        let command = Command::Answer {
+        let command = Command::Complete {
             name,
             generation,
-            answer: answer.clone(),
+            response: answer.clone(),
         };
         let stands = match self.0.work.ask_soon(command).await {
-            Decision::Go => Some(answer),
-            Decision::Ended(earlier) => Some(earlier),
+            Decision::Proceed => Some(answer),
+            Decision::Completed(earlier) => Some(earlier),
             _ => None,
         };
         if stands.is_some() {
@@ -201,10 +203,10 @@
     pub fn ends(&self, answer: FinalResponse) {
         let (name, generation) = self.key();
         self.0.ended.set(true);
-        self.0.work.tell(Command::Answer {
+        self.0.work.tell(Command::Complete {
             name,
             generation,
-            answer,
+            response: answer,
         });
     }
 }
--- a/tests/golden/commands.rs
+++ b/tests/golden/commands.rs
@@ -99,8 +99,8 @@
     ]
 }
 
-fn work_bounds() -> work::Bounds {
-    work::Bounds {
+fn work_bounds() -> work::Capacity {
+    work::Capacity {
         records: 1_001,
         bytes: 1_000_002,
     }
@@ -109,42 +109,42 @@
 fn claim(name: &str, once: bool, resumes: bool) -> Command {
     Command::Takeover(work::Command::Claim {
         name: name.into(),
-        once,
-        resumes,
-        bounds: work_bounds(),
+        at_most_once: once,
+        resume: resumes,
+        capacity: work_bounds(),
     })
 }
 
 fn send(id: &str, name: Option<(&str, u64)>) -> Command {
-    Command::Takeover(work::Command::Send {
+    Command::Takeover(work::Command::StartSend {
         id: id.into(),
         worker: "writer-1".into(),
         name: name.map(|(name, generation)| (name.into(), generation)),
-        reads: name.is_none(),
-        most_attempts: 6,
-        bounds: work_bounds(),
+        read_only: name.is_none(),
+        max_attempts: 6,
+        capacity: work_bounds(),
     })
 }
 
 fn began(name: &str, generation: u64) -> Command {
-    Command::Takeover(work::Command::Began {
+    Command::Takeover(work::Command::ResponseStarted {
         name: name.into(),
         generation,
     })
 }
 
 fn call(name: &str, generation: u64, ordinal: u32) -> Command {
-    Command::Takeover(work::Command::Call {
+    Command::Takeover(work::Command::StartCall {
         name: name.into(),
         generation,
         ordinal,
         arguments: 0x0123_4567_89ab_cdef_0011_2233_4455_6677,
-        bounds: work_bounds(),
+        capacity: work_bounds(),
     })
 }
 
 fn call_ended(name: &str, ordinal: u32, outcome: Option<Vec<u8>>) -> Command {
-    Command::Takeover(work::Command::CallEnded {
+    Command::Takeover(work::Command::CompleteCall {
         name: name.into(),
         ordinal,
         outcome,
@@ -152,41 +152,41 @@
 }
 
 fn answer(name: &str, generation: u64, answer: work::FinalResponse) -> Command {
-    Command::Takeover(work::Command::Answer {
+    Command::Takeover(work::Command::Complete {
         name: name.into(),
         generation,
-        answer,
+        response: answer,
     })
 }
 
 fn done() -> work::FinalResponse {
-    work::FinalResponse::Done {
+    work::FinalResponse::Completed {
         text: Some("the answer".into()),
-        last: vec![123, 125],
+        last_line: vec![123, 125],
     }
 }
 
 fn let_go(name: &str, generation: u64) -> Command {
-    Command::Takeover(work::Command::LetGo {
+    Command::Takeover(work::Command::Release {
         name: name.into(),
         generation,
-        harmless: true,
+        not_executed: true,
     })
 }
 
 fn over(ids: &[&str]) -> Command {
     let ids = ids.iter().map(|id| (*id).to_owned()).collect();
-    Command::Takeover(work::Command::Over { ids })
+    Command::Takeover(work::Command::CompleteSends { ids })
 }
 
 fn adopt(dead: MemberInstance) -> Command {
-    Command::Takeover(work::Command::Adopt { dead })
+    Command::Takeover(work::Command::TakeOver { ended: dead })
 }
 
 fn forget(name: &str, changed: u64) -> Command {
     Command::Takeover(work::Command::Forget {
         name: name.into(),
-        changed: Index(changed),
+        last_changed: Index(changed),
     })
 }
 
--- a/tests/golden_fleet.rs
+++ b/tests/golden_fleet.rs
@@ -139,7 +139,7 @@
             answer,
             Answer::Refused(_)
                 | Answer::Lease(lease::Outcome::Refused(_) | lease::Outcome::Void)
-                | Answer::Takeover(work::Reply::Refused(_))
+                | Answer::Takeover(work::Reply::Rejected(_))
                 | Answer::Policy(policy_epoch::Reply::Refused(_))
         ),
         Effect::Sites(effect) => matches!(effect, sites::epoch::Effect::Refused(_)),
