--- a/src/routing/model.rs
+++ b/src/routing/model.rs
@@ -1,4 +1,5 @@
-//! The state that routing decisions keep. Plain data: decisions and tuned values are in `src/routing/policy.rs`.
+//! The state that routing decisions keep. Plain data: decisions and tuned values are in
+//! `src/routing/policy.rs`.
 
 mod classes;
 mod learned;
--- a/src/routing/model/classes.rs
+++ b/src/routing/model/classes.rs
@@ -12,8 +12,8 @@
         .unwrap_or(classes.len() - 1)
 }
 
-/// The classes of a new configuration, followed by those of requests in flight, which keep the class (with its
-/// idempotency, weight and objectives) under which they arrived. Re-indexes the requests.
+/// The classes of a new configuration, followed by those of requests in flight, which keep the class (with
+/// its idempotency, weight and objectives) under which they arrived. Re-indexes the requests.
 pub(crate) fn merge_classes<'a>(
     old: &[RequestClass],
     new: &[RequestClass],
--- a/src/routing/model/prefix_table/tests.rs
+++ b/src/routing/model/prefix_table/tests.rs
@@ -24,9 +24,9 @@
 }
 
 #[test]
-fn the_longer_match_of_prefix_and_session_counts() {
+fn longer_match_of_prefix_and_session_counts() {
     let mut table = PrefixTable::default();
-    table.credit(&ask("p", "s"), &reader("a"), SECOND);
+    table.insert(&ask("p", "s"), &reader("a"), SECOND);
     assert_eq!(
         table.cached_tokens(&ask("p", "s"), &reader("a"), 0),
         1_500.0
@@ -44,10 +44,10 @@
 }
 
 #[test]
-fn what_is_old_or_of_a_forgotten_reader_counts_no_more() {
+fn expired_entries_and_removed_workers_do_not_count() {
     let mut table = PrefixTable::default();
-    table.credit(&ask("p", "s"), &reader("a"), SECOND);
-    table.credit(&ask("q", "t"), &reader("b"), 3 * SECOND);
+    table.insert(&ask("p", "s"), &reader("a"), SECOND);
+    table.insert(&ask("q", "t"), &reader("b"), 3 * SECOND);
     assert_eq!(
         table.cached_tokens(&ask("p", "s"), &reader("a"), 2 * SECOND),
         0.0
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn the_share_of_a_prefix_leaves_out_the_request_itself() {
+fn prefix_share_excludes_the_request_itself() {
     let mut table = PrefixTable::default();
     for prefix in ["p", "p", "p", "q"] {
         table.record_request(&ask(prefix, "s"), SECOND, LOAD_HALF_LIFE);
--- a/src/routing/model/quota.rs
+++ b/src/routing/model/quota.rs
@@ -56,7 +56,8 @@
         self.0 = buckets.collect();
     }
 
-    /// Takes a token for a request of a tenant. False: the request is over quota. Tenants without a quota never are.
+    /// Takes a token for a request of a tenant. False: the request is over quota. Tenants without a quota
+    /// never are.
     pub fn take(&mut self, tenant: Option<&str>, now: Micros) -> bool {
         tenant
             .and_then(|name| self.0.get_mut(name))
--- a/src/routing/model/request.rs
+++ b/src/routing/model/request.rs
@@ -64,8 +64,8 @@
             .filter(|attempt| attempt.outcome.is_none())
     }
 
-    /// Whether some attempt may have had an effect, or still may. An attempt in flight counts wherever it is: its
-    /// fate is unknown until it ends.
+    /// Whether some attempt may have had an effect, or still may. An attempt in flight counts wherever it
+    /// is: its fate is unknown until it ends.
     pub fn may_have_run(&self) -> bool {
         self.in_flight().next().is_some() || self.possible_runs().next().is_some()
     }
@@ -92,8 +92,8 @@
             .any(|attempt| attempt.outcome == Some(AttemptOutcome::TimedOut))
     }
 
-    /// Whether an attempt at this worker has failed. A prefill that timed out does not count: its prompt may be
-    /// cached there.
+    /// Whether an attempt at this worker has failed. A prefill that timed out does not count: its prompt
+    /// may be cached there.
     pub fn failed_at(&self, worker: &WorkerId) -> bool {
         self.attempts.iter().any(|attempt| {
             let failed = match attempt.outcome {
@@ -105,8 +105,8 @@
         })
     }
 
-    /// Whether time is short for the KV state held: the hold limit ran on during the last attempt, which never
-    /// proved to have arrived.
+    /// Whether time is short for the KV state held: the hold limit ran on during the last attempt, which
+    /// never proved to have arrived.
     pub fn is_hold_expiring(&self) -> bool {
         let last = self.attempts.last();
         let last_unproven = last
--- a/src/routing/model/tests.rs
+++ b/src/routing/model/tests.rs
@@ -3,7 +3,7 @@
 
 /// Guards against memory that grows with every tenant's name that a client makes up.
 #[test]
-fn tenants_that_were_turned_away_are_forgotten() {
+fn expired_full_marks_of_tenants_are_removed() {
     let mut worker = Worker::default();
     for i in 0..10_000 {
         worker.mark_full(
@@ -27,7 +27,7 @@
 
 /// Guards against a repeat of what must not run twice, because the class was changed while it was in hand.
 #[test]
-fn requests_in_hand_keep_their_class_and_new_ones_find_the_new() {
+fn requests_in_flight_keep_their_class_after_a_config_update() {
     let classes = |names: &[&str], effect| -> Vec<RequestClass> {
         names
             .iter()
@@ -105,7 +105,7 @@
 
 /// Guards against a second run of what a writer has taken, because its answer is one that only readers give.
 #[test]
-fn a_writer_that_says_it_has_read_may_have_run_the_request() {
+fn prefill_outcome_of_a_decode_worker_does_not_rule_out_a_run() {
     let attempt = |writes, outcome| Attempt {
         worker: WorkerId("w".into()),
         is_decode: writes,
--- a/src/routing/model/worker.rs
+++ b/src/routing/model/worker.rs
@@ -20,8 +20,8 @@
     pub completions: DecayingSum,
 }
 
-/// Decode capacity over prefill capacity near a worker, each as a share of the fleet's; above 1 there is decode
-/// capacity to spare.
+/// Decode capacity over prefill capacity near a worker, each as a share of the fleet's; above 1 there is
+/// decode capacity to spare.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct LocalDecodeShare {
     pub cell: f64,
@@ -77,8 +77,8 @@
 }
 
 impl Worker {
-    /// The worker has rejected such a request for lack of capacity. Expired entries are removed: tenants are
-    /// whatever names clients send, and the map would grow with them.
+    /// The worker has rejected such a request for lack of capacity. Expired entries are removed: tenants
+    /// are whatever names clients send, and the map would grow with them.
     pub fn mark_full(&mut self, key: CapacityKey, now: Micros, until: Micros) {
         self.full_until.retain(|_, until| *until > now);
         self.full_until.insert(key, until);
--- a/src/routing/policy/call_permit.rs
+++ b/src/routing/policy/call_permit.rs
@@ -1,34 +1,34 @@
-//! Whether a call beside the attempts may be made now: releases, calls of tools and their results.
+//! Permits for calls beside the attempts: releases of KV state, tool calls and their results.
 //!
-//! What puts such a call on a connection needs a [`CallPermit`], which only [`permit_call`] makes, and asks
-//! for it when the connection is up: what was known when the call was decided may not hold any more by
-//! then. When a release begins is decided here as well ([`ReleaseHistory::permit`]).
+//! Writing such a call to a connection needs a [`CallPermit`], which only [`permit_call`] makes, once the
+//! connection is up: what held when the call was decided may no longer hold by then. Whether a release may
+//! begin is decided here as well ([`ReleaseHistory::permit`]).
 
 use crate::routing::types::{AttemptOutcome, ReleaseReason};
 
-/// Permission to begin releasing all that is held for one request.
+/// Permission to begin the release of all KV state held for one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReleasePermit {
     reason: ReleaseReason,
 }
 
 impl ReleasePermit {
-    /// Why it is released.
+    /// The reason of the release.
     pub fn reason(self) -> ReleaseReason {
         self.reason
     }
 }
 
-/// The release under way lets go of all that there is: no other is begun beside it.
+/// The release in progress covers all KV state of the request; no other may begin beside it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the release under way lets go of all that there is")]
 pub struct ReleaseUnderWay;
 
-/// What matters of one request for its releases.
+/// What matters for the releases of one request.
 #[derive(Debug, Default)]
 pub struct ReleaseHistory {
-    /// An attempt that may have arrived has ended since the latest release was ordered: it may have left
-    /// something behind, or may have kept that release from having an effect.
+    /// An attempt that may have arrived has ended since the latest release was ordered: it may have left KV
+    /// state, or may have kept that release from taking effect.
     is_outdated: bool,
 }
 
@@ -38,10 +38,10 @@
         self.is_outdated |= outcome.may_have_arrived();
     }
 
-    /// Whether a release may begin; `is_under_way`: the latest one goes on still.
+    /// Whether a release may begin; `is_under_way`: the latest one is still in progress.
     ///
     /// # Errors
-    /// The one under way does as well.
+    /// The one in progress suffices.
     pub fn permit(
         &mut self,
         reason: ReleaseReason,
@@ -56,24 +56,25 @@
     }
 }
 
-/// A call beside the attempts, and what is known at the moment in which it is about to be written.
+/// A call beside the attempts, and what is known when it is about to be written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallState {
-    /// A call of a release.
+    /// A call that is part of a release.
     Release {
-        /// The release was neither taken nor stopped: a later one could take what the next read leaves.
+        /// The release was neither taken nor stopped. After that, a call could release what the next
+        /// prefill leaves.
         is_going: bool,
     },
     /// The release of an attempt that may arrive after its end.
     LateRelease,
-    /// A tool's result, for a stream.
+    /// The result of a tool call, for a stream.
     ToolResult {
-        /// The stream goes on, and its client is there.
+        /// The stream goes on, and its client is connected.
         is_streaming: bool,
     },
-    /// A call of a tool.
+    /// A tool call.
     ToolCall {
-        /// An earlier try of it was written.
+        /// An earlier attempt was written.
         may_have_run: bool,
     },
 }
@@ -81,10 +82,10 @@
 /// Why a call is not made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CallDenial {
-    /// The release was taken by another host, or stopped.
+    /// Another worker has taken the release, or it was stopped.
     #[error("its release is over")]
     ReleaseOver,
-    /// The stream has ended, or its client has left.
+    /// The stream has ended, or its client has disconnected.
     #[error("its stream is over")]
     StreamOver,
     /// The tool may have run.
--- a/src/routing/policy/call_permit/tests.rs
+++ b/src/routing/policy/call_permit/tests.rs
@@ -9,7 +9,7 @@
 #[case::an_unanswered_attempt(Some(AttemptOutcome::TimedOut), Ok(ReleasePermit { reason: REASON }))]
 #[case::a_read(Some(AttemptOutcome::Prefilled), Ok(ReleasePermit { reason: REASON }))]
 #[case::what_never_arrived(Some(AttemptOutcome::ConnectFailed), Err(ReleaseUnderWay))]
-fn a_second_release_begins_only_behind_what_may_have_arrived(
+fn second_release_begins_only_after_an_attempt_that_may_have_arrived(
     #[case] ended: Option<AttemptOutcome>,
     #[case] expected: Result<ReleasePermit, ReleaseUnderWay>,
 ) {
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_release_that_is_over_doesnt_stand_in_for_the_next() {
+fn completed_release_does_not_cover_the_next() {
     let mut history = ReleaseHistory::default();
     assert!(history.permit(REASON, false).is_ok());
     assert!(history.permit(REASON, false).is_ok());
@@ -36,7 +36,7 @@
 #[case(CallState::ToolResult { is_streaming: false }, Some(CallDenial::StreamOver))]
 #[case(CallState::ToolCall { may_have_run: false }, None)]
 #[case(CallState::ToolCall { may_have_run: true }, Some(CallDenial::MayHaveRun))]
-fn a_call_is_written_only_for_what_goes_on(
+fn call_is_permitted_only_while_its_purpose_is_current(
     #[case] state: CallState,
     #[case] refusal: Option<CallDenial>,
 ) {
--- a/src/routing/policy/close_permit.rs
+++ b/src/routing/policy/close_permit.rs
@@ -1,44 +1,44 @@
-//! Whether a client's connection may be closed now.
+//! Permits to close client connections.
 //!
-//! A request that was read and is closed without an answer is lost, and so is one whose bytes had reached
-//! this machine when its connection was closed. A connection is closed by a [`ClosePermit`], which only
-//! [`permit_close`] makes from what its socket says at that moment.
+//! Closing a connection loses a request that was read and has no response, and one whose bytes had reached
+//! this machine. A connection is closed by a [`ClosePermit`], which only [`permit_close`] makes from the
+//! state of its socket.
 
 /// Why a client's connection is to be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseCause {
     /// The client has closed it, or it is broken.
     ClientGone,
-    /// The time is over that its client had to say something, to send its request, or to take its answer.
+    /// A timeout has passed: idle, sending the request, or reading the response.
     TimeOver,
-    /// The conductor drains or ends.
+    /// The router drains or shuts down.
     Ending,
 }
 
 /// What is known of the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionState {
-    /// No request is under way on it.
+    /// No request is in progress on it.
     Resting {
-        /// The system holds bytes that were not read yet.
+        /// The socket has bytes that were not read yet.
         has_unread: bool,
     },
-    /// A request has begun to come and is not whole.
+    /// A request has been received in part.
     Arriving,
-    /// A request has come whole and has no answer yet.
+    /// A request has been received and has no response yet.
     InHand,
 }
 
 /// Why a connection stays open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CloseDenial {
-    /// What has come may be a request.
+    /// The unread bytes may be a request.
     #[error("bytes wait that were not read")]
     Unread,
-    /// A request is coming, and has time left.
+    /// A request is being received, and has time left.
     #[error("a request is coming")]
     Arriving,
-    /// A request has no answer yet.
+    /// A request has no response yet.
     #[error("a request has no answer")]
     InHand,
 }
--- a/src/routing/policy/close_permit/tests.rs
+++ b/src/routing/policy/close_permit/tests.rs
@@ -23,7 +23,7 @@
 )]
 #[case(CloseCause::ClientGone, ConnectionState::InHand, None)]
 #[case(CloseCause::ClientGone, UNREAD, None)]
-fn a_connection_is_closed_only_where_no_request_is_lost(
+fn connection_is_closed_only_if_no_request_is_lost(
     #[case] cause: CloseCause,
     #[case] state: ConnectionState,
     #[case] refusal: Option<CloseDenial>,
--- a/src/routing/policy/kv_state.rs
+++ b/src/routing/policy/kv_state.rs
@@ -1,28 +1,29 @@
-//! What may be held for one request between its two stages, and until when it must be taken or released.
+//! KV state held for a request between its two stages, and until when it must be fetched or released.
 //!
-//! A read state is held from the end of its read until a writer that runs takes it or a host that runs
-//! takes a release. Writing a request to a connection proves neither: only an answer does
-//! ([`AttemptOutcome::proves_arrival`]). So the release limit runs on behind a send until its writer has
-//! been heard from, and a release is ordered when the limit comes near, though the send is still out. Where
-//! the send has arrived that release has no effect, for a release lets go only of what no attempt waits
-//! for; where it has not, the release is what keeps the limit.
+//! KV state is held from the end of a prefill until a running decode worker fetches it or a running worker
+//! takes a release. Writing a request to a connection proves neither; only an answer does
+//! ([`AttemptOutcome::proves_arrival`]). So the hold limit runs on behind a send until the decode worker
+//! has answered, and a release is ordered near the limit though the send is still in flight. If the send
+//! has arrived, that release has no effect, since it releases only what no attempt waits for; if not, it
+//! keeps the limit.
 
 use super::Policy;
 use crate::routing::types::{Action, AttemptOutcome, Micros, ReleaseReason, RequestId, WorkerId};
 
-/// Sweeps before the release limit at which what no writer has taken is released.
+/// Sweeps before the hold limit at which KV state that no decode worker has fetched is released.
 pub(super) const SWEEPS_BEFORE_RELEASE: Micros = 2;
-/// The same while a send is out that has not been answered: the hosts asked first may be silent as well.
+/// The same while a send is in flight without an answer: the workers asked first for the release may not
+/// answer either.
 const SWEEPS_BEFORE_RELEASE_BEHIND_SEND: Micros = 3;
 
-/// The state that may be held for one request.
+/// The KV state that may be held for one request.
 #[derive(Debug, Default)]
 pub(crate) struct KvStateHold {
-    /// The reader where it may be held; `None`: nothing is known to be held.
+    /// The worker where it may be held; `None`: none is known to be held.
     holder: Option<WorkerId>,
-    /// Since when it may have been held without an attempt that had reached a running worker.
+    /// Since when it may have been held without an attempt that has proved to arrive at a running worker.
     since: Micros,
-    /// A release was ordered while the latest send was out.
+    /// A release was ordered while the latest send was in flight.
     is_released_behind_send: bool,
 }
 
@@ -32,12 +33,12 @@
         self.holder.as_ref()
     }
 
-    /// Whether something may be held.
+    /// Whether KV state may be held.
     pub fn is_held(&self) -> bool {
         self.holder.is_some()
     }
 
-    /// An attempt at `worker` has ended and may have left a state there.
+    /// An attempt at `worker` has ended and may have left KV state there.
     pub fn hold(&mut self, worker: WorkerId, now: Micros) {
         *self = KvStateHold {
             holder: Some(worker),
@@ -46,15 +47,15 @@
         };
     }
 
-    /// Nothing is known to be held any more: taken, or about to be released. Whether something may have
-    /// been.
+    /// Ends the hold: the KV state was fetched, or is about to be released. Returns whether some may have
+    /// been held.
     pub fn clear(&mut self) -> bool {
         self.is_released_behind_send = false;
         self.holder.take().is_some()
     }
 
-    /// A send to a writer has ended. Its end begins the limit anew only if the send is known to have
-    /// arrived, or if a release ordered behind it has let go of the state in case it had not.
+    /// A send to a decode worker has ended. That restarts the hold limit only if the send is known to have
+    /// arrived, or if a release was ordered behind it in case it had not.
     pub fn send_ended(&mut self, outcome: AttemptOutcome, now: Micros) {
         let released = std::mem::take(&mut self.is_released_behind_send);
         if released && !outcome.may_have_arrived() {
@@ -64,26 +65,26 @@
         }
     }
 
-    /// The moment by which it must be taken or released, where `limit` is the time that it may be held.
+    /// The moment by which it must be fetched or released, for a hold limit.
     pub fn release_by(&self, limit: Micros) -> Micros {
         self.since.saturating_add(limit)
     }
 
     /// Until when a connection for the next send may take to come up: half of the time that is left, so
-    /// that there is some for another writer, and in the end for the release.
+    /// that there is some for another decode worker, and in the end for the release.
     pub fn connect_by(&self, now: Micros, limit: Micros) -> Option<Micros> {
         self.is_held()
             .then(|| now.saturating_add(self.release_by(limit).saturating_sub(now) / 2))
     }
 
-    /// Whether a release has to be ordered though a send is out: `margin` before the limit, and once for
+    /// Whether a release has to be ordered though a send is in flight: `margin` before the limit, once for
     /// each send.
     pub fn is_due_behind_send(&self, now: Micros, limit: Micros, margin: Micros) -> bool {
         let due = self.release_by(limit.saturating_sub(margin));
         self.is_held() && !self.is_released_behind_send && now >= due
     }
 
-    /// The release that was due behind the send that is out has been ordered.
+    /// The release that was due behind the send in flight has been ordered.
     pub fn set_released_behind_send(&mut self) {
         self.is_released_behind_send = true;
     }
--- a/src/routing/policy/kv_state/tests.rs
+++ b/src/routing/policy/kv_state/tests.rs
@@ -19,7 +19,7 @@
 #[case::dropped(AttemptOutcome::Cancelled, 0)]
 #[case::no_connection(AttemptOutcome::ConnectFailed, 0)]
 #[case::not_sent(AttemptOutcome::NotSent, 0)]
-fn only_an_answer_begins_the_limit_anew(#[case] outcome: AttemptOutcome, #[case] since: Micros) {
+fn only_an_answer_restarts_the_hold_limit(#[case] outcome: AttemptOutcome, #[case] since: Micros) {
     let mut held = held_since(0);
     held.send_ended(outcome, 300);
     assert!(held.is_held());
@@ -28,7 +28,7 @@
 
 /// Guards against a send that is out stopping the clock, and against a release for each look at it.
 #[test]
-fn a_release_is_due_once_behind_a_send_that_is_out() {
+fn release_is_due_once_behind_a_send_in_flight() {
     let mut held = held_since(0);
     assert!(!held.is_due_behind_send(LIMIT - MARGIN - 1, LIMIT, MARGIN));
     assert!(held.is_due_behind_send(LIMIT - MARGIN, LIMIT, MARGIN));
@@ -38,7 +38,7 @@
 
 /// Guards against a state that outlives its release since the send had arrived and was given up afterwards.
 #[test]
-fn behind_a_release_the_end_of_a_send_that_may_have_arrived_begins_the_limit_anew() {
+fn send_that_may_have_arrived_restarts_the_hold_limit_after_a_release() {
     let mut held = held_since(0);
     held.set_released_behind_send();
     held.send_ended(AttemptOutcome::TimedOut, 900);
@@ -48,7 +48,7 @@
 
 /// Guards against a send to a writer for a state that is known to be gone.
 #[test]
-fn behind_a_release_a_send_that_never_left_leaves_nothing_held() {
+fn send_that_never_left_ends_the_hold_after_a_release() {
     let mut held = held_since(0);
     held.set_released_behind_send();
     held.send_ended(AttemptOutcome::ConnectFailed, 900);
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_connection_may_take_half_of_the_time_that_is_left() {
+fn connection_gets_half_of_the_remaining_hold_time() {
     assert_eq!(KvStateHold::default().connect_by(100, LIMIT), None);
     assert_eq!(held_since(0).connect_by(100, LIMIT), Some(300));
     assert_eq!(held_since(0).connect_by(600, LIMIT), Some(600));
--- a/src/routing/policy/send_permit.rs
+++ b/src/routing/policy/send_permit.rs
@@ -1,15 +1,15 @@
-//! The one place that decides whether something may be sent, repeated or refused now.
+//! Permits for attempts: the one place that decides whether a request may be sent, retried or rejected.
 //!
 //! Every attempt needs a [`SendPermit`], which only [`Policy::permit_send`] makes, so that no other code
-//! can put a request on a connection. A permit is given when the send is decided and checked again when its
-//! first byte is about to be written, a connection's time later ([`SendPermit::check_write`]). Releases,
-//! calls of tools and their results need a permit of [`super::call_permit`], closes of clients' connections
-//! one of [`super::close_permit`].
+//! can put a request on a connection. It is given when the send is decided and checked again
+//! ([`SendPermit::check_write`]) when the first byte is about to be written, up to a connect timeout later.
+//! Releases, tool calls and their results need a permit of [`super::call_permit`], closes of client
+//! connections one of [`super::close_permit`].
 //!
-//! A permit for an attempt goes by what is known of each earlier one: written, answered, ended, never ran.
-//! Until an attempt has ended nobody
-//! knows whether it has arrived, so it counts as run where that is the danger (repeats, refusals), and as
-//! not arrived where that is (held state, see [`super::kv_state`]).
+//! A permit goes by what is known of each earlier attempt: written, answered, ended, proved not to have
+//! run. Until an attempt has ended nobody knows whether it has arrived. So it counts as run where that is
+//! the danger (retries, rejections), and as not arrived where that is (KV state holds, see
+//! [`super::kv_state`]).
 
 use super::Policy;
 use crate::routing::model::{Phase, Request, Worker};
@@ -29,37 +29,37 @@
     /// The request or the worker is not known.
     #[error("the request or the worker is not known")]
     Unknown,
-    /// The request has its answer.
+    /// The request has been answered.
     #[error("the request is answered")]
     Answered,
-    /// All attempts of the request are spent.
+    /// All attempts of the request have been made.
     #[error("all attempts are spent")]
     AttemptsExhausted,
-    /// An attempt of the request is out.
+    /// An attempt of the request is in flight.
     #[error("another attempt is out")]
     InFlight,
-    /// The request may have run, and must not be repeated at this worker or at this time.
+    /// The request may have run, and must not run again at this worker or at this time.
     #[error("it may have run and must not be repeated there now")]
     MayHaveRun,
-    /// The worker drains or is gone.
+    /// The worker is draining or gone.
     #[error("the worker is not in service")]
     NotInService,
     /// The worker is in slow start and this router's share of its budget is used up.
     #[error("the worker is in slow start and has no room")]
     SlowStart,
-    /// The client has left.
+    /// The client has disconnected.
     #[error("the client has left")]
     ClientDisconnected,
 }
 
-/// What is known at the moment in which an attempt is about to be written.
+/// What is known when an attempt is about to be written.
 #[derive(Clone, Copy, Debug)]
 pub struct WriteState {
     /// Now.
     pub now: Micros,
     /// Whether the worker is listed as in service.
     pub is_in_service: bool,
-    /// Whether the client has left.
+    /// Whether the client has disconnected.
     pub has_client_left: bool,
 }
 
@@ -68,7 +68,7 @@
 pub struct WritePermit(());
 
 impl SendPermit {
-    /// A permit to read that no module has given.
+    /// A permit for a prefill.
     #[cfg(test)]
     pub(crate) fn for_test(send_by: Option<Micros>) -> Self {
         SendPermit {
@@ -78,24 +78,24 @@
         }
     }
 
-    /// The moment by which the request's last byte must be written, where there is one: later the attempt
-    /// would be a second run of what an earlier one may have done.
+    /// The moment by which the request's last byte must be written, if there is one: after it, the attempt
+    /// could be a second run of an earlier one.
     pub fn send_by(&self) -> Option<Micros> {
         self.send_by
     }
 
-    /// When its connection has to be up, where a state is held for the request: the time that it may be
-    /// held runs on while connections fail to come up.
+    /// The moment by which its connection has to be up, if KV state is held for the request: the hold limit
+    /// runs on while connections fail to come up.
     pub fn connect_by(&self) -> Option<Micros> {
         self.connect_by
     }
 
-    /// Whether the attempt is to read a prompt only, so that it has no effect however it ends.
+    /// Whether the attempt asks for a prefill only, so that it has no effect however it ends.
     pub fn reads(&self) -> bool {
         self.reads
     }
 
-    /// Whether the attempt may be written now. It was decided a connection's time ago.
+    /// Whether the attempt may be written now, up to a connect timeout after it was decided.
     ///
     /// # Errors
     /// Why it may not.
--- a/src/routing/policy/send_permit/tests.rs
+++ b/src/routing/policy/send_permit/tests.rs
@@ -9,7 +9,7 @@
 #[case::late(SEND_BY, true, false, Err(SendDenial::MayHaveRun))]
 #[case::draining(0, false, false, Err(SendDenial::NotInService))]
 #[case::left(0, true, true, Err(SendDenial::ClientDisconnected))]
-fn a_permit_is_checked_again_at_the_write(
+fn permit_is_checked_again_before_the_write(
     #[case] now: Micros,
     #[case] is_in_service: bool,
     #[case] has_client_left: bool,
--- a/src/routing/policy/sending.rs
+++ b/src/routing/policy/sending.rs
@@ -62,7 +62,8 @@
         };
         let estimate = self.estimate(request, worker, target, uncached_tokens);
         let due = self.due_after(request, worker, target, &estimate, is_decode);
-        // The last stage of what may not be retried at will has no time for a retry to save.
+        // A decode that may not be retried at will is waited for until the deadline: giving up gains
+        // nothing.
         let class = &self.config.classes[request.class];
         let may_time_out = !is_decode || class.idempotency == Idempotency::Idempotent;
         self.record_send(id, worker, &estimate, due, is_decode);
@@ -178,7 +179,7 @@
             return;
         };
         if !is_decode {
-            self.prefix_cache.credit(&request.spec, worker, now);
+            self.prefix_cache.insert(&request.spec, worker, now);
             request.kv_state.clear();
         }
         let in_flight = self.in_flight.entry(worker.clone()).or_default();
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -440,7 +440,7 @@
 /// retries, by one shared text, and where no worker is warm. Before, of 300 routers cold readers got ten times what
 /// they bear, and of 30 cold writers more than they bear.
 #[rstest]
-fn no_cold_worker_gets_more_than_it_bears_of_all_routers(
+fn worker_in_slow_start_is_not_overloaded_by_all_routers(
     #[values(1, 2, 3, 16, 20, 30, 300)] routers: u32,
     #[values(2, 6, WORKERS)] cold: u64,
     #[values(Ramp::Together, Ramp::Spread, Ramp::Restarted)] ramp: Ramp,
@@ -452,7 +452,7 @@
 #[rstest]
 #[case(17, 2, Trouble::Storm)]
 #[case(30, 6, Trouble::Calm)]
-fn no_cold_worker_gets_more_than_it_bears_of_some_routers(
+fn worker_in_slow_start_is_not_overloaded_by_some_routers(
     #[case] routers: u32,
     #[case] cold: u64,
     #[case] trouble: Trouble,
@@ -462,7 +462,7 @@
 
 /// The same in storms in which draws were not enough.
 #[test]
-fn no_cold_worker_of_a_large_fleet_gets_more_than_it_bears() {
+fn worker_in_slow_start_of_a_large_fleet_is_not_overloaded() {
     keeps_to_its_budget(20, 2, Trouble::Storm, Ramp::Together);
     keeps_to_its_budget(300, 6, Trouble::Storm, Ramp::Together);
 }
@@ -488,7 +488,7 @@
 #[case(30, 0.5)]
 #[case(100, 0.35)]
 #[case(300, 0.25)]
-fn cold_workers_are_of_use_on_a_calm_day(#[case] routers: u32, #[case] least: f64) {
+fn workers_in_slow_start_are_used_on_a_calm_day(#[case] routers: u32, #[case] least: f64) {
     let day = Day::play(routers, 6, Trouble::Calm, true);
     println!("{routers} routers, calm: {}", day.figures());
     assert!(
@@ -500,7 +500,7 @@
 
 /// Routers whose settings give them no number have their turns by chance.
 #[test]
-fn routers_without_numbers_keep_to_the_budget_too() {
+fn routers_without_index_keep_to_the_slow_start_budget() {
     let day = Day::play(16, 6, Trouble::Storm, false);
     assert!(
         day.excess("r") <= 1.0 && day.excess("w") <= 1.0,
--- a/tests/fairness.rs
+++ b/tests/fairness.rs
@@ -498,7 +498,7 @@
 #[case(4, 1.2, LoadReporting::None)]
 #[case(100, 1.2, LoadReporting::None)]
 #[case(100, 1.2, LoadReporting::Responses)]
-fn refusals_fall_on_all_alike(
+fn rejections_are_spread_evenly(
     #[case] routers: u32,
     #[case] load: f64,
     #[case] reports: LoadReporting,
@@ -514,7 +514,7 @@
 #[case(4, 2)]
 #[case(4, 4)]
 #[case(100, 4)]
-fn a_tight_aim_does_not_shut_out_the_longest(#[case] routers: u32, #[case] seed: u64) {
+fn tight_objective_does_not_starve_long_prompts(#[case] routers: u32, #[case] seed: u64) {
     check(
         &Day::play(routers, 0.5, LoadReporting::Responses, SECOND, seed),
         true,
--- a/tests/held.rs
+++ b/tests/held.rs
@@ -209,13 +209,13 @@
 /// Guards against whatever may be held staying so beyond its time, by whichever ways a request's attempts end and
 /// while whichever part of the hosts can't be reached.
 #[tokio::test(start_paused = true)]
-async fn whatever_may_be_held_is_taken_or_let_go_in_time() {
+async fn kv_state_is_fetched_or_released_within_the_hold_limit() {
     random_ends([0, 0, 0]).await;
 }
 
 /// The same where sends are written to connections that look alive, and never arrive.
 #[tokio::test(start_paused = true)]
-async fn whatever_may_be_held_is_let_go_in_time_though_sends_never_arrive() {
+async fn kv_state_is_released_in_time_when_sends_never_arrive() {
     random_ends([1, 2, 4]).await;
 }
 
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -26,7 +26,7 @@
 
 /// The users lifted the limit of 940 lines on all decisions together; it holds for each file of them.
 #[test]
-fn each_file_of_decisions_is_at_most_940_lines_of_110_characters() {
+fn policy_files_have_at_most_940_lines_of_110_characters() {
     for file in policy_files() {
         let text = read(&file);
         let lines = text.lines().filter(|l| !l.trim().is_empty()).count();
@@ -46,7 +46,7 @@
 
 /// Guards against decisions outside of the files that are named to the operators.
 #[test]
-fn every_file_of_decisions_is_named_in_the_deploy_file() {
+fn every_policy_file_is_listed_in_the_deploy_file() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("src/routing/policy");
     let mut found = vec!["src/routing/policy.rs".to_owned()];
     for entry in fs::read_dir(folder).unwrap() {
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn policy_names_its_interface_in_its_first_lines() {
+fn policy_names_its_types_module_in_its_first_lines() {
     assert!(
         read("src/routing/policy.rs")
             .lines()
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -227,7 +227,7 @@
 }
 
 #[test]
-fn reads_then_writes_near_the_reader() {
+fn request_is_prefilled_and_then_decoded_near_its_kv_state() {
     let mut rig = Rig::fleet(settings());
     let read = rig.ask(1, "safe");
     let reader = sends(&read)[0].to_owned();
@@ -238,7 +238,7 @@
 }
 
 #[test]
-fn a_prefix_has_the_same_home_at_every_router_and_stays_there() {
+fn prefix_has_the_same_owner_at_every_router_and_keeps_it() {
     let mut homes = Vec::new();
     for index in 0..2 {
         let mut rig = Rig::fleet(RoutingConfig {
@@ -264,7 +264,7 @@
 }
 
 #[test]
-fn a_session_is_read_where_it_was_read_before() {
+fn session_is_prefilled_where_it_was_prefilled_before() {
     let mut rig = Rig::fleet(settings());
     let mut readers = Vec::new();
     for id in 1..6 {
@@ -286,7 +286,7 @@
 }
 
 #[test]
-fn a_failed_read_is_not_credited() {
+fn failed_prefill_adds_no_cache_entry() {
     let mut rig = Rig::fleet(settings());
     let session = || Some(Arc::from("s"));
     let first = rig.ask_with(RequestSpec {
@@ -314,7 +314,7 @@
 }
 
 #[test]
-fn no_workers_at_all_still_gives_one_answer_in_time() {
+fn request_without_workers_gets_one_answer_in_time() {
     let mut rig = Rig::new(settings());
     rig.list(EndpointUpdate::Restored, Vec::new());
     let asked = rig.ask(1, "safe");
@@ -324,7 +324,7 @@
 }
 
 #[test]
-fn all_workers_failing_ends_in_one_answer_within_the_attempts() {
+fn failing_workers_lead_to_one_answer_within_max_attempts() {
     let mut rig = Rig::fleet(settings());
     rig.ask(1, "safe");
     for attempt in 0..5 {
@@ -337,7 +337,7 @@
 }
 
 #[test]
-fn an_attempt_never_heard_of_again_is_answered_at_the_deadline() {
+fn unanswered_attempt_ends_the_request_at_its_deadline() {
     let mut rig = Rig::fleet(settings());
     rig.ask(1, "safe");
     rig.pass(5 * SECOND);
@@ -345,7 +345,7 @@
 }
 
 #[test]
-fn an_unsafe_request_of_unknown_fate_fails_and_is_never_sent_again() {
+fn non_idempotent_request_of_unknown_fate_fails_without_retry() {
     for outcome in [
         AttemptOutcome::Error,
         AttemptOutcome::TimedOut,
@@ -364,7 +364,7 @@
 }
 
 #[test]
-fn an_unsafe_request_that_never_ran_goes_to_another_writer() {
+fn non_idempotent_request_that_did_not_run_goes_to_another_decode_worker() {
     let mut rig = Rig::fleet(settings());
     rig.ask(1, "once");
     let first = rig.end(1, 0, AttemptOutcome::Prefilled);
@@ -374,7 +374,7 @@
 }
 
 #[test]
-fn while_near_writers_hang_the_flow_goes_to_those_that_do_not() {
+fn decodes_avoid_near_workers_while_they_hang() {
     // Found in an incident: two cells' writers jammed for seconds beside a third cell's that idled, since nothing
     // reported the jam and states were kept near.
     let mut rig = Rig::new(settings());
@@ -417,7 +417,7 @@
 }
 
 #[test]
-fn a_keyed_request_is_repeated_in_its_group_and_window_alone() {
+fn keyed_request_is_retried_only_in_its_deduplication_scope_and_window() {
     let mut rig = Rig::fleet(settings());
     rig.ask(1, "cell");
     let first = sends(&rig.end(1, 0, AttemptOutcome::Prefilled))[0].to_owned();
@@ -444,7 +444,7 @@
 
 /// Guards against a repeat that is decided inside its window and written behind it.
 #[test]
-fn a_repeat_carries_the_moment_by_which_it_has_to_be_written() {
+fn retry_permit_carries_its_write_deadline() {
     let limit = |actions: &[Action]| {
         actions.iter().find_map(|a| {
             if let Action::Send { permit, .. } = a {
@@ -476,7 +476,7 @@
 }
 
 #[test]
-fn nothing_goes_to_draining_or_gone_workers() {
+fn draining_and_gone_workers_get_no_sends() {
     let mut rig = Rig::fleet(settings());
     rig.list(
         EndpointUpdate::Incremental,
@@ -494,7 +494,7 @@
 }
 
 #[test]
-fn a_worker_missing_from_a_full_list_is_gone() {
+fn worker_missing_from_full_update_is_gone() {
     let mut rig = Rig::fleet(settings());
     rig.list(
         EndpointUpdate::Full,
@@ -512,7 +512,7 @@
 }
 
 #[test]
-fn a_cold_reader_gets_few_sends_even_when_peers_turn_all_away() {
+fn prefill_worker_in_slow_start_gets_few_sends_when_peers_reject_all() {
     // Found in an incident: in a storm of retries the budget was measured by sends, not by what was done.
     let mut rig = Rig::fleet(settings());
     let started = rig.now;
@@ -533,7 +533,7 @@
 }
 
 #[test]
-fn a_fleet_that_restarted_as_a_whole_gets_its_promised_part() {
+fn restarted_fleet_gets_its_quota_share() {
     // Found in an incident: with no warm peer left to measure by, nearly nothing was sent to anyone.
     let tenants = vec![Tenant {
         name: "t".into(),
@@ -571,7 +571,7 @@
 }
 
 #[test]
-fn held_states_are_let_go_in_time_when_no_writer_takes_them() {
+fn unfetched_kv_state_is_released_within_the_hold_limit() {
     let mut rig = Rig::fleet(settings());
     rig.ask(1, "safe");
     let gone = |w: &str, c| entry(w, c, Status::Draining, None);
@@ -598,7 +598,7 @@
 #[case::and_though_a_send_was_lost_with_its_connection(&[(AttemptOutcome::ConnectionLost, 100)], 3)]
 #[case::and_after_a_release_behind_a_send_without_an_answer(&[(AttemptOutcome::TimedOut, 570)], 3)]
 #[case::and_to_a_writer_that_finds_no_state(&[(AttemptOutcome::TimedOut, 570), (AttemptOutcome::ConnectFailed, 250)], 0)]
-fn the_time_that_a_state_is_held_runs_on_while_connections_fail(
+fn hold_limit_runs_on_while_connections_fail(
     #[case] before: &[(AttemptOutcome, Micros)],
     #[case] failures: u32,
 ) {
@@ -657,7 +657,7 @@
 /// Guards against the time that a state may be held being spent on one writer after the other of a zone that is cut
 /// off: what has just been heard from comes next.
 #[test]
-fn after_a_connection_failed_a_state_goes_to_where_something_just_came_from() {
+fn after_connect_failure_decode_goes_to_a_zone_that_just_answered() {
     let zone = |w: &str| {
         if ["r1", "w1"].contains(&w) {
             "near"
@@ -687,7 +687,7 @@
 }
 
 #[test]
-fn a_read_that_ends_after_the_client_left_is_released() {
+fn kv_state_of_disconnected_client_is_released() {
     let mut rig = Rig::fleet(settings());
     rig.ask(1, "safe");
     rig.event(Event::ClientDisconnected {
@@ -699,7 +699,7 @@
 }
 
 #[test]
-fn a_reader_that_fails_fast_is_set_aside() {
+fn fast_failing_prefill_worker_is_ejected() {
     let mut rig = Rig::fleet(settings());
     let mut bad = 0;
     for id in 1..40 {
@@ -722,7 +722,7 @@
 }
 
 #[test]
-fn when_most_of_a_role_fails_it_is_not_emptied() {
+fn ejection_never_empties_a_role() {
     let mut rig = Rig::fleet(settings());
     for id in 1..10 {
         rig.ask(id, "safe");
@@ -738,7 +738,7 @@
 }
 
 #[test]
-fn unreachable_readers_are_left_to_writers_that_read() {
+fn decode_workers_that_prefill_replace_unreachable_prefill_workers() {
     // Found in an incident: every reader died while the list still had them, and all was sent to them.
     let mut rig = Rig::fleet(RoutingConfig {
         decode_workers_prefill: true,
@@ -769,7 +769,7 @@
 }
 
 #[test]
-fn reads_beyond_their_part_of_the_aim_wait_here_and_are_refused_in_time() {
+fn prefills_beyond_their_share_of_the_objective_queue_and_are_rejected_in_time() {
     let mut rig = Rig::fleet(settings());
     // Teach a slow pace: 2,000 tokens take 600 ms.
     for id in 1..20 {
@@ -810,7 +810,7 @@
 }
 
 #[test]
-fn what_cannot_begin_before_its_client_leaves_is_refused_at_once() {
+fn request_that_cannot_meet_its_deadline_is_rejected_at_once() {
     // Found in an incident: clients left sooner than a read takes, and every read was wasted.
     let mut rig = Rig::fleet(settings());
     for id in 1..5 {
@@ -843,7 +843,7 @@
 }
 
 #[test]
-fn mixed_workers_take_short_prompts_unread_and_long_ones_go_to_readers() {
+fn short_prompts_go_to_mixed_workers_and_long_ones_to_prefill_workers() {
     let mut rig = Rig::new(settings());
     let list = ["r1", "m1"]
         .map(|w| entry(w, 0, Status::Ready, None))
@@ -865,7 +865,7 @@
 }
 
 #[test]
-fn beyond_its_share_a_tenant_is_refused_when_others_wait() {
+fn tenant_over_quota_is_rejected_while_others_wait() {
     let tenants = vec![Tenant {
         name: "small".into(),
         quota_per_s: 2.0,
@@ -905,7 +905,7 @@
 
 /// A hundred routers each see a few requests of a tenant: chance arrivals are no excess.
 #[test]
-fn a_few_requests_at_once_are_not_over_share_at_one_of_many_routers() {
+fn small_burst_is_within_quota_at_one_of_many_routers() {
     let tenants = vec![Tenant {
         name: "small".into(),
         quota_per_s: 2.0,
@@ -928,7 +928,7 @@
 
 /// Routers that hear of a restarted worker together must not all send to it at once.
 #[test]
-fn many_routers_start_a_cold_worker_one_after_another() {
+fn many_routers_take_turns_at_a_worker_in_slow_start() {
     let mut first = Vec::new();
     for seed in 0..20 {
         let set = RoutingConfig {
@@ -995,7 +995,7 @@
 
 /// A process that starts anew in the ramp of a worker: its predecessor may have spent the router's share just before.
 #[test]
-fn a_new_process_sends_nothing_to_workers_in_slow_start_for_a_window() {
+fn new_process_sends_nothing_to_workers_in_slow_start_for_one_window() {
     let mut rig = Rig::new(RoutingConfig {
         index: Some(0),
         routers: 1,
@@ -1017,7 +1017,7 @@
 /// Two processes of one router share what it may send: the older one sends nothing more once it stops, and the newer
 /// one begins a window later.
 #[test]
-fn of_two_processes_of_a_router_one_at_most_sends_to_workers_in_slow_start() {
+fn at_most_one_process_of_a_router_sends_to_workers_in_slow_start() {
     let reads = |rig: &mut Rig, id| sends(&rig.ask(id, "safe")).len();
     let mut rig = Rig::new(RoutingConfig {
         index: Some(0),
@@ -1048,7 +1048,7 @@
 /// Guards against a text that many ask for and one reader that drowns in it, while no router sees more than a few of
 /// its requests; where readers are few it stays in one place.
 #[test]
-fn a_shared_text_has_few_homes_where_readers_are_many_and_one_where_they_are_few() {
+fn prefix_has_several_owners_only_in_a_large_fleet() {
     for (readers, homes) in [(6, 1..2), (32, 3..5)] {
         let mut rig = Rig::new(RoutingConfig {
             routers: 100,
@@ -1082,7 +1082,7 @@
 
 /// Guards against a try at each dead worker of a lost zone by each of many routers, until attempts are spent.
 #[test]
-fn after_two_workers_of_a_zone_were_not_reached_the_others_there_are_left_alone() {
+fn zone_is_avoided_after_two_connect_failures() {
     let mut rig = Rig::new(RoutingConfig {
         routers: 100,
         max_attempts: 6,
@@ -1119,7 +1119,7 @@
 
 /// Guards against cold readers that are kept busy for seconds by one long prompt, which its aim doesn't allow.
 #[test]
-fn long_prompts_are_not_read_by_cold_readers_while_any_is_warm() {
+fn long_prompts_avoid_prefill_workers_in_slow_start() {
     let (mut long, mut short) = (Vec::new(), Vec::new());
     for seed in 0..50 {
         for (prompt_tokens, to) in [(16_000, &mut long), (300, &mut short)] {
@@ -1141,7 +1141,7 @@
 /// Guards against a jam that feeds itself: with most readers cold, reads were given up that were well on their way,
 /// and every repeat read the whole prompt anew.
 #[test]
-fn a_read_is_waited_for_longer_while_many_readers_are_cold() {
+fn prefill_timeout_grows_while_many_workers_are_in_slow_start() {
     let wait = |rig: &mut Rig| {
         let asked = rig.ask_with(RequestSpec {
             deadline: rig.now + 20 * SECOND,
@@ -1169,7 +1169,7 @@
 /// Guards against a jam that feeds itself: reads given up were repeated elsewhere, though late by then, and every
 /// repeat read the whole prompt anew.
 #[test]
-fn a_read_that_is_not_answered_until_its_aim_is_past_is_refused_at_once_and_not_repeated() {
+fn prefill_timeout_past_the_objective_rejects_without_retry() {
     let mut rig = Rig::fleet(settings());
     rig.ask(1, "safe");
     rig.now += 3 * SECOND;
@@ -1181,7 +1181,7 @@
 /// Guards against bad workers that cost each of many routers a request that must not run twice, and against a read
 /// that fails at one reader until its attempts are spent.
 #[test]
-fn what_must_not_run_twice_goes_where_answers_came_and_no_request_twice_where_it_failed() {
+fn non_idempotent_request_prefers_proven_workers_and_no_retry_goes_to_a_failed_one() {
     let mut rig = renewed(1);
     for id in 1..30 {
         rig.ask(id, "safe");
@@ -1213,7 +1213,7 @@
 /// Without an answer the text may still be there: its repeat goes where it was read, not to a full read elsewhere;
 /// the home is common, so that a session's next turn at another router finds it.
 #[test]
-fn the_next_turn_at_another_router_goes_where_the_first_was_read() {
+fn next_turn_at_another_router_goes_to_the_same_prefill_worker() {
     let mut readers = Vec::new();
     for seed in 0..8 {
         let set = RoutingConfig {
@@ -1245,7 +1245,7 @@
 
 /// One writer beside many readers: near is kept only as far as its part goes, or it alone gets everything.
 #[test]
-fn a_lone_writer_beside_many_readers_is_not_given_all_their_states() {
+fn lone_decode_worker_does_not_get_all_local_kv_state() {
     let mut near = 0;
     for seed in 0..40 {
         let set = RoutingConfig {
@@ -1279,7 +1279,7 @@
 /// Guards against calls in step: many routers that start together, or whose calls failed together, kept discovery
 /// full for good. How long a call may be put off in all: `tests/list_calls.rs`.
 #[test]
-fn routers_that_start_together_ask_for_the_list_one_by_one_and_after_failures_ever_more_seldom() {
+fn endpoint_fetches_are_spread_over_routers_and_back_off_after_failures() {
     let mut calls: Vec<Vec<Micros>> = vec![Vec::new(); 2];
     for seed in 0..50 {
         let many = RoutingConfig {
@@ -1319,7 +1319,7 @@
 }
 
 #[test]
-fn absurd_news_costs_no_panic_and_no_rule() {
+fn invalid_events_cause_no_panic_and_break_no_rule() {
     let mut rig = Rig::fleet(settings());
     let absurd = RequestSpec {
         prompt_tokens: u64::MAX,
@@ -1366,7 +1366,7 @@
 }
 
 #[test]
-fn the_same_events_give_the_same_actions() {
+fn same_events_give_the_same_actions() {
     let run = || {
         let mut rig = Rig::fleet(settings());
         for id in 1..30 {
@@ -1389,7 +1389,7 @@
 
 /// Routers with empty views must not all choose alike, or one worker gets the whole fleet's work.
 #[test]
-fn equal_writers_are_chosen_differently_by_routers_that_know_nothing() {
+fn routers_break_ties_between_decode_workers_differently() {
     let mut chosen = std::collections::BTreeSet::new();
     for seed in 0..16 {
         let mut rig = Rig {
@@ -1410,7 +1410,7 @@
 
 /// A worker that turns one tenant away is not full for the others, nor asked again at once for that tenant.
 #[test]
-fn full_for_one_tenant_is_not_full_for_the_others() {
+fn worker_full_for_one_tenant_serves_the_others() {
     let mut rig = Rig::fleet(settings());
     let of = |id, tenant: &str, now| RequestSpec {
         request: RequestId(id),
@@ -1428,7 +1428,7 @@
 
 /// One slow answer, the first that a router sees of a worker, does not make it a slow worker.
 #[test]
-fn one_late_answer_does_not_make_a_worker_slow() {
+fn one_late_answer_does_not_raise_the_latency_factor() {
     let timeout = |actions: &[Action]| {
         actions.iter().find_map(|a| {
             if let Action::Send { timeout, .. } = a {
@@ -1492,7 +1492,7 @@
 
 /// Settings that state zero or a thousand routers, a tenant that they don't name, reports that make no sense.
 #[test]
-fn odd_settings_and_reports_cost_no_answer() {
+fn odd_configuration_and_reports_cost_no_answer() {
     for routers in [0, 1, 1_000] {
         for may in [false, true] {
             let tenants = vec![Tenant {
@@ -1542,7 +1542,7 @@
 /// Guards against slow links: paces learned over seconds kept sending states out of the cell, where they timed
 /// out, though the near writer had room.
 #[test]
-fn after_a_state_from_afar_was_late_the_near_writer_takes_all() {
+fn near_decode_worker_takes_all_after_remote_timeout() {
     let mut rig = Rig::fleet(settings());
     let write = |rig: &mut Rig, id: u64| {
         let reader = sends(&rig.ask(id, "safe"))[0].to_owned();
@@ -1572,7 +1572,7 @@
 
 /// Guards against states pinned by reads that ended well just as they were given up or their connection broke.
 #[test]
-fn a_read_given_up_or_broken_is_released_before_the_next_one() {
+fn timed_out_or_broken_prefill_is_released_before_the_next_one() {
     for outcome in [
         AttemptOutcome::TimedOut,
         AttemptOutcome::ConnectionLost,
@@ -1594,7 +1594,7 @@
 
 /// Guards against readers that idle beside one whose queue is long: what waited anywhere kept prompts from moving.
 #[test]
-fn a_crowded_holder_gives_work_to_readers_that_idle() {
+fn overloaded_prefix_holder_sheds_prefills_to_idle_workers() {
     let mut rig = Rig::new(settings());
     let list = ["r1", "r2", "r3", "r4", "r5", "r6", "w1", "w2"];
     rig.list(
@@ -1625,7 +1625,7 @@
 /// Answers that are lost on the way tell nothing of the worker that has answered a later send; those that time
 /// out with nothing answered since do. Guards against most readers set aside and the rest swamped.
 #[test]
-fn a_time_out_overtaken_by_a_later_answer_is_not_held_against_the_worker() {
+fn timeout_overtaken_by_a_later_answer_does_not_count_as_failure() {
     for overtaken in [true, false] {
         let mut rig = Rig::fleet(settings());
         let prefix = |id, now| RequestSpec {
@@ -1658,7 +1658,7 @@
 
 /// Guards against a worker that answers one class and not another: each class is sent where its own answers come.
 #[test]
-fn a_class_whose_answers_are_lost_at_a_worker_goes_elsewhere_and_the_others_stay() {
+fn class_with_lost_answers_moves_away_and_other_classes_stay() {
     let mut rig = Rig::new(settings());
     let list = ["r1", "r2", "r3", "r4", "r5", "r6", "w1", "w2"];
     rig.list(
@@ -1710,7 +1710,7 @@
 
 /// The same for writers, of which one that answers no request of a class looks full to it.
 #[test]
-fn a_class_whose_answers_are_lost_at_a_writer_goes_to_another() {
+fn class_with_lost_answers_moves_to_another_decode_worker() {
     let mut rig = Rig::new(settings());
     let list = ["r1", "w1", "w2"];
     rig.list(
@@ -1759,7 +1759,7 @@
 /// Guards against a writer that begins its streams at once and then crawls: first tokens alone make it look as good
 /// as any, and it stands near the reader.
 #[test]
-fn a_writer_whose_streams_last_much_longer_is_left_for_others() {
+fn decode_worker_with_slow_streams_is_avoided() {
     let mut rig = Rig::new(settings());
     let list = [("r1", 0), ("w1", 0), ("w2", 0), ("w3", 1)];
     let list = list
@@ -1801,7 +1801,7 @@
 /// Guards against a calm start in which every writer that has a stream looks slow beside those that have had none:
 /// nothing is usual before some stream has ended.
 #[test]
-fn before_any_stream_has_ended_none_is_long() {
+fn no_stream_counts_as_slow_before_one_has_ended() {
     let mut rig = Rig::new(settings());
     let list = [("r1", 0), ("r2", 1), ("w1", 0), ("w2", 1)];
     let list = list
@@ -1833,7 +1833,7 @@
 /// Guards against bounds that a large fleet meets: a whole list of 1,024 workers and a change of all of them, at one of
 /// 350 routers.
 #[test]
-fn a_router_of_many_takes_a_list_of_a_thousand_workers_and_a_change_of_it() {
+fn requests_are_served_across_updates_of_a_large_endpoint_list() {
     let mut rig = Rig::new(RoutingConfig {
         routers: 350,
         index: Some(349),
@@ -1873,7 +1873,7 @@
 
 /// Guards against a jam that takes all of a process's time: each end of an attempt had everything that waits looked at.
 #[test]
-fn where_much_waits_the_ends_of_a_moment_are_gone_on_with_together() {
+fn long_queue_is_dispatched_in_batches() {
     let mut rig = Rig::fleet(settings());
     // Readers that can't be used: all that comes later waits.
     for id in 0..10 {
--- a/tests/two_customers.rs
+++ b/tests/two_customers.rs
@@ -393,7 +393,7 @@
 
 /// The same fleet and the same flow under other names in another order: the same decisions, event by event.
 #[rstest]
-fn names_and_order_of_classes_decide_nothing(#[values(1, 2, 3)] seed: u64) {
+fn class_names_and_order_do_not_affect_decisions(#[values(1, 2, 3)] seed: u64) {
     let mut pair = Pair::new([NOTES, FORMS], seed);
     pair.run(2_500);
     pair.assert_much_was_seen();
@@ -402,7 +402,7 @@
 /// The one customer's settings change all the time, in nothing but the order of their classes; the other's are
 /// taken in anew as they are. What either has seen of a class must not turn up under another.
 #[rstest]
-fn a_new_order_of_classes_in_use_decides_nothing(#[values(1, 2, 3)] seed: u64) {
+fn reordering_classes_in_use_does_not_affect_decisions(#[values(1, 2, 3)] seed: u64) {
     let mut pair = Pair::new([NOTES, FORMS], seed);
     for step in 0..60 {
         pair.run(40);
@@ -419,9 +419,7 @@
 #[rstest]
 #[case::no_room(AttemptOutcome::Rejected)]
 #[case::answers_lost(AttemptOutcome::TimedOut)]
-fn what_was_seen_of_a_class_is_not_held_against_the_one_that_takes_its_place(
-    #[case] outcome: AttemptOutcome,
-) {
+fn statistics_of_a_class_are_not_applied_to_its_replacement(#[case] outcome: AttemptOutcome) {
     let mut policy = Policy::new(NOTES.settings(), 7);
     let mut now = 100 * SECOND;
     let mut tell = |policy: &mut Policy, time: Micros, event: &dyn Fn(Micros) -> Event| {
