--- a/lab/src/scale/hollow.rs
+++ b/lab/src/scale/hollow.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use whinhaven::fleet::membership::{self, Status};
 use whinhaven::fleet::message::Message;
-use whinhaven::fleet::node::{Action, Event, Node, Settings, Start};
+use whinhaven::fleet::node::{Action, Config, Event, Node, NodeStart};
 use whinhaven::fleet::{Incarnation, MemberName, raft};
 use whinhaven::routing::types::Micros;
 
@@ -59,7 +59,7 @@
         layout: &Layout,
         node: usize,
         life: u64,
-        settings: Settings,
+        settings: Config,
         names: Arc<Vec<MemberName>>,
         now: Micros,
     ) -> Self {
@@ -69,8 +69,8 @@
             address: views::address(node),
             incarnation: Incarnation(life),
         };
-        let start = Start {
-            me,
+        let start = NodeStart {
+            local: me,
             store: 1 + node as u64 + life * names.len() as u64,
             voters: names[..layout.voters()].iter().cloned().collect(),
             restored: raft::RestoredState::default(),
@@ -103,13 +103,13 @@
                 Action::Persist(raft::StorageWrite::Entries { entries, .. }) => {
                     self.counts.entries += entries.len() as u64;
                 }
-                Action::View(change) => {
+                Action::MembershipChanged(change) => {
                     out.notes.extend(
                         self.position(&change.member)
                             .map(|node| Note::Sees(node, change.to)),
                     );
                 }
-                Action::MayAct(may) => out.notes.push(Note::MayAct(may)),
+                Action::SessionValid(may) => out.notes.push(Note::MayAct(may)),
                 _ => {}
             }
         }
--- a/lab/src/scale/mod.rs
+++ b/lab/src/scale/mod.rs
@@ -16,7 +16,7 @@
 use std::error::Error;
 use std::path::PathBuf;
 use whinhaven::fleet::lease::RenewalPath;
-use whinhaven::fleet::node::Settings;
+use whinhaven::fleet::node::Config;
 
 /// What is measured.
 #[derive(clap::Args, Clone, Debug)]
@@ -76,11 +76,11 @@
 }
 
 /// The settings of service, with bounds that take a fleet of this size in.
-pub fn settings_for(layout: Layout, renewals: Renewals) -> Settings {
-    let mut settings = Settings::default();
+pub fn settings_for(layout: Layout, renewals: Renewals) -> Config {
+    let mut settings = Config::default();
     let members = layout.members as u32;
-    settings.view.max_members = layout.members + 1;
-    settings.group.max_learners = layout.members;
+    settings.membership.max_members = layout.members + 1;
+    settings.raft.max_learners = layout.members;
     settings.lease.renewal = match renewals {
         Renewals::Log => RenewalPath::Log,
         Renewals::Leader => RenewalPath::Leader,
--- a/lab/src/scale/simulated.rs
+++ b/lab/src/scale/simulated.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use whinhaven::fleet::membership::Status;
-use whinhaven::fleet::node::{Event, Settings};
+use whinhaven::fleet::node::{Config, Event};
 use whinhaven::fleet::{Index, LeaseName, MemberName};
 use whinhaven::routing::types::Micros;
 
@@ -135,14 +135,14 @@
     layout: Layout,
     world: World<HollowMember>,
     names: Arc<Vec<MemberName>>,
-    settings: Settings,
+    settings: Config,
     /// The life that each node is in.
     lives: Vec<u64>,
 }
 
 impl SimulatedFleet {
     /// Starts all members, over the first seconds.
-    pub fn start(layout: Layout, settings: Settings, seed: u64) -> SimulatedFleet {
+    pub fn start(layout: Layout, settings: Config, seed: u64) -> SimulatedFleet {
         let link = Link {
             delay: (WITHIN_ZONE, WITHIN_ZONE * 2),
             ..Link::default()
@@ -241,10 +241,13 @@
         let begun = self.world.now();
         self.until("the right to act of each", SECOND / 5, |world| {
             members(world).all(|(_, member)| {
-                member.node.may_act(&life_of(member), world.now()).is_some()
+                member
+                    .node
+                    .lease_token(&life_of(member), world.now())
+                    .is_some()
                     && member
                         .node
-                        .view()
+                        .membership()
                         .members()
                         .filter(|p| p.status == Status::Alive)
                         .count()
@@ -269,7 +272,7 @@
         let begun = self.world.now();
         let wanted = lease.clone();
         self.world.with(proposer, |member, now, out| {
-            member.event(now, Event::Want(wanted), out)
+            member.event(now, Event::AcquireLease(wanted), out)
         });
         let granted = |world: &World<HollowMember>| -> Option<Index> {
             let state = world.machine(proposer)?.node.state();
@@ -298,7 +301,7 @@
         let dead = |member: &HollowMember| {
             member
                 .node
-                .view()
+                .membership()
                 .member(&name)
                 .is_some_and(|peer| peer.status == Status::Dead)
         };
@@ -448,7 +451,7 @@
 }
 
 fn life_of(member: &HollowMember) -> LeaseName {
-    whinhaven::fleet::lease::life(&member.node.who().name).expect("a short name")
+    whinhaven::fleet::lease::life(&member.node.instance().name).expect("a short name")
 }
 
 /// How long the news of all members' joins go round: they came within seconds, and each rides on few messages.
@@ -462,7 +465,7 @@
 /// It does not settle, or this process can't be looked at.
 pub fn measure_fleet(
     layout: Layout,
-    settings: Settings,
+    settings: Config,
     seed: u64,
     seconds: u64,
 ) -> Result<FleetFigures, SimulationError> {
--- a/lab/tests/sim_lease.rs
+++ b/lab/tests/sim_lease.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use whinhaven::fleet::lease::{self, RenewalPath, Rights, What};
 use whinhaven::fleet::message::Message;
-use whinhaven::fleet::node::{Action, Event, Node, Settings, Start};
+use whinhaven::fleet::node::{Action, Config, Event, Node, NodeStart};
 use whinhaven::fleet::state::Effect;
 use whinhaven::fleet::{
     Incarnation, LeaseName, MemberInstance, MemberName, SiteName, Token, membership, raft,
@@ -48,7 +48,7 @@
 struct Sim {
     now: Micros,
     rng: ChaCha8Rng,
-    settings: Settings,
+    settings: Config,
     places: Vec<Place>,
     voters: BTreeSet<MemberName>,
     wants: Vec<LeaseName>,
@@ -77,7 +77,7 @@
 }
 
 impl Sim {
-    fn new(seed: u64, members: usize, voters: usize, leases: usize, settings: Settings) -> Sim {
+    fn new(seed: u64, members: usize, voters: usize, leases: usize, settings: Config) -> Sim {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let drift = u64::from(settings.lease.drift_ppm);
         let place = |n: usize, rng: &mut ChaCha8Rng| {
@@ -155,8 +155,8 @@
         let place = &mut self.places[n];
         place.lives += 1;
         place.me.incarnation = Incarnation(place.lives);
-        let start = Start {
-            me: place.me.clone(),
+        let start = NodeStart {
+            local: place.me.clone(),
             store: n as u64 + 1,
             voters: self.voters.clone(),
             restored: place.disk.clone(),
@@ -180,7 +180,7 @@
             .collect();
         self.tell(n, Event::Join { seeds });
         for want in self.wants.clone() {
-            self.tell(n, Event::Want(want));
+            self.tell(n, Event::AcquireLease(want));
         }
     }
 
@@ -217,7 +217,7 @@
                 }
             }
             Action::Persist(write) => self.places[n].disk.apply(write),
-            Action::Lease(change) => {
+            Action::LeaseChanged(change) => {
                 if let Some(body) = self.places[n].body.as_mut() {
                     body.rights.change(&change);
                 }
@@ -246,7 +246,9 @@
                 }
             }
             // As the program does: it comes back as another life, if it was not told to leave.
-            Action::LifeEnded if !self.places[n].body.as_ref().is_some_and(|body| body.leaves) => {
+            Action::IncarnationEnded
+                if !self.places[n].body.as_ref().is_some_and(|body| body.leaves) =>
+            {
                 self.places[n].body = None;
                 self.start(n);
             }
@@ -269,8 +271,10 @@
         {
             let may = |n: usize| {
                 let body = self.places[n].body.as_ref()?;
-                let token = body.rights.may_act(body.node.who(), &name, self.clock(n))?;
-                Some((token, body.node.who().clone()))
+                let token = body
+                    .rights
+                    .may_act(body.node.instance(), &name, self.clock(n))?;
+                Some((token, body.node.instance().clone()))
             };
             let actors: Vec<(Token, MemberInstance)> =
                 (0..self.places.len()).filter_map(may).collect();
@@ -403,7 +407,7 @@
             let body = self.places[*n].body.as_ref();
             body.is_some_and(|body| {
                 body.rights
-                    .may_act(body.node.who(), name, self.clock(*n))
+                    .may_act(body.node.instance(), name, self.clock(*n))
                     .is_some()
             })
         })
@@ -443,14 +447,14 @@
     }
 }
 
-fn settings(renewal: RenewalPath) -> Settings {
-    let mut settings = Settings::default();
+fn settings(renewal: RenewalPath) -> Config {
+    let mut settings = Config::default();
     settings.lease.renewal = renewal;
     // Short leases and clocks far apart: more ends and hand-overs in less simulated time.
     settings.lease.granted_for_ms = 2_000;
     settings.lease.drift_ppm = 50_000;
     settings.lease.margin_ms = 20;
-    settings.group.compact_after_entries = 64;
+    settings.raft.compact_after_entries = 64;
     settings
 }
 
@@ -534,7 +538,7 @@
     };
     let duty = lease_name("duty-0");
     let ready = |seed, members, voters| {
-        let mut sim = Sim::new(seed, members, voters, 1, Settings::default());
+        let mut sim = Sim::new(seed, members, voters, 1, Config::default());
         assert!(
             sim.run(60 * SECOND, |sim| sim.all_act()),
             "seed {seed}: not all act"
@@ -583,8 +587,8 @@
         let mut hands = 0;
         while sim.run(begun + 20 * SECOND, |sim| sim.actor(&duty).is_some()) {
             let holder = sim.actor(&duty).expect("a holder");
-            sim.tell(holder, Event::Unwant(duty.clone()));
-            sim.tell(holder, Event::Want(duty.clone()));
+            sim.tell(holder, Event::ReleaseLease(duty.clone()));
+            sim.tell(holder, Event::AcquireLease(duty.clone()));
             hands += 1;
         }
         let (rate, sent) = (hands / 20, (sim.sent - sent) / hands.max(1));
--- a/src/fleet/config.rs
+++ b/src/fleet/config.rs
@@ -102,7 +102,7 @@
     /// How often the holder of `discovery-refresh` does its duty, in milliseconds.
     pub refresh_period_ms: u64,
     /// Of the machines.
-    pub settings: node::Settings,
+    pub settings: node::Config,
     /// Where the log is kept.
     pub store: StoreConfig,
     /// How work in hand is recorded, if it is.
@@ -178,20 +178,20 @@
         };
         let name =
             MemberName::try_from(own).map_err(|e| ConfigError(format!("fleet.name: {e}")))?;
-        let mut settings = node::Settings::default();
-        settings.group.max_payload_bytes = PAYLOAD;
-        settings.group.max_bytes_per_message = PAYLOAD;
-        settings.view = fleet.settings("view", settings.view)?;
-        settings.group = fleet.settings("group", settings.group)?;
+        let mut settings = node::Config::default();
+        settings.raft.max_payload_bytes = PAYLOAD;
+        settings.raft.max_bytes_per_message = PAYLOAD;
+        settings.membership = fleet.settings("view", settings.membership)?;
+        settings.raft = fleet.settings("group", settings.raft)?;
         settings.lease = fleet.settings("lease", settings.lease)?;
         settings.bounds = fleet.settings("bounds", settings.bounds)?;
         settings.node = fleet.settings("node", settings.node)?;
         if let Some(policy) = &policy {
-            settings.node.policy_within_ms = policy.within_ms;
+            settings.node.settings_proposal_timeout_ms = policy.within_ms;
         }
         let most_members: usize = fleet.bounded("most_members", 32, 1, 16_384)?;
-        settings.view.max_members = most_members.max(2);
-        settings.group.max_learners = most_members;
+        settings.membership.max_members = most_members.max(2);
+        settings.raft.max_learners = most_members;
         let config = FleetConfig {
             site: fleet.required("site")?,
             peer: fleet.required("peer")?,
@@ -250,10 +250,10 @@
                 ),
             ));
         }
-        if let Err(error) = self.settings.view.validate() {
+        if let Err(error) = self.settings.membership.validate() {
             return Err(("fleet.view", error.to_string()));
         }
-        let group = &self.settings.group;
+        let group = &self.settings.raft;
         if group.heartbeat_interval_us == 0
             || group.heartbeat_interval_us.saturating_mul(5) > group.election_timeout_us
         {
@@ -360,7 +360,7 @@
 
     /// Bytes of the longest message over a connection.
     pub fn most_frame_bytes(&self) -> usize {
-        let group = &self.settings.group;
+        let group = &self.settings.raft;
         let entries = group.max_bytes_per_message.max(group.max_payload_bytes);
         AROUND + entries.max(ROW * self.most_members)
     }
--- a/src/fleet/message.rs
+++ b/src/fleet/message.rs
@@ -7,9 +7,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Message {
     /// Of the view.
-    View(membership::Message),
+    Membership(membership::Message),
     /// Of the group; proposals travel in it to the leader.
-    Group(raft::Message),
+    Raft(raft::Message),
     /// About renewals of leases.
     Renewal(renewal::Message),
 }
--- a/src/fleet/node.rs
+++ b/src/fleet/node.rs
@@ -24,11 +24,13 @@
 /// The settings of a member's machines.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Settings {
+pub struct Config {
     /// Of the view.
-    pub view: membership::Config,
+    #[serde(rename = "view")]
+    pub membership: membership::Config,
     /// Of the group.
-    pub group: raft::Config,
+    #[serde(rename = "group")]
+    pub raft: raft::Config,
     /// Of the leases.
     pub lease: lease::Settings,
     /// Of the state's tables; a leader puts its own in force.
@@ -42,34 +44,39 @@
 #[serde(default, deny_unknown_fields)]
 pub struct Limits {
     /// Most leases that this member wants at once, its life lease included.
-    pub most_wants: usize,
+    #[serde(rename = "most_wants")]
+    pub max_wanted_leases: usize,
     /// Most proposals of other parts that wait for an answer.
-    pub most_proposals: usize,
+    #[serde(rename = "most_proposals")]
+    pub max_pending_proposals: usize,
     /// A proposal without an answer is given up after this, in milliseconds.
-    pub give_up_ms: u64,
+    #[serde(rename = "give_up_ms")]
+    pub proposal_timeout_ms: u64,
     /// How long a record of work is remembered that nobody has in hand, in milliseconds; at least.
-    pub remember_ms: u64,
+    #[serde(rename = "remember_ms")]
+    pub work_retention_ms: u64,
     /// The leader ends a proposal of a policy that is not decided within this, in milliseconds.
-    pub policy_within_ms: u64,
+    #[serde(rename = "policy_within_ms")]
+    pub settings_proposal_timeout_ms: u64,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Limits {
-            most_wants: 64,
-            most_proposals: 1_024,
-            give_up_ms: 10_000,
-            remember_ms: 900_000,
-            policy_within_ms: 30_000,
+            max_wanted_leases: 64,
+            max_pending_proposals: 1_024,
+            proposal_timeout_ms: 10_000,
+            work_retention_ms: 900_000,
+            settings_proposal_timeout_ms: 30_000,
         }
     }
 }
 
 /// Who a member is and what it remembers at its start.
 #[derive(Clone, Debug)]
-pub struct Start {
+pub struct NodeStart {
     /// This member, in this life.
-    pub me: membership::LocalMember,
+    pub local: membership::LocalMember,
     /// The number that its store drew when it was formatted.
     pub store: u64,
     /// The voters of the first configuration, from the operator's file.
@@ -100,13 +107,13 @@
         message: Message,
     },
     /// Hold this lease when it can be had, until `Unwant`.
-    Want(LeaseName),
+    AcquireLease(LeaseName),
     /// Give this lease up.
-    Unwant(LeaseName),
+    ReleaseLease(LeaseName),
     /// Put a command into the log; [`Action::Done`] has the answer.
     Propose {
         /// The caller's number for it.
-        ticket: u64,
+        request_id: u64,
         /// What is to be done.
         command: Command,
     },
@@ -133,27 +140,27 @@
     /// Write to the store before anything that follows.
     Persist(raft::StorageWrite),
     /// The view of a member changed.
-    View(membership::StatusChange),
+    MembershipChanged(membership::StatusChange),
     /// This member's own standing to a lease changed: carry it to [`lease::Rights`] and into the history.
-    Lease(LeaseChange),
+    LeaseChanged(LeaseChange),
     /// Who leads the group, as far as this member knows.
-    Leading {
+    LeaderChanged {
         /// The leader.
         leader: Option<MemberName>,
         /// Its term.
         term: Term,
     },
     /// A proposal came to its end.
-    Done {
+    ProposalCompleted {
         /// The caller's number.
-        ticket: u64,
+        request_id: u64,
         /// What came of it.
-        result: Result<Answer, Lost>,
+        result: Result<Answer, ProposalError>,
     },
     /// This member gained (true) or lost its right to act as itself.
-    MayAct(bool),
+    SessionValid(bool),
     /// The log has ended this life: come back as a new incarnation, or stop.
-    LifeEnded,
+    IncarnationEnded,
     /// The state changed. Each member sees each effect of the entries that it applies, in one order; those covered
     /// by a snapshot are not seen one by one, see [`Action::Restored`].
     Effect {
@@ -163,40 +170,46 @@
         effect: Effect,
     },
     /// The state was replaced by a snapshot: read it anew with [`Node::state`].
-    Restored {
+    SnapshotRestored {
         /// The last entry that it covers.
         index: Index,
     },
     /// The group refused what was asked of it. Proposals are sent again by themselves.
-    Refused(raft::Rejection),
+    Rejected(raft::Rejection),
 }
 
 /// Why there is no answer to a proposal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, thiserror::Error)]
 #[serde(rename_all = "snake_case")]
-pub enum Lost {
+pub enum ProposalError {
     /// Too many wait already; it was not sent.
     #[error("too many proposals wait")]
-    Full,
+    #[serde(rename = "full")]
+    QueueFull,
     /// No answer came in time. It may still be applied.
     #[error("no answer in time; it may still be applied")]
-    GaveUp,
+    #[serde(rename = "gave_up")]
+    TimedOut,
     /// It was decided, but a snapshot hid the answer: look at the state.
     #[error("decided; look at the state")]
-    Hidden,
+    #[serde(rename = "hidden")]
+    ReplyLost,
 }
 
 /// What `whinhaven fleet status` shows.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Status {
+pub struct NodeStatus {
     /// This member.
-    pub me: MemberInstance,
+    #[serde(rename = "me")]
+    pub local: MemberInstance,
     /// Its site.
     pub site: SiteName,
     /// How it stands to its life lease: `acting`, `waiting` or `ended`.
-    pub life: String,
+    #[serde(rename = "life")]
+    pub session: String,
     /// The token of its life lease, if it has one.
-    pub life_token: Option<Token>,
+    #[serde(rename = "life_token")]
+    pub session_token: Option<Token>,
     /// The leader it knows.
     pub leader: Option<MemberName>,
     /// The group's term.
@@ -206,16 +219,16 @@
     /// The last entry applied.
     pub applied: Index,
     /// All members in the view.
-    pub members: Vec<StatusMember>,
+    pub members: Vec<MemberStatus>,
     /// All leases in the log as applied here.
-    pub leases: Vec<StatusLease>,
+    pub leases: Vec<LeaseStatus>,
     /// The policy's epoch; 0 before the first.
     pub epoch: u64,
 }
 
 /// A member as the view has it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct StatusMember {
+pub struct MemberStatus {
     /// Its name.
     pub name: MemberName,
     /// Its site.
@@ -230,7 +243,7 @@
 
 /// A lease as the log has it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct StatusLease {
+pub struct LeaseStatus {
     /// Its name.
     pub name: LeaseName,
     /// Who holds it.
@@ -249,11 +262,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Node {
     me: membership::LocalMember,
-    who: MemberInstance,
+    instance: MemberInstance,
     bounds: Bounds,
     limits: Limits,
-    view: Membership,
-    group: Raft,
+    membership: Membership,
+    raft: Raft,
     state: FleetState,
     holder: Holder,
     watch: Watch,
@@ -262,7 +275,7 @@
     tickets: BTreeMap<u64, (u64, Micros)>,
     /// The leader's requests to end a lease that wait for an answer.
     expiring: BTreeMap<LeaseName, u64>,
-    may_act: bool,
+    session_valid: bool,
     life_ended: bool,
     leaving: bool,
     keeper: work::RetentionTracker,
@@ -280,14 +293,14 @@
 }
 
 /// How often the leader looks for records of work that may be forgotten, and the most at once.
-const KEEP: Micros = 1_000_000;
-const MOST_FORGOTTEN: usize = 64;
+const RETENTION_CHECK_INTERVAL: Micros = 1_000_000;
+const MAX_FORGOTTEN_PER_CHECK: usize = 64;
 
 impl Node {
     /// A member at the start of its life. It wants its life lease at once; it looks for the others at [`Event::Join`].
-    pub fn new(start: Start, settings: Settings, now: Micros) -> Node {
-        let Start {
-            me,
+    pub fn new(start: NodeStart, settings: Config, now: Micros) -> Node {
+        let NodeStart {
+            local: me,
             store,
             voters,
             restored,
@@ -303,26 +316,26 @@
             name: me.name.clone(),
             store,
         };
-        let most_wants = settings.node.most_wants;
+        let most_wants = settings.node.max_wanted_leases;
         Node {
-            view: Membership::new(me.clone(), settings.view, draw(1)),
-            group: Raft::new(voter, &voters, settings.group, draw(2), restored, now)
+            membership: Membership::new(me.clone(), settings.membership, draw(1)),
+            raft: Raft::new(voter, &voters, settings.raft, draw(2), restored, now)
                 .with_relays(relays.clone()),
             state: FleetState::new(),
             holder: Holder::new(who.clone(), settings.lease.clone(), most_wants, draw(3)),
             watch: Watch::new(settings.lease),
             me,
-            who,
+            instance: who,
             bounds: settings.bounds,
             limits: settings.node,
             leading: false,
             tickets: BTreeMap::new(),
             expiring: BTreeMap::new(),
-            may_act: false,
+            session_valid: false,
             life_ended: false,
             leaving: false,
             keeper: work::RetentionTracker::default(),
-            keep_at: now.saturating_add(KEEP),
+            keep_at: now.saturating_add(RETENTION_CHECK_INTERVAL),
             policy_due: None,
             relays,
             renewing: Vec::new(),
@@ -349,7 +362,7 @@
             Event::Join { seeds } => self.look(now, membership::Event::Join { seeds }, out),
             Event::Message {
                 from,
-                message: Message::View(message),
+                message: Message::Membership(message),
             } => {
                 self.look(now, membership::Event::Message { from, message }, out);
             }
@@ -365,12 +378,12 @@
                 self.hear_renewal(now, from, message, &mut asks, out);
             }
             Event::Message {
-                message: Message::Group(message),
+                message: Message::Raft(message),
                 ..
             } if ends_a_lease(&message) => {}
             Event::Message {
                 from,
-                message: Message::Group(message),
+                message: Message::Raft(message),
             } => {
                 self.look(
                     now,
@@ -379,16 +392,20 @@
                 );
                 asks.push_back(raft::Event::Message { from, message });
             }
-            Event::Want(name) => self.hold(now, lease::Event::Want(name), &mut asks, out),
-            Event::Unwant(name) => self.hold(now, lease::Event::Unwant(name), &mut asks, out),
-            Event::Propose { ticket, command } => {
-                if self.tickets.len() >= self.limits.most_proposals || self.leaving {
-                    out.push(Action::Done {
-                        ticket,
-                        result: Err(Lost::Full),
+            Event::AcquireLease(name) => self.hold(now, lease::Event::Want(name), &mut asks, out),
+            Event::ReleaseLease(name) => self.hold(now, lease::Event::Unwant(name), &mut asks, out),
+            Event::Propose {
+                request_id: ticket,
+                command,
+            } => {
+                if self.tickets.len() >= self.limits.max_pending_proposals || self.leaving {
+                    out.push(Action::ProposalCompleted {
+                        request_id: ticket,
+                        result: Err(ProposalError::QueueFull),
                     });
                 } else {
-                    let give_up = now.saturating_add(self.limits.give_up_ms.saturating_mul(1000));
+                    let give_up =
+                        now.saturating_add(self.limits.proposal_timeout_ms.saturating_mul(1000));
                     let seq = self.propose(now, command, &mut asks);
                     self.tickets.insert(seq, (ticket, give_up));
                 }
@@ -411,8 +428,8 @@
     pub fn timeout(&self) -> Option<Micros> {
         let give_up = self.tickets.first_key_value().map(|(_, (_, at))| *at);
         let parts = [
-            self.view.timeout(),
-            self.group.timeout(),
+            self.membership.timeout(),
+            self.raft.timeout(),
             self.holder.timeout(),
             self.watch.timeout().filter(|_| self.leading),
             Some(self.keep_at).filter(|_| self.leading && !self.state.work().is_empty()),
@@ -425,18 +442,18 @@
     }
 
     /// This member, in its life.
-    pub fn who(&self) -> &MemberInstance {
-        &self.who
+    pub fn instance(&self) -> &MemberInstance {
+        &self.instance
     }
 
     /// What this member believes of the others.
-    pub fn view(&self) -> &Membership {
-        &self.view
+    pub fn membership(&self) -> &Membership {
+        &self.membership
     }
 
     /// Its part of the replicated log.
-    pub fn group(&self) -> &Raft {
-        &self.group
+    pub fn raft(&self) -> &Raft {
+        &self.raft
     }
 
     /// What the log has made, as far as applied here.
@@ -445,25 +462,25 @@
     }
 
     /// The token to act under at `now`. It may run ahead of the disk; the driver asks [`lease::Rights`] instead.
-    pub fn may_act(&self, name: &LeaseName, now: Micros) -> Option<Token> {
+    pub fn lease_token(&self, name: &LeaseName, now: Micros) -> Option<Token> {
         self.holder.may_act(name, now)
     }
 
     /// Whether a planned stop is complete as far as it can be seen here: the log has ended this life, and somebody
     /// else leads. Whoever stops does not wait for it for ever.
     pub fn left(&self) -> bool {
-        self.leaving && !self.leading && self.state.leases().ended(&self.who)
+        self.leaving && !self.leading && self.state.leases().ended(&self.instance)
     }
 
     /// What there is to show.
-    pub fn status(&self, now: Micros) -> Status {
+    pub fn status(&self, now: Micros) -> NodeStatus {
         let life_token = self.holder.life_token(now);
         let life = match (self.holder.ended(), life_token) {
             (true, _) => "ended",
             (false, Some(_)) => "acting",
             (false, None) => "waiting",
         };
-        let member = |peer: &membership::Member| StatusMember {
+        let member = |peer: &membership::Member| MemberStatus {
             name: peer.name.clone(),
             site: peer.site.clone(),
             incarnation: peer.incarnation,
@@ -471,7 +488,7 @@
             status: peer.status.as_str().to_owned(),
         };
         let table = self.state.leases();
-        let lease = |(name, grant): (&LeaseName, &lease::Grant)| StatusLease {
+        let lease = |(name, grant): (&LeaseName, &lease::Grant)| LeaseStatus {
             name: name.clone(),
             holder: grant.holder.clone(),
             token: grant.token,
@@ -479,16 +496,16 @@
             taken: grant.taken,
             waiters: table.waiters(name).count(),
         };
-        Status {
-            me: self.who.clone(),
+        NodeStatus {
+            local: self.instance.clone(),
             site: self.me.site.clone(),
-            life: life.to_owned(),
-            life_token,
-            leader: self.group.leader().cloned(),
-            term: self.group.term(),
-            commit: self.group.commit_index(),
+            session: life.to_owned(),
+            session_token: life_token,
+            leader: self.raft.leader().cloned(),
+            term: self.raft.term(),
+            commit: self.raft.commit_index(),
             applied: self.state.applied(),
-            members: self.view.members().map(member).collect(),
+            members: self.membership.members().map(member).collect(),
             leases: table.grants().map(lease).collect(),
             epoch: self.state.policy().epoch(),
         }
@@ -498,7 +515,7 @@
 
     fn look(&mut self, now: Micros, event: membership::Event, out: &mut Vec<Action>) {
         let mut actions = Vec::new();
-        self.view.handle(now, event, &mut actions);
+        self.membership.handle(now, event, &mut actions);
         out.extend(actions.into_iter().map(|action| match action {
             membership::Action::Send {
                 to,
@@ -508,10 +525,10 @@
             } => Action::Send {
                 to,
                 address: Some(address),
-                message: Message::View(message),
+                message: Message::Membership(message),
                 reliable,
             },
-            membership::Action::StatusChanged(change) => Action::View(change),
+            membership::Action::StatusChanged(change) => Action::MembershipChanged(change),
         }));
     }
 
@@ -545,7 +562,7 @@
                     renewal,
                     unanswered,
                 } => self.renewing.push((renewal, unanswered)),
-                lease::Action::Changed(change) => out.push(Action::Lease(change)),
+                lease::Action::Changed(change) => out.push(Action::LeaseChanged(change)),
             }
         }
     }
@@ -562,16 +579,16 @@
         let mut compacted = false;
         while let Some(event) = asks.pop_front() {
             let mut actions = Vec::new();
-            self.group.handle(now, event, &mut actions);
+            self.raft.handle(now, event, &mut actions);
             for action in actions {
                 match action {
                     raft::Action::Persist(write) => out.push(Action::Persist(write)),
                     raft::Action::Send { to, message } => {
-                        let address = self.view.member(&to).map(|peer| peer.address);
+                        let address = self.membership.member(&to).map(|peer| peer.address);
                         out.push(Action::Send {
                             to,
                             address,
-                            message: Message::Group(message),
+                            message: Message::Raft(message),
                             reliable: true,
                         });
                     }
@@ -580,10 +597,10 @@
                     raft::Action::LeaderChanged(leader, term) => {
                         self.lead(now, leader, term, &mut asks, out)
                     }
-                    raft::Action::Rejected(refusal) => out.push(Action::Refused(refusal)),
+                    raft::Action::Rejected(refusal) => out.push(Action::Rejected(refusal)),
                 }
             }
-            if asks.is_empty() && !compacted && self.group.should_compact() {
+            if asks.is_empty() && !compacted && self.raft.should_compact() {
                 compacted = true;
                 let (index, data) = (self.state.applied(), self.state.encode());
                 asks.push_back(raft::Event::Compact { index, data });
@@ -617,10 +634,10 @@
                     self.watch.changed(now, &change.name, self.state.leases());
                     self.hold(now, lease::Event::Changed(change.name), asks, out);
                 }
-                Effect::Answered { origin, answer } if origin.who == self.who => {
+                Effect::Answered { origin, answer } if origin.who == self.instance => {
                     if let Some((ticket, _)) = self.tickets.remove(&origin.seq) {
-                        out.push(Action::Done {
-                            ticket,
+                        out.push(Action::ProposalCompleted {
+                            request_id: ticket,
                             result: Ok(answer.clone()),
                         });
                     }
@@ -649,16 +666,16 @@
         };
         self.state = state;
         self.state.skip(snapshot.index);
-        out.push(Action::Restored {
+        out.push(Action::SnapshotRestored {
             index: snapshot.index,
         });
         self.watch.lead(now, self.leading, self.state.leases());
         for origin in self.holder.open() {
             if self.state.decided(&origin) {
                 if let Some((ticket, _)) = self.tickets.remove(&origin.seq) {
-                    out.push(Action::Done {
-                        ticket,
-                        result: Err(Lost::Hidden),
+                    out.push(Action::ProposalCompleted {
+                        request_id: ticket,
+                        result: Err(ProposalError::ReplyLost),
                     });
                 }
                 self.hold(
@@ -680,7 +697,7 @@
         asks: &mut VecDeque<raft::Event>,
         out: &mut Vec<Action>,
     ) {
-        let leading = leader.as_ref() == Some(&self.who.name);
+        let leading = leader.as_ref() == Some(&self.instance.name);
         if leading != self.leading {
             self.leading = leading;
             self.confirmation.clear();
@@ -697,7 +714,7 @@
             self.holder.hurry(now, &mut actions);
             self.held(actions, asks, out);
         }
-        out.push(Action::Leading { leader, term });
+        out.push(Action::LeaderChanged { leader, term });
     }
 
     // ------------------------------------------------------------ renewals off the log
@@ -716,8 +733,8 @@
             }
             renewal::Message::Renewed(renewals) => self.hear_renewed(now, renewals, asks, out),
             renewal::Message::Confirm { term, round } => {
-                if self.group.confirms_leader(&from, term) {
-                    let store = self.group.id().store;
+                if self.raft.confirms_leader(&from, term) {
+                    let store = self.raft.id().store;
                     self.send_renewal(
                         from,
                         renewal::Message::Confirmed { term, round, store },
@@ -726,7 +743,7 @@
                 }
             }
             renewal::Message::Confirmed { term, round, store } => {
-                if self.leading && term == self.group.term() {
+                if self.leading && term == self.raft.term() {
                     self.confirmation
                         .confirmed(raft::VoterId { name: from, store }, round);
                 }
@@ -742,7 +759,7 @@
             }
             return;
         }
-        if !self.group.is_established_leader() {
+        if !self.raft.is_established_leader() {
             return;
         }
         for renewal in renewals {
@@ -772,7 +789,7 @@
         out: &mut Vec<Action>,
     ) {
         for renewal in renewals {
-            if renewal.holder == self.who.name {
+            if renewal.holder == self.instance.name {
                 self.hold(now, lease::Event::Renewed(renewal), asks, out);
             } else {
                 let holder = renewal.holder.clone();
@@ -785,7 +802,9 @@
     fn renew(&mut self, now: Micros, out: &mut Vec<Action>) {
         for (renewal, unanswered) in std::mem::take(&mut self.renewing) {
             match self.renew_through(unanswered) {
-                Some(to) if to == self.who.name => self.hear_renew(now, to, vec![renewal], true),
+                Some(to) if to == self.instance.name => {
+                    self.hear_renew(now, to, vec![renewal], true)
+                }
                 Some(to) => {
                     let message = renewal::Message::Renew {
                         renewals: vec![renewal],
@@ -798,7 +817,7 @@
         }
         // Where nobody leads they are dropped: their holders ask again.
         if let Some(message) = self.gathering.due(now)
-            && let Some(leader) = self.group.leader().cloned()
+            && let Some(leader) = self.raft.leader().cloned()
         {
             self.send_renewal(leader, message, out);
         }
@@ -809,21 +828,21 @@
 
     /// Lets the leader answer what its voters have confirmed.
     fn confirm(&mut self, now: Micros, out: &mut Vec<Action>) {
-        let Some(voters) = self.group.voter_config().cloned() else {
+        let Some(voters) = self.raft.voter_config().cloned() else {
             return;
         };
         let mut outgoing = Vec::new();
         self.confirmation.turn(
             now,
-            self.group.id(),
-            self.group.term(),
+            self.raft.id(),
+            self.raft.term(),
             &voters,
             &mut outgoing,
         );
         let mut asks = VecDeque::new();
         for renewal::Outgoing { to, message } in outgoing {
             match message {
-                renewal::Message::Renewed(renewals) if to == self.who.name => {
+                renewal::Message::Renewed(renewals) if to == self.instance.name => {
                     self.hear_renewed(now, renewals, &mut asks, out);
                 }
                 message => self.send_renewal(to, message, out),
@@ -835,10 +854,10 @@
     /// Whom the next renewal goes to: relays that seem to live and then the leader, each after one that did not answer.
     fn renew_through(&self, unanswered: u32) -> Option<MemberName> {
         if self.leading {
-            return Some(self.who.name.clone());
+            return Some(self.instance.name.clone());
         }
         let lives = |name: &&MemberName| {
-            self.view
+            self.membership
                 .member(name)
                 .is_some_and(|peer| peer.status == membership::Status::Alive)
         };
@@ -846,14 +865,14 @@
             .relays
             .iter()
             .filter(lives)
-            .chain(self.group.leader())
+            .chain(self.raft.leader())
             .collect();
         ways.get(unanswered as usize % ways.len().max(1))
             .map(|name| (*name).clone())
     }
 
     fn send_renewal(&self, to: MemberName, message: renewal::Message, out: &mut Vec<Action>) {
-        let address = self.view.member(&to).map(|peer| peer.address);
+        let address = self.membership.member(&to).map(|peer| peer.address);
         out.push(Action::Send {
             to,
             address,
@@ -888,11 +907,11 @@
         if now < self.keep_at {
             return;
         }
-        self.keep_at = now.saturating_add(KEEP);
-        let remember = self.limits.remember_ms.saturating_mul(1000);
+        self.keep_at = now.saturating_add(RETENTION_CHECK_INTERVAL);
+        let remember = self.limits.work_retention_ms.saturating_mul(1000);
         for command in self
             .keeper
-            .due(now, remember, MOST_FORGOTTEN, self.state.work())
+            .due(now, remember, MAX_FORGOTTEN_PER_CHECK, self.state.work())
         {
             self.propose(now, Command::Takeover(command), asks);
         }
@@ -907,7 +926,10 @@
             .filter(|_| self.leading)
             .map(|open| open.proposal);
         if open != self.policy_due.map(|(proposal, _)| proposal) {
-            let within = self.limits.policy_within_ms.saturating_mul(1000);
+            let within = self
+                .limits
+                .settings_proposal_timeout_ms
+                .saturating_mul(1000);
             self.policy_due = open.map(|proposal| (proposal, now.saturating_add(within)));
         }
     }
@@ -923,7 +945,7 @@
         // Proposals are sent again by themselves; this one once more only where it was lost altogether.
         self.policy_due = Some((
             proposal,
-            now.saturating_add(self.limits.give_up_ms.saturating_mul(1000)),
+            now.saturating_add(self.limits.proposal_timeout_ms.saturating_mul(1000)),
         ));
         self.propose(
             now,
@@ -940,9 +962,9 @@
         {
             let (seq, (ticket, _)) = entry.remove_entry();
             self.holder.forget(seq);
-            out.push(Action::Done {
-                ticket,
-                result: Err(Lost::GaveUp),
+            out.push(Action::ProposalCompleted {
+                request_id: ticket,
+                result: Err(ProposalError::TimedOut),
             });
         }
     }
@@ -950,13 +972,13 @@
     /// Says when this member gains or loses its right to act as itself.
     fn say_rights(&mut self, now: Micros, out: &mut Vec<Action>) {
         let may_act = self.holder.life_token(now).is_some();
-        if may_act != self.may_act {
-            self.may_act = may_act;
-            out.push(Action::MayAct(may_act));
+        if may_act != self.session_valid {
+            self.session_valid = may_act;
+            out.push(Action::SessionValid(may_act));
         }
         if self.holder.ended() && !self.life_ended {
             self.life_ended = true;
-            out.push(Action::LifeEnded);
+            out.push(Action::IncarnationEnded);
         }
     }
 }
--- a/src/fleet/node/tests.rs
+++ b/src/fleet/node/tests.rs
@@ -27,15 +27,15 @@
             BTreeSet::from([member(voter)]),
             raft::RestoredState::default(),
         );
-        let start = Start {
-            me,
+        let start = NodeStart {
+            local: me,
             store: 1,
             voters,
             restored,
             seed: 1,
             relays: Vec::new(),
         };
-        let mut settings = Settings::default();
+        let mut settings = Config::default();
         settings.lease.renewal = lease::RenewalPath::Leader;
         let mut alone = Alone {
             node: Node::new(start, settings, 0),
@@ -110,11 +110,11 @@
 #[test]
 fn a_member_alone_renews_at_itself_and_leaves_the_log_alone() {
     let mut alone = Alone::new("c1");
-    let (life, commit) = (alone.life(), alone.node.group().commit_index());
-    assert!(alone.node.may_act(&life, alone.now).is_some());
+    let (life, commit) = (alone.life(), alone.node.raft().commit_index());
+    assert!(alone.node.lease_token(&life, alone.now).is_some());
     alone.run_for(60 * SECOND);
-    assert!(alone.node.may_act(&life, alone.now).is_some());
-    assert_eq!(alone.node.group().commit_index(), commit);
+    assert!(alone.node.lease_token(&life, alone.now).is_some());
+    assert_eq!(alone.node.raft().commit_index(), commit);
 }
 
 #[test]
@@ -211,7 +211,7 @@
         command: Command::Lease(command),
     };
     let body = raft::MessageBody::Propose(raft::ProposalPayload::Data(proposal.encode()));
-    let (term, commit) = (alone.node.group().term(), alone.node.group().commit_index());
+    let (term, commit) = (alone.node.raft().term(), alone.node.raft().commit_index());
     let message = raft::Message {
         from_store: 2,
         to_store: 0,
@@ -221,8 +221,8 @@
     };
     alone.event(Event::Message {
         from: member("c2"),
-        message: Message::Group(message),
+        message: Message::Raft(message),
     });
-    assert_eq!(alone.node.group().commit_index(), commit);
+    assert_eq!(alone.node.raft().commit_index(), commit);
     assert!(alone.node.state().leases().grant(&alone.life()).is_some());
 }
--- a/src/fleet/transport/admin.rs
+++ b/src/fleet/transport/admin.rs
@@ -5,7 +5,7 @@
 };
 use super::{ADMIN, bounds, draw, within};
 use crate::fleet::config::FleetConfig;
-use crate::fleet::node::Status;
+use crate::fleet::node::NodeStatus;
 use crate::fleet::raft::VoterId;
 use crate::fleet::{Incarnation, MemberInstance, MemberName, policy_epoch};
 use crate::net::stream::SteadyStream;
@@ -66,7 +66,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
     /// What the member shows.
-    pub status: Status,
+    pub status: NodeStatus,
     /// `leader`, `candidate`, `follower` or `learner`.
     pub role: String,
     /// The voters, with the numbers of their stores; none before the group has begun.
@@ -191,10 +191,10 @@
         voters,
         wanted,
     } = report;
-    let Status {
-        me,
+    let NodeStatus {
+        local: me,
         site,
-        life,
+        session: life,
         leader,
         term,
         commit,
--- a/src/fleet/transport/drive.rs
+++ b/src/fleet/transport/drive.rs
@@ -12,7 +12,7 @@
 use crate::fleet::config::FleetConfig;
 use crate::fleet::lease::{Standing, What, life};
 use crate::fleet::message::Message;
-use crate::fleet::node::{Action, Event, Lost, Node, Start};
+use crate::fleet::node::{Action, Event, Node, NodeStart, ProposalError};
 use crate::fleet::raft::{MAX_VOTERS, Role};
 use crate::fleet::sites::epoch::Table;
 use crate::fleet::state::{Answer, Command, Effect, FleetState};
@@ -49,7 +49,7 @@
     /// A planned stop.
     Leave(oneshot::Sender<()>),
     /// Put a command into the log.
-    Propose(Command, oneshot::Sender<Result<Answer, Lost>>),
+    Propose(Command, oneshot::Sender<Result<Answer, ProposalError>>),
 }
 
 /// What parts of the program are told of the fleet, in the order in which it happens. What the log did is told when it
@@ -130,7 +130,7 @@
     leaving: bool,
     ended: bool,
     /// The program's proposals that wait for their answers.
-    proposals: BTreeMap<u64, oneshot::Sender<Result<Answer, Lost>>>,
+    proposals: BTreeMap<u64, oneshot::Sender<Result<Answer, ProposalError>>>,
     tickets: u64,
 }
 
@@ -286,8 +286,8 @@
             incarnation: who.incarnation,
         };
         let (voters, relays) = (self.config.voters.clone(), self.config.relays.clone());
-        let start = Start {
-            me,
+        let start = NodeStart {
+            local: me,
             store: store_id,
             voters,
             restored,
@@ -325,13 +325,14 @@
             .collect();
         self.event(&mut life, Event::Join { seeds });
         for name in wants.iter() {
-            self.event(&mut life, Event::Want(name.clone()));
+            self.event(&mut life, Event::AcquireLease(name.clone()));
         }
         self.drive(life, wants).await
     }
 
     async fn drive(&mut self, mut life: Life, wants: &mut Vec<LeaseName>) -> Over {
-        let mut buffer = vec![0; most_frame(self.config.settings.view.max_datagram_bytes) + 1];
+        let mut buffer =
+            vec![0; most_frame(self.config.settings.membership.max_datagram_bytes) + 1];
         let looks = LOOKS.saturating_mul(self.config.most_members as u32);
         let mut looks = Bucket::new(self.now(), looks, looks);
         let mut seconds = tokio::time::interval(Duration::from_secs(1));
@@ -391,13 +392,13 @@
                         if !wants.contains(&name) {
                             wants.push(name.clone());
                         }
-                        self.event(&mut life, Event::Want(name));
+                        self.event(&mut life, Event::AcquireLease(name));
                     }
                     Next::Asked(Some(Ask::Propose(command, answer))) => {
                         life.tickets += 1;
                         life.proposals.insert(life.tickets, answer);
                         let ticket = life.tickets;
-                        self.event(&mut life, Event::Propose { ticket, command });
+                        self.event(&mut life, Event::Propose { request_id: ticket, command });
                     }
                     Next::Asked(Some(Ask::Leave(left))) => {
                         life.leaving = true;
@@ -440,12 +441,12 @@
                 Action::Send {
                     to,
                     address,
-                    message: message @ Message::View(_),
+                    message: message @ Message::Membership(_),
                     reliable,
                 } => {
                     self.send(life, &to, address, &message, reliable);
                 }
-                Action::View(change) => {
+                Action::MembershipChanged(change) => {
                     self.fleet.0.counters.view_changes.up();
                     life.history.view(&change);
                     self.fleet.tell(&Told::View(&change));
@@ -476,7 +477,7 @@
         };
         match opened {
             Err(reason) => self.reception.refused(from.ip(), reason),
-            Ok((from, MESSAGE, Some(message @ Message::View(_)))) => {
+            Ok((from, MESSAGE, Some(message @ Message::Membership(_)))) => {
                 self.fleet.0.counters.datagrams_in.up();
                 self.event(life, Event::Message { from, message });
             }
@@ -496,7 +497,7 @@
             return;
         };
         let payload = message.encode();
-        if reliable || payload.len() > self.config.settings.view.max_datagram_bytes {
+        if reliable || payload.len() > self.config.settings.membership.max_datagram_bytes {
             return life.links.send(to, address, payload);
         }
         let sent = life.sealer.seal(to, MESSAGE, &payload).ok();
@@ -549,7 +550,7 @@
                 message,
                 reliable,
             } => self.send(life, &to, address, &message, reliable),
-            Action::Lease(change) => {
+            Action::LeaseChanged(change) => {
                 let now = self.now();
                 shared.rights.borrow_mut().change(&change);
                 match (change.from, change.to) {
@@ -560,14 +561,14 @@
                 }
                 life.history.lease(&change, now);
             }
-            Action::Leading { leader, term } => {
+            Action::LeaderChanged { leader, term } => {
                 if leader.is_some() {
                     shared.counters.leaders.up();
                 }
                 life.history.leading(leader.as_ref(), term);
                 self.fleet.tell(&Told::Leading(leader.as_ref()));
             }
-            Action::MayAct(gained) => {
+            Action::SessionValid(gained) => {
                 let table = life.node.state().leases();
                 let token = table
                     .life(&life.who.name)
@@ -575,7 +576,7 @@
                 life.history.life(token.map(|grant| grant.token), gained);
                 self.fleet.tell(&Told::MayAct(gained));
             }
-            Action::LifeEnded => life.ended = true,
+            Action::IncarnationEnded => life.ended = true,
             Action::Effect { index, effect } => {
                 if let Effect::Lease(change) = &effect {
                     let of_life =
@@ -590,18 +591,21 @@
                     self.fleet.tell(&Told::Sites(life.node.state().sites()));
                 }
             }
-            Action::Refused(raft::Rejection::InitialVotersDiffer) => {
+            Action::Rejected(raft::Rejection::InitialVotersDiffer) => {
                 life.history
                     .note("another first voter names other first voters: the group can't start");
             }
-            Action::Refused(refusal) => log::debug!("fleet: the group refused: {refusal:?}"),
-            Action::Done { ticket, result } => {
+            Action::Rejected(refusal) => log::debug!("fleet: the group refused: {refusal:?}"),
+            Action::ProposalCompleted {
+                request_id: ticket,
+                result,
+            } => {
                 if let Some(answer) = life.proposals.remove(&ticket) {
                     let _ = answer.send(result);
                 }
             }
-            Action::Restored { .. } => self.fleet.tell(&Told::Restored(life.node.state())),
-            Action::Persist(_) | Action::View(_) => {}
+            Action::SnapshotRestored { .. } => self.fleet.tell(&Told::Restored(life.node.state())),
+            Action::Persist(_) | Action::MembershipChanged(_) => {}
         }
     }
 
@@ -637,7 +641,7 @@
         self.event(
             life,
             Event::Propose {
-                ticket,
+                request_id: ticket,
                 command: Command::Policy(command),
             },
         );
@@ -654,7 +658,7 @@
     fn answer(&self, life: &mut Life, request: admin::Request) -> admin::Reply {
         match request {
             admin::Request::Status => {
-                let group = life.node.group();
+                let group = life.node.raft();
                 let voters = group.voter_config();
                 admin::Reply::Status(Box::new(admin::Report {
                     status: life.node.status(self.now()),
@@ -696,7 +700,7 @@
     /// Lets go of what belongs to members that the view has forgotten.
     fn tidy(&self, life: &mut Life) {
         let known = |name: &MemberName| {
-            life.node.view().member(name).is_some() || self.config.peers.contains_key(name)
+            life.node.membership().member(name).is_some() || self.config.peers.contains_key(name)
         };
         let gone: Vec<MemberName> = life
             .links
--- a/src/fleet/transport/mod.rs
+++ b/src/fleet/transport/mod.rs
@@ -21,7 +21,7 @@
 use crate::counters::FleetCounters;
 use crate::fleet::config::{FleetConfig, WhenCutOff};
 use crate::fleet::lease::{Rights, life};
-use crate::fleet::node::Lost;
+use crate::fleet::node::ProposalError;
 use crate::fleet::state::{Answer, Command};
 use crate::fleet::{LeaseName, MemberInstance, Token};
 use crate::storage;
@@ -111,14 +111,14 @@
     ///
     /// # Errors
     /// There is no answer: too many wait, none came in time, or this life is over.
-    pub async fn propose(&self, command: Command) -> Result<Answer, Lost> {
+    pub async fn propose(&self, command: Command) -> Result<Answer, ProposalError> {
         let (answer, answered) = oneshot::channel();
         self.0
             .asks
             .send(Ask::Propose(command, answer))
             .await
-            .map_err(|_| Lost::GaveUp)?;
-        answered.await.unwrap_or(Err(Lost::GaveUp))
+            .map_err(|_| ProposalError::TimedOut)?;
+        answered.await.unwrap_or(Err(ProposalError::TimedOut))
     }
 
     /// Does something under a lease if this conductor may, and tells the history.
@@ -227,7 +227,7 @@
 /// The bounds of frames, by the fleet's configuration.
 fn bounds(config: &FleetConfig) -> Bounds {
     Bounds {
-        most_datagram: config.settings.view.max_datagram_bytes,
+        most_datagram: config.settings.membership.max_datagram_bytes,
         most_stream_frame: config.most_frame_bytes(),
         most_senders: 2 * config.most_members,
         per_second: config.most_frames_per_s,
@@ -236,7 +236,7 @@
 }
 
 fn store_settings(config: &FleetConfig) -> storage::Settings {
-    let most_record = config.settings.group.max_payload_bytes.max(64 * 1024) + 64 * 1024;
+    let most_record = config.settings.raft.max_payload_bytes.max(64 * 1024) + 64 * 1024;
     storage::Settings {
         most_bytes: config.store.most_bytes,
         most_record_bytes: u32::try_from(most_record).unwrap_or(u32::MAX),
--- a/tests/golden/messages.rs
+++ b/tests/golden/messages.rs
@@ -34,7 +34,7 @@
 }
 
 fn view(kind: membership::MessageKind) -> Message {
-    Message::View(membership::Message {
+    Message::Membership(membership::Message {
         sender: membership::MemberRecord {
             site: site("north"),
             address: "127.0.0.1:7101".parse().unwrap(),
@@ -131,7 +131,7 @@
 }
 
 fn group(body: raft::MessageBody) -> Message {
-    Message::Group(raft::Message {
+    Message::Raft(raft::Message {
         from_store: 901,
         to_store: 902,
         bootstrapped: true,
--- a/tests/golden_fleet.rs
+++ b/tests/golden_fleet.rs
@@ -239,15 +239,15 @@
 
 #[test]
 fn default_settings_keep_their_names_and_values() {
-    assert_eq!(json(&node::Settings::default()), SETTINGS);
+    assert_eq!(json(&node::Config::default()), SETTINGS);
     assert_eq!(json(&storage::Settings::default()), STORE_SETTINGS);
     assert_eq!(json(&seal::Bounds::default()), SEAL_BOUNDS);
 }
 
 #[test]
 fn kept_settings_are_read() {
-    let settings: node::Settings = serde_json::from_str(SETTINGS).unwrap();
-    assert_eq!(settings, node::Settings::default());
+    let settings: node::Config = serde_json::from_str(SETTINGS).unwrap();
+    assert_eq!(settings, node::Config::default());
     let store: storage::Settings = serde_json::from_str(STORE_SETTINGS).unwrap();
     assert_eq!(store, storage::Settings::default());
     let bounds: seal::Bounds = serde_json::from_str(SEAL_BOUNDS).unwrap();
@@ -280,14 +280,14 @@
 #[test]
 fn every_table_of_settings_in_the_fleet_table_is_read() {
     let settings = fleet_of(CONDUCTOR).settings;
-    assert_eq!(settings.view.period_ms, 600);
-    assert_eq!(settings.group.election_timeout_us, 1_100_000);
+    assert_eq!(settings.membership.period_ms, 600);
+    assert_eq!(settings.raft.election_timeout_us, 1_100_000);
     assert_eq!(settings.lease.renewal, RenewalPath::Leader);
     assert_eq!(settings.lease.retry.first_ms, 110);
     assert_eq!(settings.lease.retry.most_ms, 1100);
     assert_eq!(settings.bounds.most_waiters, 65);
-    assert_eq!(settings.node.most_wants, 66);
-    assert_eq!(settings.node.policy_within_ms, 30_001);
+    assert_eq!(settings.node.max_wanted_leases, 66);
+    assert_eq!(settings.node.settings_proposal_timeout_ms, 30_001);
 }
 
 #[test]
