--- a/lab/src/scale/mod.rs
+++ b/lab/src/scale/mod.rs
@@ -85,8 +85,8 @@
         Renewals::Log => RenewalPath::Log,
         Renewals::Leader => RenewalPath::Leader,
     };
-    settings.bounds.most_members = members * 2;
-    settings.bounds.most_leases = members * 2 + 64;
+    settings.bounds.max_members = members * 2;
+    settings.bounds.max_leases = members * 2 + 64;
     settings
 }
 
--- a/lab/src/scale/simulated.rs
+++ b/lab/src/scale/simulated.rs
@@ -448,7 +448,7 @@
 }
 
 fn life_of(member: &HollowMember) -> LeaseName {
-    whinhaven::fleet::lease::life(&member.node.who().name).expect("a short name")
+    whinhaven::fleet::lease::session_lease(&member.node.who().name).expect("a short name")
 }
 
 /// How long the news of all members' joins go round: they came within seconds, and each rides on few messages.
--- a/lab/tests/model_lease.rs
+++ b/lab/tests/model_lease.rs
@@ -1,4 +1,4 @@
-//! Every order of events for leases: the very machines that run, over an abstract log.
+//! Model checker of leases: the state machines of the product over an abstract log, every order of events.
 //!
 //! The log takes any proposal in flight at any moment, each member applies it as late as it likes, and a member's
 //! steps may be withheld for as long as one likes (a stopped process). True time goes on in units; each member's
@@ -11,10 +11,10 @@
 use std::sync::Arc;
 use std::time::Instant;
 use whinhaven::fleet::lease::{
-    self, Guard, Holder, LeaseChange, RenewalPath, Settings, Standing, Watch,
+    self, Config, ExpiryTracker, FencingGuard, Holder, LeaseStatus, LeaseStatusChange, RenewalPath,
 };
-use whinhaven::fleet::renewal::Renewal;
-use whinhaven::fleet::state::{Command, Effect, FleetState, Outbox, Proposal, Retry};
+use whinhaven::fleet::renewal::LeaseRenewal;
+use whinhaven::fleet::state::{Command, FleetState, Outbox, Proposal, Retry, StateChange};
 use whinhaven::fleet::{Incarnation, Index, LeaseName, MemberInstance, MemberName, Token};
 use whinhaven::routing::types::Micros;
 
@@ -25,48 +25,48 @@
 const NEVER_MS: u64 = 3_000_000;
 
 #[derive(Clone, Copy)]
-struct Person {
+struct MemberSpec {
     name: &'static str,
     incarnation: u64,
     /// The rate of its clock in millionths.
     clock: u64,
-    /// Whether it also wants the shared lease, beside its life lease.
-    wants: bool,
+    /// Whether it also wants the shared lease, beside its session lease.
+    wants_lease: bool,
     /// Whether it has a holder's side at all.
-    holds: bool,
+    has_holder: bool,
     /// Whether it counts leases down as a leader does. Several may think that they lead.
-    watches: bool,
+    tracks_expiry: bool,
     /// Whether it may stop as planned.
-    leaves: bool,
+    may_shut_down: bool,
 }
 
 /// What the log holds in the first state.
 #[derive(Clone, Copy, PartialEq)]
 enum Start {
-    /// The first requests for life leases, which nobody has applied yet.
-    Asked,
+    /// The first requests for session leases, which nobody has applied yet.
+    Requested,
     /// The same, but only the first member has not applied them yet: that a leader counts from a later moment, or that
     /// one that waits hears of it later, makes nothing less safe.
     Seen,
-    /// All life leases, applied everywhere.
-    Living,
+    /// All session leases, applied everywhere.
+    Granted,
 }
 
 struct Setup {
-    people: Vec<Person>,
-    settings: Settings,
+    specs: Vec<MemberSpec>,
+    settings: Config,
     /// The lease that is looked at.
     lease: LeaseName,
     /// True time goes on to here.
     horizon: u64,
     /// The log takes so many entries, and so many proposals of each member are on their way at once.
-    most_log: usize,
-    most_flight: usize,
+    max_log_entries: usize,
+    max_in_flight: usize,
     start: Start,
     /// Acts are sent, and land late.
     acts: bool,
     /// The leader takes renewals also of what it has asked the log to end. It must not.
-    is_careless: bool,
+    renews_expiring_leases: bool,
 }
 
 /// What follows from the rest of a state: it tells no two states apart.
@@ -89,11 +89,11 @@
 struct Member {
     holder: Option<Holder>,
     outbox: Outbox,
-    watch: Watch,
+    watch: ExpiryTracker,
     /// The log up to `applied`.
     state: Derived,
     applied: usize,
-    said: Standing,
+    reported_status: LeaseStatus,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -101,8 +101,8 @@
     time: u64,
     flight: Vec<Proposal>,
     /// Renewals on their way to the leader, and its answers on their way back.
-    renewals: Vec<Renewal>,
-    answers: Vec<Renewal>,
+    renewals: Vec<LeaseRenewal>,
+    answers: Vec<LeaseRenewal>,
     /// Whether an answer has come.
     renewed: bool,
     log: Vec<Proposal>,
@@ -111,12 +111,12 @@
     members: Vec<Arc<Member>>,
     /// The last token granted of the lease looked at, and whether a later grant's was not higher.
     highest: Token,
-    fell: bool,
+    token_decreased: bool,
     /// The first one.
     first: Token,
     /// Acts on their way, by their token; and what is acted on.
     acts: Vec<Token>,
-    guard: Guard,
+    guard: FencingGuard,
     landed: Token,
     refused: bool,
 }
@@ -127,7 +127,7 @@
     Commit(usize),
     Renew(usize),
     Answer(usize),
-    Wake(usize),
+    Tick(usize),
     Apply(usize),
     Leave(usize),
     Act(usize),
@@ -137,7 +137,7 @@
 impl Setup {
     fn clock(&self, member: usize, time: u64) -> Micros {
         // Clocks begin anywhere: nothing may depend on their agreeing.
-        (member as Micros + 1) * 77 * UNIT + time * self.people[member].clock
+        (member as Micros + 1) * 77 * UNIT + time * self.specs[member].clock
     }
 
     fn tell(&self, world: &mut World, member: usize, event: lease::Event) {
@@ -147,7 +147,7 @@
             outbox,
             watch,
             state,
-            said,
+            reported_status,
             ..
         } = Arc::make_mut(&mut world.members[member]);
         let mut out = Vec::new();
@@ -155,17 +155,17 @@
             holder.handle(now, event, state.0.leases(), &mut out);
         }
         let mut expired = Vec::new();
-        if self.people[member].watches {
-            watch.expire(now, &mut expired);
+        if self.specs[member].tracks_expiry {
+            watch.take_expired(now, &mut expired);
         }
         for command in expired {
             match holder {
                 Some(holder) => holder.propose(now, Command::Lease(command), &mut out),
-                None => outbox.put(now, Command::Lease(command)),
+                None => outbox.add(now, Command::Lease(command)),
             };
         }
         let mut sent = Vec::new();
-        outbox.due(now, &mut sent);
+        outbox.take_due(now, &mut sent);
         for action in out {
             match action {
                 lease::Action::Propose(proposal) => sent.push(proposal),
@@ -176,16 +176,18 @@
                         .retain(|other| other.holder != renewal.holder);
                     world.renewals.push(renewal);
                 }
-                lease::Action::Changed(LeaseChange { name, to, .. }) if name == self.lease => {
-                    *said = to
+                lease::Action::StatusChanged(LeaseStatusChange { name, to, .. })
+                    if name == self.lease =>
+                {
+                    *reported_status = to
                 }
-                lease::Action::Changed(_) => {}
+                lease::Action::StatusChanged(_) => {}
             }
         }
         for proposal in sent {
             let origin = proposal.origin.clone();
-            let own = |other: &Proposal| other.origin.who == origin.who;
-            if world.flight.iter().filter(|other| own(other)).count() >= self.most_flight {
+            let own = |other: &Proposal| other.origin.proposer == origin.proposer;
+            if world.flight.iter().filter(|other| own(other)).count() >= self.max_in_flight {
                 // The oldest one is lost on its way.
                 let oldest = world.flight.iter().position(own);
                 world.flight.remove(oldest.unwrap_or(0));
@@ -207,14 +209,18 @@
             &mut effects,
         );
         for effect in effects {
-            let Effect::Lease(change) = effect else {
+            let StateChange::Lease(change) = effect else {
                 continue;
             };
-            let granted = matches!(change.what, lease::What::Granted | lease::What::Offered);
+            let granted = matches!(
+                change.kind,
+                lease::LeaseChangeKind::Granted | lease::LeaseChangeKind::Offered
+            );
             if granted && change.name == self.lease {
                 // An offer that is taken up keeps its token; any other grant has a higher one.
-                let taken_up = change.what == lease::What::Granted && change.token == world.highest;
-                world.fell |= change.token <= world.highest && !taken_up;
+                let taken_up =
+                    change.kind == lease::LeaseChangeKind::Granted && change.token == world.highest;
+                world.token_decreased |= change.token <= world.highest && !taken_up;
                 world.highest = change.token;
                 if world.first == Token(0) {
                     world.first = change.token;
@@ -226,28 +232,29 @@
     /// A renewal comes to the leader: it counts the lease anew, unless it has asked the log to end it.
     fn renew(&self, world: &mut World, renewal: usize) {
         let renewal = world.renewals.remove(renewal);
-        let Some(leader) = self.people.iter().position(|person| person.watches) else {
+        let Some(leader) = self.specs.iter().position(|person| person.tracks_expiry) else {
             return;
         };
         let now = self.clock(leader, world.time);
         let ends = |proposal: &Proposal| matches!(&proposal.command, Command::Lease(lease::Command::Expire { name, .. }) if *name == renewal.name);
         let unseen = &world.log[world.members[leader].applied..];
-        let is_ending = world.flight.iter().chain(unseen).any(ends) && !self.is_careless;
+        let is_ending = world.flight.iter().chain(unseen).any(ends) && !self.renews_expiring_leases;
         let this = Arc::make_mut(&mut world.members[leader]);
         let table = this.state.0.leases();
         let grant = table
             .grant(&renewal.name)
-            .filter(|grant| grant.taken && grant.token == renewal.token);
+            .filter(|grant| grant.is_accepted && grant.token == renewal.token);
         if grant.is_some() && !is_ending {
-            this.watch.changed(now, &renewal.name, table);
+            this.watch.on_change(now, &renewal.name, table);
             world.answers.push(renewal);
         }
     }
 
     fn answer(&self, world: &mut World, answer: usize) {
         let renewal = world.answers.remove(answer);
-        let holder = |person: &Person| person.holds && person.name == renewal.holder.as_str();
-        if let Some(member) = self.people.iter().position(holder) {
+        let holder =
+            |person: &MemberSpec| person.has_holder && person.name == renewal.holder.as_str();
+        if let Some(member) = self.specs.iter().position(holder) {
             self.tell(world, member, lease::Event::Renewed(renewal));
             world.renewed = true;
         }
@@ -262,38 +269,46 @@
         Arc::make_mut(&mut this.state.0).apply(Index(this.applied as u64), proposal, &mut effects);
         for effect in effects {
             match effect {
-                Effect::Lease(change) => {
+                StateChange::Lease(change) => {
                     let this = Arc::make_mut(&mut world.members[member]);
-                    this.watch.changed(now, &change.name, this.state.0.leases());
-                    self.tell(world, member, lease::Event::Changed(change.name));
+                    this.watch
+                        .on_change(now, &change.name, this.state.0.leases());
+                    self.tell(world, member, lease::Event::LeaseChanged(change.name));
                 }
-                Effect::Answered { origin, answer } if origin.who == who(&self.people[member]) => {
-                    self.tell(world, member, lease::Event::Answered(origin.seq, answer));
+                StateChange::ProposalDecided {
+                    origin,
+                    result: answer,
+                } if origin.proposer == who(&self.specs[member]) => {
+                    self.tell(
+                        world,
+                        member,
+                        lease::Event::ProposalDecided(origin.sequence, answer),
+                    );
                 }
                 _ => {}
             }
         }
     }
 
-    fn may_act(&self, world: &World, member: usize) -> Option<Token> {
+    fn valid_token(&self, world: &World, member: usize) -> Option<Token> {
         world.members[member]
             .holder
             .as_ref()?
-            .may_act(&self.lease, self.clock(member, world.time))
+            .valid_token(&self.lease, self.clock(member, world.time))
     }
 
-    fn acts_under(&self, world: &World, token: Token) -> bool {
-        let acts = |i: usize| self.may_act(world, i) == Some(token);
+    fn is_valid_for_anyone(&self, world: &World, token: Token) -> bool {
+        let acts = |i: usize| self.valid_token(world, i) == Some(token);
         (0..world.members.len()).any(acts)
     }
 
-    fn actors(&self, world: &World) -> usize {
-        let acts = |&i: &usize| self.may_act(world, i).is_some();
+    fn count_valid(&self, world: &World) -> usize {
+        let acts = |&i: &usize| self.valid_token(world, i).is_some();
         (0..world.members.len()).filter(acts).count()
     }
 }
 
-fn who(person: &Person) -> MemberInstance {
+fn who(person: &MemberSpec) -> MemberInstance {
     let name = MemberName::try_from(person.name).expect("a name");
     MemberInstance {
         name,
@@ -306,13 +321,13 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<World> {
-        let member = |person: &Person| {
+        let member = |person: &MemberSpec| {
             let holder = person
-                .holds
+                .has_holder
                 .then(|| Holder::new(who(person), self.settings.clone(), 8, 1));
             let outbox = Outbox::new(who(person), self.settings.retry.clone(), 1);
-            let mut watch = Watch::new(self.settings.clone());
-            watch.lead(0, person.watches, FleetState::new().leases());
+            let mut watch = ExpiryTracker::new(self.settings.clone());
+            watch.set_leading(0, person.tracks_expiry, FleetState::new().leases());
             let state = Derived(Arc::new(FleetState::new()));
             Arc::new(Member {
                 holder,
@@ -320,7 +335,7 @@
                 watch,
                 state,
                 applied: 0,
-                said: Standing::Out,
+                reported_status: LeaseStatus::NotHeld,
             })
         };
         let mut world = World {
@@ -331,25 +346,25 @@
             renewed: false,
             log: Vec::new(),
             truth: Derived(Arc::new(FleetState::new())),
-            members: self.people.iter().map(member).collect(),
+            members: self.specs.iter().map(member).collect(),
             highest: Token(0),
-            fell: false,
+            token_decreased: false,
             first: Token(0),
             acts: Vec::new(),
-            guard: Guard::default(),
+            guard: FencingGuard::default(),
             landed: Token(0),
             refused: false,
         };
-        for member in 0..self.people.len() {
+        for member in 0..self.specs.len() {
             self.tell(&mut world, member, lease::Event::Tick);
         }
         while !world.flight.is_empty() {
             self.commit(&mut world, 0);
         }
         let applied = match self.start {
-            Start::Asked => 0..0,
-            Start::Seen => 1..self.people.len(),
-            Start::Living => 0..self.people.len(),
+            Start::Requested => 0..0,
+            Start::Seen => 1..self.specs.len(),
+            Start::Granted => 0..self.specs.len(),
         };
         for member in applied {
             while world.members[member].applied < world.log.len() {
@@ -357,12 +372,16 @@
             }
         }
         for (member, _) in self
-            .people
+            .specs
             .iter()
             .enumerate()
-            .filter(|(_, person)| person.wants)
+            .filter(|(_, person)| person.wants_lease)
         {
-            self.tell(&mut world, member, lease::Event::Want(self.lease.clone()));
+            self.tell(
+                &mut world,
+                member,
+                lease::Event::Acquire(self.lease.clone()),
+            );
         }
         vec![world]
     }
@@ -374,18 +393,21 @@
         steps.extend((0..world.answers.len()).map(Step::Answer));
         for (i, member) in world.members.iter().enumerate() {
             let now = self.clock(i, world.time);
-            let watch = member.watch.timeout().filter(|_| self.people[i].watches);
+            let watch = member
+                .watch
+                .timeout()
+                .filter(|_| self.specs[i].tracks_expiry);
             let holder = member.holder.as_ref().and_then(Holder::timeout);
             if holder.into_iter().chain(watch).any(|due| due <= now) {
-                steps.push(Step::Wake(i));
+                steps.push(Step::Tick(i));
             }
             if member.applied < world.log.len() {
                 steps.push(Step::Apply(i));
             }
-            if self.people[i].leaves && member.said != Standing::Out {
+            if self.specs[i].may_shut_down && member.reported_status != LeaseStatus::NotHeld {
                 steps.push(Step::Leave(i));
             }
-            if self.acts && self.may_act(world, i).is_some() {
+            if self.acts && self.valid_token(world, i).is_some() {
                 steps.push(Step::Act(i));
             }
         }
@@ -399,11 +421,11 @@
             Step::Commit(flying) => self.commit(&mut world, flying),
             Step::Renew(renewal) => self.renew(&mut world, renewal),
             Step::Answer(answer) => self.answer(&mut world, answer),
-            Step::Wake(member) => self.tell(&mut world, member, lease::Event::Tick),
+            Step::Tick(member) => self.tell(&mut world, member, lease::Event::Tick),
             Step::Apply(member) => self.apply(&mut world, member),
-            Step::Leave(member) => self.tell(&mut world, member, lease::Event::Leave),
+            Step::Leave(member) => self.tell(&mut world, member, lease::Event::Shutdown),
             Step::Act(member) => {
-                let token = self.may_act(&world, member)?;
+                let token = self.valid_token(&world, member)?;
                 if world.acts.contains(&token) {
                     return None;
                 }
@@ -412,7 +434,7 @@
             Step::Land(act) => {
                 let token = world.acts.remove(act);
                 if world.guard.admit(&self.lease, token, 1) {
-                    world.fell |= token < world.landed;
+                    world.token_decreased |= token < world.landed;
                     world.landed = token;
                 } else {
                     world.refused = true;
@@ -423,19 +445,19 @@
     }
 
     fn within_boundary(&self, world: &World) -> bool {
-        world.time <= self.horizon && world.log.len() <= self.most_log
+        world.time <= self.horizon && world.log.len() <= self.max_log_entries
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         let mut properties = vec![
             Property::always("at most one acts", |setup: &Setup, world: &World| {
-                setup.actors(world) <= 1
+                setup.count_valid(world) <= 1
             }),
-            Property::always("tokens rise", |_, world: &World| !world.fell),
+            Property::always("tokens rise", |_, world: &World| !world.token_decreased),
             Property::sometimes("another holder acts", |setup: &Setup, world: &World| {
                 world.first < world.highest
-                    && setup.actors(world) == 1
-                    && setup.acts_under(world, world.highest)
+                    && setup.count_valid(world) == 1
+                    && setup.is_valid_for_anyone(world, world.highest)
             }),
         ];
         if self.settings.renewal == RenewalPath::Leader {
@@ -451,14 +473,14 @@
     }
 }
 
-fn settings(margin_ms: u64) -> Settings {
+fn settings(margin_ms: u64) -> Config {
     let retry = Retry {
-        first_ms: NEVER_MS,
-        most_ms: NEVER_MS,
+        initial_delay_ms: NEVER_MS,
+        max_delay_ms: NEVER_MS,
     };
     // Three units, off by a third at most: a holder acts for two of its own, the leader waits for four of its own.
-    Settings {
-        granted_for_ms: 3_000,
+    Config {
+        duration_ms: 3_000,
         drift_ppm: 333_333,
         margin_ms,
         offer_ms: 1_000,
@@ -467,77 +489,81 @@
     }
 }
 
-fn person(name: &'static str, incarnation: u64, clock: u64) -> Person {
-    Person {
+fn person(name: &'static str, incarnation: u64, clock: u64) -> MemberSpec {
+    MemberSpec {
         name,
         incarnation,
         clock,
-        wants: false,
-        holds: true,
-        watches: false,
-        leaves: false,
+        wants_lease: false,
+        has_holder: true,
+        tracks_expiry: false,
+        may_shut_down: false,
     }
 }
 
-/// Two lives of one member, the earlier of them a zombie perhaps, and a leader: the life lease by itself.
+/// Two lives of one member, the earlier of them a zombie perhaps, and a leader: the session lease by itself.
 fn lives(slowest: u64, fastest: u64) -> Setup {
-    let leader = Person {
-        holds: false,
-        watches: true,
+    let leader = MemberSpec {
+        has_holder: false,
+        tracks_expiry: true,
         ..person("c", 1, fastest)
     };
-    let people = vec![person("a", 1, slowest), person("a", 2, 1_000_000), leader];
+    let specs = vec![person("a", 1, slowest), person("a", 2, 1_000_000), leader];
     let lease = LeaseName::try_from("life/a").expect("a name");
     let (settings, start) = (settings(0), Start::Seen);
     Setup {
-        people,
+        specs,
         settings,
         lease,
         horizon: 4,
-        most_log: 4,
-        most_flight: 1,
+        max_log_entries: 4,
+        max_in_flight: 1,
         start,
         acts: false,
-        is_careless: false,
+        renews_expiring_leases: false,
     }
 }
 
-/// Two members that want one lease, and a leader; their life leases are good at the start.
+/// Two members that want one lease, and a leader; their session leases are good at the start.
 fn duty(slowest: u64, fastest: u64) -> Setup {
-    let leader = Person {
-        holds: false,
-        watches: true,
+    let leader = MemberSpec {
+        has_holder: false,
+        tracks_expiry: true,
         ..person("c", 1, fastest)
     };
-    let wants = |person| Person {
-        wants: true,
+    let wants = |person| MemberSpec {
+        wants_lease: true,
         ..person
     };
-    let people = vec![
+    let specs = vec![
         wants(person("a", 1, slowest)),
         wants(person("b", 1, slowest)),
         leader,
     ];
     let lease = LeaseName::try_from("duty").expect("a name");
-    let (settings, start) = (settings(0), Start::Living);
+    let (settings, start) = (settings(0), Start::Granted);
     Setup {
-        people,
+        specs,
         settings,
         lease,
         horizon: 3,
-        most_log: 5,
-        most_flight: 1,
+        max_log_entries: 5,
+        max_in_flight: 1,
         start,
         acts: false,
-        is_careless: false,
+        renews_expiring_leases: false,
     }
 }
 
 /// The same with renewals at the leader: one holder, one that waits.
-fn renewed(slowest: u64, fastest: u64, is_careless: bool) -> Setup {
+fn renewed(slowest: u64, fastest: u64, renews_expiring_leases: bool) -> Setup {
     let mut setup = duty(slowest, fastest);
     setup.settings.renewal = RenewalPath::Leader;
-    (setup.horizon, setup.most_log, setup.is_careless) = (4, 6, is_careless);
+    (
+        setup.horizon,
+        setup.max_log_entries,
+        setup.renews_expiring_leases,
+    ) = (4, 6, renews_expiring_leases);
     setup
 }
 
@@ -563,13 +589,13 @@
 }
 
 /// Within the bound on drift nobody acts while another may, and another holder does get its turn.
-fn holds(title: &str, setup: Setup) {
+fn assert_exclusive(title: &str, setup: Setup) {
     let checker = explore(title, setup);
     checker.assert_properties();
 }
 
 /// Beyond the bound two may act at once, and the checker says how.
-fn breaks(title: &str, setup: Setup) {
+fn assert_violation(title: &str, setup: Setup) {
     let begun = Instant::now();
     let checker = setup
         .checker()
@@ -584,7 +610,7 @@
         .expect("an overlap is found");
     let last = path.last_state().clone();
     assert_eq!(
-        checker.model().actors(&last),
+        checker.model().count_valid(&last),
         2,
         "{title}: {:?}",
         path.into_actions()
@@ -593,10 +619,10 @@
 
 #[test]
 #[ignore = "minutes, in a release build"]
-fn renewals_at_the_leader_never_let_two_act_with_clocks_at_the_bound() {
+fn leader_renewals_keep_leases_exclusive_at_the_drift_bound() {
     let setup = Setup {
         horizon: 3,
-        most_log: 5,
+        max_log_entries: 5,
         ..renewed(SLOW, FAST, false)
     };
     let checker = explore("renewals at the leader", setup);
@@ -606,8 +632,8 @@
 }
 
 #[test]
-fn renewals_at_the_leader_let_two_act_one_millionth_beyond_the_bound() {
-    breaks(
+fn leader_renewals_violate_exclusivity_beyond_the_drift_bound() {
+    assert_violation(
         "renewals at the leader, beyond the bound",
         renewed(SLOW - 1, FAST, false),
     );
@@ -615,37 +641,37 @@
 
 /// A leader that renews what it has asked the log to end: the checker has to see it.
 #[test]
-fn a_leader_that_renews_what_it_ends_is_caught() {
-    breaks("a careless leader", renewed(SLOW, FAST, true));
+fn leader_that_renews_an_expiring_lease_violates_exclusivity() {
+    assert_violation("a careless leader", renewed(SLOW, FAST, true));
 }
 
 #[test]
-fn two_lives_never_act_at_once_with_clocks_at_the_bound() {
-    holds("two lives, clocks at the bound", lives(SLOW, FAST));
+fn log_renewals_keep_leases_exclusive_at_the_drift_bound() {
+    assert_exclusive("two lives, clocks at the bound", lives(SLOW, FAST));
     let mut zealous = lives(SLOW, FAST);
-    zealous.people[1].watches = true;
-    holds("two that think that they lead", zealous);
+    zealous.specs[1].tracks_expiry = true;
+    assert_exclusive("two that think that they lead", zealous);
     let mut leaving = lives(SLOW, FAST);
-    (leaving.people[0].leaves, leaving.horizon) = (true, 3);
-    holds("a holder that may leave", leaving);
+    (leaving.specs[0].may_shut_down, leaving.horizon) = (true, 3);
+    assert_exclusive("a holder that may leave", leaving);
     // A tenth of the grant as margin bears a clock that is 5% slower than it may be.
     let mut margin = lives(SLOW * 95 / 100, FAST);
     margin.settings = settings(300);
-    holds("a clock beyond the bound, within the margin", margin);
+    assert_exclusive("a clock beyond the bound, within the margin", margin);
 }
 
 #[test]
-fn a_millionth_beyond_the_bound_is_found_unsafe() {
-    breaks(
+fn clocks_beyond_the_drift_bound_violate_exclusivity() {
+    assert_violation(
         "two lives, the holder's clock too slow",
         lives(SLOW - 1, FAST),
     );
-    breaks("a duty, the holders' clocks too slow", duty(SLOW - 1, FAST));
+    assert_violation("a duty, the holders' clocks too slow", duty(SLOW - 1, FAST));
 }
 
 /// A zombie: the holder looks at its clock in time, stands still, and its act arrives after the next holder's.
 #[test]
-fn an_act_that_was_checked_in_time_and_lands_late_is_refused_by_its_token() {
+fn fencing_token_rejects_a_late_operation() {
     let setup = Setup {
         acts: true,
         ..lives(SLOW, FAST)
@@ -668,10 +694,10 @@
     // The first life acts, and from here on it is stopped. The leader waits and ends its lease; the second life takes
     // the offer up.
     use Step::*;
-    let before = go(&[Apply(0), Act(0), Time, Time, Time, Wake(2)]);
+    let before = go(&[Apply(0), Act(0), Time, Time, Time, Tick(2)]);
     let (expire, first) = (before.flight.len() - 1, before.acts[0]);
     assert_eq!(
-        setup.actors(&before),
+        setup.count_valid(&before),
         0,
         "the stopped holder's time is over by its own clock, unasked"
     );
@@ -684,31 +710,31 @@
         Land(1),
     ]);
     let after = go(&[Land(0)]);
-    assert!(after.landed > first && after.refused && !after.fell);
+    assert!(after.landed > first && after.refused && !after.token_decreased);
 }
 
 #[test]
 #[ignore = "minutes, in a release build"]
-fn every_order_of_longer_runs() {
-    let more = |setup: Setup, horizon, most_log, most_flight| Setup {
+fn leases_stay_exclusive_in_longer_runs() {
+    let more = |setup: Setup, horizon, max_log_entries, max_in_flight| Setup {
         horizon,
-        most_log,
-        most_flight,
+        max_log_entries,
+        max_in_flight,
         ..setup
     };
-    holds(
+    assert_exclusive(
         "two lives, everybody hears late",
         Setup {
-            start: Start::Asked,
+            start: Start::Requested,
             ..lives(SLOW, FAST)
         },
     );
-    holds(
+    assert_exclusive(
         "two lives, two requests in flight",
         more(lives(SLOW, FAST), 4, 4, 2),
     );
-    holds("two lives, longer", more(lives(SLOW, FAST), 4, 5, 1));
-    holds(
+    assert_exclusive("two lives, longer", more(lives(SLOW, FAST), 4, 5, 1));
+    assert_exclusive(
         "two lives, acts under way",
         Setup {
             acts: true,
--- a/lab/tests/sim_lease.rs
+++ b/lab/tests/sim_lease.rs
@@ -7,10 +7,10 @@
 use rstest::rstest;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
-use whinhaven::fleet::lease::{self, RenewalPath, Rights, What};
+use whinhaven::fleet::lease::{self, LeaseChangeKind, LeaseView, RenewalPath};
 use whinhaven::fleet::message::Message;
 use whinhaven::fleet::node::{Action, Event, Node, Settings, Start};
-use whinhaven::fleet::state::Effect;
+use whinhaven::fleet::state::StateChange;
 use whinhaven::fleet::{
     Incarnation, LeaseName, MemberInstance, MemberName, SiteName, Token, membership, raft,
 };
@@ -23,7 +23,7 @@
 
 struct Body {
     node: Node,
-    rights: Rights,
+    lease_view: LeaseView,
     /// Since when it stands still, as after SIGSTOP.
     stopped: bool,
     /// What came meanwhile.
@@ -142,7 +142,7 @@
     }
 
     /// The true time at which a member's clock shows `local` at the earliest.
-    fn truly(&self, n: usize, local: Micros) -> Micros {
+    fn true_time(&self, n: usize, local: Micros) -> Micros {
         let place = &self.places[n];
         let since = local.saturating_sub(place.offset) as u128;
         (since * 1_000_000)
@@ -164,10 +164,10 @@
             relays,
         };
         let node = Node::new(start, self.settings.clone(), clock);
-        let (rights, held_back) = (Rights::default(), VecDeque::new());
+        let (lease_view, held_back) = (LeaseView::default(), VecDeque::new());
         place.body = Some(Body {
             node,
-            rights,
+            lease_view,
             stopped: false,
             held_back,
             leaves: false,
@@ -219,16 +219,16 @@
             Action::Persist(write) => self.places[n].disk.apply(write),
             Action::Lease(change) => {
                 if let Some(body) = self.places[n].body.as_mut() {
-                    body.rights.change(&change);
+                    body.lease_view.apply(&change);
                 }
             }
             Action::Effect {
-                effect: Effect::Lease(change),
+                effect: StateChange::Lease(change),
                 ..
             } => {
                 let key = (change.name.clone(), change.token);
-                match change.what {
-                    What::Granted => {
+                match change.kind {
+                    LeaseChangeKind::Granted => {
                         let last = self
                             .granted
                             .get(&change.name)
@@ -239,10 +239,12 @@
                                 .insert(change.name, (change.token, change.holder));
                         }
                     }
-                    What::Released | What::Expired | What::LifeEnded => {
+                    LeaseChangeKind::Released
+                    | LeaseChangeKind::Expired
+                    | LeaseChangeKind::SessionEnded => {
                         self.over.insert(key);
                     }
-                    What::Offered | What::Renewed => {}
+                    LeaseChangeKind::Offered | LeaseChangeKind::Renewed => {}
                 }
             }
             // As the program does: it comes back as another life, if it was not told to leave.
@@ -255,12 +257,12 @@
     }
 
     /// MemberInstance could act now, stopped ones included: continued, they might.
-    fn look(&mut self) {
+    fn check_exclusivity(&mut self) {
         self.looked = self.now;
         let lives = self
             .places
             .iter()
-            .filter_map(|place| lease::life(&place.name));
+            .filter_map(|place| lease::session_lease(&place.name));
         for name in self
             .wants
             .clone()
@@ -269,7 +271,9 @@
         {
             let may = |n: usize| {
                 let body = self.places[n].body.as_ref()?;
-                let token = body.rights.may_act(body.node.who(), &name, self.clock(n))?;
+                let token = body
+                    .lease_view
+                    .valid_token(body.node.who(), &name, self.clock(n))?;
                 Some((token, body.node.who().clone()))
             };
             let actors: Vec<(Token, MemberInstance)> =
@@ -305,7 +309,7 @@
         loop {
             let due = |n: usize| {
                 let body = self.places[n].body.as_ref().filter(|body| !body.stopped)?;
-                Some((self.truly(n, body.node.timeout()?), n))
+                Some((self.true_time(n, body.node.timeout()?), n))
             };
             let timer = (0..self.places.len()).filter_map(due).min();
             let arrival = self.flight.first_key_value().map(|((at, _), _)| *at);
@@ -321,7 +325,7 @@
             }
             self.now = next.max(self.now);
             if look <= self.now {
-                self.look();
+                self.check_exclusivity();
             } else if arrival.is_some_and(|at| at <= self.now) {
                 let Some((_, (from, to, message))) = self.flight.pop_first() else {
                     continue;
@@ -355,7 +359,7 @@
         }
     }
 
-    fn carry_on(&mut self, n: usize) {
+    fn resume(&mut self, n: usize) {
         let Some(body) = self.places[n].body.as_mut() else {
             return;
         };
@@ -366,7 +370,7 @@
     }
 
     /// A planned stop.
-    fn leave(&mut self, n: usize) {
+    fn shut_down(&mut self, n: usize) {
         if let Some(body) = self.places[n].body.as_mut() {
             body.leaves = true;
         }
@@ -386,7 +390,7 @@
         self.loss = 0.0;
         self.cut.clear();
         for n in 0..self.places.len() {
-            self.carry_on(n);
+            self.resume(n);
             // Whoever was told to leave, or was about to die, has had its time.
             self.places[n]
                 .body
@@ -402,8 +406,8 @@
         (0..self.places.len()).find(|n| {
             let body = self.places[*n].body.as_ref();
             body.is_some_and(|body| {
-                body.rights
-                    .may_act(body.node.who(), name, self.clock(*n))
+                body.lease_view
+                    .valid_token(body.node.who(), name, self.clock(*n))
                     .is_some()
             })
         })
@@ -413,7 +417,7 @@
         let lives = self
             .places
             .iter()
-            .filter_map(|place| lease::life(&place.name));
+            .filter_map(|place| lease::session_lease(&place.name));
         lives
             .chain(self.wants.iter().cloned())
             .all(|name| self.actor(&name).is_some())
@@ -423,7 +427,7 @@
         let n = self.rng.random_range(0..self.places.len());
         match self.rng.random_range(0..10) {
             0 | 1 => self.stop(n),
-            2 | 3 => self.carry_on(n),
+            2 | 3 => self.resume(n),
             4 => self.places[n].body = None,
             5 => {
                 let after = self.rng.random_range(0..4);
@@ -432,7 +436,7 @@
                 }
             }
             6 if self.places[n].body.is_none() => self.start(n),
-            6 => self.leave(n),
+            6 => self.shut_down(n),
             7 => {
                 let both = self.rng.random_bool(0.5);
                 self.cut(n, both);
@@ -447,7 +451,7 @@
     let mut settings = Settings::default();
     settings.lease.renewal = renewal;
     // Short leases and clocks far apart: more ends and hand-overs in less simulated time.
-    settings.lease.granted_for_ms = 2_000;
+    settings.lease.duration_ms = 2_000;
     settings.lease.drift_ppm = 50_000;
     settings.lease.margin_ms = 20;
     settings.group.compact_after_entries = 64;
@@ -484,7 +488,7 @@
 }
 
 #[rstest]
-fn no_two_act_and_all_act_again_after_faults(
+fn leases_stay_exclusive_and_are_reacquired_after_faults(
     #[values(RenewalPath::Log, RenewalPath::Leader)] renewal: RenewalPath,
 ) {
     for seed in 0..4 {
@@ -499,7 +503,9 @@
 
 #[rstest]
 #[ignore = "a thousand seeds, by hand"]
-fn many_seeds(#[values(RenewalPath::Log, RenewalPath::Leader)] renewal: RenewalPath) {
+fn leases_stay_exclusive_with_many_seeds(
+    #[values(RenewalPath::Log, RenewalPath::Leader)] renewal: RenewalPath,
+) {
     let seeds = std::env::var("SEEDS")
         .ok()
         .and_then(|text| text.parse().ok())
@@ -555,7 +561,7 @@
                 match fault {
                     "crash" => sim.places[holder].body = None,
                     "cut" => sim.cut(holder, true),
-                    _ => sim.leave(holder),
+                    _ => sim.shut_down(holder),
                 }
                 if fault == "cut" {
                     assert!(sim.run(from + 60 * SECOND, |sim| sim.actor(&duty) != Some(holder)));
--- a/src/fleet/config.rs
+++ b/src/fleet/config.rs
@@ -239,9 +239,10 @@
             ));
         }
         self.check_relays().map_err(|what| ("fleet.relays", what))?;
-        if self.name.as_str() == ADMINISTRATOR || self.name.as_str().len() > lease::MOST_MEMBER_NAME
+        if self.name.as_str() == ADMINISTRATOR
+            || self.name.as_str().len() > lease::MAX_MEMBER_NAME_LENGTH
         {
-            let most = lease::MOST_MEMBER_NAME;
+            let most = lease::MAX_MEMBER_NAME_LENGTH;
             return Err((
                 "fleet.name",
                 format!(
@@ -271,11 +272,11 @@
             return Err(("fleet.group.most_payload_bytes", what));
         }
         let lease = &self.settings.lease;
-        if lease.hold() <= lease.renew() {
+        if lease.holder_duration() <= lease.renewal_interval() {
             let what = "nothing is left to act in after a third, drift_ppm and margin_ms";
             return Err(("fleet.lease.granted_for_ms", what.into()));
         }
-        if lease.granted_for_ms > self.settings.bounds.most_granted_for_ms {
+        if lease.duration_ms > self.settings.bounds.max_lease_duration_ms {
             return Err((
                 "fleet.lease.granted_for_ms",
                 "is above fleet.bounds.most_granted_for_ms".into(),
--- a/src/fleet/lease.rs
+++ b/src/fleet/lease.rs
@@ -1,73 +1,89 @@
-//! Leases: rights that end by themselves, with rising tokens.
+//! Leases with fencing tokens: exclusive rights that expire by themselves.
 //!
-//! Three machines. [`Table`] is what the log says of leases; it knows no time. [`Holder`] is a member's own side: it
-//! asks, renews, and says with [`Holder::may_act`] whether the member may act now, by the member's own clock, counted
-//! from the moment at which it sent the request. [`Watch`] is the leader's side: it counts by its own clock from the
-//! moment at which it applied a grant, and asks the log to end it. Why two holders never act at once:
-//! `docs/design/leases.md`.
+//! - [`Table`] is the replicated state: what the Raft log says of leases. It knows no time.
+//! - [`Holder`] is a member's side: it acquires and renews leases, and [`Holder::valid_token`] tells whether one is
+//!   valid now, by the member's own clock, counted from the moment at which the request was sent.
+//! - [`ExpiryTracker`] is the leader's side: by its own clock, counted from the moment at which it applied a grant, it
+//!   proposes to end leases that were not renewed.
+//! - [`FencingGuard`] is the resource's side: it rejects tokens lower than one already seen.
+//!
+//! Why two members never hold a valid lease at once is shown in `docs/design/leases.md`.
 
+mod expiry;
 mod guard;
 mod holder;
-mod rights;
 mod table;
-mod watch;
+mod view;
 
-pub use guard::Guard;
+pub use expiry::ExpiryTracker;
+pub use guard::FencingGuard;
 pub use holder::{Action, Event, Holder};
-pub use rights::{Cause, LeaseChange, Rights, Standing};
-pub use table::{Change, Command, Grant, Outcome, Refusal, Table, Waiter, What};
-pub use watch::Watch;
+pub use table::{
+    Command, Grant, LeaseChange, LeaseChangeKind, LeaseRejection, Outcome, Table, Waiter,
+};
+pub use view::{LeaseStatus, LeaseStatusChange, LeaseView, StatusChangeCause};
 
 use crate::fleet::state::Retry;
 use crate::fleet::{LeaseName, MAX_NAME_LENGTH, MemberName};
 use crate::routing::types::Micros;
 use serde::{Deserialize, Serialize};
 
-/// What the names of life leases begin with.
-pub const LIFE: &str = "life/";
-/// The life lease of a member: its right to act as itself. `None` if the name is too long to have one.
-pub fn life(member: &MemberName) -> Option<LeaseName> {
-    LeaseName::try_from(format!("{LIFE}{member}")).ok()
+const MICROS_PER_MILLI: Micros = 1_000;
+/// A holder renews this many times in a lease's duration.
+const RENEWALS_PER_DURATION: Micros = 3;
+
+/// Prefix of the names of session leases.
+pub const SESSION_LEASE_PREFIX: &str = "life/";
+
+/// Maximum length of a member's name that fits into a session lease's name, in bytes.
+pub const MAX_MEMBER_NAME_LENGTH: usize = MAX_NAME_LENGTH - SESSION_LEASE_PREFIX.len();
+
+/// The session lease of a member: its right to act under its name, on which its other leases depend. `None` if the
+/// member's name is longer than [`MAX_MEMBER_NAME_LENGTH`].
+pub fn session_lease(member: &MemberName) -> Option<LeaseName> {
+    LeaseName::try_from(format!("{SESSION_LEASE_PREFIX}{member}")).ok()
 }
 
-/// The longest name of a member that can have a life lease, in bytes.
-pub const MOST_MEMBER_NAME: usize = MAX_NAME_LENGTH - LIFE.len();
+fn is_session_lease(name: &LeaseName) -> bool {
+    name.as_str().starts_with(SESSION_LEASE_PREFIX)
+}
 
 /// How a holder renews.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum RenewalPath {
-    /// By an entry of the log.
+    /// By an entry of the Raft log.
     #[default]
     Log,
     /// By a message that the leader answers; see [`crate::fleet::renewal`].
     Leader,
 }
 
-/// How leases are asked for, held and ended.
+/// Durations of leases and tolerances of clocks.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Settings {
-    /// For how long a lease is granted, in milliseconds. It travels with the request, so members may differ.
-    pub granted_for_ms: u64,
-    /// How far any member's clock may run too fast or too slow, in millionths.
+pub struct Config {
+    /// Duration of a lease, in milliseconds. It is sent with the request, so members may differ.
+    #[serde(rename = "granted_for_ms")]
+    pub duration_ms: u64,
+    /// Maximum error of any member's clock rate, in millionths.
     pub drift_ppm: u32,
-    /// The holder stops this much earlier and the leader waits this much longer, in milliseconds: at least the time
-    /// from the holder's last look at the clock to the end of its act.
+    /// Safety margin in milliseconds: the holder stops this much earlier, and the leader waits this much longer. At
+    /// least the time from the holder's check of the lease to the end of the protected operation.
     pub margin_ms: u64,
-    /// A lease handed to the next in line that it does not take up within this time goes on to the one after, in
-    /// milliseconds. Nobody acts on it before, so it needs no margin.
+    /// Time within which a waiting member must accept a lease that was offered to it, in milliseconds; then it is
+    /// offered to the next one. An offer isn't valid before it is accepted, so this needs no margin.
     pub offer_ms: u64,
     /// When a request without an answer is sent again.
     pub retry: Retry,
-    /// How a lease that is held is renewed.
+    /// How held leases are renewed.
     pub renewal: RenewalPath,
 }
 
-impl Default for Settings {
+impl Default for Config {
     fn default() -> Self {
-        Settings {
-            granted_for_ms: 5_000,
+        Config {
+            duration_ms: 5_000,
             drift_ppm: 1_000,
             margin_ms: 250,
             offer_ms: 1_000,
@@ -77,30 +93,31 @@
     }
 }
 
-impl Settings {
-    /// How long a holder may act after it sent a request, by its own clock, in microseconds.
-    pub fn hold(&self) -> Micros {
-        let span = self.granted_for_ms.saturating_mul(1000);
-        span.saturating_sub(drift(span, self.drift_ppm))
-            .saturating_sub(self.margin_ms.saturating_mul(1000))
+impl Config {
+    /// How long a lease is valid for its holder after it sent the request, by the holder's clock.
+    pub fn holder_duration(&self) -> Micros {
+        let duration = self.duration_ms.saturating_mul(MICROS_PER_MILLI);
+        duration
+            .saturating_sub(max_drift(duration, self.drift_ppm))
+            .saturating_sub(self.margin_ms.saturating_mul(MICROS_PER_MILLI))
     }
 
-    /// How long a leader waits after it applied a grant of `granted_for_ms`, by its own clock, in microseconds.
-    pub fn wait(&self, granted_for_ms: u64) -> Micros {
-        let span = granted_for_ms.saturating_mul(1000);
-        span.saturating_add(drift(span, self.drift_ppm))
-            .saturating_add(self.margin_ms.saturating_mul(1000))
+    /// How long the leader waits after it applied a grant of `duration_ms` before it ends it, by the leader's clock.
+    pub fn expiry_duration(&self, duration_ms: u64) -> Micros {
+        let duration = duration_ms.saturating_mul(MICROS_PER_MILLI);
+        duration
+            .saturating_add(max_drift(duration, self.drift_ppm))
+            .saturating_add(self.margin_ms.saturating_mul(MICROS_PER_MILLI))
     }
 
-    /// When a holder renews, counted from the request that its right rests on, in microseconds.
-    pub fn renew(&self) -> Micros {
-        self.granted_for_ms.saturating_mul(1000) / 3
+    /// Time from the request that a holder's lease is based on to the next renewal.
+    pub fn renewal_interval(&self) -> Micros {
+        self.duration_ms.saturating_mul(MICROS_PER_MILLI) / RENEWALS_PER_DURATION
     }
 }
 
-/// What a span may be off by, rounded up.
-fn drift(span: Micros, ppm: u32) -> Micros {
-    (span as u128 * ppm as u128)
-        .div_ceil(1_000_000)
-        .min(u64::MAX as u128) as u64
+/// Maximum error of a duration that is measured with a clock off by up to `drift_ppm`, rounded up.
+fn max_drift(duration: Micros, drift_ppm: u32) -> Micros {
+    let drift = (u128::from(duration) * u128::from(drift_ppm)).div_ceil(1_000_000);
+    Micros::try_from(drift).unwrap_or(Micros::MAX)
 }
--- a/src/fleet/lease/guard.rs
+++ b/src/fleet/lease/guard.rs
@@ -1,27 +1,27 @@
-//! The side that is acted on under leases.
+//! Fencing of operations at the resource that a lease protects.
 
 use crate::fleet::{LeaseName, Token};
 use std::collections::BTreeMap;
 
-/// What is acted on under leases keeps the highest token that it has seen, and refuses lower ones. This closes what no
-/// clock can: an act that was checked in time and was sent after a pause.
+/// Keeps the highest token seen of each lease, and rejects operations under lower ones.
+///
+/// This covers what no clock can: an operation that was checked in time and sent after a pause of the process.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Guard {
+pub struct FencingGuard {
     highest: BTreeMap<LeaseName, Token>,
 }
 
-impl Guard {
-    /// Whether an act under this token may go ahead. At most `most` names are kept; acts under further ones may not.
-    pub fn admit(&mut self, name: &LeaseName, token: Token, most: usize) -> bool {
-        let lower = self
-            .highest
-            .get(name)
-            .is_some_and(|highest| *highest > token);
-        let full = !self.highest.contains_key(name) && self.highest.len() >= most;
-        if lower || full {
-            return false;
+impl FencingGuard {
+    /// Whether an operation under this token may proceed. At most `max_leases` names are kept; operations under
+    /// further ones are rejected.
+    pub fn admit(&mut self, name: &LeaseName, token: Token, max_leases: usize) -> bool {
+        let is_allowed = match self.highest.get(name) {
+            Some(highest) => *highest <= token,
+            None => self.highest.len() < max_leases,
+        };
+        if is_allowed {
+            self.highest.insert(name.clone(), token);
         }
-        self.highest.insert(name.clone(), token);
-        true
+        is_allowed
     }
 }
--- a/src/fleet/lease/holder.rs
+++ b/src/fleet/lease/holder.rs
@@ -1,512 +1,449 @@
-//! A member's own side of its leases: it asks, renews, and says whether it may act now.
+//! A member's side of its leases: it acquires and renews them, and tells whether they are valid now.
 
-use super::rights::{Cause, LeaseChange, Standing};
-use super::table::{Command, Grant, Outcome, Table};
-use super::{LIFE, RenewalPath, Settings, life};
-use crate::fleet::renewal::Renewal;
-use crate::fleet::state::{self, Answer, Origin, Outbox, Proposal};
+mod lease;
+mod requests;
+
+use super::table::{Grant, Outcome, Table};
+use super::view::{LeaseStatus, LeaseStatusChange, StatusChangeCause};
+use super::{Config, is_session_lease, session_lease};
+use crate::fleet::renewal::LeaseRenewal;
+use crate::fleet::state::{self, Origin, Outbox, Proposal, ProposalResult};
 use crate::fleet::{LeaseName, MemberInstance, Token};
 use crate::routing::types::Micros;
-use std::collections::{BTreeMap, VecDeque};
-use xxhash_rust::xxh3::xxh3_64_with_seed;
-
-/// Requests of one lease whose moment of sending is remembered while their answers are out.
-const MOST_SENT: usize = 4;
-/// How often a renewal that the leader does not answer is sent in a third of the lease's time.
-const TRIES_A_THIRD: Micros = 3;
+use lease::{HeldGrant, HolderLease};
+use requests::backoff;
+use std::collections::BTreeMap;
 
-/// What a holder is told.
+/// Input of a holder.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// Time has passed.
+    /// The time given by [`Holder::timeout`] has come.
     Tick,
-    /// Ask for this lease, and hold it.
-    Want(LeaseName),
-    /// Give it up.
-    Unwant(LeaseName),
-    /// The log answered this member's proposal of this number.
-    Answered(u64, Answer),
-    /// The leader renewed a lease on this member's request.
-    Renewed(Renewal),
-    /// The table changed at this name.
-    Changed(LeaseName),
+    /// Acquire this lease and hold it.
+    Acquire(LeaseName),
+    /// Release this lease.
+    Release(LeaseName),
+    /// The log decided this member's proposal of this sequence number.
+    ProposalDecided(u64, ProposalResult),
+    /// The leader renewed a lease at this member's request.
+    Renewed(LeaseRenewal),
+    /// The table's record of this lease changed.
+    LeaseChanged(LeaseName),
     /// The table was replaced by a snapshot.
-    Restored,
-    /// A planned stop: stop acting, give everything up, for good.
-    Leave,
+    TableReplaced,
+    /// Planned stop: release all leases, for good.
+    Shutdown,
 }
 
-/// What a holder wants done.
+/// Output of a holder.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// Hand it to the group.
+    /// Propose this to the Raft log.
     Propose(Proposal),
-    /// Send it to the leader or to a relay.
+    /// Send a renewal to the leader or to a relay.
     Renew {
-        /// What is asked for.
-        renewal: Renewal,
-        /// How many requests before it have stayed without an answer.
+        /// The renewal.
+        renewal: LeaseRenewal,
+        /// Number of renewals before it that were not answered.
         unanswered: u32,
     },
-    /// Tell the program and the history.
-    Changed(LeaseChange),
-}
-
-/// What a member wants, asked for and holds of one lease.
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Mine {
-    wanted: bool,
-    /// The request whose answer is waited for.
-    open: Option<u64>,
-    /// When the latest requests were first sent.
-    sent: VecDeque<(u64, Micros)>,
-    /// The grant, once the log has said so, and the sending time that it rests on.
-    held: Option<(Token, Option<Micros>)>,
-    /// The grant that this member asked to give up: it never acts under it again, whatever comes of that request.
-    given_up: Option<Token>,
-    /// No new request before this.
-    pause: Micros,
-    /// When the next request is due, if one is.
-    next: Option<Micros>,
-    refusals: u32,
-    /// Renewals that the leader has not answered, since the last one that it has.
-    unanswered: u32,
-    standing: Standing,
-    until: Micros,
+    /// The status of a lease changed.
+    StatusChanged(LeaseStatusChange),
 }
 
-/// A member's side of all its leases, its life lease among them.
+/// A member's side of all its leases, its session lease among them.
 ///
 /// It owns the member's [`Outbox`]: other parts propose through [`Holder::propose`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Holder {
-    me: MemberInstance,
-    settings: Settings,
+    member: MemberInstance,
+    config: Config,
     seed: u64,
-    life: Option<LeaseName>,
+    session: Option<LeaseName>,
     outbox: Outbox,
-    mine: BTreeMap<LeaseName, Mine>,
-    most_wants: usize,
-    ended: bool,
-    leaving: bool,
-    /// Renewals on their way to the leader.
+    leases: BTreeMap<LeaseName, HolderLease>,
+    max_leases: usize,
+    is_session_ended: bool,
+    is_shutting_down: bool,
+    /// Renewals to be sent to the leader.
     renewals: Vec<Action>,
 }
 
 impl Holder {
-    /// A new life: it wants its life lease from the start. At most `most_wants` leases are held or asked for at once.
-    pub fn new(me: MemberInstance, settings: Settings, most_wants: usize, seed: u64) -> Self {
-        let life = life(&me.name);
-        let outbox = Outbox::new(me.clone(), settings.retry.clone(), seed);
-        let mine = life
+    /// The holder of a new incarnation: it wants its session lease from the start. At most `max_leases` are held or
+    /// requested at once.
+    pub fn new(member: MemberInstance, config: Config, max_leases: usize, seed: u64) -> Self {
+        let session = session_lease(&member.name);
+        let outbox = Outbox::new(member.clone(), config.retry.clone(), seed);
+        let leases = session
             .iter()
-            .map(|name| (name.clone(), Mine::new()))
+            .map(|name| (name.clone(), HolderLease::new()))
             .collect();
         Holder {
-            me,
-            settings,
+            member,
+            config,
             seed,
-            life,
+            session,
             outbox,
-            mine,
-            most_wants,
-            ended: false,
-            leaving: false,
+            leases,
+            max_leases,
+            is_session_ended: false,
+            is_shutting_down: false,
             renewals: Vec::new(),
         }
     }
 
-    /// The token to act under, if this member may act under this lease at `now`, its own clock read just before.
+    /// The token to act under, if this lease and the session lease are valid at `now`: this member's own clock, read
+    /// just before the operation.
     ///
-    /// It needs nothing but the clock: after a pause of any length the first question already has the right answer.
-    pub fn may_act(&self, name: &LeaseName, now: Micros) -> Option<Token> {
-        self.life_token(now)?;
-        let mine = self.mine.get(name)?;
-        (now < self.until(mine)).then_some(mine.held?.0)
+    /// It needs nothing but the clock: after a pause of any length, the first answer is already right.
+    pub fn valid_token(&self, name: &LeaseName, now: Micros) -> Option<Token> {
+        self.session_token(now)?;
+        self.unexpired_token(name, now)
     }
 
-    /// The token of the life lease, if it is good at `now`.
-    pub fn life_token(&self, now: Micros) -> Option<Token> {
-        let mine = self.mine.get(self.life.as_ref()?)?;
-        (now < self.until(mine)).then_some(mine.held?.0)
+    /// The token of the session lease, if it is valid at `now`.
+    pub fn session_token(&self, now: Micros) -> Option<Token> {
+        self.unexpired_token(self.session.as_ref()?, now)
     }
 
-    /// Until when the member may act under a lease if nothing further is heard; 0 if it may not.
-    pub fn acts_until(&self, name: &LeaseName) -> Micros {
-        let life = self.life.as_ref().and_then(|life| self.mine.get(life));
-        let until = self.mine.get(name).map_or(0, |mine| self.until(mine));
-        until.min(life.map_or(0, |mine| self.until(mine)))
+    /// Until when a lease is valid if nothing further is heard; 0 if it is not.
+    pub fn valid_until(&self, name: &LeaseName) -> Micros {
+        let session_until = self
+            .session
+            .as_ref()
+            .map_or(0, |session| self.lease_valid_until(session));
+        self.lease_valid_until(name).min(session_until)
     }
 
-    /// Whether the log has ended this life. It stays so; the member comes back as a new incarnation.
-    pub fn ended(&self) -> bool {
-        self.ended
+    /// Whether the log has ended this incarnation's session. The member has to come back as a new incarnation.
+    pub fn is_session_ended(&self) -> bool {
+        self.is_session_ended
     }
 
-    /// The leases that are wanted, the life lease included.
-    pub fn wants(&self) -> impl Iterator<Item = &LeaseName> {
-        self.mine
+    /// The leases that are wanted, the session lease included.
+    pub fn wanted_leases(&self) -> impl Iterator<Item = &LeaseName> {
+        self.leases
             .iter()
-            .filter(|(_, mine)| mine.wanted)
+            .filter(|(_, lease)| lease.is_wanted)
             .map(|(name, _)| name)
     }
 
-    /// Proposes a command of another part under this member's next number. The answer comes as an effect.
+    /// Proposes a command of another part of the member, and returns its sequence number. The result comes with
+    /// [`state::StateChange::ProposalDecided`].
     pub fn propose(&mut self, now: Micros, command: state::Command, out: &mut Vec<Action>) -> u64 {
-        let seq = self.outbox.put(now, command);
-        self.send(now, out);
-        seq
+        let sequence = self.outbox.add(now, command);
+        self.send_due(now, out);
+        sequence
     }
 
-    /// Another member leads: what waits for an answer is sent again at once.
-    pub fn hurry(&mut self, now: Micros, out: &mut Vec<Action>) {
-        self.outbox.hurry(now);
-        self.send(now, out);
+    /// Another member leads: sends all pending proposals again at once.
+    pub fn retry_now(&mut self, now: Micros, out: &mut Vec<Action>) {
+        self.outbox.retry_now(now);
+        self.send_due(now, out);
     }
 
-    /// Nobody waits for this proposal any more; it may still be applied.
-    pub fn forget(&mut self, seq: u64) {
-        self.outbox.settle(seq);
+    /// Stops sending a proposal whose result nobody needs any more; it may still be applied.
+    pub fn abandon(&mut self, sequence: u64) {
+        self.outbox.settle(sequence);
     }
 
-    /// The proposals that wait for an answer.
-    pub fn open(&self) -> Vec<Origin> {
+    /// The proposals that wait for their results.
+    pub fn pending_proposals(&self) -> Vec<Origin> {
         self.outbox
-            .open()
-            .map(|seq| self.outbox.origin(seq))
+            .pending()
+            .map(|sequence| self.outbox.origin(sequence))
             .collect()
     }
 
-    /// Takes an event at `now`, with the table as applied so far, and appends what is to be done.
+    /// Handles an event at `now`, with the table as applied so far, and appends the actions that follow.
     pub fn handle(&mut self, now: Micros, event: Event, table: &Table, out: &mut Vec<Action>) {
         match event {
             Event::Tick => {}
-            Event::Want(name) => {
-                let room =
-                    self.mine.len() < self.most_wants.max(1) || self.mine.contains_key(&name);
-                let life = name.as_str().starts_with(LIFE);
-                if room && !life && !self.ended && !self.leaving {
-                    self.mine
-                        .entry(name.clone())
-                        .or_insert_with(Mine::new)
-                        .wanted = true;
-                    self.settle(now, &name, table, Cause::Wanted, out);
-                }
+            Event::Acquire(name) => self.on_acquire(now, name, table, out),
+            Event::Release(name) => self.on_release(now, &name, table, out),
+            Event::ProposalDecided(sequence, result) => {
+                self.on_proposal_decided(now, sequence, result, table, out);
             }
-            Event::Unwant(name) => {
-                if let Some(mine) = self
-                    .mine
-                    .get_mut(&name)
-                    .filter(|_| self.life.as_ref() != Some(&name))
-                {
-                    mine.give_up();
-                    self.settle(now, &name, table, Cause::Released, out);
-                }
-            }
-            Event::Answered(seq, outcome) => self.answered(now, seq, outcome, table, out),
-            Event::Renewed(renewal) => self.renewed(now, &renewal, out),
-            Event::Changed(name) => {
-                self.look_for_end(table);
-                self.settle(now, &name, table, Cause::Ended, out);
+            Event::Renewed(renewal) => self.on_renewed(now, &renewal, out),
+            Event::LeaseChanged(name) => {
+                self.check_session_end(table);
+                self.sync_with_table(now, &name, table, StatusChangeCause::Ended, out);
             }
-            Event::Restored => {
-                self.look_for_end(table);
-                for name in self.mine.keys().cloned().collect::<Vec<_>>() {
-                    self.settle(now, &name, table, Cause::Ended, out);
-                }
+            Event::TableReplaced => {
+                self.check_session_end(table);
+                self.sync_all_with_table(now, table, StatusChangeCause::Ended, out);
             }
-            Event::Leave => {
-                self.leaving = true;
-                for mine in self.mine.values_mut() {
-                    mine.give_up();
-                }
-                for name in self.mine.keys().cloned().collect::<Vec<_>>() {
-                    self.settle(now, &name, table, Cause::Released, out);
-                }
+            Event::Shutdown => {
+                self.is_shutting_down = true;
+                self.leases.values_mut().for_each(HolderLease::release);
+                self.sync_all_with_table(now, table, StatusChangeCause::Released, out);
             }
         }
-        for name in self.mine.keys().cloned().collect::<Vec<_>>() {
-            self.ask(now, &name, table);
-            self.tell(now, &name, Cause::RanOut, out);
+        for name in self.lease_names() {
+            self.request_if_due(now, &name, table);
+            self.report_status(now, &name, StatusChangeCause::TimedOut, out);
         }
-        let gone = |mine: &Mine| !mine.wanted && mine.held.is_none() && mine.open.is_none();
-        let me = &self.me;
-        self.mine.retain(|name, mine| {
-            !gone(mine) || table.waiters(name).any(|waiter| waiter.who == *me)
+        let member = &self.member;
+        self.leases.retain(|name, lease| {
+            !lease.is_idle() || table.waiters(name).any(|waiter| waiter.member == *member)
         });
-        self.send(now, out);
+        self.send_due(now, out);
     }
 
-    /// When to call with [`Event::Tick`].
+    /// When to call [`Holder::handle`] with [`Event::Tick`].
     pub fn timeout(&self) -> Option<Micros> {
-        let own = self.mine.iter().flat_map(|(name, mine)| {
-            let ends = (mine.standing == Standing::Acting).then(|| self.acts_until(name));
-            [ends, mine.next]
+        let deadlines = self.leases.iter().flat_map(|(name, lease)| {
+            let is_held = lease.status == LeaseStatus::Held;
+            let expiry = is_held.then(|| self.valid_until(name));
+            [expiry, lease.next_request_at]
         });
-        own.flatten().chain(self.outbox.timeout()).min()
+        deadlines.flatten().chain(self.outbox.timeout()).min()
     }
 
-    fn until(&self, mine: &Mine) -> Micros {
-        match mine.held {
-            Some((token, Some(base)))
-                if mine.wanted && mine.given_up != Some(token) && !self.ended =>
-            {
-                base.saturating_add(self.settings.hold())
-            }
-            _ => 0,
+    fn lease_names(&self) -> Vec<LeaseName> {
+        self.leases.keys().cloned().collect()
+    }
+
+    /// The token of a lease that is valid by itself at `now`, whatever the session lease.
+    fn unexpired_token(&self, name: &LeaseName, now: Micros) -> Option<Token> {
+        let token = self.leases.get(name)?.token()?;
+        (now < self.lease_valid_until(name)).then_some(token)
+    }
+
+    /// Until when a lease is valid by itself, whatever the session lease; 0 if it is not.
+    fn lease_valid_until(&self, name: &LeaseName) -> Micros {
+        let Some(lease) = self.leases.get(name) else {
+            return 0;
+        };
+        let Some((token, based_on)) = lease.held.and_then(HeldGrant::with_base) else {
+            return 0;
+        };
+        if !lease.is_wanted || lease.released == Some(token) || self.is_session_ended {
+            return 0;
+        }
+        based_on.saturating_add(self.config.holder_duration())
+    }
+
+    fn on_acquire(&mut self, now: Micros, name: LeaseName, table: &Table, out: &mut Vec<Action>) {
+        let has_room =
+            self.leases.len() < self.max_leases.max(1) || self.leases.contains_key(&name);
+        let is_stopping = self.is_session_ended || self.is_shutting_down;
+        if !has_room || is_stopping || is_session_lease(&name) {
+            return;
+        }
+        self.leases
+            .entry(name.clone())
+            .or_insert_with(HolderLease::new)
+            .is_wanted = true;
+        self.sync_with_table(now, &name, table, StatusChangeCause::Wanted, out);
+    }
+
+    fn on_release(&mut self, now: Micros, name: &LeaseName, table: &Table, out: &mut Vec<Action>) {
+        if self.session.as_ref() == Some(name) {
+            return;
         }
+        let Some(lease) = self.leases.get_mut(name) else {
+            return;
+        };
+        lease.release();
+        self.sync_with_table(now, name, table, StatusChangeCause::Released, out);
     }
 
-    fn answered(
+    fn on_proposal_decided(
         &mut self,
         now: Micros,
-        seq: u64,
-        answer: Answer,
+        sequence: u64,
+        result: ProposalResult,
         table: &Table,
         out: &mut Vec<Action>,
     ) {
-        self.outbox.settle(seq);
-        self.ended |= answer == Answer::Refused(state::Refusal::OldLife);
-        self.look_for_end(table);
-        let asked = self
-            .mine
+        self.outbox.settle(sequence);
+        self.is_session_ended |=
+            result == ProposalResult::Rejected(state::ProposalRejection::StaleIncarnation);
+        self.check_session_end(table);
+        let requested = self
+            .leases
             .iter_mut()
-            .find(|(_, mine)| mine.open == Some(seq));
-        let Some((name, mine)) = asked else { return };
-        mine.open = None;
-        if matches!(
-            answer,
-            Answer::Lease(Outcome::Refused(_)) | Answer::Refused(state::Refusal::MostMembers)
-        ) {
-            mine.refusals += 1;
-            let step = self
-                .settings
-                .retry
-                .first_ms
-                .saturating_mul(1000 << mine.refusals.min(10));
-            let wait = step.clamp(2, self.settings.retry.most_ms.saturating_mul(1000).max(2));
-            let key = [seq.to_le_bytes(), (mine.refusals as u64).to_le_bytes()].concat();
-            mine.pause = now + wait / 2 + xxh3_64_with_seed(&key, self.seed) % (wait / 2);
+            .find(|(_, lease)| lease.pending_request == Some(sequence));
+        let Some((name, lease)) = requested else {
+            return;
+        };
+        lease.pending_request = None;
+        let is_rejected = matches!(
+            result,
+            ProposalResult::Lease(Outcome::Rejected(_))
+                | ProposalResult::Rejected(state::ProposalRejection::TooManyMembers)
+        );
+        if is_rejected {
+            lease.rejections += 1;
+            let delay = backoff(&self.config, self.seed, sequence, lease.rejections);
+            lease.backoff_until = now + delay;
         } else {
-            mine.refusals = 0;
+            lease.rejections = 0;
         }
         let name = name.clone();
-        self.settle(now, &name, table, Cause::Granted, out);
+        self.sync_with_table(now, &name, table, StatusChangeCause::Granted, out);
     }
 
-    /// The leader has answered: the right rests on the moment at which the request was sent.
-    fn renewed(&mut self, now: Micros, renewal: &Renewal, out: &mut Vec<Action>) {
-        let Some(mine) = self.mine.get_mut(&renewal.name) else {
+    /// The leader has renewed: the lease is based on the moment at which the renewal was sent.
+    fn on_renewed(&mut self, now: Micros, renewal: &LeaseRenewal, out: &mut Vec<Action>) {
+        let Some(lease) = self.leases.get_mut(&renewal.name) else {
             return;
         };
-        let sent = mine
-            .sent
-            .iter()
-            .find(|(number, _)| *number == renewal.number)
-            .map(|(_, at)| *at);
-        let Some((token, Some(base))) = mine.held else {
+        let Some((token, based_on)) = lease.held.and_then(HeldGrant::with_base) else {
             return;
         };
-        let Some(sent) = sent.filter(|sent| token == renewal.token && *sent > base) else {
+        let Some(sent_at) = lease.sent_at(renewal.sequence) else {
             return;
         };
-        mine.held = Some((token, Some(sent)));
-        mine.sent.retain(|(number, _)| *number > renewal.number);
-        mine.unanswered = 0;
-        if mine.open == Some(renewal.number) {
-            mine.open = None;
+        if token != renewal.token || sent_at <= based_on {
+            return;
+        }
+        lease.held = Some(HeldGrant {
+            token,
+            based_on: Some(sent_at),
+        });
+        lease.forget_sent_before(renewal.sequence.saturating_add(1));
+        lease.unanswered_renewals = 0;
+        if lease.pending_request == Some(renewal.sequence) {
+            lease.pending_request = None;
         }
-        self.tell(now, &renewal.name, Cause::Renewed, out);
+        self.report_status(now, &renewal.name, StatusChangeCause::Renewed, out);
     }
 
-    /// Whether the log has ended this life, or counts a later one.
-    fn look_for_end(&mut self, table: &Table) {
-        let later = |grant: &Grant| grant.holder.incarnation > self.me.incarnation;
-        self.ended |= table.ended(&self.me) || table.life(&self.me.name).is_some_and(later);
+    /// Notes whether the log has ended this incarnation's session, or grants a later incarnation's.
+    fn check_session_end(&mut self, table: &Table) {
+        let is_later = |grant: &Grant| grant.holder.incarnation > self.member.incarnation;
+        self.is_session_ended |= table.is_session_ended(&self.member)
+            || table.session(&self.member.name).is_some_and(is_later);
     }
 
-    /// Takes over what the table says of a lease.
-    fn settle(
+    fn sync_all_with_table(
+        &mut self,
+        now: Micros,
+        table: &Table,
+        cause: StatusChangeCause,
+        out: &mut Vec<Action>,
+    ) {
+        for name in self.lease_names() {
+            self.sync_with_table(now, &name, table, cause, out);
+        }
+    }
+
+    /// Takes over what the table says of a lease. `cause` is reported unless the table shows a grant or renewal.
+    fn sync_with_table(
         &mut self,
         now: Micros,
         name: &LeaseName,
         table: &Table,
-        cause: Cause,
+        cause: StatusChangeCause,
         out: &mut Vec<Action>,
     ) {
-        let Some(mine) = self.mine.get_mut(name) else {
+        let Some(lease) = self.leases.get_mut(name) else {
             return;
         };
-        let grant = table.grant(name).filter(|grant| grant.holder == self.me);
-        let lost = mine
-            .held
-            .is_some_and(|(token, _)| grant.is_none_or(|grant| grant.token != token));
-        let before = mine.held.and_then(|(token, base)| Some((token, base?)));
-        if let Some(grant) = grant {
-            // The right rests on the moment at which the request was first sent, however late its commit is seen.
-            let sent = mine
-                .sent
-                .iter()
-                .find(|(seq, _)| *seq == grant.by)
-                .map(|(_, at)| *at);
-            let base = sent.filter(|_| grant.taken);
-            if base.is_some() {
-                mine.sent.retain(|(seq, _)| *seq >= grant.by);
-            }
-            let known = before
-                .filter(|(token, _)| *token == grant.token)
-                .map(|(_, base)| base);
-            mine.held = Some((grant.token, base.max(known)));
-        } else {
-            if lost {
-                self.tell_lost(now, name, cause, out);
-            }
-            if let Some(mine) = self.mine.get_mut(name) {
-                mine.held = None;
-            }
+        let before = lease.held.and_then(HeldGrant::with_base);
+        let grant = table
+            .grant(name)
+            .filter(|grant| grant.holder == self.member);
+        let Some(grant) = grant else {
+            self.drop_grant(now, name, cause, out);
+            return self.report_status(now, name, cause, out);
+        };
+        // However late the commit is seen, the lease is based on the moment at which the request was first sent.
+        let requested_at = lease.sent_at(grant.request).filter(|_| grant.is_accepted);
+        if requested_at.is_some() {
+            lease.forget_sent_before(grant.request);
         }
-        let after = self.mine.get(name).and_then(|mine| mine.held);
-        let cause = match (before, after) {
-            (Some((old, was)), Some((new, Some(base)))) if old == new => {
-                if base > was {
-                    Cause::Renewed
+        let known = before
+            .filter(|(token, _)| *token == grant.token)
+            .map(|(_, based_on)| based_on);
+        let held = HeldGrant {
+            token: grant.token,
+            based_on: requested_at.max(known),
+        };
+        lease.held = Some(held);
+        let cause = match (before, held.with_base()) {
+            (Some((old_token, old_base)), Some((token, base))) if old_token == token => {
+                if base > old_base {
+                    StatusChangeCause::Renewed
                 } else {
                     cause
                 }
             }
-            (_, Some((_, Some(_)))) => Cause::Granted,
-            _ => cause,
+            (_, Some(_)) => StatusChangeCause::Granted,
+            (_, None) => cause,
         };
-        self.tell(now, name, cause, out);
+        self.report_status(now, name, cause, out);
     }
 
-    /// Sends the request that is missing between what is wanted and what the table says, if it is due.
-    fn ask(&mut self, now: Micros, name: &LeaseName, table: &Table) {
-        let missing = self.missing(name, table);
-        let Some(mine) = self.mine.get_mut(name) else {
-            return;
-        };
-        mine.next = missing.as_ref().map(|(due, _)| *due);
-        let Some((_, command)) = missing.filter(|(due, _)| *due <= now) else {
+    /// Drops a grant that the table does not show any more. The change is reported while its token is still known.
+    fn drop_grant(
+        &mut self,
+        now: Micros,
+        name: &LeaseName,
+        cause: StatusChangeCause,
+        out: &mut Vec<Action>,
+    ) {
+        let held = self
+            .leases
+            .get_mut(name)
+            .and_then(|lease| lease.held.as_mut());
+        let Some(held) = held else {
             return;
         };
-        if let Some(seq) = mine.open.take() {
-            self.outbox.settle(seq);
-        }
-        if matches!(command, Command::Release { .. }) {
-            mine.given_up = mine.held.map(|(token, _)| token);
-        }
-        let seq = match command {
-            Command::Renew { name, token } if mine.renews_at_leader(self.settings.renewal) => {
-                let number = self.outbox.reserve();
-                let renewal = Renewal {
-                    holder: self.me.name.clone(),
-                    name,
-                    token,
-                    number,
-                };
-                self.renewals.push(Action::Renew {
-                    renewal,
-                    unanswered: mine.unanswered,
-                });
-                mine.unanswered = mine.unanswered.saturating_add(1);
-                number
-            }
-            command => self.outbox.put(now, state::Command::Lease(command)),
-        };
-        mine.open = Some(seq);
-        mine.sent.push_back((seq, now));
-        while mine.sent.len() > MOST_SENT {
-            mine.sent.pop_front();
-        }
-        let missing = self.missing(name, table);
-        if let Some(mine) = self.mine.get_mut(name) {
-            mine.next = missing.map(|(due, _)| due);
+        held.based_on = None;
+        self.report_status(now, name, cause, out);
+        if let Some(lease) = self.leases.get_mut(name) {
+            lease.held = None;
         }
     }
 
-    /// The request that is missing, and when it is due: a third of the time after the one that the right rests on, or
-    /// after one that stayed without answer. A release is repeated under its own number until it is answered.
-    fn missing(&self, name: &LeaseName, table: &Table) -> Option<(Micros, Command)> {
-        let is_life = self.life.as_ref() == Some(name);
-        let living = table
-            .life(&self.me.name)
-            .is_some_and(|grant| grant.taken && grant.holder == self.me);
-        if self.ended || !(is_life || (living && !self.leaving)) {
-            return None;
-        }
-        let mine = self.mine.get(name)?;
-        let waits = table.waiters(name).any(|waiter| waiter.who == self.me);
-        let given_up = |token: Token| mine.given_up == Some(token);
-        let renew = self.settings.renew();
-        let at_leader = mine.renews_at_leader(self.settings.renewal);
-        let patience = if at_leader {
-            renew / TRIES_A_THIRD
-        } else {
-            renew
-        };
-        let again = mine
-            .open
-            .and(mine.sent.back())
-            .map(|(_, at)| at.saturating_add(patience));
-        let name = name.clone();
-        match mine.held {
-            Some((token, base)) if mine.wanted && !given_up(token) => {
-                let third = base.map_or(0, |base| base.saturating_add(renew));
-                Some((
-                    again.unwrap_or(third).max(mine.pause),
-                    Command::Renew { name, token },
-                ))
-            }
-            None if mine.wanted && waits => None,
-            None if mine.wanted => {
-                let granted_for_ms = self.settings.granted_for_ms;
-                Some((
-                    again.unwrap_or(0).max(mine.pause),
-                    Command::Acquire {
-                        name,
-                        granted_for_ms,
-                    },
-                ))
-            }
-            held => {
-                let asked = mine.open.is_some() || (held.is_none() && !waits);
-                (!asked).then_some((mine.pause, Command::Release { name }))
-            }
-        }
-    }
-
-    /// Says so if the standing is another than was last said, or the right was prolonged.
-    fn tell(&mut self, now: Micros, name: &LeaseName, cause: Cause, out: &mut Vec<Action>) {
-        let token = self.may_act(name, now);
-        let until = self.mine.get(name).map_or(0, |mine| self.until(mine));
-        let until = if now < until { until } else { 0 };
-        let life_good = self.life_token(now).is_some();
-        let Some(mine) = self.mine.get_mut(name) else {
+    /// Reports the status if it differs from the last report, or if the lease was prolonged.
+    fn report_status(
+        &mut self,
+        now: Micros,
+        name: &LeaseName,
+        cause: StatusChangeCause,
+        out: &mut Vec<Action>,
+    ) {
+        let is_valid = self.valid_token(name, now).is_some();
+        let is_session_valid = self.session_token(now).is_some();
+        let until = Some(self.lease_valid_until(name))
+            .filter(|until| now < *until)
+            .unwrap_or(0);
+        let Some(lease) = self.leases.get_mut(name) else {
             return;
         };
-        let to = match (token, mine.wanted && !self.ended) {
-            (Some(_), _) => Standing::Acting,
-            (None, true) => Standing::Waiting,
-            (None, false) => Standing::Out,
+        let to = if is_valid {
+            LeaseStatus::Held
+        } else if lease.is_wanted && !self.is_session_ended {
+            LeaseStatus::Waiting
+        } else {
+            LeaseStatus::NotHeld
         };
-        let renewed = cause == Cause::Renewed && until > mine.until;
-        if to == mine.standing && !renewed {
+        let is_prolonged = cause == StatusChangeCause::Renewed && until > lease.reported_until;
+        if to == lease.status && !is_prolonged {
             return;
         }
+        let from = lease.status;
         let cause = match cause {
-            Cause::RanOut if mine.standing == Standing::Out => Cause::Wanted,
-            Cause::RanOut if self.ended || !life_good => Cause::Life,
-            Cause::RanOut if to == Standing::Acting => Cause::Granted,
+            StatusChangeCause::TimedOut if from == LeaseStatus::NotHeld => {
+                StatusChangeCause::Wanted
+            }
+            StatusChangeCause::TimedOut if self.is_session_ended || !is_session_valid => {
+                StatusChangeCause::SessionLost
+            }
+            StatusChangeCause::TimedOut if to == LeaseStatus::Held => StatusChangeCause::Granted,
             cause => cause,
         };
-        let (from, token) = (mine.standing, mine.held.map(|(token, _)| token));
-        mine.standing = to;
-        mine.until = until;
-        out.push(Action::Changed(LeaseChange {
+        lease.status = to;
+        lease.reported_until = until;
+        out.push(Action::StatusChanged(LeaseStatusChange {
             name: name.clone(),
-            token,
-            holder: self.me.clone(),
+            token: lease.token(),
+            holder: self.member.clone(),
             from,
             to,
             cause,
@@ -514,46 +451,11 @@
         }));
     }
 
-    /// Says that a grant has gone, while its token is still known.
-    fn tell_lost(&mut self, now: Micros, name: &LeaseName, cause: Cause, out: &mut Vec<Action>) {
-        if let Some((_, base)) = self.mine.get_mut(name).and_then(|mine| mine.held.as_mut()) {
-            *base = None;
-        }
-        self.tell(now, name, cause, out);
-    }
-
-    fn send(&mut self, now: Micros, out: &mut Vec<Action>) {
+    /// Sends renewals to the leader, and proposals that are due.
+    fn send_due(&mut self, now: Micros, out: &mut Vec<Action>) {
         let mut due = Vec::new();
-        self.outbox.due(now, &mut due);
+        self.outbox.take_due(now, &mut due);
         out.append(&mut self.renewals);
         out.extend(due.into_iter().map(Action::Propose));
     }
 }
-
-impl Mine {
-    /// Whether the next renewal is a message to the leader: only where the right is good by the log already.
-    fn renews_at_leader(&self, path: RenewalPath) -> bool {
-        path == RenewalPath::Leader && matches!(self.held, Some((_, Some(_))))
-    }
-
-    fn give_up(&mut self) {
-        self.wanted = false;
-        self.given_up = self.held.map(|(token, _)| token);
-    }
-
-    fn new() -> Self {
-        Mine {
-            wanted: true,
-            open: None,
-            sent: VecDeque::new(),
-            held: None,
-            given_up: None,
-            pause: 0,
-            next: None,
-            refusals: 0,
-            unanswered: 0,
-            standing: Standing::Out,
-            until: 0,
-        }
-    }
-}
--- a/src/fleet/lease/table.rs
+++ b/src/fleet/lease/table.rs
@@ -1,349 +1,405 @@
-//! What the log says of leases.
+//! The replicated table of leases: commands, and what applying them does.
+//!
+//! Commands, grants and records are stored by position (postcard): fields and variants keep their order.
 
-use super::{LIFE, life};
+use super::{SESSION_LEASE_PREFIX, is_session_lease, session_lease};
 use crate::fleet::state::{Bounds, Origin};
 use crate::fleet::{Incarnation, Index, LeaseName, MemberInstance, MemberName, Token};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// What may be asked of the log about a lease.
+/// A command about a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Command {
     /// The proposer wants the lease, or to wait for it.
     Acquire {
-        /// Which.
+        /// The lease.
         name: LeaseName,
-        /// For how long, in milliseconds.
-        granted_for_ms: u64,
+        /// Requested duration, in milliseconds.
+        duration_ms: u64,
     },
-    /// The proposer goes on holding it, or takes up what was offered to it.
+    /// The proposer renews the lease that it holds, or accepts the one that was offered to it.
     Renew {
-        /// Which.
+        /// The lease.
         name: LeaseName,
         /// The grant that is renewed.
         token: Token,
     },
-    /// The proposer neither holds it nor waits for it any more. Of its life lease: it gives up all that it holds.
+    /// The proposer neither holds nor wants the lease any more. If it is its session lease, all its leases end.
     Release {
-        /// Which.
+        /// The lease.
         name: LeaseName,
     },
-    /// The proposer has waited for the whole time since it applied this very renewal. Void if another came between.
+    /// The proposer has waited for the whole expiry duration since it applied this renewal. No effect if the lease was
+    /// renewed since.
     Expire {
-        /// Which.
+        /// The lease.
         name: LeaseName,
-        /// The grant that has run out.
+        /// The grant that has expired.
         token: Token,
-        /// How many renewals the proposer had seen.
+        /// Number of renewals that the proposer has seen.
         renewals: u64,
     },
 }
 
-/// What the log answered.
+/// Result of a command.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Outcome {
     /// The proposer holds the lease (granted or renewed).
     Held(Token),
-    /// It waits in line.
+    /// The proposer waits for it.
     Waiting,
-    /// It was given up, by its holder or by the leader.
+    /// The lease was released or has expired.
     Ended,
-    /// Nothing to do: not held any more under this token, or renewed since.
-    Void,
+    /// Nothing to do: not held under this token, or renewed since.
+    NoEffect,
     /// Not granted.
-    Refused(Refusal),
+    Rejected(LeaseRejection),
 }
 
 /// Why a lease was not granted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Refusal {
-    /// Another member's life lease, or one of a life that has ended.
-    NotYours,
-    /// The proposer has no life lease.
-    NoLife,
-    /// As many leases are held as the bounds allow.
-    MostLeases,
-    /// As many wait as the bounds allow.
-    MostWaiters,
-    /// Asked for no time, or for longer than the bounds allow.
-    BadTime,
+pub enum LeaseRejection {
+    /// The session lease of another member, or of an incarnation whose session has ended.
+    NotOwner,
+    /// The proposer has no session lease.
+    NoSession,
+    /// [`Bounds::max_leases`] is reached.
+    TooManyLeases,
+    /// [`Bounds::max_waiters`] is reached.
+    TooManyWaiters,
+    /// The duration is zero or exceeds [`Bounds::max_lease_duration_ms`].
+    InvalidDuration,
 }
 
-/// A lease changed in the log.
+/// A change of a lease in the log.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize)]
-pub struct Change {
-    /// Which.
+pub struct LeaseChange {
+    /// The lease.
     pub name: LeaseName,
-    /// Under which grant.
+    /// Token of the grant.
     pub token: Token,
-    /// Whose it is or was.
+    /// Holder of the grant.
     pub holder: MemberInstance,
     /// What happened.
-    pub what: What,
+    #[serde(rename = "what")]
+    pub kind: LeaseChangeKind,
 }
 
 /// What happened to a lease in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum What {
-    /// Handed to the next in line, which has to take it up before it acts.
+pub enum LeaseChangeKind {
+    /// Offered to the first waiting member, which has to accept it before it is valid.
     Offered,
-    /// Granted, or taken up.
+    /// Granted, or accepted.
     Granted,
     /// Renewed.
     Renewed,
-    /// Given up by its holder.
+    /// Released by its holder.
     Released,
-    /// Ended because its time was over. Of a life lease: the death of that life.
+    /// Ended by the leader because it was not renewed. Of a session lease: the end of that session.
     Expired,
-    /// Ended with the life of its holder.
-    LifeEnded,
+    /// Ended along with the session of its holder.
+    #[serde(rename = "life_ended")]
+    SessionEnded,
 }
 
-/// A grant.
+/// A grant of a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Grant {
     /// Who holds it.
     pub holder: MemberInstance,
-    /// Its token: the index of the entry that granted it, so that tokens rise with no memory of past grants.
+    /// Fencing token: the index of the entry that granted it, so that tokens rise without a record of past grants.
     pub token: Token,
-    /// For how long each request of the holder's makes it good, in milliseconds.
-    pub granted_for_ms: u64,
-    /// How often it was renewed.
+    /// How long each request makes it valid, in milliseconds.
+    pub duration_ms: u64,
+    /// Number of renewals.
     pub renewals: u64,
     /// False while it is only offered.
-    pub taken: bool,
-    /// The holder's request that it rests on.
-    pub by: u64,
+    pub is_accepted: bool,
+    /// Sequence number of the holder's request that it is based on.
+    pub request: u64,
 }
 
-/// Who waits for a lease.
+/// A member that waits for a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Waiter {
     /// The member.
-    pub who: MemberInstance,
-    /// For how long it wants it, in milliseconds.
-    pub granted_for_ms: u64,
-    /// Its request.
-    pub by: u64,
+    pub member: MemberInstance,
+    /// Requested duration, in milliseconds.
+    pub duration_ms: u64,
+    /// Sequence number of its request.
+    pub request: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-struct Row {
+struct LeaseRecord {
     grant: Grant,
-    queue: VecDeque<Waiter>,
+    /// In the order of their requests.
+    waiters: VecDeque<Waiter>,
 }
 
-/// All leases that are held, and who waits for them.
+/// All granted leases, the members that wait for them, and the sessions that have ended.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Table {
-    rows: BTreeMap<LeaseName, Row>,
-    /// The last life of each member that has ended.
+    records: BTreeMap<LeaseName, LeaseRecord>,
+    /// The last incarnation of each member whose session has ended.
     ended: BTreeMap<MemberName, Incarnation>,
-    /// Lives up to this one have ended of all members not in `ended`.
+    /// Sessions up to this incarnation have ended, of all members that are not in `ended`.
     forgotten: Incarnation,
 }
 
 impl Table {
     /// The grant of a lease.
     pub fn grant(&self, name: &LeaseName) -> Option<&Grant> {
-        self.rows.get(name).map(|row| &row.grant)
+        self.records.get(name).map(|record| &record.grant)
     }
 
-    /// Who waits for a lease, first come first.
+    /// The members that wait for a lease, in order.
     pub fn waiters(&self, name: &LeaseName) -> impl Iterator<Item = &Waiter> {
-        self.rows.get(name).into_iter().flat_map(|row| &row.queue)
+        self.records
+            .get(name)
+            .into_iter()
+            .flat_map(|record| &record.waiters)
     }
 
     /// All grants, by name.
     pub fn grants(&self) -> impl Iterator<Item = (&LeaseName, &Grant)> {
-        self.rows.iter().map(|(name, row)| (name, &row.grant))
+        self.records
+            .iter()
+            .map(|(name, record)| (name, &record.grant))
     }
 
-    /// The life of a member that the log counts as living.
-    pub fn life(&self, member: &MemberName) -> Option<&Grant> {
-        self.grant(&life(member)?)
+    /// The grant of a member's session lease.
+    pub fn session(&self, member: &MemberName) -> Option<&Grant> {
+        self.grant(&session_lease(member)?)
     }
 
-    /// Whether the log has ended this life; it can't come back.
-    pub fn ended(&self, who: &MemberInstance) -> bool {
-        who.incarnation <= self.ended.get(&who.name).copied().unwrap_or(self.forgotten)
+    /// Whether this incarnation's session has ended; it can't come back.
+    pub fn is_session_ended(&self, member: &MemberInstance) -> bool {
+        let last_ended = self.ended.get(&member.name).unwrap_or(&self.forgotten);
+        member.incarnation <= *last_ended
     }
 
-    /// Applies a command from the entry at `index`.
+    /// Applies a command from the log entry at `index`, and appends what changed.
     pub fn apply(
         &mut self,
         index: Index,
         origin: &Origin,
         command: Command,
         bounds: &Bounds,
-        out: &mut Vec<Change>,
+        out: &mut Vec<LeaseChange>,
     ) -> Outcome {
-        let who = &origin.who;
         match command {
-            Command::Acquire {
-                name,
-                granted_for_ms,
-            } => {
-                if granted_for_ms == 0 || granted_for_ms > bounds.most_granted_for_ms {
-                    return Outcome::Refused(Refusal::BadTime);
-                }
+            Command::Acquire { name, duration_ms } => {
                 let waiter = Waiter {
-                    who: who.clone(),
-                    granted_for_ms,
-                    by: origin.seq,
+                    member: origin.proposer.clone(),
+                    duration_ms,
+                    request: origin.sequence,
                 };
-                match self.may_hold(&name, who) {
-                    Ok(()) => self.acquire(index, name, waiter, bounds, out),
-                    Err(refusal) => Outcome::Refused(refusal),
-                }
-            }
-            Command::Renew { name, token } => match self.rows.get_mut(&name) {
-                Some(row) if row.grant.holder == *who && row.grant.token == token => {
-                    out.push(row.grant.renew(&name, origin.seq));
-                    Outcome::Held(token)
-                }
-                _ => Outcome::Void,
-            },
-            Command::Release { name } => {
-                let Some(row) = self.rows.get_mut(&name) else {
-                    return Outcome::Void;
-                };
-                row.queue.retain(|waiter| waiter.who != *who);
-                if row.grant.holder != *who {
-                    return Outcome::Void;
-                }
-                self.end(index, &name, What::Released, bounds, out);
-                Outcome::Ended
+                self.acquire(index, name, waiter, bounds, out)
+                    .unwrap_or_else(Outcome::Rejected)
             }
+            Command::Renew { name, token } => self.renew(origin, &name, token, out),
+            Command::Release { name } => self.release(index, &origin.proposer, &name, bounds, out),
             Command::Expire {
                 name,
                 token,
                 renewals,
-            } => match self.grant(&name) {
-                Some(grant) if grant.token == token && grant.renewals == renewals => {
-                    self.end(index, &name, What::Expired, bounds, out);
-                    Outcome::Ended
-                }
-                _ => Outcome::Void,
-            },
+            } => self.expire(index, &name, token, renewals, bounds, out),
         }
     }
 
-    /// A life lease is for the member itself, in a life that has not ended; all others are for the living.
-    fn may_hold(&self, name: &LeaseName, who: &MemberInstance) -> Result<(), Refusal> {
-        if let Some(member) = name.as_str().strip_prefix(LIFE) {
-            let later = self
-                .grant(name)
-                .is_some_and(|grant| grant.holder.incarnation > who.incarnation);
-            let own = member == who.name.as_str() && !self.ended(who) && !later;
-            return if own { Ok(()) } else { Err(Refusal::NotYours) };
-        }
-        let living = self
-            .life(&who.name)
-            .is_some_and(|grant| grant.taken && grant.holder == *who);
-        if living { Ok(()) } else { Err(Refusal::NoLife) }
-    }
-
     fn acquire(
         &mut self,
         index: Index,
         name: LeaseName,
         waiter: Waiter,
         bounds: &Bounds,
-        out: &mut Vec<Change>,
-    ) -> Outcome {
-        let Some(row) = self.rows.get_mut(&name) else {
-            if self.rows.len() >= bounds.most_leases as usize {
-                return Outcome::Refused(Refusal::MostLeases);
+        out: &mut Vec<LeaseChange>,
+    ) -> Result<Outcome, LeaseRejection> {
+        if waiter.duration_ms == 0 || waiter.duration_ms > bounds.max_lease_duration_ms {
+            return Err(LeaseRejection::InvalidDuration);
+        }
+        self.check_eligible(&name, &waiter.member)?;
+        let Some(record) = self.records.get_mut(&name) else {
+            if self.records.len() >= bounds.max_leases as usize {
+                return Err(LeaseRejection::TooManyLeases);
             }
             let grant = Grant::new(index, waiter, true);
-            out.push(grant.change(&name, What::Granted));
-            self.rows.insert(
-                name,
-                Row {
-                    grant,
-                    queue: VecDeque::new(),
-                },
-            );
-            return Outcome::Held(Token(index.0));
+            out.push(grant.change(&name, LeaseChangeKind::Granted));
+            let waiters = VecDeque::new();
+            self.records.insert(name, LeaseRecord { grant, waiters });
+            return Ok(Outcome::Held(Token(index.0)));
         };
-        if row.grant.holder == waiter.who {
-            out.push(row.grant.renew(&name, waiter.by));
-            return Outcome::Held(row.grant.token);
+        if record.grant.holder == waiter.member {
+            out.push(record.grant.renew(&name, waiter.request));
+            return Ok(Outcome::Held(record.grant.token));
         }
-        // Of one member, only its latest life waits.
-        row.queue.retain(|w| {
-            w.who.name != waiter.who.name || w.who.incarnation >= waiter.who.incarnation
-        });
-        let full = row.queue.len() >= bounds.most_waiters as usize;
-        match row.queue.iter_mut().find(|w| w.who.name == waiter.who.name) {
-            Some(other) if other.who == waiter.who => *other = waiter,
-            Some(_) => return Outcome::Refused(Refusal::NotYours),
-            None if full => return Outcome::Refused(Refusal::MostWaiters),
-            None => row.queue.push_back(waiter),
+        record.enqueue(waiter, bounds)?;
+        Ok(Outcome::Waiting)
+    }
+
+    fn renew(
+        &mut self,
+        origin: &Origin,
+        name: &LeaseName,
+        token: Token,
+        out: &mut Vec<LeaseChange>,
+    ) -> Outcome {
+        match self.records.get_mut(name) {
+            Some(record)
+                if record.grant.holder == origin.proposer && record.grant.token == token =>
+            {
+                out.push(record.grant.renew(name, origin.sequence));
+                Outcome::Held(token)
+            }
+            _ => Outcome::NoEffect,
+        }
+    }
+
+    fn release(
+        &mut self,
+        index: Index,
+        member: &MemberInstance,
+        name: &LeaseName,
+        bounds: &Bounds,
+        out: &mut Vec<LeaseChange>,
+    ) -> Outcome {
+        let Some(record) = self.records.get_mut(name) else {
+            return Outcome::NoEffect;
+        };
+        record.waiters.retain(|waiter| waiter.member != *member);
+        if record.grant.holder != *member {
+            return Outcome::NoEffect;
+        }
+        self.end(index, name, LeaseChangeKind::Released, bounds, out);
+        Outcome::Ended
+    }
+
+    fn expire(
+        &mut self,
+        index: Index,
+        name: &LeaseName,
+        token: Token,
+        renewals: u64,
+        bounds: &Bounds,
+        out: &mut Vec<LeaseChange>,
+    ) -> Outcome {
+        match self.grant(name) {
+            Some(grant) if grant.token == token && grant.renewals == renewals => {
+                self.end(index, name, LeaseChangeKind::Expired, bounds, out);
+                Outcome::Ended
+            }
+            _ => Outcome::NoEffect,
         }
-        Outcome::Waiting
     }
 
-    /// Ends a grant. With a life, all that its member holds or waits for ends in the same entry: it acted on those
-    /// only while its life lease was good.
+    /// Whether `member` may hold this lease: its own session lease, if that session has not ended; any other lease, if
+    /// it has a session.
+    fn check_eligible(
+        &self,
+        name: &LeaseName,
+        member: &MemberInstance,
+    ) -> Result<(), LeaseRejection> {
+        if let Some(session_member) = name.as_str().strip_prefix(SESSION_LEASE_PREFIX) {
+            let has_later_incarnation = self
+                .grant(name)
+                .is_some_and(|grant| grant.holder.incarnation > member.incarnation);
+            let is_own = session_member == member.name.as_str();
+            if is_own && !self.is_session_ended(member) && !has_later_incarnation {
+                return Ok(());
+            }
+            return Err(LeaseRejection::NotOwner);
+        }
+        let has_session = self
+            .session(&member.name)
+            .is_some_and(|grant| grant.is_accepted && grant.holder == *member);
+        if has_session {
+            Ok(())
+        } else {
+            Err(LeaseRejection::NoSession)
+        }
+    }
+
+    /// Ends a grant. With a session lease, all that its member holds or waits for ends in the same entry: it acted on
+    /// those only while its session lease was valid.
     fn end(
         &mut self,
         index: Index,
         name: &LeaseName,
-        what: What,
+        kind: LeaseChangeKind,
         bounds: &Bounds,
-        out: &mut Vec<Change>,
+        out: &mut Vec<LeaseChange>,
     ) {
-        let Some(row) = self.rows.get(name) else {
+        let Some(record) = self.records.get(name) else {
             return;
         };
-        let holder = row.grant.holder.clone();
-        if name.as_str().starts_with(LIFE) {
-            self.remember_end(&holder, bounds);
-            for row in self.rows.values_mut() {
-                row.queue.retain(|waiter| waiter.who != holder);
-            }
-            let held = self
-                .rows
-                .iter()
-                .filter(|(n, row)| *n != name && row.grant.holder == holder);
-            for other in held.map(|(n, _)| n.clone()).collect::<Vec<_>>() {
-                self.pass_on(index, &other, What::LifeEnded, out);
-            }
+        if is_session_lease(name) {
+            let member = record.grant.holder.clone();
+            self.record_session_end(&member, bounds);
+            self.end_leases_of(index, &member, name, out);
         }
-        self.pass_on(index, name, what, out);
+        self.offer_to_next(index, name, kind, out);
     }
 
-    /// The next in line whose life the log counts gets the lease, as an offer.
-    fn pass_on(&mut self, index: Index, name: &LeaseName, what: What, out: &mut Vec<Change>) {
-        let Some(mut row) = self.rows.remove(name) else {
+    /// Ends all that `member` holds or waits for, except its session lease.
+    fn end_leases_of(
+        &mut self,
+        index: Index,
+        member: &MemberInstance,
+        session: &LeaseName,
+        out: &mut Vec<LeaseChange>,
+    ) {
+        for record in self.records.values_mut() {
+            record.waiters.retain(|waiter| waiter.member != *member);
+        }
+        let held: Vec<LeaseName> = self
+            .grants()
+            .filter(|(name, grant)| *name != session && grant.holder == *member)
+            .map(|(name, _)| name.clone())
+            .collect();
+        for name in held {
+            self.offer_to_next(index, &name, LeaseChangeKind::SessionEnded, out);
+        }
+    }
+
+    /// Ends a grant, and offers the lease to the first waiting member that is eligible.
+    fn offer_to_next(
+        &mut self,
+        index: Index,
+        name: &LeaseName,
+        kind: LeaseChangeKind,
+        out: &mut Vec<LeaseChange>,
+    ) {
+        let Some(mut record) = self.records.remove(name) else {
             return;
         };
-        out.push(row.grant.change(name, what));
-        while let Some(waiter) = row.queue.pop_front() {
-            if self.may_hold(name, &waiter.who).is_ok() {
-                row.grant = Grant::new(index, waiter, false);
-                out.push(row.grant.change(name, What::Offered));
-                self.rows.insert(name.clone(), row);
+        out.push(record.grant.change(name, kind));
+        while let Some(waiter) = record.waiters.pop_front() {
+            if self.check_eligible(name, &waiter.member).is_ok() {
+                record.grant = Grant::new(index, waiter, false);
+                out.push(record.grant.change(name, LeaseChangeKind::Offered));
+                self.records.insert(name.clone(), record);
                 return;
             }
         }
     }
 
-    fn remember_end(&mut self, who: &MemberInstance, bounds: &Bounds) {
-        let last = self
+    /// Remembers the end of a session; beyond the bound, the lowest incarnations are merged into `forgotten`.
+    fn record_session_end(&mut self, member: &MemberInstance, bounds: &Bounds) {
+        let last_ended = self
             .ended
-            .entry(who.name.clone())
-            .or_insert(who.incarnation);
-        *last = who.incarnation.max(*last);
-        while self.ended.len() > bounds.most_members.max(1) as usize {
-            let oldest = self
+            .entry(member.name.clone())
+            .or_insert(member.incarnation);
+        *last_ended = member.incarnation.max(*last_ended);
+        while self.ended.len() > bounds.max_members.max(1) as usize {
+            let lowest = self
                 .ended
                 .iter()
                 .min_by_key(|(_, incarnation)| **incarnation);
-            let Some(name) = oldest.map(|(name, _)| name.clone()) else {
+            let Some(name) = lowest.map(|(name, _)| name.clone()) else {
                 return;
             };
             let incarnation = self.ended.remove(&name).unwrap_or_default();
@@ -352,41 +408,58 @@
     }
 }
 
+impl LeaseRecord {
+    /// Adds a waiter, or replaces its earlier request. Of one member, only the latest incarnation waits.
+    fn enqueue(&mut self, waiter: Waiter, bounds: &Bounds) -> Result<(), LeaseRejection> {
+        self.waiters.retain(|other| {
+            other.member.name != waiter.member.name
+                || other.member.incarnation >= waiter.member.incarnation
+        });
+        let is_full = self.waiters.len() >= bounds.max_waiters as usize;
+        let same_name = self
+            .waiters
+            .iter_mut()
+            .find(|other| other.member.name == waiter.member.name);
+        match same_name {
+            Some(other) if other.member == waiter.member => *other = waiter,
+            Some(_) => return Err(LeaseRejection::NotOwner),
+            None if is_full => return Err(LeaseRejection::TooManyWaiters),
+            None => self.waiters.push_back(waiter),
+        }
+        Ok(())
+    }
+}
+
 impl Grant {
-    fn new(index: Index, waiter: Waiter, taken: bool) -> Self {
-        let Waiter {
-            who,
-            granted_for_ms,
-            by,
-        } = waiter;
+    fn new(index: Index, waiter: Waiter, is_accepted: bool) -> Self {
         Grant {
-            holder: who,
+            holder: waiter.member,
             token: Token(index.0),
-            granted_for_ms,
+            duration_ms: waiter.duration_ms,
             renewals: 0,
-            taken,
-            by,
+            is_accepted,
+            request: waiter.request,
         }
     }
 
-    fn renew(&mut self, name: &LeaseName, by: u64) -> Change {
-        let what = if self.taken {
-            What::Renewed
+    fn renew(&mut self, name: &LeaseName, request: u64) -> LeaseChange {
+        let kind = if self.is_accepted {
+            LeaseChangeKind::Renewed
         } else {
-            What::Granted
+            LeaseChangeKind::Granted
         };
-        self.taken = true;
+        self.is_accepted = true;
         self.renewals += 1;
-        self.by = by;
-        self.change(name, what)
+        self.request = request;
+        self.change(name, kind)
     }
 
-    fn change(&self, name: &LeaseName, what: What) -> Change {
-        Change {
+    fn change(&self, name: &LeaseName, kind: LeaseChangeKind) -> LeaseChange {
+        LeaseChange {
             name: name.clone(),
             token: self.token,
             holder: self.holder.clone(),
-            what,
+            kind,
         }
     }
 }
--- a/src/fleet/node.rs
+++ b/src/fleet/node.rs
@@ -2,15 +2,15 @@
 //!
 //! The driver hands in events with the time on this member's own monotonic clock, and carries the actions out in
 //! order: an [`Action::Persist`] is durable before any later action is begun. [`Node::timeout`] says when to call with
-//! [`Event::Tick`]. Who may act is asked of [`lease::Rights`], which the driver keeps by [`Action::Lease`] as it comes
+//! [`Event::Tick`]. Who may act is asked of [`lease::LeaseView`], which the driver keeps by [`Action::Lease`] as it comes
 //! to it, with the clock read just before the act.
 
-use crate::fleet::lease::{self, Holder, LeaseChange, Watch};
+use crate::fleet::lease::{self, ExpiryTracker, Holder, LeaseStatusChange};
 use crate::fleet::membership::{self, View};
 use crate::fleet::message::Message;
 use crate::fleet::raft::{self, Raft};
-use crate::fleet::renewal::{self, Confirmation, Gathering, Renewal};
-use crate::fleet::state::{Answer, Bounds, Command, Effect, FleetState, Proposal};
+use crate::fleet::renewal::{self, LeaderConfirmation, LeaseRenewal, RenewalBatch};
+use crate::fleet::state::{Bounds, Command, FleetState, Proposal, ProposalResult, StateChange};
 use crate::fleet::{
     Incarnation, Index, LeaseName, MemberInstance, MemberName, SiteName, Term, Token, policy_epoch,
     work,
@@ -30,7 +30,7 @@
     /// Of the group.
     pub group: raft::Config,
     /// Of the leases.
-    pub lease: lease::Settings,
+    pub lease: lease::Config,
     /// Of the state's tables; a leader puts its own in force.
     pub bounds: Bounds,
     /// Of this machine.
@@ -134,8 +134,8 @@
     Persist(raft::StorageWrite),
     /// The view of a member changed.
     View(membership::Change),
-    /// This member's own standing to a lease changed: carry it to [`lease::Rights`] and into the history.
-    Lease(LeaseChange),
+    /// This member's own standing to a lease changed: carry it to [`lease::LeaseView`] and into the history.
+    Lease(LeaseStatusChange),
     /// Who leads the group, as far as this member knows.
     Leading {
         /// The leader.
@@ -148,7 +148,7 @@
         /// The caller's number.
         ticket: u64,
         /// What came of it.
-        result: Result<Answer, Lost>,
+        result: Result<ProposalResult, Lost>,
     },
     /// This member gained (true) or lost its right to act as itself.
     MayAct(bool),
@@ -160,7 +160,7 @@
         /// The entry.
         index: Index,
         /// What it did.
-        effect: Effect,
+        effect: StateChange,
     },
     /// The state was replaced by a snapshot: read it anew with [`Node::state`].
     Restored {
@@ -256,7 +256,7 @@
     group: Raft,
     state: FleetState,
     holder: Holder,
-    watch: Watch,
+    watch: ExpiryTracker,
     leading: bool,
     /// The callers' numbers of proposals that wait, by this member's, and when they are given up.
     tickets: BTreeMap<u64, (u64, Micros)>,
@@ -272,11 +272,11 @@
     policy_due: Option<(u64, Micros)>,
     relays: Vec<MemberName>,
     /// Renewals of this member that are to be sent, and how many before each stayed without an answer.
-    renewing: Vec<(Renewal, u32)>,
+    renewing: Vec<(LeaseRenewal, u32)>,
     /// As leader: renewals that wait for the voters.
-    confirmation: Confirmation,
+    confirmation: LeaderConfirmation,
     /// As relay: renewals of others.
-    gathering: Gathering,
+    gathering: RenewalBatch,
 }
 
 /// How often the leader looks for records of work that may be forgotten, and the most at once.
@@ -310,7 +310,7 @@
                 .with_relays(relays.clone()),
             state: FleetState::new(),
             holder: Holder::new(who.clone(), settings.lease.clone(), most_wants, draw(3)),
-            watch: Watch::new(settings.lease),
+            watch: ExpiryTracker::new(settings.lease),
             me,
             who,
             bounds: settings.bounds,
@@ -326,8 +326,8 @@
             policy_due: None,
             relays,
             renewing: Vec::new(),
-            confirmation: Confirmation::default(),
-            gathering: Gathering::default(),
+            confirmation: LeaderConfirmation::default(),
+            gathering: RenewalBatch::default(),
         }
     }
 
@@ -371,8 +371,8 @@
                 self.look(now, membership::Event::Reached(from.clone()), out);
                 asks.push_back(raft::Event::Message { from, message });
             }
-            Event::Want(name) => self.hold(now, lease::Event::Want(name), &mut asks, out),
-            Event::Unwant(name) => self.hold(now, lease::Event::Unwant(name), &mut asks, out),
+            Event::Want(name) => self.hold(now, lease::Event::Acquire(name), &mut asks, out),
+            Event::Unwant(name) => self.hold(now, lease::Event::Release(name), &mut asks, out),
             Event::Propose { ticket, command } => {
                 if self.tickets.len() >= self.limits.most_proposals || self.leaving {
                     out.push(Action::Done {
@@ -388,7 +388,7 @@
             Event::ChangeVoters(names) => asks.push_back(raft::Event::ChangeVoters(names)),
             Event::Leave => {
                 self.leaving = true;
-                self.hold(now, lease::Event::Leave, &mut asks, out);
+                self.hold(now, lease::Event::Shutdown, &mut asks, out);
                 self.look(now, membership::Event::Leave, out);
                 asks.push_back(raft::Event::TransferLeadership);
             }
@@ -436,21 +436,21 @@
         &self.state
     }
 
-    /// The token to act under at `now`. It may run ahead of the disk; the driver asks [`lease::Rights`] instead.
+    /// The token to act under at `now`. It may run ahead of the disk; the driver asks [`lease::LeaseView`] instead.
     pub fn may_act(&self, name: &LeaseName, now: Micros) -> Option<Token> {
-        self.holder.may_act(name, now)
+        self.holder.valid_token(name, now)
     }
 
     /// Whether a planned stop is complete as far as it can be seen here: the log has ended this life, and somebody
     /// else leads. Whoever stops does not wait for it for ever.
     pub fn left(&self) -> bool {
-        self.leaving && !self.leading && self.state.leases().ended(&self.who)
+        self.leaving && !self.leading && self.state.leases().is_session_ended(&self.who)
     }
 
     /// What there is to show.
     pub fn status(&self, now: Micros) -> Status {
-        let life_token = self.holder.life_token(now);
-        let life = match (self.holder.ended(), life_token) {
+        let life_token = self.holder.session_token(now);
+        let life = match (self.holder.is_session_ended(), life_token) {
             (true, _) => "ended",
             (false, Some(_)) => "acting",
             (false, None) => "waiting",
@@ -468,7 +468,7 @@
             holder: grant.holder.clone(),
             token: grant.token,
             renewals: grant.renewals,
-            taken: grant.taken,
+            taken: grant.is_accepted,
             waiters: table.waiters(name).count(),
         };
         Status {
@@ -537,7 +537,7 @@
                     renewal,
                     unanswered,
                 } => self.renewing.push((renewal, unanswered)),
-                lease::Action::Changed(change) => out.push(Action::Lease(change)),
+                lease::Action::StatusChanged(change) => out.push(Action::Lease(change)),
             }
         }
     }
@@ -605,25 +605,33 @@
                 effect: effect.clone(),
             });
             match effect {
-                Effect::Lease(change) => {
-                    self.watch.changed(now, &change.name, self.state.leases());
-                    self.hold(now, lease::Event::Changed(change.name), asks, out);
+                StateChange::Lease(change) => {
+                    self.watch.on_change(now, &change.name, self.state.leases());
+                    self.hold(now, lease::Event::LeaseChanged(change.name), asks, out);
                 }
-                Effect::Answered { origin, answer } if origin.who == self.who => {
-                    if let Some((ticket, _)) = self.tickets.remove(&origin.seq) {
+                StateChange::ProposalDecided {
+                    origin,
+                    result: answer,
+                } if origin.proposer == self.who => {
+                    if let Some((ticket, _)) = self.tickets.remove(&origin.sequence) {
                         out.push(Action::Done {
                             ticket,
                             result: Ok(answer.clone()),
                         });
                     }
-                    self.expiring.retain(|_, seq| *seq != origin.seq);
-                    self.hold(now, lease::Event::Answered(origin.seq, answer), asks, out);
+                    self.expiring.retain(|_, seq| *seq != origin.sequence);
+                    self.hold(
+                        now,
+                        lease::Event::ProposalDecided(origin.sequence, answer),
+                        asks,
+                        out,
+                    );
                 }
-                Effect::Answered { .. }
-                | Effect::Bounds(_)
-                | Effect::Takeover(_)
-                | Effect::Policy(_)
-                | Effect::Sites(_) => {}
+                StateChange::ProposalDecided { .. }
+                | StateChange::Bounds(_)
+                | StateChange::Takeover(_)
+                | StateChange::Policy(_)
+                | StateChange::Sites(_) => {}
             }
         }
     }
@@ -644,10 +652,11 @@
         out.push(Action::Restored {
             index: snapshot.index,
         });
-        self.watch.lead(now, self.leading, self.state.leases());
-        for origin in self.holder.open() {
-            if self.state.decided(&origin) {
-                if let Some((ticket, _)) = self.tickets.remove(&origin.seq) {
+        self.watch
+            .set_leading(now, self.leading, self.state.leases());
+        for origin in self.holder.pending_proposals() {
+            if self.state.is_decided(&origin) {
+                if let Some((ticket, _)) = self.tickets.remove(&origin.sequence) {
                     out.push(Action::Done {
                         ticket,
                         result: Err(Lost::Hidden),
@@ -655,13 +664,13 @@
                 }
                 self.hold(
                     now,
-                    lease::Event::Answered(origin.seq, Answer::Done),
+                    lease::Event::ProposalDecided(origin.sequence, ProposalResult::Done),
                     asks,
                     out,
                 );
             }
         }
-        self.hold(now, lease::Event::Restored, asks, out);
+        self.hold(now, lease::Event::TableReplaced, asks, out);
     }
 
     fn lead(
@@ -675,10 +684,10 @@
         let leading = leader.as_ref() == Some(&self.who.name);
         if leading != self.leading {
             self.leading = leading;
-            self.confirmation.clear();
-            self.watch.lead(now, leading, self.state.leases());
+            self.confirmation.reset();
+            self.watch.set_leading(now, leading, self.state.leases());
             for (_, seq) in std::mem::take(&mut self.expiring) {
-                self.holder.forget(seq);
+                self.holder.abandon(seq);
             }
         }
         if leading && self.bounds != *self.state.bounds() {
@@ -686,7 +695,7 @@
         }
         if leader.is_some() {
             let mut actions = Vec::new();
-            self.holder.hurry(now, &mut actions);
+            self.holder.retry_now(now, &mut actions);
             self.held(actions, asks, out);
         }
         out.push(Action::Leading { leader, term });
@@ -707,30 +716,36 @@
                 self.hear_renew(now, from, renewals, relayed)
             }
             renewal::Message::Renewed(renewals) => self.hear_renewed(now, renewals, asks, out),
-            renewal::Message::Confirm { term, round } => {
+            renewal::Message::ConfirmLeader { term, round } => {
                 if self.group.confirms_leader(&from, term) {
                     let store = self.group.id().store;
                     self.send_renewal(
                         from,
-                        renewal::Message::Confirmed { term, round, store },
+                        renewal::Message::LeaderConfirmed { term, round, store },
                         out,
                     );
                 }
             }
-            renewal::Message::Confirmed { term, round, store } => {
+            renewal::Message::LeaderConfirmed { term, round, store } => {
                 if self.leading && term == self.group.term() {
                     self.confirmation
-                        .confirmed(raft::VoterId { name: from, store }, round);
+                        .on_confirmed(raft::VoterId { name: from, store }, round);
                 }
             }
         }
     }
 
     /// Renewals have come: a leader counts their time anew, another one sends them on, once.
-    fn hear_renew(&mut self, now: Micros, from: MemberName, renewals: Vec<Renewal>, relayed: bool) {
+    fn hear_renew(
+        &mut self,
+        now: Micros,
+        from: MemberName,
+        renewals: Vec<LeaseRenewal>,
+        relayed: bool,
+    ) {
         if !self.leading {
-            if !relayed && renewals.len() <= renewal::MOST_RENEWALS {
-                self.gathering.take(now, renewals);
+            if !relayed && renewals.len() <= renewal::MAX_RENEWALS {
+                self.gathering.add(now, renewals);
             }
             return;
         }
@@ -740,18 +755,21 @@
         for renewal in renewals {
             // One whose end is in the log already may come too late: the log decides.
             if self.is_good(&renewal) && !self.expiring.contains_key(&renewal.name) {
-                self.watch.changed(now, &renewal.name, self.state.leases());
-                self.confirmation.take(from.clone(), renewal);
+                self.watch
+                    .on_change(now, &renewal.name, self.state.leases());
+                self.confirmation.add(from.clone(), renewal);
             }
         }
     }
 
-    fn is_good(&self, renewal: &Renewal) -> bool {
+    fn is_good(&self, renewal: &LeaseRenewal) -> bool {
         self.state
             .leases()
             .grant(&renewal.name)
             .is_some_and(|grant| {
-                grant.taken && grant.token == renewal.token && grant.holder.name == renewal.holder
+                grant.is_accepted
+                    && grant.token == renewal.token
+                    && grant.holder.name == renewal.holder
             })
     }
 
@@ -759,7 +777,7 @@
     fn hear_renewed(
         &mut self,
         now: Micros,
-        renewals: Vec<Renewal>,
+        renewals: Vec<LeaseRenewal>,
         asks: &mut VecDeque<raft::Event>,
         out: &mut Vec<Action>,
     ) {
@@ -789,7 +807,7 @@
             }
         }
         // Where nobody leads they are dropped: their holders ask again.
-        if let Some(message) = self.gathering.due(now)
+        if let Some(message) = self.gathering.take_due(now)
             && let Some(leader) = self.group.leader().cloned()
         {
             self.send_renewal(leader, message, out);
@@ -805,7 +823,7 @@
             return;
         };
         let mut outgoing = Vec::new();
-        self.confirmation.turn(
+        self.confirmation.advance(
             now,
             self.group.id(),
             self.group.term(),
@@ -858,7 +876,7 @@
     fn end_leases(&mut self, now: Micros, asks: &mut VecDeque<raft::Event>) {
         let mut commands = Vec::new();
         if self.leading {
-            self.watch.expire(now, &mut commands);
+            self.watch.take_expired(now, &mut commands);
         }
         for command in commands {
             let lease::Command::Expire { name, .. } = &command else {
@@ -867,7 +885,7 @@
             let name = name.clone();
             let seq = self.propose(now, Command::Lease(command), asks);
             if let Some(before) = self.expiring.insert(name, seq) {
-                self.holder.forget(before);
+                self.holder.abandon(before);
             }
         }
     }
@@ -909,7 +927,7 @@
         let Some((proposal, _)) = self.policy_due.filter(|(_, at)| *at <= now) else {
             return;
         };
-        let missing = self.state.policy().missing(&self.state.living());
+        let missing = self.state.policy().missing(&self.state.live_members());
         let names: Vec<&str> = missing.iter().map(|who| who.name.as_str()).collect();
         let cause = format!("not decided in time: no word of {}", names.join(", "));
         // Proposals are sent again by themselves; this one once more only where it was lost altogether.
@@ -931,7 +949,7 @@
             .filter(|entry| entry.get().1 <= now)
         {
             let (seq, (ticket, _)) = entry.remove_entry();
-            self.holder.forget(seq);
+            self.holder.abandon(seq);
             out.push(Action::Done {
                 ticket,
                 result: Err(Lost::GaveUp),
@@ -941,12 +959,12 @@
 
     /// Says when this member gains or loses its right to act as itself.
     fn say_rights(&mut self, now: Micros, out: &mut Vec<Action>) {
-        let may_act = self.holder.life_token(now).is_some();
+        let may_act = self.holder.session_token(now).is_some();
         if may_act != self.may_act {
             self.may_act = may_act;
             out.push(Action::MayAct(may_act));
         }
-        if self.holder.ended() && !self.life_ended {
+        if self.holder.is_session_ended() && !self.life_ended {
             self.life_ended = true;
             out.push(Action::LifeEnded);
         }
--- a/src/fleet/node/tests.rs
+++ b/src/fleet/node/tests.rs
@@ -64,11 +64,11 @@
     }
 
     fn life(&self) -> LeaseName {
-        lease::life(&member("c1")).expect("a short name")
+        lease::session_lease(&member("c1")).expect("a short name")
     }
 
     /// Hands a renewal in as another member's; the renewals that are answered to it.
-    fn renew(&mut self, renewal: Renewal, relayed: bool) -> Vec<Renewal> {
+    fn renew(&mut self, renewal: LeaseRenewal, relayed: bool) -> Vec<LeaseRenewal> {
         let message = Message::Renewal(renewal::Message::Renew {
             renewals: vec![renewal.clone()],
             relayed,
@@ -84,7 +84,7 @@
     }
 }
 
-fn renewed(action: &Action, by: &str) -> Vec<Renewal> {
+fn renewed(action: &Action, by: &str) -> Vec<LeaseRenewal> {
     match action {
         Action::Send {
             to,
@@ -128,19 +128,19 @@
         .grant(&name)
         .expect("its life lease")
         .token;
-    let good = Renewal {
+    let good = LeaseRenewal {
         holder: member("c1"),
         name,
         token,
-        number: 77,
+        sequence: 77,
     };
     assert_eq!(alone.renew(good.clone(), true), vec![good.clone()]);
-    let wrong_token = Renewal {
+    let wrong_token = LeaseRenewal {
         token: Token(token.0 + 1),
         ..good.clone()
     };
     assert_eq!(alone.renew(wrong_token, true), vec![]);
-    let wrong_holder = Renewal {
+    let wrong_holder = LeaseRenewal {
         holder: member("c3"),
         ..good.clone()
     };
@@ -148,7 +148,7 @@
     let unknown = LeaseName::try_from("nothing").expect("a name");
     assert_eq!(
         alone.renew(
-            Renewal {
+            LeaseRenewal {
                 name: unknown,
                 ..good
             },
@@ -163,11 +163,11 @@
 fn a_member_without_a_leader_sends_no_renewal_on() {
     let mut waits = Alone::new("c2");
     let name = waits.life();
-    let renewal = Renewal {
+    let renewal = LeaseRenewal {
         holder: member("c3"),
         name,
         token: Token(1),
-        number: 1,
+        sequence: 1,
     };
     for relayed in [false, true] {
         let message = Message::Renewal(renewal::Message::Renew {
@@ -204,10 +204,13 @@
         name: member("c2"),
         incarnation: Incarnation(1),
     };
-    let origin = crate::fleet::state::Origin { who, seq: 1 };
+    let origin = crate::fleet::state::Origin {
+        proposer: who,
+        sequence: 1,
+    };
     let proposal = Proposal {
         origin,
-        settled: 1,
+        settled_below: 1,
         command: Command::Lease(command),
     };
     let body = raft::MessageBody::Propose(raft::ProposalPayload::Data(proposal.encode()));
--- a/src/fleet/renewal.rs
+++ b/src/fleet/renewal.rs
@@ -1,9 +1,10 @@
-//! Renewals of leases off the log.
+//! Renewal of leases by messages to the leader instead of log entries.
 //!
-//! A holder asks the leader, straight or through a relay. The leader counts the lease's time anew at once, which is
-//! always safe, and answers once a majority of the voters has confirmed, after the request came, that it leads in its
-//! term: so whoever leads later was elected after the request was sent, and counts the whole time from then on. Grants
-//! and ends stay in the log. Why two holders still never act at once: `docs/design/leases.md`.
+//! A holder sends a renewal to the leader, directly or through a relay. The leader restarts the lease's expiry at once,
+//! which is always safe. It answers once a majority of the voters has confirmed, after the renewal came, that it still
+//! leads in its term (as for Raft's ReadIndex). So any later leader was elected after the renewal was sent, and waits
+//! for the whole expiry duration from its election on. Grants and ends stay in the log. Why two members never hold a
+//! valid lease at once is shown in `docs/design/leases.md`.
 
 use crate::fleet::raft::{VoterConfig, VoterId};
 use crate::fleet::{LeaseName, MemberName, Term, Token};
@@ -11,209 +12,225 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The most renewals in a message, and that wait for a round at the leader or at a relay.
-pub const MOST_RENEWALS: usize = 4_096;
-/// A confirmation that is missing for this long is asked for again.
-const ASK_AGAIN: Micros = 100_000;
-/// How long a relay gathers renewals for one message.
-pub const GATHER: Micros = 50_000;
+/// Maximum number of renewals in a message, and of those that wait at the leader or at a relay.
+pub const MAX_RENEWALS: usize = 4_096;
+/// How long a relay collects renewals for one message.
+pub const BATCH_DELAY: Micros = 50_000;
+/// A confirmation that is missing for this long is requested again.
+const RETRY_INTERVAL: Micros = 100_000;
 
-/// A holder's request to go on holding a lease.
+/// A holder's request to renew a lease. Sent by position (postcard).
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Renewal {
-    /// Who holds it.
+pub struct LeaseRenewal {
+    /// The holder.
     pub holder: MemberName,
-    /// Which.
+    /// The lease.
     pub name: LeaseName,
-    /// Under which grant.
+    /// Token of the grant.
     pub token: Token,
-    /// The holder's number of this request.
-    pub number: u64,
+    /// The holder's sequence number of this request.
+    pub sequence: u64,
 }
 
-/// What members say to each other about renewals.
+/// Messages about renewals. Sent by position (postcard).
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Message {
-    /// To the leader, or to a relay on the way there.
+    /// To the leader, or to a relay.
     Renew {
-        /// What is asked for.
-        renewals: Vec<Renewal>,
-        /// Whether a relay sends it on.
+        /// The renewals.
+        renewals: Vec<LeaseRenewal>,
+        /// Whether a relay forwards it.
         relayed: bool,
     },
-    /// The answer, on the way back to the holders.
-    Renewed(Vec<Renewal>),
-    /// The leader asks a voter whether it still follows.
-    Confirm {
+    /// The leader's answer, sent back the way of the request.
+    Renewed(Vec<LeaseRenewal>),
+    /// The leader asks a voter to confirm that it still follows.
+    ConfirmLeader {
         /// The leader's term.
         term: Term,
-        /// The leader's number of this question.
+        /// The leader's number of this round of confirmations.
         round: u64,
     },
-    /// It does.
-    Confirmed {
-        /// As asked.
+    /// The voter follows the sender of the request in this term.
+    LeaderConfirmed {
+        /// As in the request.
         term: Term,
-        /// As asked.
+        /// As in the request.
         round: u64,
         /// The voter's store.
         store: u64,
     },
 }
 
-/// A message and whom it is for.
+/// A message and its receiver.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Outgoing {
     /// The receiver.
     pub to: MemberName,
-    /// What it is sent.
+    /// The message.
     pub message: Message,
 }
 
+/// A renewal that waits for a confirmation of the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Waiting {
+struct PendingRenewal {
+    /// The holder, or the relay that the renewal came by.
     from: MemberName,
-    renewal: Renewal,
+    renewal: LeaseRenewal,
 }
 
+/// One round of confirmations, for all renewals that came before it began.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Round {
-    confirmed: BTreeSet<VoterId>,
-    answers: Vec<Waiting>,
-    ask_at: Micros,
+struct ConfirmationRound {
+    confirmed_by: BTreeSet<VoterId>,
+    renewals: Vec<PendingRenewal>,
+    /// When the missing confirmations are requested, or requested again.
+    request_at: Micros,
 }
 
-/// The leader's side: renewals that wait until its leadership is confirmed.
+/// The leader's side: renewals that wait until a majority has confirmed its leadership.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Confirmation {
-    number: u64,
-    round: Option<Round>,
-    waiting: Vec<Waiting>,
+pub struct LeaderConfirmation {
+    round_number: u64,
+    round: Option<ConfirmationRound>,
+    /// Renewals for the next round.
+    waiting: Vec<PendingRenewal>,
 }
 
-impl Confirmation {
-    /// This member began or ceased to lead: nothing that waits is answered.
-    pub fn clear(&mut self) {
+impl LeaderConfirmation {
+    /// Drops all waiting renewals: this member began or ceased to lead.
+    pub fn reset(&mut self) {
         self.round = None;
         self.waiting.clear();
     }
 
-    /// Takes a renewal whose lease's time is counted anew. Beyond the bound it is dropped, and asked for again.
-    pub fn take(&mut self, from: MemberName, renewal: Renewal) {
-        if self.waiting.len() < MOST_RENEWALS {
-            self.waiting.push(Waiting { from, renewal });
+    /// Adds a renewal whose lease's expiry was restarted. Beyond [`MAX_RENEWALS`] it is dropped; the holder retries.
+    pub fn add(&mut self, from: MemberName, renewal: LeaseRenewal) {
+        if self.waiting.len() < MAX_RENEWALS {
+            self.waiting.push(PendingRenewal { from, renewal });
         }
     }
 
-    /// A voter has confirmed a round.
-    pub fn confirmed(&mut self, voter: VoterId, round: u64) {
-        if let Some(open) = self.round.as_mut().filter(|_| round == self.number) {
-            open.confirmed.insert(voter);
+    /// Records a voter's confirmation of a round.
+    pub fn on_confirmed(&mut self, voter: VoterId, round_number: u64) {
+        if round_number != self.round_number {
+            return;
+        }
+        if let Some(round) = &mut self.round {
+            round.confirmed_by.insert(voter);
         }
     }
 
-    /// Ends the round that a majority has confirmed, and begins the next one where renewals wait.
-    pub fn turn(
+    /// Answers the renewals of a round that a majority has confirmed, and starts the next round if renewals wait.
+    pub fn advance(
         &mut self,
         now: Micros,
-        me: &VoterId,
+        leader: &VoterId,
         term: Term,
-        voters: &VoterConfig,
+        config: &VoterConfig,
         out: &mut Vec<Outgoing>,
     ) {
         loop {
             if self.round.is_none() && !self.waiting.is_empty() {
-                self.number += 1;
-                let answers = std::mem::take(&mut self.waiting);
-                self.round = Some(Round {
-                    confirmed: BTreeSet::from([me.clone()]),
-                    answers,
-                    ask_at: now,
-                });
+                self.start_round(now, leader);
             }
             let Some(round) = &mut self.round else { return };
-            if voters.voters.intersection(&round.confirmed).count() < voters.majority() {
+            let confirmations = config.voters.intersection(&round.confirmed_by).count();
+            if confirmations < config.majority() {
                 break;
             }
-            let answers = std::mem::take(&mut round.answers);
+            let renewals = std::mem::take(&mut round.renewals);
             self.round = None;
-            answer(answers, out);
+            send_answers(renewals, out);
         }
-        self.ask(now, me, term, voters, out);
+        self.request_confirmations(now, leader, term, config, out);
+    }
+
+    /// When [`LeaderConfirmation::advance`] has to be called next.
+    pub fn timeout(&self) -> Option<Micros> {
+        self.round.as_ref().map(|round| round.request_at)
+    }
+
+    fn start_round(&mut self, now: Micros, leader: &VoterId) {
+        self.round_number += 1;
+        self.round = Some(ConfirmationRound {
+            confirmed_by: BTreeSet::from([leader.clone()]),
+            renewals: std::mem::take(&mut self.waiting),
+            request_at: now,
+        });
     }
 
-    /// Asks the voters that have not confirmed the open round, now and then.
-    fn ask(
+    /// Asks the voters whose confirmation is missing, if that is due.
+    fn request_confirmations(
         &mut self,
         now: Micros,
-        me: &VoterId,
+        leader: &VoterId,
         term: Term,
-        voters: &VoterConfig,
+        config: &VoterConfig,
         out: &mut Vec<Outgoing>,
     ) {
-        let Some(round) = self.round.as_mut().filter(|round| round.ask_at <= now) else {
+        let round = self.round.as_mut();
+        let Some(round) = round.filter(|round| round.request_at <= now) else {
             return;
         };
-        round.ask_at = now.saturating_add(ASK_AGAIN);
-        let missing = voters
-            .voters
-            .iter()
-            .filter(|voter| *voter != me && !round.confirmed.contains(voter));
-        let message = Message::Confirm {
-            term,
-            round: self.number,
-        };
-        out.extend(missing.map(|voter| Outgoing {
-            to: voter.name.clone(),
-            message: message.clone(),
-        }));
-    }
-
-    /// When [`Confirmation::turn`] has something to do.
-    pub fn timeout(&self) -> Option<Micros> {
-        self.round.as_ref().map(|round| round.ask_at)
+        round.request_at = now.saturating_add(RETRY_INTERVAL);
+        for voter in config.voters.difference(&round.confirmed_by) {
+            if voter == leader {
+                continue;
+            }
+            out.push(Outgoing {
+                to: voter.name.clone(),
+                message: Message::ConfirmLeader {
+                    term,
+                    round: self.round_number,
+                },
+            });
+        }
     }
 }
 
-/// Sends answers back the ways that the renewals came.
-fn answer(answers: Vec<Waiting>, out: &mut Vec<Outgoing>) {
-    let mut ways: BTreeMap<MemberName, Vec<Renewal>> = BTreeMap::new();
-    for Waiting { from, renewal } in answers {
-        ways.entry(from).or_default().push(renewal);
+/// Sends the renewals back the way they came, in one message for each member.
+fn send_answers(renewals: Vec<PendingRenewal>, out: &mut Vec<Outgoing>) {
+    let mut by_receiver: BTreeMap<MemberName, Vec<LeaseRenewal>> = BTreeMap::new();
+    for PendingRenewal { from, renewal } in renewals {
+        by_receiver.entry(from).or_default().push(renewal);
     }
-    out.extend(ways.into_iter().map(|(to, renewals)| Outgoing {
+    out.extend(by_receiver.into_iter().map(|(to, renewals)| Outgoing {
         to,
         message: Message::Renewed(renewals),
     }));
 }
 
-/// A relay's side: renewals of others that go to the leader together.
+/// A relay's side: renewals of other members that are forwarded to the leader together.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Gathering {
-    renewals: Vec<Renewal>,
+pub struct RenewalBatch {
+    renewals: Vec<LeaseRenewal>,
     due: Option<Micros>,
 }
 
-impl Gathering {
-    /// Takes renewals on. Beyond the bound they are dropped, and asked for again.
-    pub fn take(&mut self, now: Micros, renewals: Vec<Renewal>) {
-        let room = MOST_RENEWALS - self.renewals.len();
+impl RenewalBatch {
+    /// Adds renewals. Beyond [`MAX_RENEWALS`] they are dropped; the holders retry.
+    pub fn add(&mut self, now: Micros, renewals: Vec<LeaseRenewal>) {
+        let room = MAX_RENEWALS - self.renewals.len();
         self.renewals.extend(renewals.into_iter().take(room));
-        self.due.get_or_insert(now.saturating_add(GATHER));
+        self.due.get_or_insert(now.saturating_add(BATCH_DELAY));
     }
 
-    /// What goes to the leader now.
-    pub fn due(&mut self, now: Micros) -> Option<Message> {
+    /// The message to the leader, if it is due.
+    pub fn take_due(&mut self, now: Micros) -> Option<Message> {
         self.due.filter(|due| *due <= now)?;
         self.due = None;
         let renewals = std::mem::take(&mut self.renewals);
-        (!renewals.is_empty()).then_some(Message::Renew {
+        if renewals.is_empty() {
+            return None;
+        }
+        Some(Message::Renew {
             renewals,
             relayed: true,
         })
     }
 
-    /// When [`Gathering::due`] has something.
+    /// When [`RenewalBatch::take_due`] has to be called next.
     pub fn timeout(&self) -> Option<Micros> {
         self.due
     }
--- a/src/fleet/renewal/tests.rs
+++ b/src/fleet/renewal/tests.rs
@@ -18,25 +18,25 @@
     }
 }
 
-fn renewal(holder: &str, number: u64) -> Renewal {
+fn renewal(holder: &str, number: u64) -> LeaseRenewal {
     let name = LeaseName::try_from(format!("life/{holder}")).expect("a name");
-    Renewal {
+    LeaseRenewal {
         holder: member(holder),
         name,
         token: Token(3),
-        number,
+        sequence: number,
     }
 }
 
 struct Leader {
-    confirmation: Confirmation,
+    confirmation: LeaderConfirmation,
     voters: VoterConfig,
 }
 
 impl Leader {
     fn new() -> Leader {
         Leader {
-            confirmation: Confirmation::default(),
+            confirmation: LeaderConfirmation::default(),
             voters: three(),
         }
     }
@@ -44,13 +44,13 @@
     fn turn(&mut self, now: Micros) -> Vec<Outgoing> {
         let mut out = Vec::new();
         self.confirmation
-            .turn(now, &voter("v1"), Term(5), &self.voters, &mut out);
+            .advance(now, &voter("v1"), Term(5), &self.voters, &mut out);
         out
     }
 
     /// MemberInstance is answered.
     fn answered(&mut self, now: Micros) -> Vec<(String, Vec<u64>)> {
-        let numbers = |renewals: &[Renewal]| renewals.iter().map(|r| r.number).collect();
+        let numbers = |renewals: &[LeaseRenewal]| renewals.iter().map(|r| r.sequence).collect();
         let answer = |out: &Outgoing| match &out.message {
             Message::Renewed(renewals) => Some((out.to.to_string(), numbers(renewals))),
             _ => None,
@@ -60,68 +60,68 @@
 }
 
 #[test]
-fn a_renewal_is_answered_once_a_majority_has_confirmed() {
+fn renewal_is_answered_after_majority_confirmation() {
     let mut leader = Leader::new();
-    leader.confirmation.take(member("c1"), renewal("c1", 1));
+    leader.confirmation.add(member("c1"), renewal("c1", 1));
     let asked: Vec<String> = leader
         .turn(0)
         .iter()
         .map(|out| out.to.to_string())
         .collect();
     assert_eq!(asked, ["v2", "v3"]);
-    leader.confirmation.confirmed(voter("v3"), 1);
+    leader.confirmation.on_confirmed(voter("v3"), 1);
     assert_eq!(leader.answered(10), [("c1".to_owned(), vec![1])]);
     assert_eq!(leader.answered(20), []);
 }
 
 /// One that came behind the question was perhaps sent behind the confirmation: it needs the next round.
 #[test]
-fn a_renewal_that_comes_behind_a_round_waits_for_the_next() {
+fn renewal_during_a_round_waits_for_the_next_round() {
     let mut leader = Leader::new();
-    leader.confirmation.take(member("c1"), renewal("c1", 1));
+    leader.confirmation.add(member("c1"), renewal("c1", 1));
     leader.turn(0);
-    leader.confirmation.take(member("c2"), renewal("c2", 7));
-    leader.confirmation.confirmed(voter("v2"), 1);
+    leader.confirmation.add(member("c2"), renewal("c2", 7));
+    leader.confirmation.on_confirmed(voter("v2"), 1);
     assert_eq!(leader.answered(10), [("c1".to_owned(), vec![1])]);
-    leader.confirmation.confirmed(voter("v3"), 1);
+    leader.confirmation.on_confirmed(voter("v3"), 1);
     assert_eq!(leader.answered(20), []);
-    leader.confirmation.confirmed(voter("v3"), 2);
+    leader.confirmation.on_confirmed(voter("v3"), 2);
     assert_eq!(leader.answered(30), [("c2".to_owned(), vec![7])]);
 }
 
 #[test]
-fn a_voter_with_another_store_or_none_of_the_voters_confirms_nothing() {
+fn confirmations_of_other_stores_and_non_voters_do_not_count() {
     let mut leader = Leader::new();
-    leader.confirmation.take(member("c1"), renewal("c1", 1));
+    leader.confirmation.add(member("c1"), renewal("c1", 1));
     leader.turn(0);
-    leader.confirmation.confirmed(
+    leader.confirmation.on_confirmed(
         VoterId {
             name: member("v2"),
             store: 2,
         },
         1,
     );
-    leader.confirmation.confirmed(voter("v9"), 1);
+    leader.confirmation.on_confirmed(voter("v9"), 1);
     assert_eq!(leader.answered(10), []);
 }
 
 #[test]
-fn a_voter_that_does_not_answer_is_asked_again() {
+fn missing_confirmation_is_requested_again() {
     let mut leader = Leader::new();
-    leader.confirmation.take(member("c1"), renewal("c1", 1));
+    leader.confirmation.add(member("c1"), renewal("c1", 1));
     assert_eq!(leader.turn(0).len(), 2);
-    assert_eq!(leader.turn(ASK_AGAIN - 1).len(), 0);
-    assert_eq!(leader.confirmation.timeout(), Some(ASK_AGAIN));
-    assert_eq!(leader.turn(ASK_AGAIN).len(), 2);
+    assert_eq!(leader.turn(RETRY_INTERVAL - 1).len(), 0);
+    assert_eq!(leader.confirmation.timeout(), Some(RETRY_INTERVAL));
+    assert_eq!(leader.turn(RETRY_INTERVAL).len(), 2);
 }
 
 #[test]
-fn who_ceases_to_lead_answers_nothing_more() {
+fn deposed_leader_answers_no_renewals() {
     let mut leader = Leader::new();
-    leader.confirmation.take(member("c1"), renewal("c1", 1));
+    leader.confirmation.add(member("c1"), renewal("c1", 1));
     leader.turn(0);
-    leader.confirmation.clear();
-    leader.confirmation.confirmed(voter("v2"), 1);
+    leader.confirmation.reset();
+    leader.confirmation.on_confirmed(voter("v2"), 1);
     assert_eq!(
         (leader.answered(10), leader.confirmation.timeout()),
         (vec![], None)
@@ -129,13 +129,13 @@
 }
 
 #[test]
-fn answers_go_back_the_way_the_renewals_came_in_one_message() {
+fn answers_return_by_the_same_relay_in_one_message() {
     let mut leader = Leader::new();
     for (from, holder) in [("relay", "c1"), ("c3", "c3"), ("relay", "c2")] {
-        leader.confirmation.take(member(from), renewal(holder, 4));
+        leader.confirmation.add(member(from), renewal(holder, 4));
     }
     leader.turn(0);
-    leader.confirmation.confirmed(voter("v2"), 1);
+    leader.confirmation.on_confirmed(voter("v2"), 1);
     assert_eq!(
         leader.answered(1),
         [("c3".to_owned(), vec![4]), ("relay".to_owned(), vec![4, 4])]
@@ -143,26 +143,26 @@
 }
 
 #[test]
-fn a_relay_sends_on_together_what_it_gathers_and_no_more_than_its_bound() {
-    let mut gathering = Gathering::default();
-    gathering.take(0, vec![renewal("c1", 1)]);
-    gathering.take(
-        GATHER / 2,
-        (0..MOST_RENEWALS as u64)
+fn relay_batches_renewals_up_to_the_limit() {
+    let mut gathering = RenewalBatch::default();
+    gathering.add(0, vec![renewal("c1", 1)]);
+    gathering.add(
+        BATCH_DELAY / 2,
+        (0..MAX_RENEWALS as u64)
             .map(|number| renewal("c2", number))
             .collect(),
     );
-    assert_eq!(gathering.due(GATHER - 1), None);
+    assert_eq!(gathering.take_due(BATCH_DELAY - 1), None);
     let Some(Message::Renew {
         renewals,
         relayed: true,
-    }) = gathering.due(GATHER)
+    }) = gathering.take_due(BATCH_DELAY)
     else {
         panic!("sent on")
     };
-    assert_eq!(renewals.len(), MOST_RENEWALS);
+    assert_eq!(renewals.len(), MAX_RENEWALS);
     assert_eq!(
-        (gathering.due(2 * GATHER), gathering.timeout()),
+        (gathering.take_due(2 * BATCH_DELAY), gathering.timeout()),
         (None, None)
     );
 }
--- a/src/fleet/transport/drive.rs
+++ b/src/fleet/transport/drive.rs
@@ -10,12 +10,12 @@
 use super::seal::{Bucket, Refused, Sealer, most_frame};
 use super::{Fleet, MESSAGE, admin, bounds, store_settings};
 use crate::fleet::config::FleetConfig;
-use crate::fleet::lease::{Standing, What, life};
+use crate::fleet::lease::{LeaseChangeKind, LeaseStatus, session_lease};
 use crate::fleet::message::Message;
 use crate::fleet::node::{Action, Event, Lost, Node, Start};
 use crate::fleet::raft::{MAX_VOTERS, Role};
 use crate::fleet::sites::epoch::Table;
-use crate::fleet::state::{Answer, Command, Effect, FleetState};
+use crate::fleet::state::{Command, FleetState, ProposalResult, StateChange};
 use crate::fleet::{Index, LeaseName, MemberInstance, MemberName, membership, policy_epoch, raft};
 use crate::routing::types::Micros;
 use std::collections::{BTreeMap, VecDeque};
@@ -49,7 +49,7 @@
     /// A planned stop.
     Leave(oneshot::Sender<()>),
     /// Put a command into the log.
-    Propose(Command, oneshot::Sender<Result<Answer, Lost>>),
+    Propose(Command, oneshot::Sender<Result<ProposalResult, Lost>>),
 }
 
 /// What parts of the program are told of the fleet, in the order in which it happens. What the log did is told when it
@@ -62,7 +62,7 @@
     /// The conductor gained or lost its right to act as itself.
     MayAct(bool),
     /// The log did something.
-    Effect(Index, &'a Effect),
+    Effect(Index, &'a StateChange),
     /// Another leader is known, or none.
     Leading(Option<&'a MemberName>),
     /// What is agreed of the sites has changed: this is it, or a later one.
@@ -130,7 +130,7 @@
     leaving: bool,
     ended: bool,
     /// The program's proposals that wait for their answers.
-    proposals: BTreeMap<u64, oneshot::Sender<Result<Answer, Lost>>>,
+    proposals: BTreeMap<u64, oneshot::Sender<Result<ProposalResult, Lost>>>,
     tickets: u64,
 }
 
@@ -351,7 +351,7 @@
                     .node
                     .state()
                     .leases()
-                    .life(name)
+                    .session(name)
                     .map_or(0, |grant| grant.holder.incarnation.0);
                 return Over::Ended(known.saturating_add(1));
             }
@@ -551,11 +551,11 @@
             } => self.send(life, &to, address, &message, reliable),
             Action::Lease(change) => {
                 let now = self.now();
-                shared.rights.borrow_mut().change(&change);
+                shared.rights.borrow_mut().apply(&change);
                 match (change.from, change.to) {
-                    (Standing::Acting, Standing::Acting) => {}
-                    (_, Standing::Acting) => shared.counters.leases_granted.up(),
-                    (Standing::Acting, _) => shared.counters.leases_lost.up(),
+                    (LeaseStatus::Held, LeaseStatus::Held) => {}
+                    (_, LeaseStatus::Held) => shared.counters.leases_granted.up(),
+                    (LeaseStatus::Held, _) => shared.counters.leases_lost.up(),
                     _ => {}
                 }
                 life.history.lease(&change, now);
@@ -570,23 +570,28 @@
             Action::MayAct(gained) => {
                 let table = life.node.state().leases();
                 let token = table
-                    .life(&life.who.name)
+                    .session(&life.who.name)
                     .filter(|grant| grant.holder == life.who);
                 life.history.life(token.map(|grant| grant.token), gained);
                 self.fleet.tell(&Told::MayAct(gained));
             }
             Action::LifeEnded => life.ended = true,
             Action::Effect { index, effect } => {
-                if let Effect::Lease(change) = &effect {
-                    let of_life =
-                        self::life(&change.holder.name).is_some_and(|name| name == change.name);
-                    if of_life && matches!(change.what, What::Expired | What::Released) {
+                if let StateChange::Lease(change) = &effect {
+                    let of_life = self::session_lease(&change.holder.name)
+                        .is_some_and(|name| name == change.name);
+                    if of_life
+                        && matches!(
+                            change.kind,
+                            LeaseChangeKind::Expired | LeaseChangeKind::Released
+                        )
+                    {
                         shared.counters.deaths.up();
                         life.history.death(&change.holder, index);
                     }
                 }
                 self.fleet.tell(&Told::Effect(index, &effect));
-                if matches!(effect, Effect::Sites(_)) {
+                if matches!(effect, StateChange::Sites(_)) {
                     self.fleet.tell(&Told::Sites(life.node.state().sites()));
                 }
             }
@@ -643,7 +648,7 @@
         );
         tokio::task::spawn_local(async move {
             let reply = match decided.await {
-                Ok(Ok(Answer::Policy(reply))) => admin::Reply::Policy(reply),
+                Ok(Ok(ProposalResult::Policy(reply))) => admin::Reply::Policy(reply),
                 Ok(Err(lost)) => admin::Reply::Refused(lost.to_string()),
                 _ => admin::Reply::Refused("the log has not looked at it".to_owned()),
             };
@@ -679,7 +684,7 @@
             admin::Request::Policy(_) => admin::Reply::Refused("not now".to_owned()),
             admin::Request::Policies => {
                 let state = life.node.state();
-                let (table, living) = (state.policy().clone(), state.living());
+                let (table, living) = (state.policy().clone(), state.live_members());
                 admin::Reply::Policies(Box::new(admin::Policies {
                     me: life.who.clone(),
                     table,
--- a/src/fleet/transport/history.rs
+++ b/src/fleet/transport/history.rs
@@ -3,7 +3,7 @@
 //! Every line has `event`, `at_us` (microseconds since 1970), `member` and `incarnation`. The lines are explained in
 //! `docs/fleet.md`.
 
-use crate::fleet::lease::{Cause, LeaseChange, Standing};
+use crate::fleet::lease::{LeaseStatus, LeaseStatusChange, StatusChangeCause};
 use crate::fleet::sites::{epoch::Standing as Agreed, watch};
 use crate::fleet::{Index, LeaseName, MemberInstance, MemberName, Term, Token, membership};
 use crate::routing::types::Micros;
@@ -132,31 +132,31 @@
     }
 
     /// This member's own standing to a lease changed. `until` is by the clock that reads `now`.
-    pub fn lease(&self, change: &LeaseChange, now: Micros) {
+    pub fn lease(&self, change: &LeaseStatusChange, now: Micros) {
         let (at, lease, token) = (unix_us(), change.name.as_str(), change.token.map(|t| t.0));
         let until = (change.until > now).then(|| at + (change.until - now));
         let text = token.map_or("none".to_owned(), |t| t.to_string());
         match (change.from, change.to, change.cause) {
-            (Standing::Acting, Standing::Acting, _) => {
+            (LeaseStatus::Held, LeaseStatus::Held, _) => {
                 event!(self, info, RENEWALS, "lease.renewed", at at,
                     { lease = lease, token = token, until_us = until }, "lease {lease}: renewed, token {text}");
             }
-            (_, Standing::Acting, _) => {
+            (_, LeaseStatus::Held, _) => {
                 event!(self, info, TARGET, "lease.granted", at at,
                     { lease = lease, token = token, until_us = until }, "lease {lease}: granted, token {text}");
             }
-            (Standing::Acting, _, Cause::Released) => {
+            (LeaseStatus::Held, _, StatusChangeCause::Released) => {
                 event!(self, info, TARGET, "lease.released", at at, { lease = lease, token = token },
                     "lease {lease}: released, token {text}");
             }
-            (Standing::Acting, _, cause) => {
+            (LeaseStatus::Held, _, cause) => {
                 let cause = word(cause);
                 event!(self, warn, TARGET, "lease.lost", at at, { lease = lease, token = token, cause = cause },
                     "lease {lease}: lost ({cause}), token {text}");
             }
             (_, to, cause) => {
                 let (to, cause) = (
-                    if to == Standing::Waiting {
+                    if to == LeaseStatus::Waiting {
                         "waiting"
                     } else {
                         "out"
@@ -278,14 +278,14 @@
 /// Acts come once a period, so they can be turned off by themselves.
 pub const ACTS: &str = "whinhaven::fleet::acts";
 
-fn word(cause: Cause) -> &'static str {
+fn word(cause: StatusChangeCause) -> &'static str {
     match cause {
-        Cause::Wanted => "wanted",
-        Cause::Granted => "granted",
-        Cause::Renewed => "renewed",
-        Cause::RanOut => "ran_out",
-        Cause::Ended => "ended",
-        Cause::Life => "life",
-        Cause::Released => "released",
+        StatusChangeCause::Wanted => "wanted",
+        StatusChangeCause::Granted => "granted",
+        StatusChangeCause::Renewed => "renewed",
+        StatusChangeCause::TimedOut => "ran_out",
+        StatusChangeCause::Ended => "ended",
+        StatusChangeCause::SessionLost => "life",
+        StatusChangeCause::Released => "released",
     }
 }
--- a/src/fleet/transport/mod.rs
+++ b/src/fleet/transport/mod.rs
@@ -20,9 +20,9 @@
 use crate::core::Clock;
 use crate::counters::FleetCounters;
 use crate::fleet::config::{FleetConfig, WhenCutOff};
-use crate::fleet::lease::{Rights, life};
+use crate::fleet::lease::{LeaseView, session_lease};
 use crate::fleet::node::Lost;
-use crate::fleet::state::{Answer, Command};
+use crate::fleet::state::{Command, ProposalResult};
 use crate::fleet::{LeaseName, MemberInstance, Token};
 use crate::storage;
 pub use drive::Told;
@@ -55,7 +55,7 @@
     when_cut_off: WhenCutOff,
     who: RefCell<MemberInstance>,
     life: LeaseName,
-    rights: RefCell<Rights>,
+    rights: RefCell<LeaseView>,
     asks: mpsc::Sender<Ask>,
     counters: Rc<FleetCounters>,
     stopped: Cell<bool>,
@@ -71,7 +71,9 @@
         let Shared {
             clock, who, rights, ..
         } = &*self.0;
-        rights.borrow().may_act(&who.borrow(), lease, clock.now())
+        rights
+            .borrow()
+            .valid_token(&who.borrow(), lease, clock.now())
     }
 
     /// Whether new requests may be taken at this very moment.
@@ -111,7 +113,7 @@
     ///
     /// # Errors
     /// There is no answer: too many wait, none came in time, or this life is over.
-    pub async fn propose(&self, command: Command) -> Result<Answer, Lost> {
+    pub async fn propose(&self, command: Command) -> Result<ProposalResult, Lost> {
         let (answer, answered) = oneshot::channel();
         self.0
             .asks
@@ -173,7 +175,8 @@
     let settings = store_settings(config);
     let found = disk::Disk::open(&path, settings, history::unix_us())
         .map_err(|e| wrong("store.path", format!("{}: {e}", path.display())))?;
-    let life = life(&config.name).ok_or_else(|| wrong("fleet.name", "too long".to_owned()))?;
+    let life =
+        session_lease(&config.name).ok_or_else(|| wrong("fleet.name", "too long".to_owned()))?;
     let who = MemberInstance {
         name: config.name.clone(),
         incarnation: found.disk.incarnation(),
--- a/src/fleet/transport/policy.rs
+++ b/src/fleet/transport/policy.rs
@@ -11,7 +11,7 @@
 use crate::fleet::config::PolicyConfig;
 use crate::fleet::policy_content as content;
 use crate::fleet::policy_epoch::{Command, Notice, Refusal, Reply, Table, digest};
-use crate::fleet::state::{self, Answer, Effect};
+use crate::fleet::state::{self, ProposalResult, StateChange};
 use crate::live_settings::LiveSettings;
 use crate::routing::types::{Class, Micros};
 use serde_json::Value;
@@ -164,7 +164,7 @@
             }
             Told::MayAct(true) => self.begin_life(),
             Told::MayAct(false) => {}
-            Told::Effect(_, Effect::Policy(notice)) => self.notice(notice),
+            Told::Effect(_, StateChange::Policy(notice)) => self.notice(notice),
             Told::Restored(state) => self.restore(state.policy()),
             Told::View(_) | Told::Leading(_) | Told::Sites(_) | Told::Effect(..) => return,
         }
@@ -354,7 +354,7 @@
 
     async fn say(&self, command: Command) -> Option<Reply> {
         match self.fleet.propose(state::Command::Policy(command)).await {
-            Ok(Answer::Policy(reply)) => Some(reply),
+            Ok(ProposalResult::Policy(reply)) => Some(reply),
             _ => None,
         }
     }
--- a/src/fleet/transport/sites.rs
+++ b/src/fleet/transport/sites.rs
@@ -15,7 +15,7 @@
 use crate::fleet::sites::member::{Action, Event, Member};
 use crate::fleet::sites::plan::{PlanError, Plans};
 use crate::fleet::sites::watch;
-use crate::fleet::state::{Command, Effect};
+use crate::fleet::state::{Command, StateChange};
 use crate::net::discovery::Directory;
 use crate::net::stream::SteadyStream;
 use crate::routing::types::{Entry, Kind, ListKind, Role, Status, WorkerId};
@@ -181,7 +181,7 @@
                 }));
                 self.handle(Event::Pacing(*leader == Some(&me)));
             }
-            Told::Effect(_, Effect::Sites(effect)) => match effect {
+            Told::Effect(_, StateChange::Sites(effect)) => match effect {
                 epoch::Effect::Standing {
                     epoch,
                     site,
--- a/src/fleet/transport/work.rs
+++ b/src/fleet/transport/work.rs
@@ -10,7 +10,7 @@
 use crate::exchange::Call;
 use crate::fleet::MemberInstance;
 use crate::fleet::config::TakeoverConfig;
-use crate::fleet::state::{Answer, Command, Effect, Refusal as Unlooked};
+use crate::fleet::state::{Command, ProposalRejection as Unlooked, ProposalResult, StateChange};
 use crate::fleet::work::recorder::{Action, Event, Hands, Ticket, Verdict};
 use crate::fleet::work::{self, Bounds, MOST_OVER, Notice, Refusal, Reply};
 use crate::routing::policy::call_permission::ReleaseHistory;
@@ -202,11 +202,11 @@
         let me = self.fleet.who();
         tokio::task::spawn_local(async move {
             let reply = match work.fleet.propose(Command::Takeover(command)).await {
-                Ok(Answer::Takeover(reply)) => Some(reply),
+                Ok(ProposalResult::Takeover(reply)) => Some(reply),
                 // The log knows nothing more of it: this life is over.
-                Ok(Answer::Refused(Unlooked::OldLife | Unlooked::MostMembers)) => {
-                    Some(Reply::Refused(Refusal::LifeEnded))
-                }
+                Ok(ProposalResult::Rejected(
+                    Unlooked::StaleIncarnation | Unlooked::TooManyMembers,
+                )) => Some(Reply::Refused(Refusal::LifeEnded)),
                 _ => None,
             };
             if reply.is_none() {
@@ -232,7 +232,7 @@
                 self.verdicts.borrow_mut().clear();
             }
             Told::MayAct(may) => self.handle(Event::MayAct(*may)),
-            Told::Effect(_, Effect::Takeover(notice)) => {
+            Told::Effect(_, StateChange::Takeover(notice)) => {
                 match notice {
                     Notice::Orphaned { dead, .. } => self.orphan(dead.clone()),
                     Notice::Adopted { dead, .. } => {
@@ -295,12 +295,12 @@
                 }))
                 .await;
             match answer {
-                Ok(Answer::Takeover(Reply::Adopted(sends))) => {
+                Ok(ProposalResult::Takeover(Reply::Adopted(sends))) => {
                     self.orphaned.borrow_mut().retain(|d| *d != dead);
                     History(me).adopted(&dead, sends.len());
                     self.release_all(sends, &outbound).await;
                 }
-                Ok(Answer::Takeover(Reply::Refused(Refusal::Nothing))) => {
+                Ok(ProposalResult::Takeover(Reply::Refused(Refusal::Nothing))) => {
                     self.orphaned.borrow_mut().retain(|d| *d != dead);
                 }
                 _ => tokio::time::sleep(AGAIN).await,
--- a/tests/golden/commands.rs
+++ b/tests/golden/commands.rs
@@ -3,7 +3,7 @@
 use super::{Example, lease_name, site, who};
 use whinhaven::fleet::sites::epoch as sites;
 use whinhaven::fleet::sites::plan::Missing;
-use whinhaven::fleet::state::{Bounds, Command, Effect, FleetState, Origin, Proposal};
+use whinhaven::fleet::state::{Bounds, Command, FleetState, Origin, Proposal, StateChange};
 use whinhaven::fleet::{Index, MemberInstance, Token, lease, policy_epoch, work};
 
 pub fn examples() -> Vec<Example<Proposal>> {
@@ -18,18 +18,21 @@
 
 fn proposal(who: MemberInstance, seq: u64, settled: u64, command: Command) -> Proposal {
     Proposal {
-        origin: Origin { who, seq },
-        settled,
+        origin: Origin {
+            proposer: who,
+            sequence: seq,
+        },
+        settled_below: settled,
         command,
     }
 }
 
 fn bounds() -> Bounds {
     Bounds {
-        most_members: 101,
-        most_leases: 102,
-        most_waiters: 103,
-        most_granted_for_ms: 60_104,
+        max_members: 101,
+        max_leases: 102,
+        max_waiters: 103,
+        max_lease_duration_ms: 60_104,
     }
 }
 
@@ -45,7 +48,7 @@
 fn acquire(name: &str, granted_for_ms: u64) -> Command {
     Command::Lease(lease::Command::Acquire {
         name: lease_name(name),
-        granted_for_ms,
+        duration_ms: granted_for_ms,
     })
 }
 
@@ -326,7 +329,7 @@
 }
 
 /// The state after [`history`], and what came of each entry.
-pub fn state() -> (FleetState, Vec<Effect>) {
+pub fn state() -> (FleetState, Vec<StateChange>) {
     let mut state = FleetState::new();
     let mut effects = Vec::new();
     for (index, (who, command)) in (1..).zip(history()) {
--- a/tests/golden/messages.rs
+++ b/tests/golden/messages.rs
@@ -258,12 +258,12 @@
     examples.map(message).to_vec()
 }
 
-fn renewal() -> renewal::Renewal {
-    renewal::Renewal {
+fn renewal() -> renewal::LeaseRenewal {
+    renewal::LeaseRenewal {
         holder: member("c3"),
         name: lease_name("discovery-refresh"),
         token: Token(601),
-        number: 602,
+        sequence: 602,
     }
 }
 
@@ -275,14 +275,14 @@
 }
 
 fn confirm() -> renewal::Message {
-    renewal::Message::Confirm {
+    renewal::Message::ConfirmLeader {
         term: Term(81),
         round: 603,
     }
 }
 
 fn confirmed() -> renewal::Message {
-    renewal::Message::Confirmed {
+    renewal::Message::LeaderConfirmed {
         term: Term(82),
         round: 604,
         store: 905,
--- a/tests/golden_fleet.rs
+++ b/tests/golden_fleet.rs
@@ -14,7 +14,7 @@
 use whinhaven::fleet::lease::RenewalPath;
 use whinhaven::fleet::message::Message;
 use whinhaven::fleet::raft::{HardState, LogEntry, RestoredState, Snapshot};
-use whinhaven::fleet::state::{Answer, Effect, FleetState, Proposal};
+use whinhaven::fleet::state::{FleetState, Proposal, ProposalResult, StateChange};
 use whinhaven::fleet::transport::disk::{Disk, Found};
 use whinhaven::fleet::transport::seal;
 use whinhaven::fleet::{Incarnation, lease, node, policy_epoch, sites, work};
@@ -133,16 +133,16 @@
     }
 }
 
-fn is_refusal(effect: &Effect) -> bool {
+fn is_refusal(effect: &StateChange) -> bool {
     match effect {
-        Effect::Answered { answer, .. } => matches!(
+        StateChange::ProposalDecided { result: answer, .. } => matches!(
             answer,
-            Answer::Refused(_)
-                | Answer::Lease(lease::Outcome::Refused(_) | lease::Outcome::Void)
-                | Answer::Takeover(work::Reply::Refused(_))
-                | Answer::Policy(policy_epoch::Reply::Refused(_))
+            ProposalResult::Rejected(_)
+                | ProposalResult::Lease(lease::Outcome::Rejected(_) | lease::Outcome::NoEffect)
+                | ProposalResult::Takeover(work::Reply::Refused(_))
+                | ProposalResult::Policy(policy_epoch::Reply::Refused(_))
         ),
-        Effect::Sites(effect) => matches!(effect, sites::epoch::Effect::Refused(_)),
+        StateChange::Sites(effect) => matches!(effect, sites::epoch::Effect::Refused(_)),
         _ => false,
     }
 }
@@ -283,9 +283,9 @@
     assert_eq!(settings.view.period_ms, 600);
     assert_eq!(settings.group.election_timeout_us, 1_100_000);
     assert_eq!(settings.lease.renewal, RenewalPath::Leader);
-    assert_eq!(settings.lease.retry.first_ms, 110);
-    assert_eq!(settings.lease.retry.most_ms, 1100);
-    assert_eq!(settings.bounds.most_waiters, 65);
+    assert_eq!(settings.lease.retry.initial_delay_ms, 110);
+    assert_eq!(settings.lease.retry.max_delay_ms, 1100);
+    assert_eq!(settings.bounds.max_waiters, 65);
     assert_eq!(settings.node.most_wants, 66);
     assert_eq!(settings.node.policy_within_ms, 30_001);
 }
