--- a/lab/tests/sim_lease.rs
+++ b/lab/tests/sim_lease.rs
@@ -7,10 +7,10 @@
 use rstest::rstest;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
-use whinhaven::fleet::lease::{self, RenewalPath, Rights, What};
+use whinhaven::fleet::lease::{self, LeaseChangeKind, LeaseView, RenewalPath};
 use whinhaven::fleet::message::Message;
-use whinhaven::fleet::node::{Action, Event, Node, Settings, Start};
-use whinhaven::fleet::state::Effect;
+use whinhaven::fleet::node::{Action, Config, Event, Node, NodeStart};
+use whinhaven::fleet::state::StateChange;
 use whinhaven::fleet::{
     Incarnation, LeaseName, MemberInstance, MemberName, SiteName, Token, membership, raft,
 };
@@ -23,7 +23,7 @@
 
 struct Body {
     node: Node,
-    rights: Rights,
+    lease_view: LeaseView,
     /// Since when it stands still, as after SIGSTOP.
     stopped: bool,
     /// What came meanwhile.
@@ -48,7 +48,7 @@
 struct Sim {
     now: Micros,
     rng: ChaCha8Rng,
-    settings: Settings,
+    settings: Config,
     places: Vec<Place>,
     voters: BTreeSet<MemberName>,
     wants: Vec<LeaseName>,
@@ -77,7 +77,7 @@
 }
 
 impl Sim {
-    fn new(seed: u64, members: usize, voters: usize, leases: usize, settings: Settings) -> Sim {
+    fn new(seed: u64, members: usize, voters: usize, leases: usize, settings: Config) -> Sim {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let drift = u64::from(settings.lease.drift_ppm);
         let place = |n: usize, rng: &mut ChaCha8Rng| {
@@ -142,7 +142,7 @@
     }
 
     /// The true time at which a member's clock shows `local` at the earliest.
-    fn truly(&self, n: usize, local: Micros) -> Micros {
+    fn true_time(&self, n: usize, local: Micros) -> Micros {
         let place = &self.places[n];
         let since = local.saturating_sub(place.offset) as u128;
         (since * 1_000_000)
@@ -155,8 +155,8 @@
         let place = &mut self.places[n];
         place.lives += 1;
         place.me.incarnation = Incarnation(place.lives);
-        let start = Start {
-            me: place.me.clone(),
+        let start = NodeStart {
+            local: place.me.clone(),
             store: n as u64 + 1,
             voters: self.voters.clone(),
             restored: place.disk.clone(),
@@ -164,10 +164,10 @@
             relays,
         };
         let node = Node::new(start, self.settings.clone(), clock);
-        let (rights, held_back) = (Rights::default(), VecDeque::new());
+        let (lease_view, held_back) = (LeaseView::default(), VecDeque::new());
         place.body = Some(Body {
             node,
-            rights,
+            lease_view,
             stopped: false,
             held_back,
             leaves: false,
@@ -180,7 +180,7 @@
             .collect();
         self.tell(n, Event::Join { seeds });
         for want in self.wants.clone() {
-            self.tell(n, Event::Want(want));
+            self.tell(n, Event::AcquireLease(want));
         }
     }
 
@@ -217,18 +217,18 @@
                 }
             }
             Action::Persist(write) => self.places[n].disk.apply(write),
-            Action::Lease(change) => {
+            Action::LeaseChanged(change) => {
                 if let Some(body) = self.places[n].body.as_mut() {
-                    body.rights.change(&change);
+                    body.lease_view.apply(&change);
                 }
             }
             Action::Effect {
-                effect: Effect::Lease(change),
+                effect: StateChange::Lease(change),
                 ..
             } => {
                 let key = (change.name.clone(), change.token);
-                match change.what {
-                    What::Granted => {
+                match change.kind {
+                    LeaseChangeKind::Granted => {
                         let last = self
                             .granted
                             .get(&change.name)
@@ -239,14 +239,18 @@
                                 .insert(change.name, (change.token, change.holder));
                         }
                     }
-                    What::Released | What::Expired | What::LifeEnded => {
+                    LeaseChangeKind::Released
+                    | LeaseChangeKind::Expired
+                    | LeaseChangeKind::SessionEnded => {
                         self.over.insert(key);
                     }
-                    What::Offered | What::Renewed => {}
+                    LeaseChangeKind::Offered | LeaseChangeKind::Renewed => {}
                 }
             }
             // As the program does: it comes back as another life, if it was not told to leave.
-            Action::LifeEnded if !self.places[n].body.as_ref().is_some_and(|body| body.leaves) => {
+            Action::IncarnationEnded
+                if !self.places[n].body.as_ref().is_some_and(|body| body.leaves) =>
+            {
                 self.places[n].body = None;
                 self.start(n);
             }
@@ -255,12 +259,12 @@
     }
 
     /// MemberInstance could act now, stopped ones included: continued, they might.
-    fn look(&mut self) {
+    fn check_exclusivity(&mut self) {
         self.looked = self.now;
         let lives = self
             .places
             .iter()
-            .filter_map(|place| lease::life(&place.name));
+            .filter_map(|place| lease::session_lease(&place.name));
         for name in self
             .wants
             .clone()
@@ -269,8 +273,10 @@
         {
             let may = |n: usize| {
                 let body = self.places[n].body.as_ref()?;
-                let token = body.rights.may_act(body.node.who(), &name, self.clock(n))?;
-                Some((token, body.node.who().clone()))
+                let token =
+                    body.lease_view
+                        .valid_token(body.node.instance(), &name, self.clock(n))?;
+                Some((token, body.node.instance().clone()))
             };
             let actors: Vec<(Token, MemberInstance)> =
                 (0..self.places.len()).filter_map(may).collect();
@@ -305,7 +311,7 @@
         loop {
             let due = |n: usize| {
                 let body = self.places[n].body.as_ref().filter(|body| !body.stopped)?;
-                Some((self.truly(n, body.node.timeout()?), n))
+                Some((self.true_time(n, body.node.timeout()?), n))
             };
             let timer = (0..self.places.len()).filter_map(due).min();
             let arrival = self.flight.first_key_value().map(|((at, _), _)| *at);
@@ -321,7 +327,7 @@
             }
             self.now = next.max(self.now);
             if look <= self.now {
-                self.look();
+                self.check_exclusivity();
             } else if arrival.is_some_and(|at| at <= self.now) {
                 let Some((_, (from, to, message))) = self.flight.pop_first() else {
                     continue;
@@ -355,7 +361,7 @@
         }
     }
 
-    fn carry_on(&mut self, n: usize) {
+    fn resume(&mut self, n: usize) {
         let Some(body) = self.places[n].body.as_mut() else {
             return;
         };
@@ -366,7 +372,7 @@
     }
 
     /// A planned stop.
-    fn leave(&mut self, n: usize) {
+    fn shut_down(&mut self, n: usize) {
         if let Some(body) = self.places[n].body.as_mut() {
             body.leaves = true;
         }
@@ -386,7 +392,7 @@
         self.loss = 0.0;
         self.cut.clear();
         for n in 0..self.places.len() {
-            self.carry_on(n);
+            self.resume(n);
             // Whoever was told to leave, or was about to die, has had its time.
             self.places[n]
                 .body
@@ -402,8 +408,8 @@
         (0..self.places.len()).find(|n| {
             let body = self.places[*n].body.as_ref();
             body.is_some_and(|body| {
-                body.rights
-                    .may_act(body.node.who(), name, self.clock(*n))
+                body.lease_view
+                    .valid_token(body.node.instance(), name, self.clock(*n))
                     .is_some()
             })
         })
@@ -413,7 +419,7 @@
         let lives = self
             .places
             .iter()
-            .filter_map(|place| lease::life(&place.name));
+            .filter_map(|place| lease::session_lease(&place.name));
         lives
             .chain(self.wants.iter().cloned())
             .all(|name| self.actor(&name).is_some())
@@ -423,7 +429,7 @@
         let n = self.rng.random_range(0..self.places.len());
         match self.rng.random_range(0..10) {
             0 | 1 => self.stop(n),
-            2 | 3 => self.carry_on(n),
+            2 | 3 => self.resume(n),
             4 => self.places[n].body = None,
             5 => {
                 let after = self.rng.random_range(0..4);
@@ -432,7 +438,7 @@
                 }
             }
             6 if self.places[n].body.is_none() => self.start(n),
-            6 => self.leave(n),
+            6 => self.shut_down(n),
             7 => {
                 let both = self.rng.random_bool(0.5);
                 self.cut(n, both);
@@ -443,14 +449,14 @@
     }
 }
 
-fn settings(renewal: RenewalPath) -> Settings {
-    let mut settings = Settings::default();
+fn settings(renewal: RenewalPath) -> Config {
+    let mut settings = Config::default();
     settings.lease.renewal = renewal;
     // Short leases and clocks far apart: more ends and hand-overs in less simulated time.
-    settings.lease.granted_for_ms = 2_000;
+    settings.lease.duration_ms = 2_000;
     settings.lease.drift_ppm = 50_000;
     settings.lease.margin_ms = 20;
-    settings.group.compact_after_entries = 64;
+    settings.raft.compact_after_entries = 64;
     settings
 }
 
@@ -484,7 +490,7 @@
 }
 
 #[rstest]
-fn no_two_act_and_all_act_again_after_faults(
+fn leases_stay_exclusive_and_are_reacquired_after_faults(
     #[values(RenewalPath::Log, RenewalPath::Leader)] renewal: RenewalPath,
 ) {
     for seed in 0..4 {
@@ -499,7 +505,9 @@
 
 #[rstest]
 #[ignore = "a thousand seeds, by hand"]
-fn many_seeds(#[values(RenewalPath::Log, RenewalPath::Leader)] renewal: RenewalPath) {
+fn leases_stay_exclusive_with_many_seeds(
+    #[values(RenewalPath::Log, RenewalPath::Leader)] renewal: RenewalPath,
+) {
     let seeds = std::env::var("SEEDS")
         .ok()
         .and_then(|text| text.parse().ok())
@@ -534,7 +542,7 @@
     };
     let duty = lease_name("duty-0");
     let ready = |seed, members, voters| {
-        let mut sim = Sim::new(seed, members, voters, 1, Settings::default());
+        let mut sim = Sim::new(seed, members, voters, 1, Config::default());
         assert!(
             sim.run(60 * SECOND, |sim| sim.all_act()),
             "seed {seed}: not all act"
@@ -555,7 +563,7 @@
                 match fault {
                     "crash" => sim.places[holder].body = None,
                     "cut" => sim.cut(holder, true),
-                    _ => sim.leave(holder),
+                    _ => sim.shut_down(holder),
                 }
                 if fault == "cut" {
                     assert!(sim.run(from + 60 * SECOND, |sim| sim.actor(&duty) != Some(holder)));
@@ -583,8 +591,8 @@
         let mut hands = 0;
         while sim.run(begun + 20 * SECOND, |sim| sim.actor(&duty).is_some()) {
             let holder = sim.actor(&duty).expect("a holder");
-            sim.tell(holder, Event::Unwant(duty.clone()));
-            sim.tell(holder, Event::Want(duty.clone()));
+            sim.tell(holder, Event::ReleaseLease(duty.clone()));
+            sim.tell(holder, Event::AcquireLease(duty.clone()));
             hands += 1;
         }
         let (rate, sent) = (hands / 20, (sim.sent - sent) / hands.max(1));
--- a/src/fleet/node/tests.rs
+++ b/src/fleet/node/tests.rs
@@ -27,15 +27,15 @@
             BTreeSet::from([member(voter)]),
             raft::RestoredState::default(),
         );
-        let start = Start {
-            me,
+        let start = NodeStart {
+            local: me,
             store: 1,
             voters,
             restored,
             seed: 1,
             relays: Vec::new(),
         };
-        let mut settings = Settings::default();
+        let mut settings = Config::default();
         settings.lease.renewal = lease::RenewalPath::Leader;
         let mut alone = Alone {
             node: Node::new(start, settings, 0),
@@ -64,11 +64,11 @@
     }
 
     fn life(&self) -> LeaseName {
-        lease::life(&member("c1")).expect("a short name")
+        lease::session_lease(&member("c1")).expect("a short name")
     }
 
     /// Hands a renewal in as another member's; the renewals that are answered to it.
-    fn renew(&mut self, renewal: Renewal, relayed: bool) -> Vec<Renewal> {
+    fn renew(&mut self, renewal: LeaseRenewal, relayed: bool) -> Vec<LeaseRenewal> {
         let message = Message::Renewal(renewal::Message::Renew {
             renewals: vec![renewal.clone()],
             relayed,
@@ -84,7 +84,7 @@
     }
 }
 
-fn renewed(action: &Action, by: &str) -> Vec<Renewal> {
+fn renewed(action: &Action, by: &str) -> Vec<LeaseRenewal> {
     match action {
         Action::Send {
             to,
@@ -110,11 +110,11 @@
 #[test]
 fn a_member_alone_renews_at_itself_and_leaves_the_log_alone() {
     let mut alone = Alone::new("c1");
-    let (life, commit) = (alone.life(), alone.node.group().commit_index());
-    assert!(alone.node.may_act(&life, alone.now).is_some());
+    let (life, commit) = (alone.life(), alone.node.raft().commit_index());
+    assert!(alone.node.lease_token(&life, alone.now).is_some());
     alone.run_for(60 * SECOND);
-    assert!(alone.node.may_act(&life, alone.now).is_some());
-    assert_eq!(alone.node.group().commit_index(), commit);
+    assert!(alone.node.lease_token(&life, alone.now).is_some());
+    assert_eq!(alone.node.raft().commit_index(), commit);
 }
 
 #[test]
@@ -128,19 +128,19 @@
         .grant(&name)
         .expect("its life lease")
         .token;
-    let good = Renewal {
+    let good = LeaseRenewal {
         holder: member("c1"),
         name,
         token,
-        number: 77,
+        sequence: 77,
     };
     assert_eq!(alone.renew(good.clone(), true), vec![good.clone()]);
-    let wrong_token = Renewal {
+    let wrong_token = LeaseRenewal {
         token: Token(token.0 + 1),
         ..good.clone()
     };
     assert_eq!(alone.renew(wrong_token, true), vec![]);
-    let wrong_holder = Renewal {
+    let wrong_holder = LeaseRenewal {
         holder: member("c3"),
         ..good.clone()
     };
@@ -148,7 +148,7 @@
     let unknown = LeaseName::try_from("nothing").expect("a name");
     assert_eq!(
         alone.renew(
-            Renewal {
+            LeaseRenewal {
                 name: unknown,
                 ..good
             },
@@ -163,11 +163,11 @@
 fn a_member_without_a_leader_sends_no_renewal_on() {
     let mut waits = Alone::new("c2");
     let name = waits.life();
-    let renewal = Renewal {
+    let renewal = LeaseRenewal {
         holder: member("c3"),
         name,
         token: Token(1),
-        number: 1,
+        sequence: 1,
     };
     for relayed in [false, true] {
         let message = Message::Renewal(renewal::Message::Renew {
@@ -204,14 +204,17 @@
         name: member("c2"),
         incarnation: Incarnation(1),
     };
-    let origin = crate::fleet::state::Origin { who, seq: 1 };
+    let origin = crate::fleet::state::Origin {
+        proposer: who,
+        sequence: 1,
+    };
     let proposal = Proposal {
         origin,
-        settled: 1,
+        settled_below: 1,
         command: Command::Lease(command),
     };
     let body = raft::MessageBody::Propose(raft::ProposalPayload::Data(proposal.encode()));
-    let (term, commit) = (alone.node.group().term(), alone.node.group().commit_index());
+    let (term, commit) = (alone.node.raft().term(), alone.node.raft().commit_index());
     let message = raft::Message {
         from_store: 2,
         to_store: 0,
@@ -221,8 +224,8 @@
     };
     alone.event(Event::Message {
         from: member("c2"),
-        message: Message::Group(message),
+        message: Message::Raft(message),
     });
-    assert_eq!(alone.node.group().commit_index(), commit);
+    assert_eq!(alone.node.raft().commit_index(), commit);
     assert!(alone.node.state().leases().grant(&alone.life()).is_some());
 }
--- a/src/fleet/transport/mod.rs
+++ b/src/fleet/transport/mod.rs
@@ -20,9 +20,9 @@
 use crate::counters::FleetCounters;
 use crate::dispatch::Clock;
 use crate::fleet::config::{FleetConfig, WhenCutOff};
-use crate::fleet::lease::{Rights, life};
-use crate::fleet::node::Lost;
-use crate::fleet::state::{Answer, Command};
+use crate::fleet::lease::{LeaseView, session_lease};
+use crate::fleet::node::ProposalError;
+use crate::fleet::state::{Command, ProposalResult};
 use crate::fleet::{LeaseName, MemberInstance, Token};
 use crate::storage;
 pub use drive::Told;
@@ -55,7 +55,7 @@
     when_cut_off: WhenCutOff,
     who: RefCell<MemberInstance>,
     life: LeaseName,
-    rights: RefCell<Rights>,
+    rights: RefCell<LeaseView>,
     asks: mpsc::Sender<Ask>,
     counters: Rc<FleetCounters>,
     stopped: Cell<bool>,
@@ -71,7 +71,9 @@
         let Shared {
             clock, who, rights, ..
         } = &*self.0;
-        rights.borrow().may_act(&who.borrow(), lease, clock.now())
+        rights
+            .borrow()
+            .valid_token(&who.borrow(), lease, clock.now())
     }
 
     /// Whether new requests may be taken at this very moment.
@@ -111,14 +113,14 @@
     ///
     /// # Errors
     /// There is no answer: too many wait, none came in time, or this life is over.
-    pub async fn propose(&self, command: Command) -> Result<Answer, Lost> {
+    pub async fn propose(&self, command: Command) -> Result<ProposalResult, ProposalError> {
         let (answer, answered) = oneshot::channel();
         self.0
             .asks
             .send(Ask::Propose(command, answer))
             .await
-            .map_err(|_| Lost::GaveUp)?;
-        answered.await.unwrap_or(Err(Lost::GaveUp))
+            .map_err(|_| ProposalError::TimedOut)?;
+        answered.await.unwrap_or(Err(ProposalError::TimedOut))
     }
 
     /// Does something under a lease if this conductor may, and tells the history.
@@ -173,7 +175,8 @@
     let settings = store_settings(config);
     let found = disk::Disk::open(&path, settings, history::unix_us())
         .map_err(|e| wrong("store.path", format!("{}: {e}", path.display())))?;
-    let life = life(&config.name).ok_or_else(|| wrong("fleet.name", "too long".to_owned()))?;
+    let life =
+        session_lease(&config.name).ok_or_else(|| wrong("fleet.name", "too long".to_owned()))?;
     let who = MemberInstance {
         name: config.name.clone(),
         incarnation: found.disk.incarnation(),
@@ -227,7 +230,7 @@
 /// The bounds of frames, by the fleet's configuration.
 fn bounds(config: &FleetConfig) -> Bounds {
     Bounds {
-        most_datagram: config.settings.view.max_datagram_bytes,
+        most_datagram: config.settings.membership.max_datagram_bytes,
         most_stream_frame: config.most_frame_bytes(),
         most_senders: 2 * config.most_members,
         per_second: config.most_frames_per_s,
@@ -236,7 +239,7 @@
 }
 
 fn store_settings(config: &FleetConfig) -> storage::StoreConfig {
-    let most_record = config.settings.group.max_payload_bytes.max(64 * 1024) + 64 * 1024;
+    let most_record = config.settings.raft.max_payload_bytes.max(64 * 1024) + 64 * 1024;
     storage::StoreConfig {
         max_bytes: config.store.most_bytes,
         max_record_bytes: u32::try_from(most_record).unwrap_or(u32::MAX),
--- a/src/fleet/transport/work.rs
+++ b/src/fleet/transport/work.rs
@@ -12,7 +12,7 @@
 use crate::exchange::Call;
 use crate::fleet::MemberInstance;
 use crate::fleet::config::TakeoverConfig;
-use crate::fleet::state::{Answer, Command, Effect, Refusal as Unlooked};
+use crate::fleet::state::{Command, ProposalRejection as Unlooked, ProposalResult, StateChange};
 use crate::fleet::work::recorder::{Action, Decision, Event, OperationId, WorkRecorder};
 use crate::fleet::work::{self, Capacity, MAX_IDS_PER_COMMAND, RecordChange, Rejection, Reply};
 use crate::routing::policy::call_permit::ReleaseHistory;
@@ -216,11 +216,11 @@
         let me = self.fleet.who();
         tokio::task::spawn_local(async move {
             let reply = match work.fleet.propose(Command::Takeover(command)).await {
-                Ok(Answer::Takeover(reply)) => Some(reply),
+                Ok(ProposalResult::Takeover(reply)) => Some(reply),
                 // The log knows nothing more of it: this life is over.
-                Ok(Answer::Refused(Unlooked::OldLife | Unlooked::MostMembers)) => {
-                    Some(Reply::Rejected(Rejection::IncarnationEnded))
-                }
+                Ok(ProposalResult::Rejected(
+                    Unlooked::StaleIncarnation | Unlooked::TooManyMembers,
+                )) => Some(Reply::Rejected(Rejection::IncarnationEnded)),
                 _ => None,
             };
             if reply.is_none() {
@@ -250,7 +250,7 @@
                 self.verdicts.borrow_mut().clear();
             }
             Told::MayAct(may) => self.handle(Event::LeaseValid(*may)),
-            Told::Effect(_, Effect::Takeover(notice)) => {
+            Told::Effect(_, StateChange::Takeover(notice)) => {
                 match notice {
                     RecordChange::Orphaned { ended: dead, .. } => self.orphan(dead.clone()),
                     RecordChange::TakenOver { ended: dead, .. } => {
@@ -314,12 +314,12 @@
                 }))
                 .await;
             match answer {
-                Ok(Answer::Takeover(Reply::TakenOver(sends))) => {
+                Ok(ProposalResult::Takeover(Reply::TakenOver(sends))) => {
                     self.orphaned.borrow_mut().retain(|d| *d != dead);
                     History(me).adopted(&dead, sends.len());
                     self.release_all(sends, &outbound).await;
                 }
-                Ok(Answer::Takeover(Reply::Rejected(Rejection::NothingToTakeOver))) => {
+                Ok(ProposalResult::Takeover(Reply::Rejected(Rejection::NothingToTakeOver))) => {
                     self.orphaned.borrow_mut().retain(|d| *d != dead);
                 }
                 _ => tokio::time::sleep(AGAIN).await,
--- a/tests/golden/messages.rs
+++ b/tests/golden/messages.rs
@@ -34,7 +34,7 @@
 }
 
 fn view(kind: membership::MessageKind) -> Message {
-    Message::View(membership::Message {
+    Message::Membership(membership::Message {
         sender: membership::MemberRecord {
             site: site("north"),
             address: "127.0.0.1:7101".parse().unwrap(),
@@ -131,7 +131,7 @@
 }
 
 fn group(body: raft::MessageBody) -> Message {
-    Message::Group(raft::Message {
+    Message::Raft(raft::Message {
         from_store: 901,
         to_store: 902,
         bootstrapped: true,
@@ -267,12 +267,12 @@
     examples.map(message).to_vec()
 }
 
-fn renewal() -> renewal::Renewal {
-    renewal::Renewal {
+fn renewal() -> renewal::LeaseRenewal {
+    renewal::LeaseRenewal {
         holder: member("c3"),
         name: lease_name("discovery-refresh"),
         token: Token(601),
-        number: 602,
+        sequence: 602,
     }
 }
 
@@ -284,14 +284,14 @@
 }
 
 fn confirm() -> renewal::Message {
-    renewal::Message::Confirm {
+    renewal::Message::ConfirmLeader {
         term: Term(81),
         round: 603,
     }
 }
 
 fn confirmed() -> renewal::Message {
-    renewal::Message::Confirmed {
+    renewal::Message::LeaderConfirmed {
         term: Term(82),
         round: 604,
         store: 905,
