--- a/src/fleet/lease/expiry.rs
+++ b/src/fleet/lease/expiry.rs
@@ -1,6 +1,7 @@
 //! The leader's side of leases: it proposes to end those that were not renewed in time.
 
-use super::{Command, Config, Grant, MICROS_PER_MILLI, Table};
+use super::config::{Config, MICROS_PER_MILLI};
+use super::table::{Command, Grant, Table};
 use crate::fleet::{LeaseName, Token};
 use crate::routing::types::Micros;
 use std::collections::{BTreeMap, BTreeSet};
--- a/src/fleet/lease/holder.rs
+++ b/src/fleet/lease/holder.rs
@@ -3,9 +3,11 @@
 mod lease;
 mod requests;
 
+use super::config::Config;
+use super::session::{is_session_lease, session_lease};
 use super::table::{Grant, Outcome, Table};
 use super::view::{LeaseStatus, LeaseStatusChange, StatusChangeCause};
-use super::{Config, is_session_lease, session_lease};
+
 use crate::fleet::renewal::LeaseRenewal;
 use crate::fleet::state::{self, Origin, Outbox, Proposal, ProposalResult};
 use crate::fleet::{LeaseName, MemberInstance, Token};
--- a/src/fleet/lease/holder/lease.rs
+++ b/src/fleet/lease/holder/lease.rs
@@ -1,7 +1,8 @@
 //! A holder's record of one lease.
 
 use crate::fleet::Token;
-use crate::fleet::lease::{LeaseStatus, RenewalPath};
+use crate::fleet::lease::config::RenewalPath;
+use crate::fleet::lease::view::LeaseStatus;
 use crate::routing::types::Micros;
 use std::collections::VecDeque;
 
--- a/src/fleet/lease/holder/requests.rs
+++ b/src/fleet/lease/holder/requests.rs
@@ -2,8 +2,8 @@
 
 use super::lease::HeldGrant;
 use super::{Action, Holder};
+use crate::fleet::lease::config::{Config, MICROS_PER_MILLI};
 use crate::fleet::lease::table::{Command, Table};
-use crate::fleet::lease::{Config, MICROS_PER_MILLI};
 use crate::fleet::renewal::LeaseRenewal;
 use crate::fleet::{LeaseName, state};
 use crate::routing::types::Micros;
--- a/src/fleet/lease/table.rs
+++ b/src/fleet/lease/table.rs
@@ -2,7 +2,7 @@
 //!
 //! Commands, grants and records are stored by position (postcard): fields and variants keep their order.
 
-use super::{SESSION_LEASE_PREFIX, is_session_lease, session_lease};
+use super::session::{SESSION_LEASE_PREFIX, is_session_lease, session_lease};
 use crate::fleet::state::{Bounds, Origin};
 use crate::fleet::{Incarnation, Index, LeaseName, MemberInstance, MemberName, Token};
 use serde::{Deserialize, Serialize};
--- a/src/fleet/lease/view.rs
+++ b/src/fleet/lease/view.rs
@@ -1,6 +1,6 @@
 //! A member's status of its leases, and the view of it that the rest of the program asks.
 
-use super::session_lease;
+use super::session::session_lease;
 use crate::fleet::{LeaseName, MemberInstance, Token};
 use crate::routing::types::Micros;
 use serde::Serialize;
--- a/src/fleet/raft/pull_server.rs
+++ b/src/fleet/raft/pull_server.rs
@@ -47,12 +47,12 @@
             }
         } else {
             learner.is_waiting = next > self.commit_index;
-            // A learner that has just received all entries need not be told that there are no more.
-            let is_repeated = self
+            let has_advanced = self
                 .learners
                 .get(&from.name)
-                .is_none_or(|known| known.store == from.store && known.next == next);
-            if !learner.is_waiting || is_repeated {
+                .is_some_and(|known| known.store != from.store || known.next != next);
+            // A learner that has just received all entries needs no answer that there are no more.
+            if !learner.is_waiting || !has_advanced {
                 self.send_committed(now, &from.name, &learner, out);
             }
         }
--- a/src/fleet/state/outbox.rs
+++ b/src/fleet/state/outbox.rs
@@ -1,6 +1,8 @@
 //! A member's pending proposals, each retried under its own sequence number until it is decided.
 
-use super::{Command, Origin, Proposal, Retry};
+use super::origin::Origin;
+use super::proposal::{Command, Proposal};
+use super::retry::Retry;
 use crate::fleet::MemberInstance;
 use crate::routing::types::Micros;
 use std::collections::BTreeMap;
--- a/src/fleet/state/proposal.rs
+++ b/src/fleet/state/proposal.rs
@@ -1,6 +1,7 @@
 //! Proposals to the replicated state, and what comes of them.
 
-use super::{Bounds, Origin};
+use super::bounds::Bounds;
+use super::origin::Origin;
 use crate::fleet::{lease, policy_epoch, sites, work};
 use serde::{Deserialize, Serialize};
 
