--- a/src/fleet/renewal/tests.rs
+++ b/src/fleet/renewal/tests.rs
@@ -11,7 +11,7 @@
     }
 }
 
-fn three() -> VoterConfig {
+fn three_voters() -> VoterConfig {
     VoterConfig {
         voters: ["v1", "v2", "v3"].map(voter).into(),
         ..VoterConfig::default()
@@ -37,25 +37,25 @@
     fn new() -> Leader {
         Leader {
             confirmation: LeaderConfirmation::default(),
-            voters: three(),
+            voters: three_voters(),
         }
     }
 
-    fn turn(&mut self, now: Micros) -> Vec<Outgoing> {
+    fn advance(&mut self, now: Micros) -> Vec<Outgoing> {
         let mut out = Vec::new();
         self.confirmation
             .advance(now, &voter("v1"), Term(5), &self.voters, &mut out);
         out
     }
 
-    /// MemberInstance is answered.
+    /// The members that are answered, and the sequence numbers of their renewals.
     fn answered(&mut self, now: Micros) -> Vec<(String, Vec<u64>)> {
         let numbers = |renewals: &[LeaseRenewal]| renewals.iter().map(|r| r.sequence).collect();
         let answer = |out: &Outgoing| match &out.message {
             Message::Renewed(renewals) => Some((out.to.to_string(), numbers(renewals))),
             _ => None,
         };
-        self.turn(now).iter().filter_map(answer).collect()
+        self.advance(now).iter().filter_map(answer).collect()
     }
 }
 
@@ -64,7 +64,7 @@
     let mut leader = Leader::new();
     leader.confirmation.add(member("c1"), renewal("c1", 1));
     let asked: Vec<String> = leader
-        .turn(0)
+        .advance(0)
         .iter()
         .map(|out| out.to.to_string())
         .collect();
@@ -79,7 +79,7 @@
 fn renewal_during_a_round_waits_for_the_next_round() {
     let mut leader = Leader::new();
     leader.confirmation.add(member("c1"), renewal("c1", 1));
-    leader.turn(0);
+    leader.advance(0);
     leader.confirmation.add(member("c2"), renewal("c2", 7));
     leader.confirmation.on_confirmed(voter("v2"), 1);
     assert_eq!(leader.answered(10), [("c1".to_owned(), vec![1])]);
@@ -93,7 +93,7 @@
 fn confirmations_of_other_stores_and_non_voters_do_not_count() {
     let mut leader = Leader::new();
     leader.confirmation.add(member("c1"), renewal("c1", 1));
-    leader.turn(0);
+    leader.advance(0);
     leader.confirmation.on_confirmed(
         VoterId {
             name: member("v2"),
@@ -109,17 +109,17 @@
 fn missing_confirmation_is_requested_again() {
     let mut leader = Leader::new();
     leader.confirmation.add(member("c1"), renewal("c1", 1));
-    assert_eq!(leader.turn(0).len(), 2);
-    assert_eq!(leader.turn(RETRY_INTERVAL - 1).len(), 0);
+    assert_eq!(leader.advance(0).len(), 2);
+    assert_eq!(leader.advance(RETRY_INTERVAL - 1).len(), 0);
     assert_eq!(leader.confirmation.timeout(), Some(RETRY_INTERVAL));
-    assert_eq!(leader.turn(RETRY_INTERVAL).len(), 2);
+    assert_eq!(leader.advance(RETRY_INTERVAL).len(), 2);
 }
 
 #[test]
 fn deposed_leader_answers_no_renewals() {
     let mut leader = Leader::new();
     leader.confirmation.add(member("c1"), renewal("c1", 1));
-    leader.turn(0);
+    leader.advance(0);
     leader.confirmation.reset();
     leader.confirmation.on_confirmed(voter("v2"), 1);
     assert_eq!(
@@ -134,7 +134,7 @@
     for (from, holder) in [("relay", "c1"), ("c3", "c3"), ("relay", "c2")] {
         leader.confirmation.add(member(from), renewal(holder, 4));
     }
-    leader.turn(0);
+    leader.advance(0);
     leader.confirmation.on_confirmed(voter("v2"), 1);
     assert_eq!(
         leader.answered(1),
