--- a/lab/tests/sim_lease.rs
+++ b/lab/tests/sim_lease.rs
@@ -256,7 +256,7 @@
         }
     }
 
-    /// MemberInstance could act now, stopped ones included: continued, they might.
+    /// Checks which members hold a valid lease now, stopped ones included: they might act once resumed.
     fn check_exclusivity(&mut self) {
         self.looked = self.now;
         let lives = self
