--- a/lab/src/fleet.rs
+++ b/lab/src/fleet.rs
@@ -570,7 +570,7 @@
         agreed.ok_or_else(how)
     }
 
-    /// MemberInstance acted last under a lease, by the history.
+    /// Who acted last under a lease, by the history.
     pub fn holder(&self, lease: &str) -> Option<String> {
         let records = self.history.records();
         let acted = records
--- a/src/fleet/policy_epoch.rs
+++ b/src/fleet/policy_epoch.rs
@@ -158,7 +158,7 @@
     pub closing: bool,
     /// Who has voted yes.
     pub votes: BTreeSet<MemberInstance>,
-    /// MemberInstance begins nothing any more.
+    /// Who begins nothing any more.
     pub closed: BTreeSet<MemberInstance>,
 }
 
--- a/src/fleet/transport/admin.rs
+++ b/src/fleet/transport/admin.rs
@@ -54,7 +54,7 @@
 /// The policy as a member has it from the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Policies {
-    /// MemberInstance tells.
+    /// Who tells.
     pub me: MemberInstance,
     /// Epochs and proposals.
     pub table: policy_epoch::Table,
--- a/src/fleet/transport/seal.rs
+++ b/src/fleet/transport/seal.rs
@@ -255,7 +255,7 @@
 /// An opened frame.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Opened<'a> {
-    /// MemberInstance sent it, in which life.
+    /// Who sent it, in which life.
     pub from: MemberInstance,
     /// What the payload is; the transport's affair.
     pub kind: u8,
@@ -417,7 +417,7 @@
         }
     }
 
-    /// MemberInstance sends, once a frame was opened.
+    /// Who sends, once a frame was opened.
     pub fn from(&self) -> Option<&MemberInstance> {
         self.from.as_ref()
     }
