--- a/lab/src/scale/decisions.rs
+++ b/lab/src/scale/decisions.rs
@@ -63,8 +63,8 @@
         .filter(|entry| entry.started.is_some())
         .count();
     let list_us = module.time(Event::EndpointsUpdated {
-        kind: EndpointUpdate::Full,
-        entries,
+        update: EndpointUpdate::Full,
+        endpoints: entries,
     }) as f64
         / 1e3;
     let mut changes = new_histogram();
@@ -77,8 +77,8 @@
             Status::Ready
         };
         let event = Event::EndpointsUpdated {
-            kind: EndpointUpdate::Incremental,
-            entries: vec![changed],
+            update: EndpointUpdate::Incremental,
+            endpoints: vec![changed],
         };
         changes.saturating_record(module.time(event));
         module.now += MS;
@@ -170,7 +170,7 @@
             prefix_tokens: 4_000,
             prompt_tokens: 5_000,
             max_tokens: 300,
-            hint: None,
+            duration_hint: None,
             class: "chat".into(),
             tenant: Some(format!("tenant{}", text as usize % tenants.max(1))),
         };
--- a/src/dispatch/dispatcher.rs
+++ b/src/dispatch/dispatcher.rs
@@ -117,9 +117,9 @@
                 self.policy.update_config((*config).clone());
                 self.config = *config;
             }
-            DispatcherEvent::EndpointsUpdated { kind, entries } => {
+            DispatcherEvent::EndpointsUpdated { update, endpoints } => {
                 self.counters.lists.up();
-                self.route(Event::EndpointsUpdated { kind, entries });
+                self.route(Event::EndpointsUpdated { update, endpoints });
             }
             DispatcherEvent::SlowStart { allowed } => self.route(Event::SlowStart { allowed }),
             DispatcherEvent::CountAvoidedWorkers(reply) => {
@@ -304,12 +304,12 @@
             Action::SendDenied {
                 request,
                 worker,
-                refusal,
+                denial,
             } => {
                 let open = self.open.get(&request);
                 let id = open.map_or("", |open| &open.call.id);
                 self.counters.sends_refused.up();
-                log::info!("request {id}: not sent to {}: {refusal}", worker.0);
+                log::info!("request {id}: not sent to {}: {denial}", worker.0);
             }
             Action::Reject {
                 request,
@@ -374,7 +374,7 @@
         let Some(open) = open.filter(|open| open.answer.is_some()) else {
             return;
         };
-        if let Err(violation) = open.monitor.sent(permit.reads()) {
+        if let Err(violation) = open.monitor.sent(permit.is_prefill()) {
             report_violation(&self.counters, &open.call.id, violation);
         }
         let until = timeout.map_or(open.deadline, |timeout| {
--- a/src/dispatch/handle.rs
+++ b/src/dispatch/handle.rs
@@ -52,9 +52,9 @@
     /// Discovery has sent an update of the endpoint list.
     EndpointsUpdated {
         /// Kind of the update.
-        kind: EndpointUpdate,
+        update: EndpointUpdate,
         /// Endpoints in it.
-        entries: Vec<Endpoint>,
+        endpoints: Vec<Endpoint>,
     },
     /// Whether this process may send to workers in slow start.
     SlowStart {
--- a/src/dispatch/open_request.rs
+++ b/src/dispatch/open_request.rs
@@ -109,7 +109,7 @@
             call: self.call.clone(),
             max_attempts: self.max_attempts,
             until,
-            after: release.filter(|release| permit.reads() && release.is_going()),
+            after: release.filter(|release| permit.is_prefill() && release.is_going()),
             permit,
             cancelled,
             gone: self.gone.clone(),
--- a/src/dispatch/tests.rs
+++ b/src/dispatch/tests.rs
@@ -34,7 +34,7 @@
             prefix_tokens: 0,
             prompt_tokens: 1,
             max_tokens: 1,
-            hint: None,
+            duration_hint: None,
             class: String::new(),
             tenant: None,
         };
@@ -107,8 +107,8 @@
         started: None,
     });
     dispatcher.on_event(DispatcherEvent::EndpointsUpdated {
-        kind: EndpointUpdate::Full,
-        entries: entries.collect(),
+        update: EndpointUpdate::Full,
+        endpoints: entries.collect(),
     });
     let ask = || {
         let spec = RequestSpec {
@@ -119,7 +119,7 @@
             prefix_tokens: 0,
             prompt_tokens: 10,
             max_tokens: 10,
-            hint: None,
+            duration_hint: None,
             class: "chat".into(),
             tenant: None,
         };
--- a/src/fleet/transport/sites.rs
+++ b/src/fleet/transport/sites.rs
@@ -149,8 +149,8 @@
         self.hosts
             .dispatcher
             .tell(DispatcherEvent::EndpointsUpdated {
-                kind: EndpointUpdate::Incremental,
-                entries,
+                update: EndpointUpdate::Incremental,
+                endpoints: entries,
             });
     }
 
--- a/src/front/jsonrpc.rs
+++ b/src/front/jsonrpc.rs
@@ -728,7 +728,7 @@
             prefix_tokens: params.prefix_len.min(prompt_tokens),
             prompt_tokens,
             max_tokens: params.max_out,
-            hint: None,
+            duration_hint: None,
             class: message.method,
             tenant: None,
         };
--- a/src/front/platform.rs
+++ b/src/front/platform.rs
@@ -162,7 +162,7 @@
         prefix_tokens: 0,
         prompt_tokens: 0,
         max_tokens: 0,
-        hint: None,
+        duration_hint: None,
         class: class.to_owned(),
         tenant: text("x-tenant", "bad X-Tenant")?
             .filter(short)
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -37,8 +37,8 @@
 //!     weight: 1.0,
 //!     started: None,
 //! };
-//! let entries = vec![endpoint("a:1", "prefill"), endpoint("b:1", "decode")];
-//! policy.handle(0, Event::EndpointsUpdated { kind: EndpointUpdate::Full, entries }, &mut actions);
+//! let endpoints = vec![endpoint("a:1", "prefill"), endpoint("b:1", "decode")];
+//! policy.handle(0, Event::EndpointsUpdated { update: EndpointUpdate::Full, endpoints }, &mut actions);
 //!
 //! let spec = RequestSpec {
 //!     request: RequestId(1),
@@ -48,7 +48,7 @@
 //!     prefix_tokens: 0,
 //!     prompt_tokens: 900,
 //!     max_tokens: 200,
-//!     hint: None,
+//!     duration_hint: None,
 //!     class: "chat".into(),
 //!     tenant: None,
 //! };
--- a/src/net/client.rs
+++ b/src/net/client.rs
@@ -338,7 +338,7 @@
         let state = WriteState {
             now: self.dispatcher.clock.now(),
             is_in_service: self.directory.is_ready(&attempt.worker),
-            has_client_left: attempt.gone.get(),
+            is_client_disconnected: attempt.gone.get(),
         };
         let refusal = match attempt.permit.check_write(state) {
             Ok(permit) => return Some(permit),
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -381,8 +381,10 @@
         if let Some(weigh) = &self.weigh {
             weigh(kind, &mut entries);
         }
-        self.dispatcher
-            .tell(DispatcherEvent::EndpointsUpdated { kind, entries });
+        self.dispatcher.tell(DispatcherEvent::EndpointsUpdated {
+            update: kind,
+            endpoints: entries,
+        });
     }
 
     /// Turns the starts of hosts, told as Unix time, into moments of the dispatcher's clock.
@@ -461,8 +463,8 @@
                 calls.failures = 0;
             }
             self.dispatcher.tell(DispatcherEvent::EndpointsUpdated {
-                kind: EndpointUpdate::Failed,
-                entries: Vec::new(),
+                update: EndpointUpdate::Failed,
+                endpoints: Vec::new(),
             });
             if self.ask.is_none() {
                 tokio::select! {
--- a/src/net/discovery/tests.rs
+++ b/src/net/discovery/tests.rs
@@ -231,7 +231,7 @@
     /// What the dispatcher is told next.
     async fn told(&mut self) -> EndpointUpdate {
         match self.told.recv().await.unwrap() {
-            DispatcherEvent::EndpointsUpdated { kind, .. } => kind,
+            DispatcherEvent::EndpointsUpdated { update: kind, .. } => kind,
             _ => panic!("only lists are told"),
         }
     }
--- a/src/routing/model/prefix_table/tests.rs
+++ b/src/routing/model/prefix_table/tests.rs
@@ -13,7 +13,7 @@
         prefix_tokens: 1_000,
         prompt_tokens: 1_500,
         max_tokens: 0,
-        hint: None,
+        duration_hint: None,
         class: "chat".into(),
         tenant: None,
     }
--- a/src/routing/model/tests.rs
+++ b/src/routing/model/tests.rs
@@ -46,7 +46,7 @@
         prefix_tokens: 0,
         prompt_tokens: 1,
         max_tokens: 0,
-        hint: None,
+        duration_hint: None,
         class: class.into(),
         tenant: None,
     };
@@ -125,7 +125,7 @@
         prefix_tokens: 0,
         prompt_tokens: 1,
         max_tokens: 0,
-        hint: None,
+        duration_hint: None,
         class: String::new(),
         tenant: None,
     };
--- a/src/routing/policy.rs
+++ b/src/routing/policy.rs
@@ -135,7 +135,10 @@
                 | Event::HealthCheckCompleted { .. }
         );
         match event {
-            Event::EndpointsUpdated { kind, entries } => self.apply_endpoints(kind, entries),
+            Event::EndpointsUpdated {
+                update: kind,
+                endpoints: entries,
+            } => self.apply_endpoints(kind, entries),
             Event::RequestArrived(spec) => self.on_request_arrived(spec, out),
             Event::StreamStarted {
                 request,
--- a/src/routing/policy/send_permit.rs
+++ b/src/routing/policy/send_permit.rs
@@ -20,7 +20,7 @@
 pub struct SendPermit {
     send_by: Option<Micros>,
     connect_by: Option<Micros>,
-    reads: bool,
+    is_prefill: bool,
 }
 
 /// Why an attempt is not sent, or not written.
@@ -60,7 +60,7 @@
     /// Whether the worker is listed as in service.
     pub is_in_service: bool,
     /// Whether the client has disconnected.
-    pub has_client_left: bool,
+    pub is_client_disconnected: bool,
 }
 
 /// Permission to write one attempt, now.
@@ -74,7 +74,7 @@
         SendPermit {
             send_by,
             connect_by: None,
-            reads: true,
+            is_prefill: true,
         }
     }
 
@@ -91,8 +91,8 @@
     }
 
     /// Whether the attempt asks for a prefill only, so that it has no effect however it ends.
-    pub fn reads(&self) -> bool {
-        self.reads
+    pub fn is_prefill(&self) -> bool {
+        self.is_prefill
     }
 
     /// Whether the attempt may be written now, up to a connect timeout after it was decided.
@@ -103,7 +103,7 @@
         if !state.is_in_service {
             return Err(SendDenial::NotInService);
         }
-        if state.has_client_left {
+        if state.is_client_disconnected {
             return Err(SendDenial::ClientDisconnected);
         }
         if self.send_by.is_some_and(|by| state.now >= by) {
@@ -150,7 +150,7 @@
                 .repeat_deadline(request, worker)
                 .filter(|deadline| *deadline < Micros::MAX),
             connect_by: request.kv_state.connect_by(self.now, hold_limit),
-            reads: !is_decode,
+            is_prefill: !is_decode,
         })
     }
 
--- a/src/routing/policy/send_permit/tests.rs
+++ b/src/routing/policy/send_permit/tests.rs
@@ -12,20 +12,20 @@
 fn permit_is_checked_again_before_the_write(
     #[case] now: Micros,
     #[case] is_in_service: bool,
-    #[case] has_client_left: bool,
+    #[case] is_client_disconnected: bool,
     #[case] expected: Result<(), SendDenial>,
 ) {
     let permit = SendPermit {
         send_by: Some(SEND_BY),
         connect_by: None,
-        reads: false,
+        is_prefill: false,
     };
     assert_eq!(
         permit
             .check_write(WriteState {
                 now,
                 is_in_service,
-                has_client_left
+                is_client_disconnected
             })
             .map(drop),
         expected
--- a/src/routing/policy/sending.rs
+++ b/src/routing/policy/sending.rs
@@ -26,7 +26,7 @@
     /// maximum.
     fn expected_output_tokens(&self, class: &RequestClass) -> f64 {
         let half = self.spec.max_tokens as f64 / 2.0;
-        match self.spec.hint {
+        match self.spec.duration_hint {
             Some(hint) if class.inter_token_objective > 0 => {
                 (hint as f64 / class.inter_token_objective as f64).min(half * 2.0)
             }
@@ -52,7 +52,7 @@
                 return out.push(Action::SendDenied {
                     request: id,
                     worker: worker.clone(),
-                    refusal,
+                    denial: refusal,
                 });
             }
         };
--- a/src/routing/types/action.rs
+++ b/src/routing/types/action.rs
@@ -26,7 +26,7 @@
         /// The worker.
         worker: WorkerId,
         /// Why.
-        refusal: SendDenial,
+        denial: SendDenial,
     },
     /// Reject the request: a retry is harmless.
     Reject {
--- a/src/routing/types/event.rs
+++ b/src/routing/types/event.rs
@@ -43,9 +43,9 @@
     /// An update of the endpoint list.
     EndpointsUpdated {
         /// Its kind.
-        kind: EndpointUpdate,
+        update: EndpointUpdate,
         /// The endpoints listed.
-        entries: Vec<Endpoint>,
+        endpoints: Vec<Endpoint>,
     },
     /// A client has sent a request.
     RequestArrived(RequestSpec),
--- a/src/routing/types/request.rs
+++ b/src/routing/types/request.rs
@@ -21,7 +21,7 @@
     /// Largest number of output tokens; 0: not stated.
     pub max_tokens: u64,
     /// The client's estimate of the response's length, as time at the class's inter-token objective.
-    pub hint: Option<Micros>,
+    pub duration_hint: Option<Micros>,
     /// The class's name.
     pub class: String,
     /// The tenant's name.
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -239,7 +239,10 @@
                         entry(&mut Fields::new(&text)).map_err(|what| lines.malformed(what))?,
                     );
                 }
-                Event::EndpointsUpdated { kind, entries }
+                Event::EndpointsUpdated {
+                    update: kind,
+                    endpoints: entries,
+                }
             }
         };
         let Some(policy) = self.instances.get_mut(&router) else {
@@ -389,7 +392,7 @@
         prefix_tokens,
         prompt_tokens,
         max_tokens,
-        hint,
+        duration_hint: hint,
         class,
         tenant,
     })
@@ -649,7 +652,7 @@
         Action::SendDenied {
             request,
             worker,
-            refusal,
+            denial: refusal,
         } => {
             writeln!(
                 out,
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -185,7 +185,7 @@
             prefix_tokens: 1_500,
             prompt_tokens: 2_000,
             max_tokens: 300,
-            hint: None,
+            duration_hint: None,
             class: "safe".into(),
             tenant: Some("t".into()),
         };
@@ -343,8 +343,15 @@
         };
         let whole: Vec<Endpoint> = entries(None).into_iter().map(current).collect();
         for router in 0..routers as usize {
-            let list =
-                |kind, entries| Next::Event(router, Event::EndpointsUpdated { kind, entries });
+            let list = |kind, entries| {
+                Next::Event(
+                    router,
+                    Event::EndpointsUpdated {
+                        update: kind,
+                        endpoints: entries,
+                    },
+                )
+            };
             fleet
                 .agenda
                 .enter(BEGIN, list(EndpointUpdate::Restored, entries(None)));
--- a/tests/fairness.rs
+++ b/tests/fairness.rs
@@ -192,7 +192,7 @@
             prefix_tokens: session.text_tokens,
             prompt_tokens: session.turns[this.turn].prompt,
             max_tokens: 50,
-            hint: None,
+            duration_hint: None,
             class: CLASSES[session.class].into(),
             tenant: None,
         };
@@ -411,8 +411,8 @@
                 Next::Event(
                     router,
                     Event::EndpointsUpdated {
-                        kind: EndpointUpdate::Full,
-                        entries,
+                        update: EndpointUpdate::Full,
+                        endpoints: entries,
                     },
                 ),
             );
--- a/tests/held.rs
+++ b/tests/held.rs
@@ -257,8 +257,8 @@
                 started: None,
             });
             dispatcher.tell(DispatcherEvent::EndpointsUpdated {
-                kind: EndpointUpdate::Full,
-                entries: entries.collect(),
+                update: EndpointUpdate::Full,
+                endpoints: entries.collect(),
             });
             for i in 0..40 {
                 let ask = RequestSpec {
@@ -269,7 +269,7 @@
                     prefix_tokens: 0,
                     prompt_tokens: 2_000,
                     max_tokens: 300,
-                    hint: None,
+                    duration_hint: None,
                     class: if world.draw(2) == 0 {
                         "explain".into()
                     } else {
--- a/tests/list_calls.rs
+++ b/tests/list_calls.rs
@@ -39,8 +39,8 @@
     fn calls(&mut self, begun: Micros, kind: EndpointUpdate) -> Vec<Micros> {
         let (mut calls, mut now) = (Vec::new(), begun);
         let mut event = Event::EndpointsUpdated {
-            kind,
-            entries: Vec::new(),
+            update: kind,
+            endpoints: Vec::new(),
         };
         loop {
             let mut out = Vec::new();
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -113,7 +113,10 @@
     }
 
     fn list(&mut self, kind: EndpointUpdate, entries: Vec<Endpoint>) -> Vec<Action> {
-        self.event(Event::EndpointsUpdated { kind, entries })
+        self.event(Event::EndpointsUpdated {
+            update: kind,
+            endpoints: entries,
+        })
     }
 
     fn ask(&mut self, id: u64, class: &str) -> Vec<Action> {
@@ -165,7 +168,7 @@
         prefix_tokens: 0,
         prompt_tokens: 2_000,
         max_tokens: 300,
-        hint: None,
+        duration_hint: None,
         class: class.into(),
         tenant: None,
     }
@@ -1328,7 +1331,7 @@
         ..ask(rig.now, "?")
     };
     rig.ask_with(RequestSpec {
-        hint: Some(u64::MAX),
+        duration_hint: Some(u64::MAX),
         ..absurd
     });
     rig.ask_with(RequestSpec {
--- a/tests/releases.rs
+++ b/tests/releases.rs
@@ -105,7 +105,7 @@
         prefix_tokens: 0,
         prompt_tokens: 10,
         max_tokens: 10,
-        hint: None,
+        duration_hint: None,
         class: "chat".into(),
         tenant: None,
     };
@@ -113,8 +113,8 @@
     module.handle(
         0,
         Event::EndpointsUpdated {
-            kind: EndpointUpdate::Full,
-            entries: vec![entry],
+            update: EndpointUpdate::Full,
+            endpoints: vec![entry],
         },
         &mut actions,
     );
--- a/tests/two_customers.rs
+++ b/tests/two_customers.rs
@@ -128,8 +128,8 @@
         .map(|w| entry(w, Status::Ready))
         .collect();
     Event::EndpointsUpdated {
-        kind: EndpointUpdate::Restored,
-        entries,
+        update: EndpointUpdate::Restored,
+        endpoints: entries,
     }
 }
 
@@ -143,7 +143,7 @@
         prefix_tokens: 0,
         prompt_tokens: 2_000,
         max_tokens: 300,
-        hint: None,
+        duration_hint: None,
         class: String::new(),
         tenant: None,
     }
@@ -360,8 +360,8 @@
             Status::Ready
         };
         self.both(&Event::EndpointsUpdated {
-            kind: EndpointUpdate::Incremental,
-            entries: vec![entry(host, status)],
+            update: EndpointUpdate::Incremental,
+            endpoints: vec![entry(host, status)],
         });
     }
 
