--- a/src/fleet/node/tests.rs
+++ b/src/fleet/node/tests.rs
@@ -1,5 +1,10 @@
 use super::*;
+use crate::fleet::renewal;
+use crate::fleet::state::{Command, Proposal};
+use crate::fleet::{Incarnation, SiteName};
+use std::collections::BTreeSet;
 use std::net::Ipv4Addr;
+use std::net::SocketAddr;
 
 const SECOND: Micros = 1_000_000;
 
@@ -8,13 +13,13 @@
 }
 
 /// A member whose group is itself alone, or which waits for a voter that never comes.
-struct Alone {
+struct SingleMember {
     node: Node,
     now: Micros,
 }
 
-impl Alone {
-    fn new(voter: &str) -> Alone {
+impl SingleMember {
+    fn new(voter: &str) -> SingleMember {
         let site = SiteName::try_from("here").expect("a name");
         let address = SocketAddr::from((Ipv4Addr::LOCALHOST, 7001));
         let me = membership::LocalMember {
@@ -37,7 +42,7 @@
         };
         let mut settings = Config::default();
         settings.lease.renewal = lease::RenewalPath::Leader;
-        let mut alone = Alone {
+        let mut alone = SingleMember {
             node: Node::new(start, settings, 0),
             now: 0,
         };
@@ -108,8 +113,8 @@
 }
 
 #[test]
-fn a_member_alone_renews_at_itself_and_leaves_the_log_alone() {
-    let mut alone = Alone::new("c1");
+fn single_member_renews_locally_without_log_entries() {
+    let mut alone = SingleMember::new("c1");
     let (life, commit) = (alone.life(), alone.node.raft().commit_index());
     assert!(alone.node.lease_token(&life, alone.now).is_some());
     alone.run_for(60 * SECOND);
@@ -118,8 +123,8 @@
 }
 
 #[test]
-fn a_leader_answers_a_renewal_of_what_is_granted_and_no_other() {
-    let mut alone = Alone::new("c1");
+fn leader_answers_only_renewals_of_current_grants() {
+    let mut alone = SingleMember::new("c1");
     let name = alone.life();
     let token = alone
         .node
@@ -160,8 +165,8 @@
 
 /// Where nobody leads, what a relay gathers is dropped, and what another relay has sent on is not sent on again.
 #[test]
-fn a_member_without_a_leader_sends_no_renewal_on() {
-    let mut waits = Alone::new("c2");
+fn member_without_leader_relays_no_renewals() {
+    let mut waits = SingleMember::new("c2");
     let name = waits.life();
     let renewal = LeaseRenewal {
         holder: member("c3"),
@@ -185,8 +190,8 @@
 
 /// An end that another member asks for is not taken: only the leader knows what it has renewed.
 #[test]
-fn a_leader_takes_no_end_of_a_lease_from_another() {
-    let mut alone = Alone::new("c1");
+fn leader_ignores_lease_expiry_proposed_by_another_member() {
+    let mut alone = SingleMember::new("c1");
     let name = alone.life();
     let grant = alone
         .node
