--- a/lab/src/checker/facts.rs
+++ b/lab/src/checker/facts.rs
@@ -272,7 +272,7 @@
 
     /// Whether it is a fault put in by the lab, or the end of one.
     pub fn is_fault(&self) -> bool {
-        use Fact::*;
+        use Fact::{Cont, Cut, Heal, Kill, Links, Started, Stop, Term};
         matches!(
             self,
             Kill { .. }
--- a/lab/src/checker/takeover.rs
+++ b/lab/src/checker/takeover.rs
@@ -23,7 +23,7 @@
         match &act.fact {
             Fact::ClientTaken { name } => requests.entry(name).or_default().counts = true,
             Fact::ClientGaveUp { name } => {
-                requests.entry(name).or_default().gave_up = Some(act.order)
+                requests.entry(name).or_default().gave_up = Some(act.order);
             }
             Fact::ClientFinal {
                 name,
--- a/lab/src/clients.rs
+++ b/lab/src/clients.rs
@@ -257,7 +257,7 @@
                     };
                 }
                 Tried::Refused(after) => {
-                    std::thread::sleep(after.unwrap_or(self.pause).min(self.pause * 4))
+                    std::thread::sleep(after.unwrap_or(self.pause).min(self.pause * 4));
                 }
                 Tried::Unreached => std::thread::sleep(self.pause),
                 Tried::Broke => resume = true,
--- a/lab/src/fleet.rs
+++ b/lab/src/fleet.rs
@@ -407,9 +407,9 @@
             };
             for other in others.iter().filter(|other| **other != name) {
                 if one_way {
-                    network.cut_one_way(other, &name)
+                    network.cut_one_way(other, &name);
                 } else {
-                    network.cut(&name, other)
+                    network.cut(&name, other);
                 }
             }
         }
--- a/lab/src/history.rs
+++ b/lab/src/history.rs
@@ -162,9 +162,9 @@
         let waiting = std::mem::take(&mut inner.reactions);
         for (wanted, reaction) in waiting {
             if wanted(&record) {
-                fired.push(reaction)
+                fired.push(reaction);
             } else {
-                inner.reactions.push((wanted, reaction))
+                inner.reactions.push((wanted, reaction));
             }
         }
         inner.records.push(record.clone());
--- a/lab/src/network.rs
+++ b/lab/src/network.rs
@@ -1,6 +1,6 @@
 //! The network between processes, with faults: a relay with one listening address for each pair and direction.
 //!
-//! A [`Link`] `a` to `b` is a UDP socket and a TCP listener on one address; what comes there goes on to `b`. Each
+//! A link `a` to `b` is a UDP socket and a TCP listener on one address; what comes there goes on to `b`. Each
 //! direction of each pair has [`Faults`] of its own: datagrams and bytes from `a` to `b` follow those of `a` to `b`
 //! whoever opened the connection, so that a link can be cut one way. What the faults do is drawn from one seed.
 //!
@@ -443,7 +443,7 @@
             Err(_) => return,
         }
     }
-    std::future::pending().await
+    std::future::pending::<()>().await;
 }
 
 /// What a way of a connection carries.
--- a/lab/src/scale/simulated.rs
+++ b/lab/src/scale/simulated.rs
@@ -179,7 +179,7 @@
         );
         let seeds = seeds(&self.layout, &self.names);
         self.world.with(node, |member, now, out| {
-            member.event(now, Event::Join { seeds }, out)
+            member.event(now, Event::Join { seeds }, out);
         });
     }
 
@@ -272,7 +272,7 @@
         let begun = self.world.now();
         let wanted = lease.clone();
         self.world.with(proposer, |member, now, out| {
-            member.event(now, Event::AcquireLease(wanted), out)
+            member.event(now, Event::AcquireLease(wanted), out);
         });
         let granted = |world: &World<HollowMember>| -> Option<Index> {
             let state = world.machine(proposer)?.node.state();
--- a/lab/src/script.rs
+++ b/lab/src/script.rs
@@ -348,9 +348,9 @@
                             }
                         };
                         if waits {
-                            _ = std::thread::spawn(act)
+                            _ = std::thread::spawn(act);
                         } else {
-                            act()
+                            act();
                         }
                     },
                 );
--- a/lab/src/sim/mod.rs
+++ b/lab/src/sim/mod.rs
@@ -1,7 +1,7 @@
 //! A seeded, discrete-event simulation: many machines, one network, no clock but the simulation's.
 //!
 //! [`network`] carries messages and loses them; [`world`] runs machines over it, crashes, pauses and restarts them;
-//! [`faults`] draws fault scripts; [`views`] is a fleet of [`whinhaven::fleet::membership::View`] and its check; [`mod@foca`] is one to
+//! [`faults`] draws fault scripts; [`views`] is a fleet of [`whinhaven::fleet::membership::Membership`] and its check; [`mod@foca`] is one to
 //! compare with, and [`bed`] what experiments need of either.
 
 pub mod bed;
--- a/lab/src/sim/views.rs
+++ b/lab/src/sim/views.rs
@@ -258,14 +258,14 @@
         };
         let seeds = (0..known).map(|node| (name(node), address(node))).collect();
         self.world.with(node, |member, now, out| {
-            member.event(now, Event::Join { seeds }, out)
+            member.event(now, Event::Join { seeds }, out);
         });
     }
 
     /// A member leaves and stops.
     pub fn leave(&mut self, node: usize) {
         self.world.with(node, |member, now, out| {
-            member.event(now, Event::Leave, out)
+            member.event(now, Event::Leave, out);
         });
         self.world.crash(node);
     }
--- a/lab/src/sim/world.rs
+++ b/lab/src/sim/world.rs
@@ -164,7 +164,7 @@
                     self.deliver(arrived);
                 }
             } else if let Some((_, node)) = self.due.first().copied() {
-                self.with(node, |machine, now, out| machine.tick(now, out));
+                self.with(node, Machine::tick);
             }
         }
         self.now = self.now.max(until);
@@ -180,7 +180,7 @@
         }
         let Arrived { from, to, message } = arrived;
         self.with(to, |machine, now, out| {
-            machine.receive(now, from, message, out)
+            machine.receive(now, from, message, out);
         });
     }
 
--- a/lab/src/soak/invariants.rs
+++ b/lab/src/soak/invariants.rs
@@ -70,9 +70,10 @@
             "{asked} asked, {served} served, {held} states held for {longest_held_ms} ms at most, \
              {releases_behind_sends} releases behind sends, "
         )?;
-        match self.is_kept() {
-            true => write!(f, "kept"),
-            false => write!(f, "BROKEN: {}", self.broken.join("; ")),
+        if self.is_kept() {
+            write!(f, "kept")
+        } else {
+            write!(f, "BROKEN: {}", self.broken.join("; "))
         }
     }
 }
--- a/lab/src/soak/schedule.rs
+++ b/lab/src/soak/schedule.rs
@@ -176,7 +176,7 @@
             hosts.iter().for_each(|host| {
                 fleet
                     .network
-                    .set_both("*", host, |f| *f = Faults::default())
+                    .set_both("*", host, |f| *f = Faults::default());
             });
         }
         Fault::SilentWay(conductor, host) => {
--- a/lab/tests/model_group.rs
+++ b/lab/tests/model_group.rs
@@ -300,7 +300,7 @@
                     MessageBody::BootstrapVoteResponse { granted }
                         if self.flaw == Flaw::RepeatsBootstrapVote =>
                     {
-                        *granted = true
+                        *granted = true;
                     }
                     _ => {}
                 }
@@ -707,7 +707,7 @@
 fn check(what: &str, scenario: Scenario, most: usize, when: HasDiscoveries) -> Vec<&'static str> {
     let began = Instant::now();
     let threads = std::thread::available_parallelism()
-        .map_or(1, |n| n.get())
+        .map_or(1, std::num::NonZero::get)
         .min(3);
     let checker = scenario
         .checker()
--- a/lab/tests/model_lease.rs
+++ b/lab/tests/model_lease.rs
@@ -179,7 +179,7 @@
                 lease::Action::StatusChanged(LeaseStatusChange { name, to, .. })
                     if name == self.lease =>
                 {
-                    *reported_status = to
+                    *reported_status = to;
                 }
                 lease::Action::StatusChanged(_) => {}
             }
--- a/lab/tests/processes_alone.rs
+++ b/lab/tests/processes_alone.rs
@@ -79,7 +79,7 @@
     std::thread::scope(|scope| {
         scope.spawn(|| {
             told.send(client.ask(&Ask::send("order-1", 3, 0), 0))
-                .unwrap()
+                .unwrap();
         });
         let sent = |r: &whinhaven_lab::history::Record| r.event == "client.sent";
         fleet.wait_for(0, sent).unwrap();
--- a/lab/tests/sim_group.rs
+++ b/lab/tests/sim_group.rs
@@ -274,7 +274,7 @@
                                 m.name, entry.index.0, m.app.index.0
                             ));
                         }
-                        let bytes = format!("{:?}", entry);
+                        let bytes = format!("{entry:?}");
                         m.app.digest = xxh3_64_with_seed(bytes.as_bytes(), m.app.digest);
                         (m.app.index, m.app.term) = (entry.index, entry.term);
                         applied = Some((m.app.index, m.app.term, m.app.digest));
@@ -307,7 +307,10 @@
             }
         }
         let m = &mut self.members[i];
-        let at = m.raft.as_ref().and_then(|g| g.timeout());
+        let at = m
+            .raft
+            .as_ref()
+            .and_then(whinhaven::fleet::raft::Raft::timeout);
         m.wake = at
             .map(|at| t + at.saturating_sub(now) * 1_000_000 / (1_000_000 + m.clock.1) as u64 + 1);
         Ok(())
@@ -318,7 +321,7 @@
             let in_term = self.members[who]
                 .raft
                 .as_ref()
-                .map_or(Term(0), |g| g.term());
+                .map_or(Term(0), whinhaven::fleet::raft::Raft::term);
             self.ledger.applies(index, term, digest, in_term)?;
         }
         match action {
@@ -550,7 +553,7 @@
             .members
             .iter()
             .filter_map(|m| m.raft.as_ref())
-            .map(|g| g.entries())
+            .map(whinhaven::fleet::raft::Raft::entries)
             .collect();
         for (i, a) in logs.iter().enumerate() {
             logs[i + 1..]
--- a/lab/tests/sim_lease.rs
+++ b/lab/tests/sim_lease.rs
@@ -138,16 +138,17 @@
     }
 
     fn clock(&self, n: usize) -> Micros {
-        self.places[n].offset + (self.now as u128 * self.places[n].rate as u128 / 1_000_000) as u64
+        self.places[n].offset
+            + (u128::from(self.now) * u128::from(self.places[n].rate) / 1_000_000) as u64
     }
 
     /// The true time at which a member's clock shows `local` at the earliest.
     fn true_time(&self, n: usize, local: Micros) -> Micros {
         let place = &self.places[n];
-        let since = local.saturating_sub(place.offset) as u128;
+        let since = u128::from(local.saturating_sub(place.offset));
         (since * 1_000_000)
-            .div_ceil(place.rate as u128)
-            .min(u64::MAX as u128) as u64
+            .div_ceil(u128::from(place.rate))
+            .min(u128::from(u64::MAX)) as u64
     }
 
     fn start(&mut self, n: usize) {
@@ -464,7 +465,7 @@
 fn story(seed: u64, members: usize, voters: usize, renewal: RenewalPath) -> (u64, u64) {
     let mut sim = Sim::new(seed, members, voters, 2, settings(renewal));
     assert!(
-        sim.run(30 * SECOND, |sim| sim.all_act()),
+        sim.run(30 * SECOND, Sim::all_act),
         "seed {seed}: not all act at the start"
     );
     let end = sim.now + 30 * SECOND;
@@ -476,7 +477,7 @@
     }
     sim.heal();
     let until = sim.now + 60 * SECOND;
-    if !sim.run(until, |sim| sim.all_act()) {
+    if !sim.run(until, Sim::all_act) {
         for n in 0..members {
             let status = sim.places[n]
                 .body
@@ -544,7 +545,7 @@
     let ready = |seed, members, voters| {
         let mut sim = Sim::new(seed, members, voters, 1, Config::default());
         assert!(
-            sim.run(60 * SECOND, |sim| sim.all_act()),
+            sim.run(60 * SECOND, Sim::all_act),
             "seed {seed}: not all act"
         );
         // Faults come at any moment between two renewals.
--- a/src/admin/connections.rs
+++ b/src/admin/connections.rs
@@ -63,7 +63,7 @@
                 tokio::time::sleep_until(oldest.accepted_at + MIN_CONNECTION_AGE).await;
                 if !oldest.is_answering.get() {
                     oldest.displaced.notify_one();
-                    std::future::pending().await
+                    std::future::pending::<()>().await;
                 }
             };
             tokio::select! {
--- a/src/config/replacement/tests.rs
+++ b/src/config/replacement/tests.rs
@@ -162,7 +162,7 @@
 fn deadlines_and_attempts_are_numbers_above_0(#[case] key: &str, #[case] pointer: &str) {
     let with = |value: Value| {
         load(&changed(|table| {
-            *table.pointer_mut(pointer).unwrap() = value
+            *table.pointer_mut(pointer).unwrap() = value;
         }))
     };
     assert!(with(json!(1)).is_ok());
--- a/src/dispatch/dispatcher.rs
+++ b/src/dispatch/dispatcher.rs
@@ -169,7 +169,7 @@
             .attempts
             .iter_mut()
             .filter(|attempt| attempt.is_streaming);
-        streaming.for_each(|attempt| attempt.cancel());
+        streaming.for_each(super::open_request::AttemptState::cancel);
         self.route(Event::ClientDisconnected { request });
         self.forget_if_finished(request);
     }
--- a/src/dispatch/invariants.rs
+++ b/src/dispatch/invariants.rs
@@ -74,7 +74,7 @@
     /// # Errors
     /// It breaks a rule.
     pub fn sent(&mut self, is_prefill: bool) -> Result<(), InvariantViolation> {
-        let may_have_run = self.attempts.iter().any(|attempt| attempt.may_have_run());
+        let may_have_run = self.attempts.iter().any(Attempt::may_have_run);
         let has_attempt_in_flight = self
             .attempts
             .iter()
@@ -127,7 +127,7 @@
     /// # Errors
     /// It may not.
     pub fn check_rejection(&self) -> Result<(), InvariantViolation> {
-        let may_have_run = self.attempts.iter().any(|attempt| attempt.may_have_run());
+        let may_have_run = self.attempts.iter().any(Attempt::may_have_run);
         if self.idempotency.is_harmless_to_repeat() || !may_have_run {
             Ok(())
         } else {
--- a/src/fleet/config.rs
+++ b/src/fleet/config.rs
@@ -311,10 +311,7 @@
         }
         let members = self.peers.len() + usize::from(!self.peers.contains_key(&self.name));
         if self.most_members < members {
-            return Err((
-                "fleet.most_members",
-                format!("{} members are named", members),
-            ));
+            return Err(("fleet.most_members", format!("{members} members are named")));
         }
         if self.sockets() > limits.sockets / SOCKETS_PART {
             let most = (limits.sockets / SOCKETS_PART).saturating_sub(OWN_SOCKETS) / 2;
--- a/src/fleet/node.rs
+++ b/src/fleet/node.rs
@@ -134,7 +134,7 @@
                 self.expire_proposals(now, out);
             }
             Event::Join { seeds } => {
-                self.handle_membership_event(now, membership::Event::Join { seeds }, out)
+                self.handle_membership_event(now, membership::Event::Join { seeds }, out);
             }
             Event::Message {
                 from,
@@ -173,10 +173,10 @@
                 raft_events.push_back(raft::Event::Message { from, message });
             }
             Event::AcquireLease(name) => {
-                self.handle_lease_event(now, lease::Event::Acquire(name), &mut raft_events, out)
+                self.handle_lease_event(now, lease::Event::Acquire(name), &mut raft_events, out);
             }
             Event::ReleaseLease(name) => {
-                self.handle_lease_event(now, lease::Event::Release(name), &mut raft_events, out)
+                self.handle_lease_event(now, lease::Event::Release(name), &mut raft_events, out);
             }
             Event::Propose {
                 request_id,
--- a/src/fleet/node/log.rs
+++ b/src/fleet/node/log.rs
@@ -74,10 +74,10 @@
                     }
                     raft::Action::Apply(entry) => self.apply(now, entry, &mut raft_events, out),
                     raft::Action::Restore(snapshot) => {
-                        self.restore(now, snapshot, &mut raft_events, out)
+                        self.restore(now, snapshot, &mut raft_events, out);
                     }
                     raft::Action::LeaderChanged(leader, term) => {
-                        self.on_leader_changed(now, leader, term, &mut raft_events, out)
+                        self.on_leader_changed(now, leader, term, &mut raft_events, out);
                     }
                     raft::Action::Rejected(refusal) => out.push(Action::Rejected(refusal)),
                 }
--- a/src/fleet/node/renewals.rs
+++ b/src/fleet/node/renewals.rs
@@ -18,10 +18,10 @@
     ) {
         match message {
             renewal::Message::Renew { renewals, relayed } => {
-                self.on_renewal_requests(now, from, renewals, relayed)
+                self.on_renewal_requests(now, from, renewals, relayed);
             }
             renewal::Message::Renewed(renewals) => {
-                self.on_renewal_answers(now, renewals, raft_events, out)
+                self.on_renewal_answers(now, renewals, raft_events, out);
             }
             renewal::Message::ConfirmLeader { term, round } => {
                 if self.raft.confirms_leader(&from, term) {
@@ -104,7 +104,7 @@
         for (renewal, unanswered) in std::mem::take(&mut self.outgoing_renewals) {
             match self.renewal_target(unanswered) {
                 Some(to) if to == self.instance.name => {
-                    self.on_renewal_requests(now, to, vec![renewal], true)
+                    self.on_renewal_requests(now, to, vec![renewal], true);
                 }
                 Some(to) => {
                     let message = renewal::Message::Renew {
--- a/src/fleet/raft/election.rs
+++ b/src/fleet/raft/election.rs
@@ -119,12 +119,11 @@
     /// Whether this member is in contact with a leader (or, as the leader, with a majority): then it doesn't help to
     /// elect another one.
     fn has_active_leader(&self, now: Micros) -> bool {
-        match &self.role_state {
-            RoleState::Leader(leader) => self.has_quorum_contact(leader, now),
-            _ => {
-                let election_timeout = self.config.election_timeout_us;
-                self.leader.is_some() && now < self.leader_heard_at.saturating_add(election_timeout)
-            }
+        if let RoleState::Leader(leader) = &self.role_state {
+            self.has_quorum_contact(leader, now)
+        } else {
+            let election_timeout = self.config.election_timeout_us;
+            self.leader.is_some() && now < self.leader_heard_at.saturating_add(election_timeout)
         }
     }
 
--- a/src/fleet/raft/learner.rs
+++ b/src/fleet/raft/learner.rs
@@ -44,7 +44,7 @@
         let snapshot = self
             .incoming_snapshot
             .as_ref()
-            .map(|incoming| incoming.offset());
+            .map(super::follower::IncomingSnapshot::offset);
         if let Some(source) = self.pull_source_name() {
             let next = Index(self.commit_index.0 + 1);
             self.send(source, 0, MessageBody::PullRequest { next, snapshot }, out);
--- a/src/fleet/sites/command.rs
+++ b/src/fleet/sites/command.rs
@@ -133,7 +133,7 @@
 /// A rate with as many digits as it needs.
 fn rate(v: f64) -> String {
     if v >= 1_000.0 {
-        format!("{:.0}", v)
+        format!("{v:.0}")
     } else {
         format!("{v:.1}")
     }
@@ -262,7 +262,7 @@
         .iter()
         .filter(|l| matches!(l.limit, Limit::Link(..)))
     {
-        let before = usual.load(l.limit).map_or(0.0, |b| b.part());
+        let before = usual.load(l.limit).map_or(0.0, super::plan::Load::part);
         if l.part() > 0.0005 || before > 0.0005 {
             let full = if l.price > 1e-6 { "   full" } else { "" };
             line(format!(
--- a/src/fleet/sites/epoch.rs
+++ b/src/fleet/sites/epoch.rs
@@ -446,8 +446,7 @@
                 .enumerate()
                 .any(|(s, r)| s != site && matches!(r.standing, Standing::Returning { .. }));
             let to = match (self.rows[site].standing, agreed) {
-                (Standing::Sound, Missing::Nothing)
-                | (Standing::Returning { .. }, Missing::Nothing) => {
+                (Standing::Sound | Standing::Returning { .. }, Missing::Nothing) => {
                     continue;
                 }
                 (Standing::Lost(m), agreed) if m == agreed => continue,
--- a/src/fleet/sites/plan.rs
+++ b/src/fleet/sites/plan.rs
@@ -1035,7 +1035,7 @@
         let n = fleet.sites();
         let mut losses = vec![Loss::none(n)];
         for a in 0..n {
-            use Missing::*;
+            use Missing::{All, Entries, HalfHosts, Hosts};
             losses.extend([Entries, HalfHosts, Hosts, All].map(|m| Loss::none(n).with(a, m)));
             for b in a + 1..n {
                 let pairs = [(Hosts, Hosts), (Hosts, All), (All, Hosts), (All, All)];
--- a/src/fleet/sites/refuse.rs
+++ b/src/fleet/sites/refuse.rs
@@ -270,7 +270,7 @@
             .orders
             .most
             .get(class)
-            .is_none_or(|most| most.is_none())
+            .is_none_or(std::option::Option::is_none)
         {
             return Door::Take;
         }
--- a/src/fleet/transport/sites.rs
+++ b/src/fleet/transport/sites.rs
@@ -1,5 +1,5 @@
 //! What the fleet makes of its sites, carried out: what this conductor sees goes to
-//! [`Member`](crate::fleet::sites::member::Member), and what that says goes to the group, to the history, and as weights
+//! [`Member`], and what that says goes to the group, to the history, and as weights
 //! into the list of hosts that the dispatcher has. New requests are not refused here yet.
 //!
 //! Hosts are tried by small requests of their own, one host of each site in turn: any answer counts, whatever it says,
--- a/src/fleet/transport/work.rs
+++ b/src/fleet/transport/work.rs
@@ -1,6 +1,6 @@
 //! Work in hand, carried out: asks the fleet before something goes out, and releases what ended lives have left.
 //!
-//! [`Work`] drives [`WorkRecorder`](crate::fleet::work::recorder::WorkRecorder) with the program's clock and proposals. [`Recording`] stands
+//! [`Work`] drives [`WorkRecorder`] with the program's clock and proposals. [`Recording`] stands
 //! between the dispatcher and the client side: what goes to a model host is written down first, and taken off the record when
 //! nothing of its request is left.
 
@@ -254,7 +254,7 @@
                 match notice {
                     RecordChange::Orphaned { ended: dead, .. } => self.orphan(dead.clone()),
                     RecordChange::TakenOver { ended: dead, .. } => {
-                        self.orphaned.borrow_mut().retain(|d| d != dead)
+                        self.orphaned.borrow_mut().retain(|d| d != dead);
                     }
                     _ => {}
                 }
--- a/src/front/jsonrpc.rs
+++ b/src/front/jsonrpc.rs
@@ -599,7 +599,7 @@
                         }
                         // Dropped without its end: the client's connection breaks off, and it comes again.
                         Err(ended) => {
-                            log::info!("tool-call front: a stream ended early: {ended:?}")
+                            log::info!("tool-call front: a stream ended early: {ended:?}");
                         }
                     }
                 });
--- a/src/net/answer.rs
+++ b/src/net/answer.rs
@@ -70,7 +70,10 @@
         // The status says it all: a body that doesn't come, or not to an end, costs the connection alone.
         let whole =
             tokio::time::timeout(BODY_BEHIND, Limited::new(body, MOST_ANSWER).collect()).await;
-        let body = whole.ok().and_then(Result::ok).map(|body| body.to_bytes());
+        let body = whole
+            .ok()
+            .and_then(Result::ok)
+            .map(http_body_util::Collected::to_bytes);
         let outcome = outcome_of(head.status, &head.headers);
         let kept = match (outcome, &body) {
             (AttemptOutcome::Prefilled, Some(body)) => {
--- a/src/net/client.rs
+++ b/src/net/client.rs
@@ -482,7 +482,7 @@
     let mut request = Request::post(&call.target)
         .header("host", "model-host")
         .header("x-request-id", &call.id)
-        .header("x-deadline", format!("{}u", left));
+        .header("x-deadline", format!("{left}u"));
     if let Some(headers) = request.headers_mut() {
         headers.extend(call.headers.clone());
     }
@@ -498,7 +498,7 @@
         let (hosts, entered) = (self.clone(), self.pending.enter());
         tokio::task::spawn_local(async move {
             let _entered = entered;
-            hosts.release_now(&call, permit, releasing).await
+            hosts.release_now(&call, permit, releasing).await;
         });
     }
 
--- a/src/net/client_connection.rs
+++ b/src/net/client_connection.rs
@@ -310,5 +310,5 @@
         }
     }
     // Past that its sending is left to stand.
-    std::future::pending().await
+    std::future::pending::<()>().await;
 }
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -505,9 +505,12 @@
             let fetched = self.fetch(&mut discovery).await;
             // Guards against a change undone: the watch may have told it while an older list was on its way here.
             let now = self.directory.seq.get();
-            let taken = fetched.and_then(|list| match list.seq < now && now != held {
-                true => Err(format!("version {} came after {now}", list.seq).into()),
-                false => self.news(list),
+            let taken = fetched.and_then(|list| {
+                if list.seq < now && now != held {
+                    Err(format!("version {} came after {now}", list.seq).into())
+                } else {
+                    self.news(list)
+                }
             });
             if let Err(error) = taken {
                 log::warn!("discovery: the whole list beside the watch: {error}; the list stands");
--- a/src/net/drain.rs
+++ b/src/net/drain.rs
@@ -45,7 +45,7 @@
     }
 }
 
-/// Has client connections follow the switch: they are closed in order from [`FRONT_NOTICES`] after the start of a
+/// Has client connections follow the switch: they are closed in order from `FRONT_NOTICES` after the start of a
 /// drain on, and kept again from its stop on. Nothing moves once the conductor itself ends.
 pub async fn follow(mut switch: watch::Receiver<bool>, stage: watch::Sender<Stage>) {
     while switch.wait_for(|draining| *draining).await.is_ok() {
@@ -54,7 +54,7 @@
             FRONT_NOTICES.as_millis()
         );
         let stopped = async |switch: &mut watch::Receiver<bool>| {
-            _ = switch.wait_for(|draining| !*draining).await
+            _ = switch.wait_for(|draining| !*draining).await;
         };
         if tokio::time::timeout(FRONT_NOTICES, stopped(&mut switch))
             .await
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -538,21 +538,20 @@
         {
             return Ok(connection);
         }
-        let permit = match self.sockets.clone().try_acquire_owned() {
-            Ok(permit) => permit,
-            Err(_) => {
-                // Idle connections to others hold sockets that are wanted here.
-                self.clear();
-                let again = self.sockets.clone().try_acquire_owned();
-                let reserve = || {
-                    self.reserve
-                        .clone()
-                        .try_acquire_owned()
-                        .ok()
-                        .filter(|_| target.reserved)
-                };
-                again.ok().or_else(reserve).ok_or(ConnectError::OverBound)?
-            }
+        let permit = if let Ok(permit) = self.sockets.clone().try_acquire_owned() {
+            permit
+        } else {
+            // Idle connections to others hold sockets that are wanted here.
+            self.clear();
+            let again = self.sockets.clone().try_acquire_owned();
+            let reserve = || {
+                self.reserve
+                    .clone()
+                    .try_acquire_owned()
+                    .ok()
+                    .filter(|_| target.reserved)
+            };
+            again.ok().or_else(reserve).ok_or(ConnectError::OverBound)?
         };
         self.counters.connections_out.up();
         let within = target
--- a/src/net/releases.rs
+++ b/src/net/releases.rs
@@ -123,12 +123,11 @@
         };
         let calling = self.small_call(Some(&target), request, 0, state);
         tokio::pin!(calling);
-        let answer = match tokio::time::timeout(HEDGE, &mut calling).await {
-            Ok(answer) => Ok(answer),
-            Err(_) => {
-                self.pool.doubt(&worker);
-                tokio::time::timeout(RELEASE_CALL, calling).await
-            }
+        let answer = if let Ok(answer) = tokio::time::timeout(HEDGE, &mut calling).await {
+            Ok(answer)
+        } else {
+            self.pool.doubt(&worker);
+            tokio::time::timeout(RELEASE_CALL, calling).await
         };
         match answer {
             // One that is turned away has let go of nothing.
--- a/src/net/upgrade.rs
+++ b/src/net/upgrade.rs
@@ -57,7 +57,7 @@
             match Seat::take(folder, address) {
                 Ok(seat) => return Ok(Place::Shared(seat)),
                 Err(SeatError::Taken) if begun.elapsed() < SEAT_WAIT => {
-                    tokio::time::sleep(LOOK_CLOSELY).await
+                    tokio::time::sleep(LOOK_CLOSELY).await;
                 }
                 Err(error @ SeatError::Taken) => {
                     return Err(ConfigError(format!("listen {address}: {error}")));
--- a/src/routing/types/endpoint.rs
+++ b/src/routing/types/endpoint.rs
@@ -21,7 +21,7 @@
     pub worker: WorkerId,
     /// Its zone.
     pub zone: String,
-    /// Its kind, a name of [`RoutingConfig::kinds`].
+    /// Its kind, a name of [`RoutingConfig::kinds`](super::RoutingConfig::kinds).
     pub kind: String,
     /// Its cell: workers with fast links to each other.
     pub cell: u64,
--- a/src/routing/types/request.rs
+++ b/src/routing/types/request.rs
@@ -56,7 +56,7 @@
 impl AttemptOutcome {
     /// Whether this outcome proves that the attempt had no effect.
     pub fn proves_no_run(self) -> bool {
-        use AttemptOutcome::*;
+        use AttemptOutcome::{ConnectFailed, KvStateMissing, NotSent, Prefilled, Rejected};
         matches!(
             self,
             Prefilled | Rejected | KvStateMissing | ConnectFailed | NotSent
@@ -72,7 +72,7 @@
     /// Whether this outcome proves that the attempt had arrived at a worker that runs: the worker has
     /// answered. That its bytes were written, or that the connection broke behind them, proves nothing.
     pub fn proves_arrival(self) -> bool {
-        use AttemptOutcome::*;
+        use AttemptOutcome::{Error, KvStateMissing, Prefilled, Rejected, Served};
         matches!(self, Served | Prefilled | Error | Rejected | KvStateMissing)
     }
 
--- a/src/run.rs
+++ b/src/run.rs
@@ -162,7 +162,10 @@
     let spare = SPARE_SOCKETS
         + admin_listener.as_ref().map_or(0, |_| ADMIN_SOCKETS)
         + config.tools.as_ref().map_or(0, |t| t.max_calls_at_once)
-        + config.fleet.as_ref().map_or(0, |f| f.sockets());
+        + config
+            .fleet
+            .as_ref()
+            .map_or(0, whinhaven::fleet::config::FleetConfig::sockets);
     let shares = Shares::new(config.limits.sockets, spare);
     let Split {
         hosts: to_hosts,
@@ -295,7 +298,7 @@
         let discovery = config.discovery.is_some();
         move || {
             if discovery {
-                fetch_list.notify_one()
+                fetch_list.notify_one();
             }
         }
     };
@@ -396,16 +399,15 @@
         slow_start: RefCell::new(SlowStartRight::new(beside)),
     });
     tokio::task::spawn_local(sharing.clone().look_after());
-    let listener = match listener {
-        Some(listener) => listener,
-        None => {
-            let has_list = || config.discovery.is_none() || counters.lists.get() > LISTS_OF_ITS_OWN;
-            tokio::select! {
-                () = sharing.wait_to_serve(&*able, has_list) => {}
-                () = signals.stop.notified() => return Ok(()),
-            }
-            upgrade::socket::listen(config.listen, true).map_err(not_bound)?
+    let listener = if let Some(listener) = listener {
+        listener
+    } else {
+        let has_list = || config.discovery.is_none() || counters.lists.get() > LISTS_OF_ITS_OWN;
+        tokio::select! {
+            () = sharing.wait_to_serve(&*able, has_list) => {}
+            () = signals.stop.notified() => return Ok(()),
         }
+        upgrade::socket::listen(config.listen, true).map_err(not_bound)?
     };
     let address = listener.local_addr().map_err(not_bound)?;
     listening.set(true);
--- a/src/storage/log_file.rs
+++ b/src/storage/log_file.rs
@@ -9,7 +9,7 @@
 
 /// Name of the log file of a generation.
 pub fn log_file_name(generation: u64) -> String {
-    format!("log-{generation:0width$}", width = GENERATION_DIGITS)
+    format!("log-{generation:0GENERATION_DIGITS$}")
 }
 
 /// Generation of the log file of this name; `None`: it is no log file.
--- a/src/storage/tests/mod.rs
+++ b/src/storage/tests/mod.rs
@@ -212,8 +212,8 @@
                         "cut at {cut}"
                     );
                 }
-                torn += restored.torn_tail.is_some() as u32;
-                fresh += restored.newly_formatted as u32;
+                torn += u32::from(restored.torn_tail.is_some());
+                fresh += u32::from(restored.newly_formatted);
                 // It goes on from there, and the next opening finds nothing torn any more.
                 let more = Call::Append(store.next_index(), vec![b"after".to_vec()]);
                 call(&mut store, &more).unwrap();
@@ -260,7 +260,7 @@
         Err(StoreError::Corrupt {
             file, offset: at, ..
         }) => {
-            assert_eq!((&*file, at), (name, offset), "{what}")
+            assert_eq!((&*file, at), (name, offset), "{what}");
         }
         Err(error) => panic!("{what}: {error}"),
         Ok((_, restored)) => panic!("{what}: read as {restored:?}"),
--- a/tests/conductor.rs
+++ b/tests/conductor.rs
@@ -539,7 +539,7 @@
     let writer = Peer::start(move |_, conn| {
         conn.begin_stream();
         conn.delta("one");
-        begun("".into());
+        begun(String::new());
         drop(gate.lock());
         conn.end_stream();
         true
@@ -752,7 +752,7 @@
     let old_writer = Peer::start(move |_, conn| {
         conn.begin_stream();
         conn.delta("one");
-        begun("".into());
+        begun(String::new());
         drop(gate.lock());
         conn.end_stream();
         true
@@ -828,7 +828,7 @@
     let writer = Peer::start(move |_, conn| {
         conn.begin_stream();
         conn.delta("one");
-        begun("".into());
+        begun(String::new());
         drop(gate.lock());
         conn.end_stream();
         true
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -753,7 +753,7 @@
         for attempt in 0..5 {
             match sends(&actions).first().copied() {
                 Some(w) if w.starts_with('r') => {
-                    actions = rig.end(id, attempt, AttemptOutcome::ConnectFailed)
+                    actions = rig.end(id, attempt, AttemptOutcome::ConnectFailed);
                 }
                 Some(_) => {
                     to_writers += 1;
--- a/tests/presence.rs
+++ b/tests/presence.rs
@@ -248,7 +248,7 @@
         if message.header("x-request-id") == Some("slow") {
             let _ = conn.0.set_write_timeout(Some(Duration::from_millis(300)));
             while conn.delta(&"x".repeat(60_000)) {}
-            full("".into());
+            full(String::new());
             conn.is_closed();
             return false;
         }
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -117,7 +117,7 @@
                 out.read_line(&mut line).unwrap() > 0,
                 "the child ended by itself"
             );
-            left -= acknowledged(&line).is_some() as u64;
+            left -= u64::from(acknowledged(&line).is_some());
         }
         child.kill().unwrap();
         child.wait().unwrap();
