--- a/src/admin/connections/tests.rs
+++ b/src/admin/connections/tests.rs
@@ -1,7 +1,5 @@
 use super::*;
-
-/// Longer than any connection is waited for.
-const GIVE_UP: Duration = Duration::from_secs(5);
+use crate::admin::server::REQUEST_TIMEOUT;
 
 /// Opens one connection more than allowed.
 fn crowd(connections: &Rc<Connections>) -> Vec<ConnectionSlot> {
@@ -19,7 +17,8 @@
     let begun = Instant::now();
     let oldest = slots.remove(1);
     let displaced = async {
-        let displaced = tokio::time::timeout(GIVE_UP, oldest.connection.displaced.notified());
+        let displaced =
+            tokio::time::timeout(REQUEST_TIMEOUT, oldest.connection.displaced.notified());
         displaced.await.expect("displaced before its time is over");
         assert_eq!(begun.elapsed(), MIN_CONNECTION_AGE);
         drop(oldest);
@@ -38,7 +37,8 @@
     connections.make_room().await;
     assert_eq!(begun.elapsed(), Duration::ZERO);
     for slot in &slots {
-        let displaced = tokio::time::timeout(GIVE_UP, slot.connection.displaced.notified()).await;
+        let displaced =
+            tokio::time::timeout(REQUEST_TIMEOUT, slot.connection.displaced.notified()).await;
         assert!(displaced.is_err());
     }
 }
--- a/src/admin/server.rs
+++ b/src/admin/server.rs
@@ -31,7 +31,7 @@
 /// Descriptors that the endpoint may hold: its listener, its connections, and the one that is just accepted.
 pub const ADMIN_SOCKETS: usize = MAX_CONNECTIONS + 2;
 /// Time from the accept until a request has to be complete.
-const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
+pub(super) const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 /// Time that a caller has to read the response and close: a socket closed over unread bytes is reset.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
 /// Bytes that are read and discarded meanwhile.
