--- a/src/admin/server.rs
+++ b/src/admin/server.rs
@@ -175,7 +175,7 @@
         let (reply, count) = oneshot::channel();
         self.shared
             .dispatcher
-            .tell(DispatcherEvent::CountAvoidedWorkers(reply));
+            .send(DispatcherEvent::CountAvoidedWorkers(reply));
         if let Ok(Ok(count)) = tokio::time::timeout(DISPATCHER_TIMEOUT, count).await {
             self.avoided_workers.set(count);
         }
--- a/src/config/replacement.rs
+++ b/src/config/replacement.rs
@@ -85,7 +85,7 @@
         ("settings.my_zone", a.zone != b.zone),
         (
             "settings.registry_mode",
-            a.endpoints_on_request != b.endpoints_on_request,
+            a.endpoints_require_subscription != b.endpoints_require_subscription,
         ),
         ("settings.skus", names(a) != names(b)),
         ("settings.family_info.role_by_kind", roles(a) != roles(b)),
@@ -113,7 +113,7 @@
         index: held.index,
         routers: held.routers,
         zone: held.zone.clone(),
-        endpoints_on_request: held.endpoints_on_request,
+        endpoints_require_subscription: held.endpoints_require_subscription,
         kinds: held.kinds.clone(),
         kv_state_hold_limit: held.kv_state_hold_limit,
         decode_workers_prefill: held.decode_workers_prefill,
--- a/src/dispatch/clock.rs
+++ b/src/dispatch/clock.rs
@@ -42,7 +42,7 @@
     }
 
     /// Waits until `at`; with `None`, forever.
-    pub async fn reach(&self, at: Option<Micros>) {
+    pub async fn sleep_until(&self, at: Option<Micros>) {
         match at {
             Some(at) => tokio::time::sleep_until(self.instant(at)).await,
             None => std::future::pending().await,
--- a/src/dispatch/dispatcher.rs
+++ b/src/dispatch/dispatcher.rs
@@ -5,7 +5,7 @@
 use super::timers::{Timer, TimerQueue};
 use super::{Clock, DispatcherEvent, Outbound, ReleaseProgress};
 use crate::counters::{Count, Counters};
-use crate::exchange::{AnswerHandle, Call, Feed};
+use crate::exchange::{AnswerHandle, StreamReceiver, UpstreamRequest};
 use crate::routing::policy::Policy;
 use crate::routing::types::{
     Action, AttemptCompleted, AttemptIndex, AttemptOutcome, EndReason, Event, Idempotency, Micros,
@@ -57,7 +57,7 @@
     /// Runs until every handle is dropped.
     pub async fn run(mut self, mut queue: mpsc::UnboundedReceiver<DispatcherEvent>) {
         loop {
-            let next_timer = self.clock.reach(self.timers.next_due());
+            let next_timer = self.clock.sleep_until(self.timers.next_due());
             tokio::select! {
                 biased;
                 event = queue.recv() => match event {
@@ -90,26 +90,26 @@
                 spec,
                 call,
                 answer,
-                gone,
-            } => self.on_request(spec, call, answer, gone),
+                client_disconnected,
+            } => self.on_request(spec, call, answer, client_disconnected),
             DispatcherEvent::ClientDisconnected(request) => self.on_client_disconnected(request),
             DispatcherEvent::StreamStarted {
                 request,
                 attempt,
-                feed,
-            } => self.on_stream_started(request, attempt, feed),
+                stream,
+            } => self.on_stream_started(request, attempt, stream),
             DispatcherEvent::AttemptCompleted {
                 request,
                 attempt,
                 outcome,
                 cached_tokens,
-                load,
+                load_report,
             } => self.on_attempt_completed(AttemptCompleted {
                 request,
                 attempt,
                 outcome,
                 cached_tokens,
-                report: load,
+                report: load_report,
                 elapsed: 0,
                 request_finished: false,
             }),
@@ -134,9 +134,9 @@
     fn on_request(
         &mut self,
         spec: RequestSpec,
-        call: Rc<Call>,
+        call: Rc<UpstreamRequest>,
         answer: AnswerHandle,
-        gone: Rc<Cell<bool>>,
+        client_disconnected: Rc<Cell<bool>>,
     ) {
         self.counters.taken.up();
         log::debug!("request {}: {spec:?}", call.id);
@@ -148,7 +148,14 @@
         let idempotency = class.map_or(Idempotency::NonIdempotent, |class| class.idempotency);
         let max_attempts = self.config.max_attempts;
         let (request, deadline) = (spec.request, spec.deadline);
-        let open = OpenRequest::new(call, deadline, answer, gone, max_attempts, idempotency);
+        let open = OpenRequest::new(
+            call,
+            deadline,
+            answer,
+            client_disconnected,
+            max_attempts,
+            idempotency,
+        );
         self.open.insert(request, open);
         let last_moment = deadline + self.config.response_grace;
         self.timers.set(last_moment, Timer::AnswerDeadline(request));
@@ -174,14 +181,19 @@
         self.forget_if_finished(request);
     }
 
-    fn on_stream_started(&mut self, request: RequestId, attempt: AttemptIndex, feed: Feed) {
+    fn on_stream_started(
+        &mut self,
+        request: RequestId,
+        attempt: AttemptIndex,
+        stream: StreamReceiver,
+    ) {
         let Some(open) = self.open.get_mut(&request) else {
             return;
         };
         let Some(state) = open.attempts.get_mut(attempt.0 as usize) else {
             return;
         };
-        // An answer that was already given stands: the feed is dropped, and with it the attempt.
+        // An answer that was already given stands: the stream is dropped, and with it the attempt.
         let Some(answer) = open.answer.take() else {
             return;
         };
@@ -189,7 +201,7 @@
         let elapsed = self.clock.now().saturating_sub(state.sent_at);
         log::debug!(
             "request {}: attempt {} streams after {elapsed} us",
-            open.call.id,
+            open.upstream_request.id,
             attempt.0
         );
         self.counters.answered_stream.up();
@@ -197,7 +209,7 @@
         if let Some(release) = open.release.take() {
             release.stop();
         }
-        answer.stream(feed);
+        answer.stream(stream);
         self.route(Event::StreamStarted {
             request,
             attempt,
@@ -227,7 +239,7 @@
         completed.request_finished = open.answer.is_none();
         log::debug!(
             "request {}: attempt {} ended {outcome:?} after {} us, {cached_tokens} kept",
-            open.call.id,
+            open.upstream_request.id,
             attempt.0,
             completed.elapsed
         );
@@ -249,11 +261,11 @@
         };
         log::warn!(
             "request {}: no decision by its deadline, ended by the driver",
-            open.call.id
+            open.upstream_request.id
         );
         if open.monitor.check_rejection().is_ok() {
             self.counters.answered_refused.up();
-            answer.refuse(None);
+            answer.reject(None);
         } else {
             self.counters.answered_failed.up();
             answer.fail();
@@ -307,7 +319,7 @@
                 denial,
             } => {
                 let open = self.open.get(&request);
-                let id = open.map_or("", |open| &open.call.id);
+                let id = open.map_or("", |open| &open.upstream_request.id);
                 self.counters.sends_refused.up();
                 log::info!("request {id}: not sent to {}: {denial}", worker.0);
             }
@@ -331,12 +343,12 @@
         let Some(answer) = open.answer.take() else {
             return;
         };
-        log::debug!("request {}: refused: {reason:?}", open.call.id);
+        log::debug!("request {}: refused: {reason:?}", open.upstream_request.id);
         if let Err(violation) = open.monitor.check_rejection() {
-            report_violation(&self.counters, &open.call.id, violation);
+            report_violation(&self.counters, &open.upstream_request.id, violation);
         }
         self.counters.answered_refused.up();
-        answer.refuse(retry_after);
+        answer.reject(retry_after);
         self.answered.push(request);
     }
 
@@ -347,7 +359,7 @@
         let Some(answer) = open.answer.take() else {
             return;
         };
-        log::debug!("request {}: failed: {reason:?}", open.call.id);
+        log::debug!("request {}: failed: {reason:?}", open.upstream_request.id);
         self.counters.answered_failed.up();
         answer.fail();
         self.answered.push(request);
@@ -375,7 +387,7 @@
             return;
         };
         if let Err(violation) = open.monitor.sent(permit.is_prefill()) {
-            report_violation(&self.counters, &open.call.id, violation);
+            report_violation(&self.counters, &open.upstream_request.id, violation);
         }
         let until = timeout.map_or(open.deadline, |timeout| {
             open.deadline.min(now.saturating_add(timeout))
@@ -383,7 +395,7 @@
         let attempt = open.begin_attempt(request, worker, now, until, permit);
         log::debug!(
             "request {}: attempt {} to {}, {} us",
-            attempt.call.id,
+            attempt.upstream_request.id,
             attempt.attempt.0,
             attempt.worker.0,
             until.saturating_sub(now)
@@ -402,7 +414,7 @@
             Err(refusal) => {
                 return log::debug!(
                     "request {}: no release for {reason:?}: {refusal}",
-                    open.call.id
+                    open.upstream_request.id
                 );
             }
         };
@@ -415,13 +427,16 @@
             self.counters.releases_behind_sends.up();
             log::info!(
                 "request {}: release ordered, its send is not answered yet",
-                open.call.id
+                open.upstream_request.id
             );
         } else {
-            log::debug!("request {}: release ordered: {reason:?}", open.call.id);
+            log::debug!(
+                "request {}: release ordered: {reason:?}",
+                open.upstream_request.id
+            );
         }
         self.outbound
-            .release(open.call.clone(), permit, progress.clone());
+            .release(open.upstream_request.clone(), permit, progress.clone());
         open.release = Some(progress);
     }
 
@@ -431,7 +446,7 @@
         let limit = self.config.kv_state_hold_limit;
         for open in self.open.values_mut() {
             if let Err(violation) = open.monitor.check_held(now, limit) {
-                report_violation(&self.counters, &open.call.id, violation);
+                report_violation(&self.counters, &open.upstream_request.id, violation);
             }
         }
     }
--- a/src/dispatch/handle.rs
+++ b/src/dispatch/handle.rs
@@ -1,7 +1,7 @@
 //! Events for the dispatcher, and the handle by which other parts send them.
 
 use super::Clock;
-use crate::exchange::{AnswerHandle, Call, Feed, ServerSide, open};
+use crate::exchange::{AnswerHandle, PendingAnswer, StreamReceiver, UpstreamRequest, open};
 use crate::routing::types::{
     AttemptIndex, AttemptOutcome, Endpoint, EndpointUpdate, LoadReport, RequestId, RequestSpec,
     RoutingConfig,
@@ -18,11 +18,11 @@
         /// What routing is told of it.
         spec: RequestSpec,
         /// What is forwarded.
-        call: Rc<Call>,
+        call: Rc<UpstreamRequest>,
         /// Takes the final answer.
         answer: AnswerHandle,
         /// Set when the client disconnects.
-        gone: Rc<Cell<bool>>,
+        client_disconnected: Rc<Cell<bool>>,
     },
     /// The client has disconnected.
     ClientDisconnected(RequestId),
@@ -33,7 +33,7 @@
         /// The attempt.
         attempt: AttemptIndex,
         /// The stream.
-        feed: Feed,
+        stream: StreamReceiver,
     },
     /// An attempt has completed.
     AttemptCompleted {
@@ -46,7 +46,7 @@
         /// Prompt tokens that the worker found in its prefix cache.
         cached_tokens: u64,
         /// The worker's load, if reported.
-        load: Option<LoadReport>,
+        load_report: Option<LoadReport>,
     },
     /// New requests begin under this configuration; open ones keep theirs.
     ConfigChanged(Box<RoutingConfig>),
@@ -88,32 +88,41 @@
     }
 
     /// Sends an event.
-    pub fn tell(&self, event: DispatcherEvent) {
+    pub fn send(&self, event: DispatcherEvent) {
         // The queue is closed only when the process ends.
         let _ = self.events.send(event);
     }
 
     /// Submits a request that was admitted; its number is filled in.
-    pub fn submit(&self, mut spec: RequestSpec, call: Call, _: AdmissionPermit) -> ServerSide {
+    pub fn submit(
+        &self,
+        mut spec: RequestSpec,
+        call: UpstreamRequest,
+        _: AdmissionPermit,
+    ) -> PendingAnswer {
         let request = RequestId(self.next_request.get());
         self.next_request.set(request.0 + 1);
         spec.request = request;
-        let gone = Rc::<Cell<bool>>::default();
-        let (server, answer) = open(self.on_disconnect(request, gone.clone()));
-        self.tell(DispatcherEvent::RequestArrived {
+        let client_disconnected = Rc::<Cell<bool>>::default();
+        let (server, answer) = open(self.on_disconnect(request, client_disconnected.clone()));
+        self.send(DispatcherEvent::RequestArrived {
             spec,
             call: Rc::new(call),
             answer,
-            gone,
+            client_disconnected,
         });
         server
     }
 
     /// What is called when the client of a request disconnects.
-    fn on_disconnect(&self, request: RequestId, gone: Rc<Cell<bool>>) -> Rc<dyn Fn()> {
+    fn on_disconnect(
+        &self,
+        request: RequestId,
+        client_disconnected: Rc<Cell<bool>>,
+    ) -> Rc<dyn Fn()> {
         let events = self.events.clone();
         Rc::new(move || {
-            gone.set(true);
+            client_disconnected.set(true);
             let _ = events.send(DispatcherEvent::ClientDisconnected(request));
         })
     }
--- a/src/dispatch/open_request.rs
+++ b/src/dispatch/open_request.rs
@@ -2,7 +2,7 @@
 
 use super::invariants::InvariantMonitor;
 use super::{Attempt, ReleaseProgress};
-use crate::exchange::{AnswerHandle, Call};
+use crate::exchange::{AnswerHandle, UpstreamRequest};
 use crate::routing::policy::call_permit::ReleaseHistory;
 use crate::routing::types::{
     AttemptIndex, AttemptOutcome, Idempotency, Micros, RequestId, SendPermit, WorkerId,
@@ -13,12 +13,12 @@
 
 /// A request that has no final answer yet, or attempts in flight.
 pub(super) struct OpenRequest {
-    pub call: Rc<Call>,
+    pub upstream_request: Rc<UpstreamRequest>,
     pub deadline: Micros,
     /// `None` once the final answer is given.
     pub answer: Option<AnswerHandle>,
     /// Whether its client has disconnected.
-    gone: Rc<Cell<bool>>,
+    client_disconnected: Rc<Cell<bool>>,
     /// By the configuration under which it began.
     max_attempts: u32,
     pub attempts: Vec<AttemptState>,
@@ -48,18 +48,18 @@
 
 impl OpenRequest {
     pub fn new(
-        call: Rc<Call>,
+        call: Rc<UpstreamRequest>,
         deadline: Micros,
         answer: AnswerHandle,
-        gone: Rc<Cell<bool>>,
+        client_disconnected: Rc<Cell<bool>>,
         max_attempts: u32,
         idempotency: Idempotency,
     ) -> Self {
         OpenRequest {
-            call,
+            upstream_request: call,
             deadline,
             answer: Some(answer),
-            gone,
+            client_disconnected,
             max_attempts,
             attempts: Vec::new(),
             release: None,
@@ -81,7 +81,7 @@
     pub fn is_releasing(&self) -> bool {
         self.release
             .as_ref()
-            .is_some_and(|release| release.is_going())
+            .is_some_and(|release| release.is_active())
     }
 
     /// Adds an attempt that is sent at `now`.
@@ -90,7 +90,7 @@
         request: RequestId,
         worker: WorkerId,
         now: Micros,
-        until: Micros,
+        first_event_deadline: Micros,
         permit: SendPermit,
     ) -> Attempt {
         let attempt = AttemptIndex(self.attempts.len() as u32);
@@ -106,13 +106,13 @@
             request,
             attempt,
             worker,
-            call: self.call.clone(),
+            upstream_request: self.upstream_request.clone(),
             max_attempts: self.max_attempts,
-            until,
-            after: release.filter(|release| permit.is_prefill() && release.is_going()),
+            first_event_deadline,
+            wait_for_release: release.filter(|release| permit.is_prefill() && release.is_active()),
             permit,
             cancelled,
-            gone: self.gone.clone(),
+            client_disconnected: self.client_disconnected.clone(),
         }
     }
 }
--- a/src/dispatch/release_progress.rs
+++ b/src/dispatch/release_progress.rs
@@ -25,19 +25,19 @@
     }
 
     /// Whether it was neither stopped nor taken yet.
-    pub fn is_going(&self) -> bool {
+    pub fn is_active(&self) -> bool {
         !self.stopped.get() && !self.done.get()
     }
 
     /// Whether it was stopped before any model host had taken it.
-    pub fn is_cut_short(&self) -> bool {
+    pub fn was_stopped_early(&self) -> bool {
         self.stopped.get() && !self.done.get()
     }
 
     /// Waits until a model host has taken it, or it was stopped.
-    pub async fn over(&self) {
+    pub async fn ended(&self) {
         let changed = self.changed.notified();
-        if self.is_going() {
+        if self.is_active() {
             changed.await;
         }
     }
--- a/src/dispatch/tests.rs
+++ b/src/dispatch/tests.rs
@@ -1,6 +1,6 @@
 use super::timers::MAX_STALE_DEADLINES;
 use super::*;
-use crate::exchange::Call;
+use crate::exchange::UpstreamRequest;
 use crate::routing::types::*;
 use crate::shutdown::{AdmissionPermit, Shutdown, StopRequest};
 use bytes::Bytes;
@@ -10,7 +10,7 @@
 
 impl Outbound for Nowhere {
     fn send(&self, _: Attempt) {}
-    fn release(&self, _: Rc<Call>, _: ReleasePermit, _: Rc<ReleaseProgress>) {}
+    fn release(&self, _: Rc<UpstreamRequest>, _: ReleasePermit, _: Rc<ReleaseProgress>) {}
     fn subscribe(&self) {}
 }
 
@@ -40,13 +40,13 @@
             tenant: None,
         };
         let target = String::new();
-        let call = Call {
+        let call = UpstreamRequest {
             id: String::new(),
             target,
             headers: hyper::HeaderMap::new(),
             body: Bytes::new(),
-            keeps: None,
-            name: None,
+            lifetime_guards: None,
+            claim_key: None,
         };
         drop(handle.submit(spec, call, permit()));
         while let Ok(input) = queue.try_recv() {
@@ -75,7 +75,7 @@
     fn send(&self, attempt: Attempt) {
         self.0.borrow_mut().push(attempt);
     }
-    fn release(&self, _: Rc<Call>, _: ReleasePermit, _: Rc<ReleaseProgress>) {}
+    fn release(&self, _: Rc<UpstreamRequest>, _: ReleasePermit, _: Rc<ReleaseProgress>) {}
     fn subscribe(&self) {}
 }
 
@@ -133,13 +133,13 @@
         let (id, target, body) = (String::new(), String::new(), Bytes::new());
         handle.submit(
             spec,
-            Call {
+            UpstreamRequest {
                 id,
                 target,
                 headers: hyper::HeaderMap::new(),
                 body,
-                keeps: None,
-                name: None,
+                lifetime_guards: None,
+                claim_key: None,
             },
             permit(),
         )
@@ -159,7 +159,7 @@
         attempt,
         outcome,
         cached_tokens: 0,
-        load: None,
+        load_report: None,
     });
     let _new = ask();
     dispatcher.on_event(queue.try_recv().unwrap());
--- a/src/exchange.rs
+++ b/src/exchange.rs
@@ -1,6 +1,6 @@
 //! The exchange: the one object in which the server side and the client side of a request meet.
 //!
-//! [`open`] gives a [`ServerSide`] to whoever took the request, and an [`AnswerHandle`] that travels to whoever
+//! [`open`] gives a [`PendingAnswer`] to whoever took the request, and an [`AnswerHandle`] that travels to whoever
 //! ends it. The handle is consumed by its use, so there is one final answer by construction; dropped unused,
 //! it fails the request rather than losing it.
 
@@ -26,7 +26,7 @@
 
 /// A request as it is passed on to model hosts, unchanged.
 #[derive(Clone, Debug)]
-pub struct Call {
+pub struct UpstreamRequest {
     /// The id under which model hosts know it.
     pub id: String,
     /// Path and query.
@@ -36,23 +36,23 @@
     /// Its body.
     pub body: Bytes,
     /// What lasts for as long as anything of the request does, after its answer too: its id, the room it takes.
-    pub keeps: Option<Rc<dyn Any>>,
+    pub lifetime_guards: Option<Rc<dyn Any>>,
     /// The lasting name under which its client may ask again, and the generation of this conductor's claim to it.
-    pub name: Option<(String, u64)>,
+    pub claim_key: Option<(String, u64)>,
 }
 
 /// The final answer, or the beginning of one.
 #[derive(Debug)]
 pub enum Answer {
     /// Trying again is harmless.
-    Refused {
+    Rejected {
         /// When to come back.
         retry_after: Option<Micros>,
     },
     /// No promise about the effect.
     Failed,
     /// A model host's stream; it belongs to the client from here on.
-    Stream(Feed),
+    Stream(StreamReceiver),
 }
 
 /// A part of a stream.
@@ -70,12 +70,12 @@
     /// Its body.
     pub body: Bytes,
     /// Told whether the model host took it.
-    pub done: oneshot::Sender<bool>,
+    pub accepted: oneshot::Sender<bool>,
 }
 
 /// The server side's end of a stream.
 #[derive(Debug)]
-pub struct Feed {
+pub struct StreamReceiver {
     /// The stream's type, as the model host named it.
     pub content_type: Option<String>,
     frames: mpsc::Receiver<Frame>,
@@ -83,9 +83,9 @@
     paused: Rc<Cell<bool>>,
 }
 
-impl Feed {
+impl StreamReceiver {
     /// Whether the model host is being waited for, or itself waits for a reply: then its silence is no failure.
-    pub fn pause(&self, paused: bool) {
+    pub fn set_paused(&self, paused: bool) {
         self.paused.set(paused);
     }
 
@@ -101,14 +101,15 @@
 
     /// Sends a message back to the model host that streams; whether it took it.
     pub async fn reply(&self, body: Bytes) -> bool {
-        let (done, taken) = oneshot::channel();
-        self.replies.send(Reply { body, done }).await.is_ok() && taken.await.unwrap_or(false)
+        let (accepted, reply_accepted) = oneshot::channel();
+        self.replies.send(Reply { body, accepted }).await.is_ok()
+            && reply_accepted.await.unwrap_or(false)
     }
 }
 
 /// The client side's end of a stream.
 #[derive(Debug)]
-pub struct FeedSource {
+pub struct StreamSender {
     /// Frames for the server side.
     pub frames: mpsc::Sender<Frame>,
     /// What comes back.
@@ -118,18 +119,18 @@
 }
 
 /// A stream's two ends.
-pub fn feed(content_type: Option<String>) -> (FeedSource, Feed) {
+pub fn stream_channel(content_type: Option<String>) -> (StreamSender, StreamReceiver) {
     let (tx, frames) = mpsc::channel(FRAMES);
     let (replies, back) = mpsc::channel(1);
     let paused = Rc::new(Cell::new(false));
-    let source = FeedSource {
+    let source = StreamSender {
         frames: tx,
         replies: back,
         paused: paused.clone(),
     };
     (
         source,
-        Feed {
+        StreamReceiver {
             content_type,
             frames,
             replies,
@@ -144,8 +145,8 @@
 
 impl AnswerHandle {
     /// Refuses: trying again is harmless.
-    pub fn refuse(self, retry_after: Option<Micros>) {
-        self.give(Answer::Refused { retry_after });
+    pub fn reject(self, retry_after: Option<Micros>) {
+        self.give(Answer::Rejected { retry_after });
     }
 
     /// Fails: no promise about the effect.
@@ -154,7 +155,7 @@
     }
 
     /// Hands a stream over; whether anybody was there to take it.
-    pub fn stream(self, feed: Feed) -> bool {
+    pub fn stream(self, feed: StreamReceiver) -> bool {
         self.give(Answer::Stream(feed))
     }
 
@@ -172,17 +173,17 @@
     }
 }
 
-/// Tells the dispatcher, when dropped before [`Presence::finished`], that the client has left.
-pub struct Presence(Option<Rc<dyn Fn()>>);
+/// Tells the dispatcher, when dropped before [`DisconnectNotifier::finished`], that the client has left.
+pub struct DisconnectNotifier(Option<Rc<dyn Fn()>>);
 
-impl Presence {
+impl DisconnectNotifier {
     /// The client has its whole answer.
     pub fn finished(&mut self) {
         self.0 = None;
     }
 }
 
-impl Drop for Presence {
+impl Drop for DisconnectNotifier {
     fn drop(&mut self) {
         if let Some(left) = self.0.take() {
             left();
@@ -191,14 +192,14 @@
 }
 
 /// The end that waits for the answer. Dropping it, or the presence taken from it, tells that the client left.
-pub struct ServerSide {
+pub struct PendingAnswer {
     answer: oneshot::Receiver<Answer>,
-    presence: Presence,
+    presence: DisconnectNotifier,
 }
 
-impl ServerSide {
+impl PendingAnswer {
     /// Waits for the answer; the presence must live as long as the client is being answered.
-    pub async fn answer(mut self) -> (Answer, Presence) {
+    pub async fn answer(mut self) -> (Answer, DisconnectNotifier) {
         let answer = (&mut self.answer).await.unwrap_or(Answer::Failed);
         if !matches!(answer, Answer::Stream(_)) {
             self.presence.finished();
@@ -208,12 +209,12 @@
 }
 
 /// Opens an exchange; `left` is called if the client leaves early.
-pub fn open(left: Rc<dyn Fn()>) -> (ServerSide, AnswerHandle) {
+pub fn open(left: Rc<dyn Fn()>) -> (PendingAnswer, AnswerHandle) {
     let (tx, answer) = oneshot::channel();
     (
-        ServerSide {
+        PendingAnswer {
             answer,
-            presence: Presence(Some(left)),
+            presence: DisconnectNotifier(Some(left)),
         },
         AnswerHandle(Some(tx)),
     )
--- a/src/fleet/transport/sites.rs
+++ b/src/fleet/transport/sites.rs
@@ -148,7 +148,7 @@
         self.weigh_by_orders(&mut entries);
         self.hosts
             .dispatcher
-            .tell(DispatcherEvent::EndpointsUpdated {
+            .send(DispatcherEvent::EndpointsUpdated {
                 update: EndpointUpdate::Incremental,
                 endpoints: entries,
             });
@@ -259,7 +259,7 @@
             let next = self.member.borrow().timeout(self.clock.now());
             let woken = self.woken.notified();
             tokio::select! {
-                () = self.clock.reach(next) => self.handle(Event::Tick),
+                () = self.clock.sleep_until(next) => self.handle(Event::Tick),
                 () = woken => {}
             }
         }
--- a/src/fleet/transport/work.rs
+++ b/src/fleet/transport/work.rs
@@ -9,7 +9,7 @@
 use crate::dispatch::{
     Attempt, Clock, DispatcherEvent, DispatcherHandle, Outbound, ReleaseProgress,
 };
-use crate::exchange::Call;
+use crate::exchange::UpstreamRequest;
 use crate::fleet::MemberInstance;
 use crate::fleet::config::TakeoverConfig;
 use crate::fleet::state::{Command, ProposalRejection as Unlooked, ProposalResult, StateChange};
@@ -277,7 +277,7 @@
             let next = self.hands.borrow().timeout();
             let woken = self.woken.notified();
             tokio::select! {
-                () = self.clock.reach(next) => self.handle(Event::Tick),
+                () = self.clock.sleep_until(next) => self.handle(Event::Tick),
                 () = woken => {}
             }
         }
@@ -369,13 +369,13 @@
     /// Whether a host took it within the client side's patience.
     async fn release_once(&self, id: &str, worker: &str, outbound: &dyn Outbound) -> bool {
         let (target, body) = (String::new(), Bytes::new());
-        let call = Call {
+        let call = UpstreamRequest {
             id: id.into(),
             target,
             headers: hyper::HeaderMap::new(),
             body,
-            keeps: None,
-            name: None,
+            lifetime_guards: None,
+            claim_key: None,
         };
         let releasing = Rc::new(ReleaseProgress::default());
         let Ok(permit) = ReleaseHistory::default().permit(ReleaseReason::RouterFailed, false)
@@ -383,8 +383,8 @@
             return false;
         };
         outbound.release(Rc::new(call), permit, releasing.clone());
-        releasing.over().await;
-        let taken = !releasing.is_cut_short();
+        releasing.ended().await;
+        let taken = !releasing.was_stopped_early();
         if taken {
             self.history().released(id, worker);
         }
@@ -405,7 +405,7 @@
 /// A send on record.
 struct Noted {
     /// Its end takes it off the record.
-    call: Weak<Call>,
+    call: Weak<UpstreamRequest>,
     /// Where it went last.
     worker: WorkerId,
     /// The release since then, if there was one.
@@ -441,7 +441,12 @@
             let mut over = Vec::new();
             self.noted.borrow_mut().retain(|id, noted| {
                 let kept = noted.call.strong_count() > 0;
-                if !kept && noted.releasing.as_ref().is_some_and(|r| r.is_cut_short()) {
+                if !kept
+                    && noted
+                        .releasing
+                        .as_ref()
+                        .is_some_and(|r| r.was_stopped_early())
+                {
                     late.push_back((id.clone(), noted.worker.0.to_string()));
                 } else if !kept {
                     over.push(id.clone());
@@ -481,7 +486,7 @@
 
 impl Going {
     async fn send(self, mut attempt: Attempt, command: work::Command) {
-        let most = attempt.until;
+        let most = attempt.first_event_deadline;
         let within = self.dispatcher.clock.now() + self.work.settings.record_within_ms * 1_000;
         let verdict = tokio::select! {
             biased;
@@ -493,7 +498,7 @@
             other => {
                 log::info!(
                     "request {}: not sent, not on record: {other:?}",
-                    attempt.call.id
+                    attempt.upstream_request.id
                 );
                 self.not_sent(&attempt, AttemptOutcome::NotSent);
             }
@@ -502,19 +507,19 @@
 
     fn not_sent(&self, attempt: &Attempt, outcome: AttemptOutcome) {
         let (request, attempt) = (attempt.request, attempt.attempt);
-        self.dispatcher.tell(DispatcherEvent::AttemptCompleted {
+        self.dispatcher.send(DispatcherEvent::AttemptCompleted {
             request,
             attempt,
             outcome,
             cached_tokens: 0,
-            load: None,
+            load_report: None,
         });
     }
 }
 
 impl Outbound for Recording {
     fn send(&self, attempt: Attempt) {
-        let call = &attempt.call;
+        let call = &attempt.upstream_request;
         let (worker, releasing) = (attempt.worker.clone(), None);
         let now = Noted {
             call: Rc::downgrade(call),
@@ -527,13 +532,13 @@
             .insert(call.id.clone(), now)
             .is_some();
         // One record holds for all sends under an id, unless its name has them counted.
-        if noted && call.name.is_none() {
+        if noted && call.claim_key.is_none() {
             return self.inner.send(attempt);
         }
         let command = work::Command::StartSend {
             id: call.id.clone(),
             worker: attempt.worker.0.to_string(),
-            name: call.name.clone(),
+            name: call.claim_key.clone(),
             read_only: (self.reads)(&attempt.worker),
             max_attempts: attempt.max_attempts,
             capacity: self.work.bounds(),
@@ -546,7 +551,12 @@
         tokio::task::spawn_local(going.send(attempt, command));
     }
 
-    fn release(&self, call: Rc<Call>, permit: ReleasePermit, releasing: Rc<ReleaseProgress>) {
+    fn release(
+        &self,
+        call: Rc<UpstreamRequest>,
+        permit: ReleasePermit,
+        releasing: Rc<ReleaseProgress>,
+    ) {
         if let Some(noted) = self.noted.borrow_mut().get_mut(&call.id) {
             noted.releasing = Some(releasing.clone());
         }
--- a/src/front/jsonrpc.rs
+++ b/src/front/jsonrpc.rs
@@ -11,7 +11,9 @@
 use super::record::{Claim, Claimed};
 use super::shared::{COME_BACK, CUT_OFF, MOST_BODY, Shared};
 use crate::config::ToolSettings;
-use crate::exchange::{Answer, Call, Feed, Frame, Presence, is_plain_id};
+use crate::exchange::{
+    Answer, DisconnectNotifier, Frame, StreamReceiver, UpstreamRequest, is_plain_id,
+};
 use crate::fleet::transport::work::Work;
 use crate::fleet::work::FinalResponse;
 use crate::routing::types::{Micros, RequestId, RequestSpec};
@@ -394,7 +396,7 @@
 /// A request that was let in, or that ended before.
 enum Begun {
     /// It streams.
-    Streams(Job, Feed, Presence),
+    Streams(Job, StreamReceiver, DisconnectNotifier),
     /// It has its answer on record: the rest of its text, and its last line.
     Recorded {
         id: Option<Box<RawValue>>,
@@ -743,7 +745,7 @@
             xxh3_64_with_seed(&in_hand.number.to_le_bytes(), self.seed)
         );
         let target = super::platform::PATH.to_owned();
-        let call = Call {
+        let call = UpstreamRequest {
             id,
             target,
             headers: HeaderMap::from_iter([(
@@ -751,8 +753,8 @@
                 HeaderValue::from_static("application/json"),
             )]),
             body,
-            keeps: None,
-            name: claim.as_ref().map(Claim::key),
+            lifetime_guards: None,
+            claim_key: claim.as_ref().map(Claim::key),
         };
         let waiting = self.shared.dispatcher.submit(ask, call, permit).answer();
         drop(pass);
@@ -769,7 +771,7 @@
             .resume
             .map_or((0, String::new()), |r| (r.calls, r.text));
         match answer {
-            Answer::Refused { retry_after } => {
+            Answer::Rejected { retry_after } => {
                 claim.iter().for_each(Claim::refused);
                 Err(Fault::refused(retry_after))
             }
@@ -868,8 +870,8 @@
     async fn relay(
         self: &Rc<Self>,
         mut job: Job,
-        mut feed: Feed,
-        mut presence: Presence,
+        mut feed: StreamReceiver,
+        mut presence: DisconnectNotifier,
         sink: &mut Sink,
     ) -> Result<Vec<u8>, Ended> {
         let (mut stop, now) = (job.in_hand.stop.clone(), job.in_hand.stop.clone());
@@ -954,7 +956,7 @@
         self: &Rc<Self>,
         events: &mut Events,
         job: &mut Job,
-        feed: &mut Feed,
+        feed: &mut StreamReceiver,
         sink: &mut Sink,
         answer: &mut Progress,
     ) -> Result<(), Ended> {
@@ -1013,7 +1015,7 @@
         call: Message,
         events: &mut Events,
         job: &mut Job,
-        feed: &mut Feed,
+        feed: &mut StreamReceiver,
         sink: &mut Sink,
     ) -> Result<(), Ended> {
         let ordinal = job.calls;
@@ -1036,7 +1038,7 @@
             self.ledger
                 .call(key, job.claim.clone(), &call.method, call.params.as_deref());
         tokio::pin!(calling);
-        feed.pause(true);
+        feed.set_paused(true);
         let mut notify = Some(notice("tool", told("calling")));
         let mut over = false;
         let outcome = loop {
@@ -1076,7 +1078,7 @@
                 return Err(Ended::Broken);
             }
         }
-        feed.pause(false);
+        feed.set_paused(false);
         let state = if matches!(outcome, Outcome::Result(_)) {
             "done"
         } else {
--- a/src/front/platform.rs
+++ b/src/front/platform.rs
@@ -1,6 +1,6 @@
 //! The platform's protocol: headers into what the module is told, answers into responses.
 
-use crate::exchange::{Answer, Feed, Frame, Presence, is_plain_id};
+use crate::exchange::{Answer, DisconnectNotifier, Frame, StreamReceiver, is_plain_id};
 use crate::routing::types::{Micros, RequestId, RequestSpec};
 use bytes::Bytes;
 use hyper::HeaderMap;
@@ -21,7 +21,7 @@
     /// Fixed bytes.
     Fixed(Option<Bytes>),
     /// A stream; dropped early, it tells that the client left.
-    Stream(Feed, Presence),
+    Stream(StreamReceiver, DisconnectNotifier),
     /// A stream that a front has written anew.
     Lines(tokio::sync::mpsc::Receiver<Frame>),
     /// A stream that has broken and says so at the next poll.
@@ -219,9 +219,9 @@
 }
 
 /// Encodes an answer.
-pub fn encode(answer: Answer, presence: Presence) -> Response<AnswerBody> {
+pub fn encode(answer: Answer, presence: DisconnectNotifier) -> Response<AnswerBody> {
     match answer {
-        Answer::Refused { retry_after } => refusal(retry_after),
+        Answer::Rejected { retry_after } => refusal(retry_after),
         Answer::Failed => plain(StatusCode::BAD_GATEWAY, "failed\n"),
         Answer::Stream(feed) => {
             let content_type = feed.content_type.clone();
--- a/src/live_settings.rs
+++ b/src/live_settings.rs
@@ -37,6 +37,6 @@
             .iter()
             .for_each(|follower| follower(&settings));
         self.dispatcher
-            .tell(DispatcherEvent::ConfigChanged(Box::new(settings)));
+            .send(DispatcherEvent::ConfigChanged(Box::new(settings)));
     }
 }
--- a/src/net/client.rs
+++ b/src/net/client.rs
@@ -8,7 +8,7 @@
 use crate::dispatch::{
     Attempt, Clock, DispatcherEvent, DispatcherHandle, Outbound, ReleaseProgress,
 };
-use crate::exchange::{Call, FeedSource, Frame, Reply, feed};
+use crate::exchange::{Frame, Reply, StreamSender, UpstreamRequest, stream_channel};
 use crate::routing::types::{
     AttemptIndex, AttemptOutcome, CallDenial, CallState, Micros, ReleasePermit, RequestId,
     SendDenial, WorkerId, WritePermit, WriteState, permit_call,
@@ -126,12 +126,12 @@
             .take()
             .unwrap_or(AttemptOutcome::ConnectionLost.into());
         let (request, attempt) = (self.request, self.attempt);
-        self.dispatcher.tell(DispatcherEvent::AttemptCompleted {
+        self.dispatcher.send(DispatcherEvent::AttemptCompleted {
             request,
             attempt,
             outcome,
             cached_tokens: kept,
-            load: report,
+            load_report: report,
         });
     }
 }
@@ -164,7 +164,9 @@
 
     async fn carry_out(&self, attempt: &mut Attempt) -> End {
         // Given up in time for its end to be told by then (see `abandon`).
-        let give_up_at = attempt.until.saturating_sub(SETTLE.as_micros() as u64);
+        let give_up_at = attempt
+            .first_event_deadline
+            .saturating_sub(SETTLE.as_micros() as u64);
         match self.connect_for(attempt, give_up_at).await {
             Ok((target, connection)) => {
                 let Some(permit) = self.may_write(attempt) else {
@@ -190,13 +192,13 @@
         let mut target = self
             .target(&attempt.worker)
             .ok_or(AttemptOutcome::NotSent)?;
-        if let Some(releasing) = &attempt.after {
+        if let Some(releasing) = &attempt.wait_for_release {
             // A release that arrives while a read is out takes the state that this read will leave: the writer
             // would find nothing. So it goes first.
             tokio::select! {
                 biased;
                 _ = &mut attempt.cancelled => return Err(AttemptOutcome::Cancelled),
-                () = releasing.over() => {}
+                () = releasing.ended() => {}
                 () = tokio::time::sleep(RELEASE_FIRST) => {}
             }
         }
@@ -211,14 +213,14 @@
             biased;
             _ = &mut attempt.cancelled => return Err(AttemptOutcome::Cancelled),
             connected = connecting => connected,
-            () = clock.reach(Some(give_up_at)) => return Err(AttemptOutcome::ConnectFailed),
+            () = clock.sleep_until(Some(give_up_at)) => return Err(AttemptOutcome::ConnectFailed),
         };
         match connected {
             Ok(connection) => Ok((target, connection)),
             Err(error @ (ConnectError::OverBound | ConnectError::Local(_))) => {
                 log::info!(
                     "request {}: not sent to {}: {error}",
-                    attempt.call.id,
+                    attempt.upstream_request.id,
                     attempt.worker.0
                 );
                 Err(AttemptOutcome::NotSent)
@@ -226,7 +228,7 @@
             Err(error) => {
                 log::info!(
                     "request {}: {} not reached: {error}",
-                    attempt.call.id,
+                    attempt.upstream_request.id,
                     attempt.worker.0
                 );
                 Err(AttemptOutcome::ConnectFailed)
@@ -245,12 +247,12 @@
     ) -> End {
         let clock: Clock = self.dispatcher.clock;
         let left = give_up_at.saturating_sub(clock.now());
-        let Some(request) = passed_on(&attempt.call, left) else {
+        let Some(request) = passed_on(&attempt.upstream_request, left) else {
             return AttemptOutcome::NotSent.into();
         };
         self.counters.sent.up();
         let (body, counters, meter) = (
-            attempt.call.body.len(),
+            attempt.upstream_request.body.len(),
             self.counters.clone(),
             connection.meter(),
         );
@@ -274,7 +276,7 @@
         let send_by = attempt.permit.send_by();
         // What is not written whole by then, to a host that doesn't read, must not be any more.
         let unwritten = async {
-            clock.reach(send_by).await;
+            clock.sleep_until(send_by).await;
             if meter.complete() {
                 std::future::pending::<()>().await;
             }
@@ -283,15 +285,15 @@
             biased;
             answered = answering => answered,
             _ = &mut attempt.cancelled => return cut_off(AttemptOutcome::Cancelled).into(),
-            () = clock.reach(Some(give_up_at)) => {
-                log::info!("request {}: no answer of {} in time", attempt.call.id, attempt.worker.0);
+            () = clock.sleep_until(Some(give_up_at)) => {
+                log::info!("request {}: no answer of {} in time", attempt.upstream_request.id, attempt.worker.0);
                 // It may be cut off, with a kept connection that looks alive.
                 self.pool.doubt(&attempt.worker);
                 abandon(connection).await;
                 return cut_off(AttemptOutcome::TimedOut).into();
             }
             () = unwritten => {
-                log::info!("request {}: {} took it too slowly for a repeat", attempt.call.id, attempt.worker.0);
+                log::info!("request {}: {} took it too slowly for a repeat", attempt.upstream_request.id, attempt.worker.0);
                 self.counters.repeats_held_back.up();
                 abandon(connection).await;
                 return cut_off(AttemptOutcome::TimedOut).into();
@@ -301,7 +303,7 @@
             Err(error) => {
                 log::info!(
                     "request {}: {} broke off: {error}",
-                    attempt.call.id,
+                    attempt.upstream_request.id,
                     attempt.worker.0
                 );
                 self.pool.broke(&connection);
@@ -338,7 +340,7 @@
         let state = WriteState {
             now: self.dispatcher.clock.now(),
             is_in_service: self.directory.is_ready(&attempt.worker),
-            is_client_disconnected: attempt.gone.get(),
+            is_client_disconnected: attempt.client_disconnected.get(),
         };
         let refusal = match attempt.permit.check_write(state) {
             Ok(permit) => return Some(permit),
@@ -346,7 +348,7 @@
         };
         log::info!(
             "request {}: not written to {}: {refusal}",
-            attempt.call.id,
+            attempt.upstream_request.id,
             attempt.worker.0
         );
         match refusal {
@@ -365,18 +367,18 @@
             framed,
         } = stream;
         let (
-            FeedSource {
+            StreamSender {
                 frames,
                 mut replies,
                 paused,
             },
             feed,
-        ) = feed(content_type);
+        ) = stream_channel(content_type);
         let (request, index) = (attempt.request, attempt.attempt);
-        self.dispatcher.tell(DispatcherEvent::StreamStarted {
+        self.dispatcher.send(DispatcherEvent::StreamStarted {
             request,
             attempt: index,
-            feed,
+            stream: feed,
         });
         let mut tail = Tail::new();
         let mut next = Some(first);
@@ -415,7 +417,7 @@
                             Ok(Err(spoilt)) => format!("broke: {spoilt}"),
                             Ok(Ok(_)) => "broke: it ended early".to_owned(),
                         };
-                        log::info!("request {}: stream of {} {why}", attempt.call.id, attempt.worker.0);
+                        log::info!("request {}: stream of {} {why}", attempt.upstream_request.id, attempt.worker.0);
                         return (AttemptOutcome::ConnectionLost.into(), false);
                     }
                 },
@@ -425,7 +427,7 @@
 
     /// Sends what the server side has for the writer, beside the stream, for as long as that has an end to go to.
     fn reply(&self, attempt: &Attempt, reply: Reply, stream: WeakSender<Frame>) {
-        let target = format!("/internal/tool-results/{}", attempt.call.id);
+        let target = format!("/internal/tool-results/{}", attempt.upstream_request.id);
         let request = Request::post(target)
             .header("host", "model-host")
             .header("content-type", "application/json");
@@ -442,7 +444,7 @@
             let calling = hosts.small_call(target.as_ref(), request, body, state);
             let answer = tokio::time::timeout(STALLED, calling).await;
             let _ = reply
-                .done
+                .accepted
                 .send(matches!(answer, Ok(Ok(status)) if status.is_success()));
         });
     }
@@ -478,7 +480,7 @@
 }
 
 /// The request as model hosts want it.
-fn passed_on(call: &Call, left: u64) -> Option<Request<Full<Bytes>>> {
+fn passed_on(call: &UpstreamRequest, left: u64) -> Option<Request<Full<Bytes>>> {
     let mut request = Request::post(&call.target)
         .header("host", "model-host")
         .header("x-request-id", &call.id)
@@ -494,7 +496,12 @@
         tokio::task::spawn_local(self.clone().attempt(attempt));
     }
 
-    fn release(&self, call: Rc<Call>, permit: ReleasePermit, releasing: Rc<ReleaseProgress>) {
+    fn release(
+        &self,
+        call: Rc<UpstreamRequest>,
+        permit: ReleasePermit,
+        releasing: Rc<ReleaseProgress>,
+    ) {
         let (hosts, entered) = (self.clone(), self.pending.enter());
         tokio::task::spawn_local(async move {
             let _entered = entered;
--- a/src/net/client/tests.rs
+++ b/src/net/client/tests.rs
@@ -70,26 +70,26 @@
         send_by: Option<Duration>,
     ) -> (Attempt, oneshot::Sender<()>) {
         let after = |time: Duration| self.hosts.dispatcher.clock.now() + time.as_micros() as u64;
-        let call = Call {
+        let call = UpstreamRequest {
             id: "id-1".into(),
             target: "/v1/chat/completions".into(),
             headers: Default::default(),
             body,
-            keeps: None,
-            name: None,
+            lifetime_guards: None,
+            claim_key: None,
         };
         let (cancel, cancelled) = oneshot::channel();
         let attempt = Attempt {
             request: RequestId(1),
             attempt: AttemptIndex(0),
             worker: WorkerId(HOST.into()),
-            call: Rc::new(call),
+            upstream_request: Rc::new(call),
             max_attempts: 4,
-            until: after(time),
+            first_event_deadline: after(time),
             permit: SendPermit::for_test(send_by.map(after)),
-            after: None,
+            wait_for_release: None,
             cancelled,
-            gone: Rc::default(),
+            client_disconnected: Rc::default(),
         };
         (attempt, cancel)
     }
@@ -195,7 +195,7 @@
             let (listener, address) = listen().await;
             let mut rig = Rig::new(address);
             let (attempt, _cancel) = rig.attempt(Bytes::new(), Duration::from_secs(60), None);
-            let gone = attempt.gone.clone();
+            let gone = attempt.client_disconnected.clone();
             rig.hosts.send(attempt);
             gone.set(true);
             let (mut stream, _) = listener.accept().await.unwrap();
@@ -217,7 +217,7 @@
             let rig = Rig::new(address);
             let (mut attempt, _cancel) = rig.attempt(Bytes::new(), TIME, None);
             let releasing = Rc::<ReleaseProgress>::default();
-            attempt.after = Some(releasing.clone());
+            attempt.wait_for_release = Some(releasing.clone());
             rig.hosts.send(attempt);
             tokio::time::advance(RELEASE).await;
             // From here on sockets are waited for.
--- a/src/net/client_connection.rs
+++ b/src/net/client_connection.rs
@@ -168,14 +168,14 @@
 /// the runtime was not told yet.
 fn state(socket: &TcpStream, watch: &Watch) -> ConnectionState {
     match watch.standing() {
-        Standing::InHand => ConnectionState::InHand,
-        Standing::Arriving(_) => ConnectionState::Arriving,
+        Standing::InHand => ConnectionState::AwaitingResponse,
+        Standing::Arriving(_) => ConnectionState::ReceivingRequest,
         Standing::Idle(_) => {
             let peek = || SockRef::from(socket).peek(&mut [MaybeUninit::uninit()]);
             let has_bytes = || uninterrupted(peek).is_ok_and(|n| n > 0);
             // A client that takes nothing of its answer gets no other one.
-            ConnectionState::Resting {
-                has_unread: !watch.is_blocked() && has_bytes(),
+            ConnectionState::Idle {
+                has_unread_bytes: !watch.is_blocked() && has_bytes(),
             }
         }
     }
@@ -266,25 +266,25 @@
             // First: what has come by now is looked at before any deadline is.
             ended = &mut connection => return Served::Itself(ended),
             gone = watch.read_ahead(socket, &mut room), if watch.standing() == Standing::InHand => {
-                if gone && let Ok(permit) = permit_close(CloseCause::ClientGone, state(socket, watch)) {
+                if gone && let Ok(permit) = permit_close(CloseCause::ClientDisconnected, state(socket, watch)) {
                     return Served::ClientGone(permit);
                 }
             }
             () = closing(&mut stage, watch, accepted), if may_close => {
                 let state = state(socket, watch);
                 log::debug!("client connection: it is to close for the end: {state:?}");
-                match permit_close(CloseCause::Ending, state) {
+                match permit_close(CloseCause::ShuttingDown, state) {
                     // With a request in hand: it is closed behind that one's answer.
-                    Ok(_) | Err(CloseDenial::InHand) => {
+                    Ok(_) | Err(CloseDenial::AwaitingResponse) => {
                         stopping = true;
                         Pin::new(&mut connection).graceful_shutdown();
                     }
-                    Err(CloseDenial::Unread | CloseDenial::Arriving) => tokio::task::yield_now().await,
+                    Err(CloseDenial::UnreadBytes | CloseDenial::ReceivingRequest) => tokio::task::yield_now().await,
                 }
             }
             () = watch.changed() => {}
             () = async { tokio::time::sleep_until(due.unwrap_or(accepted)).await }, if due.is_some() => {
-                match permit_close(CloseCause::TimeOver, state(socket, watch)) {
+                match permit_close(CloseCause::TimedOut, state(socket, watch)) {
                     Ok(permit) => {
                         log::debug!("client connection: closed, its time is over: {:?}", watch.standing());
                         return Served::Closed(permit);
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -381,7 +381,7 @@
         if let Some(weigh) = &self.weigh {
             weigh(kind, &mut entries);
         }
-        self.dispatcher.tell(DispatcherEvent::EndpointsUpdated {
+        self.dispatcher.send(DispatcherEvent::EndpointsUpdated {
             update: kind,
             endpoints: entries,
         });
@@ -462,7 +462,7 @@
             } else {
                 calls.failures = 0;
             }
-            self.dispatcher.tell(DispatcherEvent::EndpointsUpdated {
+            self.dispatcher.send(DispatcherEvent::EndpointsUpdated {
                 update: EndpointUpdate::Failed,
                 endpoints: Vec::new(),
             });
--- a/src/net/releases.rs
+++ b/src/net/releases.rs
@@ -5,7 +5,7 @@
 use super::pool::ConnectError;
 use super::release::{Fanout, HEDGE};
 use crate::dispatch::{Attempt, ReleaseProgress};
-use crate::exchange::Call;
+use crate::exchange::UpstreamRequest;
 use crate::routing::types::{AttemptOutcome, CallState, ReleasePermit, WorkerId};
 use bytes::Bytes;
 use http_body_util::Full;
@@ -57,7 +57,7 @@
     /// Releases what is held for a request, at whichever hosts take it, until one has.
     pub(super) async fn release_now(
         &self,
-        call: &Call,
+        call: &UpstreamRequest,
         permit: ReleasePermit,
         releasing: Rc<ReleaseProgress>,
     ) {
@@ -67,7 +67,7 @@
         let begun = Instant::now();
         let mut fanout = Fanout::new(begun);
         let spread = xxh3_64(call.id.as_bytes());
-        while releasing.is_going() && begun.elapsed() < RELEASE_WITHIN {
+        while releasing.is_active() && begun.elapsed() < RELEASE_WITHIN {
             // Which hosts were just heard from may change meanwhile, and so may the list.
             let hosts = self.pool.by_reach(self.directory.running(), spread);
             let was_heard_since =
@@ -81,7 +81,7 @@
             }
             tokio::select! {
                 biased;
-                () = releasing.over() => return,
+                () = releasing.ended() => return,
                 Some(asked) = calls.join_next() => match asked {
                     Ok(true) => {
                         self.counters.releases_taken.up();
@@ -93,7 +93,7 @@
                 () = tokio::time::sleep_until(fanout.due()) => {}
             }
         }
-        if releasing.is_going() {
+        if releasing.is_active() {
             releasing.stop();
             self.counters.releases_failed.up();
             log::warn!(
@@ -119,7 +119,7 @@
         };
         target.reserved = true;
         let state = || CallState::Release {
-            is_going: releasing.is_going(),
+            is_active: releasing.is_active(),
         };
         let calling = self.small_call(Some(&target), request, 0, state);
         tokio::pin!(calling);
@@ -150,7 +150,7 @@
         ) {
             return;
         }
-        let (id, now) = (attempt.call.id.clone(), Instant::now());
+        let (id, now) = (attempt.upstream_request.id.clone(), Instant::now());
         self.late_arrivals
             .change(|late| late.abandoned(&attempt.worker, id, now));
         if !self.late_arrivals.is_followed.replace(true) {
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -8,7 +8,7 @@
 use super::upgrade::socket::turn_away_new;
 use crate::admin::metrics::RequestMetrics;
 use crate::counters::Counters;
-use crate::exchange::Call;
+use crate::exchange::UpstreamRequest;
 use crate::front::jsonrpc;
 use crate::front::platform::{self, AnswerBody, end_to_end, plain};
 use crate::front::shared::{COME_BACK, CUT_OFF, Held, InHand, MOST_BODY, Shared};
@@ -176,14 +176,14 @@
             .path_and_query()
             .map_or(platform::PATH, |p| p.as_str())
             .to_owned();
-        let keeps: Option<Rc<dyn Any>> = Some(Rc::new((in_hand, held)));
-        let call = Call {
+        let lifetime_guards: Option<Rc<dyn Any>> = Some(Rc::new((in_hand, held)));
+        let call = UpstreamRequest {
             id: intake.id,
             target,
             headers,
             body,
-            keeps,
-            name: None,
+            lifetime_guards,
+            claim_key: None,
         };
         let asked = shared.dispatcher.submit(intake.ask, call, permit);
         drop(pass);
--- a/src/net/upgrade.rs
+++ b/src/net/upgrade.rs
@@ -196,7 +196,7 @@
         if let Some(allowed) = right {
             self.shared
                 .dispatcher
-                .tell(DispatcherEvent::SlowStart { allowed });
+                .send(DispatcherEvent::SlowStart { allowed });
         }
         let Place::Shared(seat) = &self.place else {
             return false;
--- a/src/routing/policy/call_permit.rs
+++ b/src/routing/policy/call_permit.rs
@@ -22,7 +22,7 @@
 /// The release in progress covers all KV state of the request; no other may begin beside it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the release under way lets go of all that there is")]
-pub struct ReleaseUnderWay;
+pub struct ReleaseInProgress;
 
 /// What matters for the releases of one request.
 #[derive(Debug, Default)]
@@ -46,10 +46,10 @@
         &mut self,
         reason: ReleaseReason,
         is_under_way: bool,
-    ) -> Result<ReleasePermit, ReleaseUnderWay> {
+    ) -> Result<ReleasePermit, ReleaseInProgress> {
         let is_outdated = std::mem::take(&mut self.is_outdated);
         if is_under_way && !is_outdated {
-            Err(ReleaseUnderWay)
+            Err(ReleaseInProgress)
         } else {
             Ok(ReleasePermit { reason })
         }
@@ -63,7 +63,7 @@
     Release {
         /// The release was neither taken nor stopped. After that, a call could release what the next
         /// prefill leaves.
-        is_going: bool,
+        is_active: bool,
     },
     /// The release of an attempt that may arrive after its end.
     LateRelease,
@@ -84,10 +84,10 @@
 pub enum CallDenial {
     /// Another worker has taken the release, or it was stopped.
     #[error("its release is over")]
-    ReleaseOver,
+    ReleaseEnded,
     /// The stream has ended, or its client has disconnected.
     #[error("its stream is over")]
-    StreamOver,
+    StreamEnded,
     /// The tool may have run.
     #[error("it may have run")]
     MayHaveRun,
@@ -103,12 +103,12 @@
 /// Why it may not.
 pub fn permit_call(state: CallState) -> Result<CallPermit, CallDenial> {
     match state {
-        CallState::Release { is_going: false } => Err(CallDenial::ReleaseOver),
+        CallState::Release { is_active: false } => Err(CallDenial::ReleaseEnded),
         CallState::ToolResult {
             is_streaming: false,
-        } => Err(CallDenial::StreamOver),
+        } => Err(CallDenial::StreamEnded),
         CallState::ToolCall { may_have_run: true } => Err(CallDenial::MayHaveRun),
-        CallState::Release { is_going: true }
+        CallState::Release { is_active: true }
         | CallState::LateRelease
         | CallState::ToolResult { is_streaming: true }
         | CallState::ToolCall {
--- a/src/routing/policy/close_permit.rs
+++ b/src/routing/policy/close_permit.rs
@@ -8,25 +8,25 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseCause {
     /// The client has closed it, or it is broken.
-    ClientGone,
+    ClientDisconnected,
     /// A timeout has passed: idle, sending the request, or reading the response.
-    TimeOver,
+    TimedOut,
     /// The router drains or shuts down.
-    Ending,
+    ShuttingDown,
 }
 
 /// What is known of the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionState {
     /// No request is in progress on it.
-    Resting {
+    Idle {
         /// The socket has bytes that were not read yet.
-        has_unread: bool,
+        has_unread_bytes: bool,
     },
     /// A request has been received in part.
-    Arriving,
+    ReceivingRequest,
     /// A request has been received and has no response yet.
-    InHand,
+    AwaitingResponse,
 }
 
 /// Why a connection stays open.
@@ -34,13 +34,13 @@
 pub enum CloseDenial {
     /// The unread bytes may be a request.
     #[error("bytes wait that were not read")]
-    Unread,
+    UnreadBytes,
     /// A request is being received, and has time left.
     #[error("a request is coming")]
-    Arriving,
+    ReceivingRequest,
     /// A request has no response yet.
     #[error("a request has no answer")]
-    InHand,
+    AwaitingResponse,
 }
 
 /// Permission to close one connection.
@@ -53,12 +53,24 @@
 /// Why it may not.
 pub fn permit_close(cause: CloseCause, state: ConnectionState) -> Result<ClosePermit, CloseDenial> {
     match (cause, state) {
-        (CloseCause::ClientGone, _) => Ok(ClosePermit(())),
-        (_, ConnectionState::InHand) => Err(CloseDenial::InHand),
-        (_, ConnectionState::Resting { has_unread: true }) => Err(CloseDenial::Unread),
-        (CloseCause::Ending, ConnectionState::Arriving) => Err(CloseDenial::Arriving),
-        (CloseCause::TimeOver, ConnectionState::Arriving)
-        | (_, ConnectionState::Resting { has_unread: false }) => Ok(ClosePermit(())),
+        (CloseCause::ClientDisconnected, _) => Ok(ClosePermit(())),
+        (_, ConnectionState::AwaitingResponse) => Err(CloseDenial::AwaitingResponse),
+        (
+            _,
+            ConnectionState::Idle {
+                has_unread_bytes: true,
+            },
+        ) => Err(CloseDenial::UnreadBytes),
+        (CloseCause::ShuttingDown, ConnectionState::ReceivingRequest) => {
+            Err(CloseDenial::ReceivingRequest)
+        }
+        (CloseCause::TimedOut, ConnectionState::ReceivingRequest)
+        | (
+            _,
+            ConnectionState::Idle {
+                has_unread_bytes: false,
+            },
+        ) => Ok(ClosePermit(())),
     }
 }
 
--- a/src/routing/policy/close_permit/tests.rs
+++ b/src/routing/policy/close_permit/tests.rs
@@ -1,28 +1,40 @@
 use super::*;
 use rstest::rstest;
 
-const UNREAD: ConnectionState = ConnectionState::Resting { has_unread: true };
-const RESTING: ConnectionState = ConnectionState::Resting { has_unread: false };
+const UNREAD: ConnectionState = ConnectionState::Idle {
+    has_unread_bytes: true,
+};
+const RESTING: ConnectionState = ConnectionState::Idle {
+    has_unread_bytes: false,
+};
 
 #[rstest]
-#[case(CloseCause::Ending, RESTING, None)]
-#[case(CloseCause::Ending, UNREAD, Some(CloseDenial::Unread))]
+#[case(CloseCause::ShuttingDown, RESTING, None)]
+#[case(CloseCause::ShuttingDown, UNREAD, Some(CloseDenial::UnreadBytes))]
 #[case(
-    CloseCause::Ending,
-    ConnectionState::Arriving,
-    Some(CloseDenial::Arriving)
+    CloseCause::ShuttingDown,
+    ConnectionState::ReceivingRequest,
+    Some(CloseDenial::ReceivingRequest)
 )]
-#[case(CloseCause::Ending, ConnectionState::InHand, Some(CloseDenial::InHand))]
-#[case(CloseCause::TimeOver, RESTING, None)]
-#[case(CloseCause::TimeOver, UNREAD, Some(CloseDenial::Unread))]
-#[case(CloseCause::TimeOver, ConnectionState::Arriving, None)]
 #[case(
-    CloseCause::TimeOver,
-    ConnectionState::InHand,
-    Some(CloseDenial::InHand)
+    CloseCause::ShuttingDown,
+    ConnectionState::AwaitingResponse,
+    Some(CloseDenial::AwaitingResponse)
 )]
-#[case(CloseCause::ClientGone, ConnectionState::InHand, None)]
-#[case(CloseCause::ClientGone, UNREAD, None)]
+#[case(CloseCause::TimedOut, RESTING, None)]
+#[case(CloseCause::TimedOut, UNREAD, Some(CloseDenial::UnreadBytes))]
+#[case(CloseCause::TimedOut, ConnectionState::ReceivingRequest, None)]
+#[case(
+    CloseCause::TimedOut,
+    ConnectionState::AwaitingResponse,
+    Some(CloseDenial::AwaitingResponse)
+)]
+#[case(
+    CloseCause::ClientDisconnected,
+    ConnectionState::AwaitingResponse,
+    None
+)]
+#[case(CloseCause::ClientDisconnected, UNREAD, None)]
 fn connection_is_closed_only_if_no_request_is_lost(
     #[case] cause: CloseCause,
     #[case] state: ConnectionState,
--- a/src/routing/policy/membership.rs
+++ b/src/routing/policy/membership.rs
@@ -70,7 +70,7 @@
         };
         self.endpoint_fetch.failures = failures.min(MAX_BACKOFF_DOUBLINGS);
         let needs_fetch = matches!(update, EndpointUpdate::Failed | EndpointUpdate::Restored);
-        if needs_fetch && self.config.endpoints_on_request {
+        if needs_fetch && self.config.endpoints_require_subscription {
             let all_routers = FETCH_INTERVAL * Micros::from(self.config.routers);
             let span = MAX_FETCH_DELAY.min(all_routers << self.endpoint_fetch.failures);
             let draw = hash_to_unit(xxh3_64_with_seed(&self.now.to_le_bytes(), self.seed));
--- a/src/routing/types/config.rs
+++ b/src/routing/types/config.rs
@@ -122,7 +122,7 @@
     /// How workers report their load.
     pub load_reporting: LoadReporting,
     /// Whether endpoint updates come only after a subscription.
-    pub endpoints_on_request: bool,
+    pub endpoints_require_subscription: bool,
     /// A router counts as informed of an endpoint change this long after it.
     pub endpoint_update_limit: Micros,
     /// Whether the router may send health checks.
--- a/src/run.rs
+++ b/src/run.rs
@@ -296,7 +296,9 @@
             let pool = pool.clone();
             move |worker| pool.hang_up(worker)
         }),
-        ask: settings.endpoints_on_request.then_some(watch_again),
+        ask: settings
+            .endpoints_require_subscription
+            .then_some(watch_again),
         fetch_list: fetch_list.clone(),
         counters: counters.clone(),
         weigh: sites.clone().map(|sites| {
--- a/src/shutdown.rs
+++ b/src/shutdown.rs
@@ -87,7 +87,7 @@
         let at = self
             .requested_at()
             .map(|at| at + span.as_micros() as Micros);
-        self.clock.reach(at).await;
+        self.clock.sleep_until(at).await;
     }
 }
 
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -606,7 +606,7 @@
             .number("over_share_worth", 0.0, MOST_RATE)?
             .unwrap_or(1.0),
         load_reporting: reports,
-        endpoints_on_request: pairs.text("registry_mode")? == "on_request",
+        endpoints_require_subscription: pairs.text("registry_mode")? == "on_request",
         endpoint_update_limit: optional("rules.ask_within_us")?.unwrap_or(Micros::MAX),
         health_checks_allowed: pairs.flag("permissions.probes")?,
         gossip_allowed: pairs.flag("permissions.may_tell")?,
--- a/tests/golden_config.rs
+++ b/tests/golden_config.rs
@@ -72,7 +72,7 @@
     assert_eq!(settings.index, None);
     assert_eq!((settings.zone.as_str(), settings.routers), ("here", 1));
     assert!(
-        !settings.endpoints_on_request
+        !settings.endpoints_require_subscription
             && settings.cancellation_allowed
             && settings.advises_retry_after
     );
@@ -246,7 +246,7 @@
     );
     assert_eq!(settings.load_reporting, LoadReporting::Responses);
     assert!(
-        settings.endpoints_on_request
+        settings.endpoints_require_subscription
             && settings.health_checks_allowed
             && settings.cancellation_allowed
     );
--- a/tests/held.rs
+++ b/tests/held.rs
@@ -11,7 +11,7 @@
 use whinhaven::dispatch::{
     Attempt, Clock, Dispatcher, DispatcherEvent, DispatcherHandle, Outbound, ReleaseProgress,
 };
-use whinhaven::exchange::{Answer, Call, Frame, feed};
+use whinhaven::exchange::{Answer, Frame, UpstreamRequest, stream_channel};
 use whinhaven::routing::types::*;
 use whinhaven::shutdown::{Shutdown, StopRequest};
 
@@ -69,8 +69,8 @@
 
     async fn attempt(&self, attempt: &mut Attempt) -> AttemptOutcome {
         let clock = self.dispatcher.clock;
-        if let Some(releasing) = &attempt.after {
-            let _ = timeout(Duration::from_millis(250), releasing.over()).await;
+        if let Some(releasing) = &attempt.wait_for_release {
+            let _ = timeout(Duration::from_millis(250), releasing.ended()).await;
         }
         let by = attempt
             .permit
@@ -84,18 +84,18 @@
         if self.draw(20) == 0 {
             return AttemptOutcome::NotSent;
         }
-        let id = attempt.call.id.clone();
+        let id = attempt.upstream_request.id.clone();
         if self.draw(10) < self.lost {
             // It has been written and never arrives: to the hosts it is not out.
             tokio::select! {
                 biased;
                 _ = &mut attempt.cancelled => return AttemptOutcome::Cancelled,
-                () = sleep_until(clock.instant(attempt.until)) => return AttemptOutcome::TimedOut,
+                () = sleep_until(clock.instant(attempt.first_event_deadline)) => return AttemptOutcome::TimedOut,
             }
         }
         self.look(&id, |held| held.out += 1);
         let reads = attempt.worker.0.starts_with('r');
-        let until = sleep_until(clock.instant(attempt.until));
+        let until = sleep_until(clock.instant(attempt.first_event_deadline));
         let work = sleep(Duration::from_millis(20 + self.draw(200)));
         let outcome = match self.draw(8) {
             0 => AttemptOutcome::TimedOut,
@@ -113,12 +113,12 @@
             () = work, if outcome != AttemptOutcome::TimedOut => outcome,
         };
         if outcome == AttemptOutcome::Served {
-            let (source, feed) = feed(None);
+            let (source, feed) = stream_channel(None);
             self.look(&id, |held| held.some = false);
-            self.dispatcher.tell(DispatcherEvent::StreamStarted {
+            self.dispatcher.send(DispatcherEvent::StreamStarted {
                 request: attempt.request,
                 attempt: attempt.attempt,
-                feed,
+                stream: feed,
             });
             let _ = source.frames.send(Frame::End).await;
         }
@@ -141,24 +141,24 @@
         tokio::task::spawn_local(async move {
             let outcome = world.attempt(&mut attempt).await;
             let (request, attempt) = (attempt.request, attempt.attempt);
-            world.dispatcher.tell(DispatcherEvent::AttemptCompleted {
+            world.dispatcher.send(DispatcherEvent::AttemptCompleted {
                 request,
                 attempt,
                 outcome,
                 cached_tokens: 0,
-                load: None,
+                load_report: None,
             });
         });
     }
 
-    fn release(&self, call: Rc<Call>, _: ReleasePermit, releasing: Rc<ReleaseProgress>) {
+    fn release(&self, call: Rc<UpstreamRequest>, _: ReleasePermit, releasing: Rc<ReleaseProgress>) {
         let world = self.0.clone();
         tokio::task::spawn_local(async move {
             // The hosts asked first may be silent.
             let taken = sleep(Duration::from_millis(5 + world.draw(180)));
             tokio::select! {
                 biased;
-                () = releasing.over() => return,
+                () = releasing.ended() => return,
                 () = taken => {}
             }
             // What an attempt that is out waits for, or will leave, is not let go.
@@ -258,7 +258,7 @@
                 weight: 1.0,
                 started: None,
             });
-            dispatcher.tell(DispatcherEvent::EndpointsUpdated {
+            dispatcher.send(DispatcherEvent::EndpointsUpdated {
                 update: EndpointUpdate::Full,
                 endpoints: entries.collect(),
             });
@@ -282,13 +282,13 @@
                 let (id, target, body) = (format!("{seed}-{i}"), String::new(), Bytes::new());
                 let server = dispatcher.submit(
                     ask,
-                    Call {
+                    UpstreamRequest {
                         id,
                         target,
                         headers: hyper::HeaderMap::new(),
                         body,
-                        keeps: None,
-                        name: None,
+                        lifetime_guards: None,
+                        claim_key: None,
                     },
                     shutdown.permit_admission().unwrap(),
                 );
--- a/tests/list_calls.rs
+++ b/tests/list_calls.rs
@@ -23,7 +23,7 @@
     fn new(routers: u32, seed: u64) -> Self {
         let settings = RoutingConfig {
             routers,
-            endpoints_on_request: true,
+            endpoints_require_subscription: true,
             kv_state_hold_limit: 500 * MS,
             batch_interval: 2 * MS,
             connect_timeout: 250 * MS,
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -1286,7 +1286,7 @@
     let mut calls: Vec<Vec<Micros>> = vec![Vec::new(); 2];
     for seed in 0..50 {
         let many = RoutingConfig {
-            endpoints_on_request: true,
+            endpoints_require_subscription: true,
             routers: 50,
             ..settings()
         };
--- a/tests/releases.rs
+++ b/tests/releases.rs
@@ -13,7 +13,7 @@
 use tokio::sync::oneshot;
 use whinhaven::counters::Counters as Counts;
 use whinhaven::dispatch::{Attempt, Clock, DispatcherEvent, DispatcherHandle, Outbound};
-use whinhaven::exchange::Call;
+use whinhaven::exchange::UpstreamRequest;
 use whinhaven::net::client::Hosts;
 use whinhaven::net::discovery::{Directory, Listing};
 use whinhaven::net::pool::Pool;
@@ -189,20 +189,20 @@
             request: RequestId(1),
             attempt: AttemptIndex(0),
             worker,
-            call: Rc::new(Call {
+            upstream_request: Rc::new(UpstreamRequest {
                 id,
                 target,
                 headers: hyper::HeaderMap::new(),
                 body,
-                keeps: None,
-                name: None,
+                lifetime_guards: None,
+                claim_key: None,
             }),
             max_attempts: 6,
-            until: dispatcher.clock.now() + 60_000_000,
+            first_event_deadline: dispatcher.clock.now() + 60_000_000,
             permit: permit_to_send_to(entry),
-            after: None,
+            wait_for_release: None,
             cancelled,
-            gone: Rc::new(Cell::new(left)),
+            client_disconnected: Rc::new(Cell::new(left)),
         });
         match queue.recv().await {
             Some(DispatcherEvent::AttemptCompleted { outcome, .. }) => outcome,
