--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -1,4 +1,4 @@
-//! The module's behaviour, one failure at a time, without any bench.
+//! Tests of the routing policy alone: each test feeds events to a [`Policy`] and checks the resulting actions.
 
 use rstest::rstest;
 use std::sync::Arc;
@@ -8,10 +8,10 @@
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
 
-fn class(name: &str, effect: Idempotency) -> RequestClass {
+fn class(name: &str, idempotency: Idempotency) -> RequestClass {
     RequestClass {
         name: name.into(),
-        idempotency: effect,
+        idempotency,
         deduplication_window: 5 * SECOND,
         ttft_objective: SECOND,
         inter_token_objective: 60 * MS,
@@ -21,7 +21,7 @@
     }
 }
 
-fn settings() -> RoutingConfig {
+fn base_config() -> RoutingConfig {
     let kind = |name: &str, role| WorkerKind {
         name: name.into(),
         role,
@@ -57,95 +57,102 @@
     }
 }
 
-/// A module under test, with its clock and all that it has done.
+/// A policy under test with its clock, all actions so far and the timers that are set.
 struct Rig {
     policy: Policy,
     now: Micros,
-    log: Vec<Action>,
+    actions: Vec<Action>,
     timers: Vec<Micros>,
 }
 
-/// What a new process waits before it sends to workers in slow start: a window, and what a send may take to be written.
+/// Time that a new process waits before it sends to workers in slow start: one overload window and one connect timeout.
 const SLOW_START_PAUSE: Micros = SECOND + 250 * MS;
-/// When each test begins.
-const BEGIN: Micros = 100 * SECOND;
-
-/// A module of a process that is alone.
-fn module(settings: RoutingConfig, seed: u64) -> Policy {
-    let mut policy = Policy::new(settings, seed);
-    policy.handle(BEGIN, Event::SlowStart { allowed: true }, &mut Vec::new());
+/// Time at which each test starts.
+const START_TIME: Micros = 100 * SECOND;
+
+/// Creates the policy of a router that has no other process, so that it may send to workers in slow start.
+fn new_policy(config: RoutingConfig, seed: u64) -> Policy {
+    let mut policy = Policy::new(config, seed);
+    policy.handle(
+        START_TIME,
+        Event::SlowStart { allowed: true },
+        &mut Vec::new(),
+    );
     policy
 }
 
 impl Rig {
-    fn new(settings: RoutingConfig) -> Self {
-        let policy = module(settings, 7);
+    fn new(config: RoutingConfig) -> Self {
+        let policy = new_policy(config, 7);
         Rig {
             policy,
-            now: BEGIN,
-            log: Vec::new(),
+            now: START_TIME,
+            actions: Vec::new(),
             timers: Vec::new(),
         }
     }
 
-    /// Two readers and three writers in two cells of one zone.
-    fn fleet(settings: RoutingConfig) -> Self {
-        let mut rig = Rig::new(settings);
+    /// A rig with two prefill workers and three decode workers in two cells of one zone.
+    fn fleet(config: RoutingConfig) -> Self {
+        let mut rig = Rig::new(config);
         let list = [("r1", 0), ("r2", 1), ("w1", 0), ("w2", 1), ("w3", 1)];
-        rig.list(
+        rig.update_endpoints(
             EndpointUpdate::Restored,
             list.iter()
-                .map(|(w, cell)| entry(w, *cell, Status::Ready, None))
+                .map(|(name, cell)| endpoint(name, *cell, Status::Ready, None))
                 .collect(),
         );
         rig
     }
 
+    /// Passes an event to the policy and returns the resulting actions.
     fn event(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.policy.handle(self.now, event, &mut out);
-        self.timers.extend(out.iter().filter_map(|a| match a {
-            Action::Timer { at, .. } => Some(*at),
-            _ => None,
-        }));
-        self.log.extend(out.iter().cloned());
+        self.timers
+            .extend(out.iter().filter_map(|action| match action {
+                Action::Timer { at, .. } => Some(*at),
+                _ => None,
+            }));
+        self.actions.extend(out.iter().cloned());
         out
     }
 
-    fn list(&mut self, kind: EndpointUpdate, entries: Vec<Endpoint>) -> Vec<Action> {
-        self.event(Event::EndpointsUpdated {
-            update: kind,
-            endpoints: entries,
-        })
+    fn update_endpoints(
+        &mut self,
+        update: EndpointUpdate,
+        endpoints: Vec<Endpoint>,
+    ) -> Vec<Action> {
+        self.event(Event::EndpointsUpdated { update, endpoints })
     }
 
-    fn ask(&mut self, id: u64, class: &str) -> Vec<Action> {
-        self.ask_with(RequestSpec {
+    fn request(&mut self, id: u64, class: &str) -> Vec<Action> {
+        self.request_with(RequestSpec {
             request: RequestId(id),
-            ..ask(self.now, class)
+            ..request_spec(self.now, class)
         })
     }
 
-    fn ask_with(&mut self, ask: RequestSpec) -> Vec<Action> {
-        self.event(Event::RequestArrived(ask))
+    fn request_with(&mut self, spec: RequestSpec) -> Vec<Action> {
+        self.event(Event::RequestArrived(spec))
     }
 
-    fn end(&mut self, id: u64, attempt: u32, outcome: AttemptOutcome) -> Vec<Action> {
-        let settled = outcome == AttemptOutcome::Served;
+    fn complete(&mut self, id: u64, attempt: u32, outcome: AttemptOutcome) -> Vec<Action> {
+        let request_finished = outcome == AttemptOutcome::Served;
         self.event(Event::AttemptCompleted(AttemptCompleted {
             request: RequestId(id),
             attempt: AttemptIndex(attempt),
             outcome,
             elapsed: 50 * MS,
-            request_finished: settled,
+            request_finished,
             cached_tokens: 0,
             report: None,
         }))
     }
 
-    /// Lets time pass, handing timers back when they are due.
-    fn pass(&mut self, time: Micros) -> Vec<Action> {
-        let (until, mut out) = (self.now + time, Vec::new());
+    /// Advances the clock by `duration` and fires the timers that become due.
+    fn advance(&mut self, duration: Micros) -> Vec<Action> {
+        let (until, mut out) = (self.now + duration, Vec::new());
         loop {
             self.timers.sort_unstable();
             if self.timers.first().is_none_or(|at| *at > until) {
@@ -159,7 +166,7 @@
     }
 }
 
-fn ask(now: Micros, class: &str) -> RequestSpec {
+fn request_spec(now: Micros, class: &str) -> RequestSpec {
     RequestSpec {
         request: RequestId(0),
         deadline: now + 4 * SECOND,
@@ -174,7 +181,8 @@
     }
 }
 
-fn entry(name: &str, cell: u64, status: Status, started: Option<Micros>) -> Endpoint {
+/// An endpoint whose kind is given by the first letter of its name: r for prefill, w for decode, m for mixed workers.
+fn endpoint(name: &str, cell: u64, status: Status, started: Option<Micros>) -> Endpoint {
     let worker = WorkerId(Arc::from(name));
     let kind = name[..1].to_owned();
     Endpoint {
@@ -188,163 +196,180 @@
     }
 }
 
-/// Whether an action fails this request.
+/// Whether an action fails the request with this id.
 fn is_failure_of(id: u64) -> impl Fn(&Action) -> bool {
     move |action| matches!(action, Action::Fail { request, .. } if request.0 == id)
 }
 
-fn sends(actions: &[Action]) -> Vec<&str> {
-    let to = |a: &'_ Action| {
-        if let Action::Send { worker, .. } = a {
+/// The workers to which requests are sent, in the order of the actions.
+fn sent_to(actions: &[Action]) -> Vec<&str> {
+    let worker_of_send = |action: &'_ Action| {
+        if let Action::Send { worker, .. } = action {
             Some(worker.0.clone())
         } else {
             None
         }
     };
-    let names: Vec<Arc<str>> = actions.iter().filter_map(to).collect();
+    let names: Vec<Arc<str>> = actions.iter().filter_map(worker_of_send).collect();
     names
         .iter()
-        .map(|n| {
+        .map(|name| {
             [
                 "r1", "r2", "w1", "w2", "w3", "w4", "w5", "w6", "m1", "r3", "r4", "r5", "r6",
             ]
             .into_iter()
-            .find(|k| **n == **k)
+            .find(|known| **name == **known)
             .unwrap()
         })
         .collect()
 }
 
-fn finals(actions: &[Action]) -> usize {
+/// The number of rejections and failures.
+fn final_answer_count(actions: &[Action]) -> usize {
     actions
         .iter()
-        .filter(|a| matches!(a, Action::Reject { .. } | Action::Fail { .. }))
+        .filter(|action| matches!(action, Action::Reject { .. } | Action::Fail { .. }))
         .count()
 }
 
-fn releases(actions: &[Action]) -> usize {
+fn release_count(actions: &[Action]) -> usize {
     actions
         .iter()
-        .filter(|a| matches!(a, Action::Release { .. }))
+        .filter(|action| matches!(action, Action::Release { .. }))
         .count()
 }
 
 #[test]
 fn request_is_prefilled_and_then_decoded_near_its_kv_state() {
-    let mut rig = Rig::fleet(settings());
-    let read = rig.ask(1, "safe");
-    let reader = sends(&read)[0].to_owned();
-    let write = rig.end(1, 0, AttemptOutcome::Prefilled);
-    let writer = sends(&write)[0];
-    assert_eq!(writer == "w1", reader == "r1", "{reader} then {writer}");
-    assert_eq!(finals(&rig.end(1, 1, AttemptOutcome::Served)), 0);
+    let mut rig = Rig::fleet(base_config());
+    let prefill = rig.request(1, "safe");
+    let prefill_worker = sent_to(&prefill)[0].to_owned();
+    let decode = rig.complete(1, 0, AttemptOutcome::Prefilled);
+    let decode_worker = sent_to(&decode)[0];
+    assert_eq!(
+        decode_worker == "w1",
+        prefill_worker == "r1",
+        "{prefill_worker} then {decode_worker}"
+    );
+    assert_eq!(
+        final_answer_count(&rig.complete(1, 1, AttemptOutcome::Served)),
+        0
+    );
 }
 
 #[test]
 fn prefix_has_the_same_owner_at_every_router_and_keeps_it() {
-    let mut homes = Vec::new();
+    let mut owners = Vec::new();
     for index in 0..2 {
         let mut rig = Rig::fleet(RoutingConfig {
             index: Some(index),
-            ..settings()
+            ..base_config()
         });
-        let with = |now| RequestSpec {
+        let spec = |now| RequestSpec {
             prefix: Some(Arc::from("p")),
             prefix_tokens: 1_900,
-            ..ask(now, "safe")
+            ..request_spec(now, "safe")
         };
-        let first = rig.ask_with(with(rig.now));
-        rig.end(0, 0, AttemptOutcome::Prefilled);
-        rig.end(0, 1, AttemptOutcome::Served);
-        let again = rig.ask_with(RequestSpec {
+        let first = rig.request_with(spec(rig.now));
+        rig.complete(0, 0, AttemptOutcome::Prefilled);
+        rig.complete(0, 1, AttemptOutcome::Served);
+        let again = rig.request_with(RequestSpec {
             request: RequestId(2),
-            ..with(rig.now)
+            ..spec(rig.now)
         });
-        assert_eq!(sends(&first), sends(&again));
-        homes.push(sends(&first)[0].to_owned());
+        assert_eq!(sent_to(&first), sent_to(&again));
+        owners.push(sent_to(&first)[0].to_owned());
     }
-    assert_eq!(homes[0], homes[1]);
+    assert_eq!(owners[0], owners[1]);
 }
 
 #[test]
 fn session_is_prefilled_where_it_was_prefilled_before() {
-    let mut rig = Rig::fleet(settings());
-    let mut readers = Vec::new();
+    let mut rig = Rig::fleet(base_config());
+    let mut prefill_workers = Vec::new();
     for id in 1..6 {
         let session = Some(Arc::from("s"));
-        let read = rig.ask_with(RequestSpec {
+        let prefill = rig.request_with(RequestSpec {
             request: RequestId(id),
             session,
-            ..ask(rig.now, "safe")
+            ..request_spec(rig.now, "safe")
         });
-        readers.push(sends(&read)[0].to_owned());
-        // Another request keeps the other reader's load in play.
-        rig.ask(100 + id, "safe");
-        rig.end(id, 0, AttemptOutcome::Prefilled);
-        rig.end(id, 1, AttemptOutcome::Served);
-        rig.end(100 + id, 0, AttemptOutcome::Prefilled);
-        rig.end(100 + id, 1, AttemptOutcome::Served);
+        prefill_workers.push(sent_to(&prefill)[0].to_owned());
+        // Another request adds load to the prefill workers.
+        rig.request(100 + id, "safe");
+        rig.complete(id, 0, AttemptOutcome::Prefilled);
+        rig.complete(id, 1, AttemptOutcome::Served);
+        rig.complete(100 + id, 0, AttemptOutcome::Prefilled);
+        rig.complete(100 + id, 1, AttemptOutcome::Served);
     }
-    assert!(readers.iter().all(|r| *r == readers[0]), "{readers:?}");
+    assert!(
+        prefill_workers
+            .iter()
+            .all(|worker| *worker == prefill_workers[0]),
+        "{prefill_workers:?}"
+    );
 }
 
 #[test]
 fn failed_prefill_adds_no_cache_entry() {
-    let mut rig = Rig::fleet(settings());
+    let mut rig = Rig::fleet(base_config());
     let session = || Some(Arc::from("s"));
-    let first = rig.ask_with(RequestSpec {
+    let first = rig.request_with(RequestSpec {
         request: RequestId(1),
         session: session(),
-        ..ask(rig.now, "safe")
+        ..request_spec(rig.now, "safe")
     });
-    let failed = sends(&first)[0].to_owned();
-    let second = rig.end(1, 0, AttemptOutcome::Error);
+    let failed_worker = sent_to(&first)[0].to_owned();
+    let second = rig.complete(1, 0, AttemptOutcome::Error);
     assert_eq!(
-        sends(&second).len(),
+        sent_to(&second).len(),
         1,
-        "a reading attempt may always be followed by another"
+        "a failed prefill may always be retried"
     );
-    rig.end(1, 1, AttemptOutcome::Error);
-    rig.end(1, 2, AttemptOutcome::Error);
-    // Both readers failed; neither holds the session, so nothing binds the next prompt to the first one.
-    rig.pass(10 * SECOND);
-    let next = rig.ask_with(RequestSpec {
+    rig.complete(1, 1, AttemptOutcome::Error);
+    rig.complete(1, 2, AttemptOutcome::Error);
+    // Both prefill workers failed and neither has cached the session, so the next prompt may go to either.
+    rig.advance(10 * SECOND);
+    let next = rig.request_with(RequestSpec {
         request: RequestId(2),
         session: session(),
-        ..ask(rig.now, "safe")
+        ..request_spec(rig.now, "safe")
     });
-    assert_eq!(sends(&next).len(), 1, "{failed}");
+    assert_eq!(sent_to(&next).len(), 1, "{failed_worker}");
 }
 
 #[test]
 fn request_without_workers_gets_one_answer_in_time() {
-    let mut rig = Rig::new(settings());
-    rig.list(EndpointUpdate::Restored, Vec::new());
-    let asked = rig.ask(1, "safe");
-    let rest = rig.pass(4 * SECOND);
-    assert_eq!(finals(&asked) + finals(&rest), 1);
-    assert!(sends(&rig.log).is_empty());
+    let mut rig = Rig::new(base_config());
+    rig.update_endpoints(EndpointUpdate::Restored, Vec::new());
+    let on_arrival = rig.request(1, "safe");
+    let afterwards = rig.advance(4 * SECOND);
+    assert_eq!(
+        final_answer_count(&on_arrival) + final_answer_count(&afterwards),
+        1
+    );
+    assert!(sent_to(&rig.actions).is_empty());
 }
 
 #[test]
 fn failing_workers_lead_to_one_answer_within_max_attempts() {
-    let mut rig = Rig::fleet(settings());
-    rig.ask(1, "safe");
+    let mut rig = Rig::fleet(base_config());
+    rig.request(1, "safe");
     for attempt in 0..5 {
-        rig.end(1, attempt, AttemptOutcome::Error);
-        rig.pass(100 * MS);
+        rig.complete(1, attempt, AttemptOutcome::Error);
+        rig.advance(100 * MS);
     }
-    rig.pass(5 * SECOND);
-    assert!(sends(&rig.log).len() <= 5);
-    assert_eq!(finals(&rig.log), 1);
+    rig.advance(5 * SECOND);
+    assert!(sent_to(&rig.actions).len() <= 5);
+    assert_eq!(final_answer_count(&rig.actions), 1);
 }
 
 #[test]
 fn unanswered_attempt_ends_the_request_at_its_deadline() {
-    let mut rig = Rig::fleet(settings());
-    rig.ask(1, "safe");
-    rig.pass(5 * SECOND);
-    assert_eq!(finals(&rig.log), 1);
+    let mut rig = Rig::fleet(base_config());
+    rig.request(1, "safe");
+    rig.advance(5 * SECOND);
+    assert_eq!(final_answer_count(&rig.actions), 1);
 }
 
 #[test]
@@ -355,333 +380,366 @@
         AttemptOutcome::ConnectionLost,
         AttemptOutcome::Cancelled,
     ] {
-        let mut rig = Rig::fleet(settings());
-        rig.ask(1, "once");
-        rig.end(1, 0, AttemptOutcome::Prefilled);
-        let after = rig.end(1, 1, outcome);
-        assert!(sends(&after).is_empty());
+        let mut rig = Rig::fleet(base_config());
+        rig.request(1, "once");
+        rig.complete(1, 0, AttemptOutcome::Prefilled);
+        let after = rig.complete(1, 1, outcome);
+        assert!(sent_to(&after).is_empty());
         assert!(after.iter().any(is_failure_of(1)), "{outcome:?}: {after:?}");
-        assert_eq!(releases(&after), 1, "its state is let go at once");
-        assert_eq!(finals(&rig.pass(5 * SECOND)), 0);
+        assert_eq!(
+            release_count(&after),
+            1,
+            "its KV state is released immediately"
+        );
+        assert_eq!(final_answer_count(&rig.advance(5 * SECOND)), 0);
     }
 }
 
 #[test]
 fn non_idempotent_request_that_did_not_run_goes_to_another_decode_worker() {
-    let mut rig = Rig::fleet(settings());
-    rig.ask(1, "once");
-    let first = rig.end(1, 0, AttemptOutcome::Prefilled);
-    let second = rig.end(1, 1, AttemptOutcome::Rejected);
-    assert_eq!(sends(&second).len(), 1);
-    assert_ne!(sends(&first), sends(&second));
+    let mut rig = Rig::fleet(base_config());
+    rig.request(1, "once");
+    let first = rig.complete(1, 0, AttemptOutcome::Prefilled);
+    let second = rig.complete(1, 1, AttemptOutcome::Rejected);
+    assert_eq!(sent_to(&second).len(), 1);
+    assert_ne!(sent_to(&first), sent_to(&second));
 }
 
 #[test]
 fn decodes_avoid_near_workers_while_they_hang() {
-    // Found in an incident: two cells' writers jammed for seconds beside a third cell's that idled, since nothing
-    // reported the jam and states were kept near.
-    let mut rig = Rig::new(settings());
+    // Guards against an overload of one cell's decode workers while those of other cells idle: the overload is not
+    // reported, and KV state is preferably decoded within its cell.
+    let mut rig = Rig::new(base_config());
     let cell = |worker: &str| u64::from(["r2", "w4", "w5", "w6"].contains(&worker));
     let names = ["r1", "r2", "w1", "w2", "w3", "w4", "w5", "w6"];
-    rig.list(
+    rig.update_endpoints(
         EndpointUpdate::Restored,
         names
             .iter()
-            .map(|w| entry(w, cell(w), Status::Ready, None))
+            .map(|name| endpoint(name, cell(name), Status::Ready, None))
             .collect(),
     );
     let mut id = 0;
-    // Requests read in the first cell, and how many of them stay there to be written.
-    let mut near = |rig: &mut Rig, hang: bool| {
-        let mut stayed = 0;
+    // Returns how many requests are both prefilled and decoded in the first cell.
+    let mut count_local_decodes = |rig: &mut Rig, hangs: bool| {
+        let mut local_decodes = 0;
         for _ in 0..40 {
             id += 1;
-            let read_at = sends(&rig.ask(id, "safe"))[0].to_owned();
-            let wrote_at = sends(&rig.end(id, 0, AttemptOutcome::Prefilled))[0].to_owned();
-            let is_near = cell(&read_at) == 0 && cell(&wrote_at) == 0;
-            stayed += u32::from(is_near);
-            // One after the other hangs, each of them seldom enough not to be set aside itself.
-            if hang && is_near && stayed % 2 == 0 {
-                rig.end(id, 1, AttemptOutcome::TimedOut);
-                rig.end(id, 2, AttemptOutcome::Served);
+            let prefilled_by = sent_to(&rig.request(id, "safe"))[0].to_owned();
+            let decoded_by = sent_to(&rig.complete(id, 0, AttemptOutcome::Prefilled))[0].to_owned();
+            let is_local = cell(&prefilled_by) == 0 && cell(&decoded_by) == 0;
+            local_decodes += u32::from(is_local);
+            // Every second local decode times out, so that no single worker fails often enough to be ejected.
+            if hangs && is_local && local_decodes % 2 == 0 {
+                rig.complete(id, 1, AttemptOutcome::TimedOut);
+                rig.complete(id, 2, AttemptOutcome::Served);
             } else {
-                rig.end(id, 1, AttemptOutcome::Served);
+                rig.complete(id, 1, AttemptOutcome::Served);
             }
         }
-        stayed
+        local_decodes
     };
-    let before = near(&mut rig, false);
-    near(&mut rig, true);
-    let after = near(&mut rig, false);
+    let before = count_local_decodes(&mut rig, false);
+    count_local_decodes(&mut rig, true);
+    let after = count_local_decodes(&mut rig, false);
     assert!(
         (1..=before / 2).contains(&after),
-        "{before} near before, {after} after"
+        "{before} local decodes before, {after} after"
     );
 }
 
 #[test]
 fn keyed_request_is_retried_only_in_its_deduplication_scope_and_window() {
-    let mut rig = Rig::fleet(settings());
-    rig.ask(1, "cell");
-    let first = sends(&rig.end(1, 0, AttemptOutcome::Prefilled))[0].to_owned();
-    let after = rig.end(1, 1, AttemptOutcome::Error);
+    let mut rig = Rig::fleet(base_config());
+    rig.request(1, "cell");
+    let first = sent_to(&rig.complete(1, 0, AttemptOutcome::Prefilled))[0].to_owned();
+    let after = rig.complete(1, 1, AttemptOutcome::Error);
     match first.as_str() {
-        "w1" => assert!(sends(&after).iter().all(|w| *w == "w1")),
-        _ => assert!(sends(&after).iter().all(|w| *w == "w2" || *w == "w3")),
+        "w1" => assert!(sent_to(&after).iter().all(|worker| *worker == "w1")),
+        _ => assert!(
+            sent_to(&after)
+                .iter()
+                .all(|worker| *worker == "w2" || *worker == "w3")
+        ),
     }
-    let mut rig = Rig::fleet(settings());
-    rig.ask_with(RequestSpec {
+    let mut rig = Rig::fleet(base_config());
+    rig.request_with(RequestSpec {
         request: RequestId(1),
         deadline: rig.now + 60 * SECOND,
-        ..ask(rig.now, "cell")
+        ..request_spec(rig.now, "cell")
     });
-    rig.end(1, 0, AttemptOutcome::Prefilled);
+    rig.complete(1, 0, AttemptOutcome::Prefilled);
     rig.now += 6 * SECOND;
-    let late = rig.end(1, 1, AttemptOutcome::TimedOut);
+    let late = rig.complete(1, 1, AttemptOutcome::TimedOut);
     assert!(
-        sends(&late).is_empty(),
-        "the workers have forgotten it: {late:?}"
+        sent_to(&late).is_empty(),
+        "the deduplication window has passed: {late:?}"
     );
     assert!(late.iter().any(is_failure_of(1)));
 }
 
-/// Guards against a repeat that is decided inside its window and written behind it.
+/// Guards against a retry that is decided within the deduplication window and written after it.
 #[test]
 fn retry_permit_carries_its_write_deadline() {
-    let limit = |actions: &[Action]| {
-        actions.iter().find_map(|a| {
-            if let Action::Send { permit, .. } = a {
+    let send_by = |actions: &[Action]| {
+        actions.iter().find_map(|action| {
+            if let Action::Send { permit, .. } = action {
                 Some(permit.send_by())
             } else {
                 None
             }
         })
     };
-    let mut rig = Rig::fleet(settings());
-    let window = settings()
+    let mut rig = Rig::fleet(base_config());
+    let window = base_config()
         .classes
         .iter()
-        .find(|c| c.name == "cell")
+        .find(|class| class.name == "cell")
         .unwrap()
         .deduplication_window;
-    assert_eq!(limit(&rig.ask(1, "cell")), Some(None));
+    assert_eq!(send_by(&rig.request(1, "cell")), Some(None));
     assert_eq!(
-        limit(&rig.end(1, 0, AttemptOutcome::Prefilled)),
+        send_by(&rig.complete(1, 0, AttemptOutcome::Prefilled)),
         Some(None),
-        "it can't have run yet"
+        "a prefill alone has no effect"
     );
-    let first = rig.now;
+    let first_sent_at = rig.now;
     rig.now += 100 * MS;
     assert_eq!(
-        limit(&rig.end(1, 1, AttemptOutcome::Error)),
-        Some(Some(first + window))
+        send_by(&rig.complete(1, 1, AttemptOutcome::Error)),
+        Some(Some(first_sent_at + window))
     );
 }
 
 #[test]
 fn draining_and_gone_workers_get_no_sends() {
-    let mut rig = Rig::fleet(settings());
-    rig.list(
+    let mut rig = Rig::fleet(base_config());
+    rig.update_endpoints(
         EndpointUpdate::Incremental,
         vec![
-            entry("r1", 0, Status::Draining, None),
-            entry("w1", 0, Status::Gone, None),
+            endpoint("r1", 0, Status::Draining, None),
+            endpoint("w1", 0, Status::Gone, None),
         ],
     );
     for id in 1..20 {
-        rig.ask(id, "safe");
-        rig.end(id, 0, AttemptOutcome::Prefilled);
-        rig.end(id, 1, AttemptOutcome::Served);
+        rig.request(id, "safe");
+        rig.complete(id, 0, AttemptOutcome::Prefilled);
+        rig.complete(id, 1, AttemptOutcome::Served);
     }
-    assert!(!sends(&rig.log).iter().any(|w| *w == "r1" || *w == "w1"));
+    assert!(
+        !sent_to(&rig.actions)
+            .iter()
+            .any(|worker| *worker == "r1" || *worker == "w1")
+    );
 }
 
 #[test]
 fn worker_missing_from_full_update_is_gone() {
-    let mut rig = Rig::fleet(settings());
-    rig.list(
+    let mut rig = Rig::fleet(base_config());
+    rig.update_endpoints(
         EndpointUpdate::Full,
         vec![
-            entry("r2", 1, Status::Ready, None),
-            entry("w2", 1, Status::Ready, None),
+            endpoint("r2", 1, Status::Ready, None),
+            endpoint("w2", 1, Status::Ready, None),
         ],
     );
     for id in 1..10 {
-        rig.ask(id, "safe");
-        rig.end(id, 0, AttemptOutcome::Prefilled);
-        rig.end(id, 1, AttemptOutcome::Served);
+        rig.request(id, "safe");
+        rig.complete(id, 0, AttemptOutcome::Prefilled);
+        rig.complete(id, 1, AttemptOutcome::Served);
     }
-    assert!(sends(&rig.log).iter().all(|w| *w == "r2" || *w == "w2"));
+    assert!(
+        sent_to(&rig.actions)
+            .iter()
+            .all(|worker| *worker == "r2" || *worker == "w2")
+    );
 }
 
 #[test]
 fn prefill_worker_in_slow_start_gets_few_sends_when_peers_reject_all() {
-    // Found in an incident: in a storm of retries the budget was measured by sends, not by what was done.
-    let mut rig = Rig::fleet(settings());
+    // Guards against a budget that is derived from the number of sends instead of completed requests, which retries
+    // inflate.
+    let mut rig = Rig::fleet(base_config());
     let started = rig.now;
-    rig.list(
+    rig.update_endpoints(
         EndpointUpdate::Incremental,
-        vec![entry("r1", 0, Status::Ready, Some(started))],
+        vec![endpoint("r1", 0, Status::Ready, Some(started))],
     );
     for id in 1..200 {
-        rig.ask(id, "safe");
-        rig.end(id, 0, AttemptOutcome::Rejected);
+        rig.request(id, "safe");
+        rig.complete(id, 0, AttemptOutcome::Rejected);
         rig.now += 5 * MS;
     }
-    let cold = sends(&rig.log).iter().filter(|w| **w == "r1").count();
+    let slow_start_sends = sent_to(&rig.actions)
+        .iter()
+        .filter(|worker| **worker == "r1")
+        .count();
     assert!(
-        cold <= 1,
-        "{cold} sends within a second to a worker that just started"
+        slow_start_sends <= 1,
+        "{slow_start_sends} sends within a second to a worker that just started"
     );
 }
 
 #[test]
 fn restarted_fleet_gets_its_quota_share() {
-    // Found in an incident: with no warm peer left to measure by, nearly nothing was sent to anyone.
+    // Guards against a budget near zero for all workers when no warm worker is left whose completion rate could be
+    // measured.
     let tenants = vec![Tenant {
         name: "t".into(),
         quota_per_s: 40.0,
     }];
     let mut rig = Rig::new(RoutingConfig {
         tenants,
-        ..settings()
+        ..base_config()
     });
     let list = |started| {
         ["r1", "r2", "w1", "w2"]
-            .map(|w| entry(w, 0, Status::Ready, started))
+            .map(|name| endpoint(name, 0, Status::Ready, started))
             .to_vec()
     };
-    rig.list(EndpointUpdate::Restored, list(None));
-    // A predecessor of this process may have sent until just before its start.
+    rig.update_endpoints(EndpointUpdate::Restored, list(None));
+    // The previous process of this router may have sent until just before the start of this one.
     rig.now += SLOW_START_PAUSE;
     let started = list(Some(rig.now));
-    rig.list(EndpointUpdate::Full, started);
+    rig.update_endpoints(EndpointUpdate::Full, started);
     for id in 1..100 {
-        rig.ask(id, "safe");
-        rig.end(id, 0, AttemptOutcome::Prefilled);
-        rig.end(id, 1, AttemptOutcome::Served);
+        rig.request(id, "safe");
+        rig.complete(id, 0, AttemptOutcome::Prefilled);
+        rig.complete(id, 1, AttemptOutcome::Served);
         rig.now += 10 * MS;
     }
-    // This router's part: 2.5 x 0.33 x 40 a second / 2 routers / 2 readers = 8.25 a reader and second.
-    let reads = sends(&rig.log)
+    // This router's share: 2.5 x 0.33 x 40/s / 2 routers / 2 prefill workers = 8.25 per prefill worker and second.
+    let prefills = sent_to(&rig.actions)
         .iter()
-        .filter(|w| w.starts_with('r'))
+        .filter(|worker| worker.starts_with('r'))
         .count();
     assert!(
-        (8..=16).contains(&reads),
-        "{reads} reads in the first second"
+        (8..=16).contains(&prefills),
+        "{prefills} prefills in the first second"
     );
 }
 
 #[test]
 fn unfetched_kv_state_is_released_within_the_hold_limit() {
-    let mut rig = Rig::fleet(settings());
-    rig.ask(1, "safe");
-    let gone = |w: &str, c| entry(w, c, Status::Draining, None);
-    rig.list(
+    let mut rig = Rig::fleet(base_config());
+    rig.request(1, "safe");
+    let draining = |name: &str, cell| endpoint(name, cell, Status::Draining, None);
+    rig.update_endpoints(
         EndpointUpdate::Incremental,
-        vec![gone("w1", 0), gone("w2", 1), gone("w3", 1)],
+        vec![draining("w1", 0), draining("w2", 1), draining("w3", 1)],
     );
-    rig.end(1, 0, AttemptOutcome::Prefilled);
-    let read_at = rig.now;
-    let within = rig.pass(490 * MS);
+    rig.complete(1, 0, AttemptOutcome::Prefilled);
+    let prefilled_at = rig.now;
+    let actions = rig.advance(490 * MS);
     assert_eq!(
-        releases(&within),
+        release_count(&actions),
         1,
-        "not released by {} us",
-        rig.now - read_at
+        "not released within {} us",
+        rig.now - prefilled_at
     );
 }
 
-/// Guards against a state held for as long as connections fail to come up, or sends that never arrive are waited for,
-/// each of which gave it its time anew, and against one forgotten since a writer that could not find it said so.
+/// Guards against KV state that is held beyond its limit because each failed connection and each unanswered send restarts
+/// the limit, and against KV state that is not released after a decode worker has answered that it can't find it.
 #[rstest]
-#[case::connections_that_fail_from_the_read_on(&[], 3)]
-#[case::and_from_a_writer_that_has_answered_on(&[(AttemptOutcome::Error, 300)], 3)]
-#[case::and_though_a_send_was_lost_with_its_connection(&[(AttemptOutcome::ConnectionLost, 100)], 3)]
-#[case::and_after_a_release_behind_a_send_without_an_answer(&[(AttemptOutcome::TimedOut, 570)], 3)]
-#[case::and_to_a_writer_that_finds_no_state(&[(AttemptOutcome::TimedOut, 570), (AttemptOutcome::ConnectFailed, 250)], 0)]
+#[case::connect_failures_after_the_prefill(&[], 3)]
+#[case::connect_failures_after_an_answer(&[(AttemptOutcome::Error, 300)], 3)]
+#[case::connect_failures_after_a_lost_connection(&[(AttemptOutcome::ConnectionLost, 100)], 3)]
+#[case::connect_failures_after_a_release_during_an_unanswered_send(&[(AttemptOutcome::TimedOut, 570)], 3)]
+#[case::decode_worker_that_finds_no_kv_state(&[(AttemptOutcome::TimedOut, 570), (AttemptOutcome::ConnectFailed, 250)], 0)]
 fn hold_limit_runs_on_while_connections_fail(
-    #[case] before: &[(AttemptOutcome, Micros)],
-    #[case] failures: u32,
+    #[case] earlier_sends: &[(AttemptOutcome, Micros)],
+    #[case] connect_failures: u32,
 ) {
     let mut rig = Rig::fleet(RoutingConfig {
         max_attempts: 9,
-        ..settings()
+        ..base_config()
     });
     let deadline = rig.now + 9 * SECOND;
-    rig.ask_with(RequestSpec {
+    rig.request_with(RequestSpec {
         request: RequestId(1),
         deadline,
-        ..ask(rig.now, "safe")
+        ..request_spec(rig.now, "safe")
     });
-    rig.end(1, 0, AttemptOutcome::Prefilled);
-    let mut quiet_since = rig.now;
-    let (mut attempt, mut done) = (0, Vec::new());
-    let mut end = |rig: &mut Rig, outcome, after| {
-        let mut done = rig.pass(after);
+    rig.complete(1, 0, AttemptOutcome::Prefilled);
+    let mut limit_runs_from = rig.now;
+    let (mut attempt, mut actions) = (0, Vec::new());
+    let mut complete_after = |rig: &mut Rig, outcome, delay| {
+        let mut actions = rig.advance(delay);
         attempt += 1;
-        done.extend(rig.end(1, attempt, outcome));
-        done
+        actions.extend(rig.complete(1, attempt, outcome));
+        actions
     };
-    for (outcome, after) in before {
-        // Behind a send that is out for longer than the limit one release goes out in time.
-        let expected = usize::from(after * MS > settings().kv_state_hold_limit);
+    for (outcome, delay) in earlier_sends {
+        // During a send that is in flight for longer than the limit, exactly one release is ordered.
+        let expected_releases = usize::from(delay * MS > base_config().kv_state_hold_limit);
         assert_eq!(
-            releases(&end(&mut rig, *outcome, after * MS)),
-            expected,
+            release_count(&complete_after(&mut rig, *outcome, delay * MS)),
+            expected_releases,
             "{outcome:?}"
         );
-        quiet_since = if outcome.proves_arrival() || expected > 0 {
+        limit_runs_from = if outcome.proves_arrival() || expected_releases > 0 {
             rig.now
         } else {
-            quiet_since
+            limit_runs_from
         };
     }
-    // As the core has it: no connect may take more than half of the time that is left.
-    for _ in 0..failures {
-        let left = (quiet_since + settings().kv_state_hold_limit).saturating_sub(rig.now);
-        done.extend(end(&mut rig, AttemptOutcome::ConnectFailed, left / 2));
+    // A connection may take at most half of the time that remains until the limit.
+    for _ in 0..connect_failures {
+        let remaining =
+            (limit_runs_from + base_config().kv_state_hold_limit).saturating_sub(rig.now);
+        actions.extend(complete_after(
+            &mut rig,
+            AttemptOutcome::ConnectFailed,
+            remaining / 2,
+        ));
     }
-    if failures == 0 {
-        done = end(&mut rig, AttemptOutcome::KvStateMissing, 2 * MS);
+    if connect_failures == 0 {
+        actions = complete_after(&mut rig, AttemptOutcome::KvStateMissing, 2 * MS);
     }
-    done.extend(rig.pass((quiet_since + settings().kv_state_hold_limit).saturating_sub(rig.now)));
-    let release = done
+    actions.extend(
+        rig.advance((limit_runs_from + base_config().kv_state_hold_limit).saturating_sub(rig.now)),
+    );
+    let release = actions
         .iter()
-        .position(|a| matches!(a, Action::Release { .. }))
+        .position(|action| matches!(action, Action::Release { .. }))
         .expect("no release in time");
     assert!(
-        sends(&done[release..]).iter().all(|w| w.starts_with('r')),
-        "read anew: {done:?}"
+        sent_to(&actions[release..])
+            .iter()
+            .all(|worker| worker.starts_with('r')),
+        "the prompt is prefilled again: {actions:?}"
     );
 }
 
-/// Guards against the time that a state may be held being spent on one writer after the other of a zone that is cut
-/// off: what has just been heard from comes next.
+/// Guards against a hold limit that is spent on one decode worker after another of a zone that is cut off: after a
+/// failure, zones that have just answered are preferred.
 #[test]
 fn after_connect_failure_decode_goes_to_a_zone_that_just_answered() {
-    let zone = |w: &str| {
-        if ["r1", "w1"].contains(&w) {
+    let zone = |worker: &str| {
+        if ["r1", "w1"].contains(&worker) {
             "near"
         } else {
             "far"
         }
     };
     for seed in 0..20 {
-        let mut rig = Rig::new(settings());
-        rig.policy = module(settings(), seed);
+        let mut rig = Rig::new(base_config());
+        rig.policy = new_policy(base_config(), seed);
         let list = ["r1", "w1", "w2", "w3", "w4", "w5", "w6"];
-        let entry = |w: &&str| Endpoint {
-            zone: zone(w).into(),
-            ..entry(w, 0, Status::Ready, None)
+        let endpoint = |worker: &&str| Endpoint {
+            zone: zone(worker).into(),
+            ..endpoint(worker, 0, Status::Ready, None)
         };
-        rig.list(EndpointUpdate::Restored, list.iter().map(entry).collect());
-        rig.ask(1, "safe");
-        if sends(&rig.end(1, 0, AttemptOutcome::Prefilled)) != ["w1"] {
-            rig.pass(200 * MS);
+        rig.update_endpoints(
+            EndpointUpdate::Restored,
+            list.iter().map(endpoint).collect(),
+        );
+        rig.request(1, "safe");
+        if sent_to(&rig.complete(1, 0, AttemptOutcome::Prefilled)) != ["w1"] {
+            rig.advance(200 * MS);
             assert_eq!(
-                sends(&rig.end(1, 1, AttemptOutcome::ConnectFailed)),
+                sent_to(&rig.complete(1, 1, AttemptOutcome::ConnectFailed)),
                 ["w1"],
                 "seed {seed}"
             );
@@ -691,73 +749,73 @@
 
 #[test]
 fn kv_state_of_disconnected_client_is_released() {
-    let mut rig = Rig::fleet(settings());
-    rig.ask(1, "safe");
+    let mut rig = Rig::fleet(base_config());
+    rig.request(1, "safe");
     rig.event(Event::ClientDisconnected {
         request: RequestId(1),
     });
-    let after = rig.end(1, 0, AttemptOutcome::Prefilled);
-    assert_eq!(releases(&after), 1);
-    assert!(sends(&after).is_empty());
+    let after = rig.complete(1, 0, AttemptOutcome::Prefilled);
+    assert_eq!(release_count(&after), 1);
+    assert!(sent_to(&after).is_empty());
 }
 
 #[test]
 fn fast_failing_prefill_worker_is_ejected() {
-    let mut rig = Rig::fleet(settings());
-    let mut bad = 0;
+    let mut rig = Rig::fleet(base_config());
+    let mut failures = 0;
     for id in 1..40 {
-        let to = sends(&rig.ask(id, "safe"))[0].to_owned();
-        if to == "r1" {
-            bad += 1;
-            rig.end(id, 0, AttemptOutcome::Error);
-            rig.end(id, 1, AttemptOutcome::Prefilled);
-            rig.end(id, 2, AttemptOutcome::Served);
+        let worker = sent_to(&rig.request(id, "safe"))[0].to_owned();
+        if worker == "r1" {
+            failures += 1;
+            rig.complete(id, 0, AttemptOutcome::Error);
+            rig.complete(id, 1, AttemptOutcome::Prefilled);
+            rig.complete(id, 2, AttemptOutcome::Served);
         } else {
-            rig.end(id, 0, AttemptOutcome::Prefilled);
-            rig.end(id, 1, AttemptOutcome::Served);
+            rig.complete(id, 0, AttemptOutcome::Prefilled);
+            rig.complete(id, 1, AttemptOutcome::Served);
         }
         rig.now += 10 * MS;
     }
     assert!(
-        bad <= 4,
-        "{bad} of 39 first sends went to the failing reader"
+        failures <= 4,
+        "{failures} of 39 first sends went to the failing prefill worker"
     );
 }
 
 #[test]
 fn ejection_never_empties_a_role() {
-    let mut rig = Rig::fleet(settings());
+    let mut rig = Rig::fleet(base_config());
     for id in 1..10 {
-        rig.ask(id, "safe");
-        rig.end(id, 0, AttemptOutcome::Error);
-        rig.end(id, 1, AttemptOutcome::Error);
+        rig.request(id, "safe");
+        rig.complete(id, 0, AttemptOutcome::Error);
+        rig.complete(id, 1, AttemptOutcome::Error);
         rig.now += 10 * MS;
     }
     assert_eq!(
-        sends(&rig.ask(50, "safe")).len(),
+        sent_to(&rig.request(50, "safe")).len(),
         1,
-        "someone is always asked"
+        "some worker is always tried"
     );
 }
 
 #[test]
 fn decode_workers_that_prefill_replace_unreachable_prefill_workers() {
-    // Found in an incident: every reader died while the list still had them, and all was sent to them.
+    // Guards against sending everything to prefill workers that have all died but are still listed as ready.
     let mut rig = Rig::fleet(RoutingConfig {
         decode_workers_prefill: true,
-        ..settings()
+        ..base_config()
     });
-    let mut to_writers = 0;
+    let mut decode_only = 0;
     for id in 1..30 {
-        let mut actions = rig.ask(id, "safe");
+        let mut actions = rig.request(id, "safe");
         for attempt in 0..5 {
-            match sends(&actions).first().copied() {
-                Some(w) if w.starts_with('r') => {
-                    actions = rig.end(id, attempt, AttemptOutcome::ConnectFailed);
+            match sent_to(&actions).first().copied() {
+                Some(worker) if worker.starts_with('r') => {
+                    actions = rig.complete(id, attempt, AttemptOutcome::ConnectFailed);
                 }
                 Some(_) => {
-                    to_writers += 1;
-                    rig.end(id, attempt, AttemptOutcome::Served);
+                    decode_only += 1;
+                    rig.complete(id, attempt, AttemptOutcome::Served);
                     break;
                 }
                 None => break,
@@ -766,17 +824,17 @@
         rig.now += 20 * MS;
     }
     assert!(
-        to_writers >= 20,
-        "only {to_writers} of 29 were answered by writers"
+        decode_only >= 20,
+        "only {decode_only} of 29 were answered by decode workers"
     );
 }
 
 #[test]
 fn prefills_beyond_their_share_of_the_objective_queue_and_are_rejected_in_time() {
-    let mut rig = Rig::fleet(settings());
-    // Teach a slow pace: 2,000 tokens take 600 ms.
+    let mut rig = Rig::fleet(base_config());
+    // Makes the policy learn a slow prefill rate: 2,000 tokens take 600 ms.
     for id in 1..20 {
-        rig.ask(id, "safe");
+        rig.request(id, "safe");
         rig.now += 600 * MS;
         rig.event(Event::AttemptCompleted(AttemptCompleted {
             request: RequestId(id),
@@ -787,37 +845,40 @@
             cached_tokens: 0,
             report: None,
         }));
-        rig.end(id, 1, AttemptOutcome::Served);
+        rig.complete(id, 1, AttemptOutcome::Served);
     }
-    let before = sends(&rig.log).len();
+    let before = sent_to(&rig.actions).len();
     for id in 100..120 {
-        rig.ask(id, "safe");
+        rig.request(id, "safe");
     }
-    let out = sends(&rig.log).len() - before;
-    assert!(out <= 4, "{out} reads out at two slow readers");
-    let asked = rig.now;
-    rig.pass(SECOND);
-    let refused = finals(&rig.log);
+    let in_flight = sent_to(&rig.actions).len() - before;
     assert!(
-        refused >= 14,
-        "only {refused} were told within {} us",
-        rig.now - asked
+        in_flight <= 4,
+        "{in_flight} prefills in flight at two slow prefill workers"
     );
-    let advice = |a: &Action| matches!(a, Action::Reject { retry_after: Some(t), .. } if *t > 0);
+    let arrived_at = rig.now;
+    rig.advance(SECOND);
+    let rejected = final_answer_count(&rig.actions);
     assert!(
-        rig.log
+        rejected >= 14,
+        "only {rejected} were rejected within {} us",
+        rig.now - arrived_at
+    );
+    let has_advice = |action: &Action| matches!(action, Action::Reject { retry_after: Some(delay), .. } if *delay > 0);
+    assert!(
+        rig.actions
             .iter()
-            .filter(|a| matches!(a, Action::Reject { .. }))
-            .all(advice)
+            .filter(|action| matches!(action, Action::Reject { .. }))
+            .all(has_advice)
     );
 }
 
 #[test]
 fn request_that_cannot_meet_its_deadline_is_rejected_at_once() {
-    // Found in an incident: clients left sooner than a read takes, and every read was wasted.
-    let mut rig = Rig::fleet(settings());
+    // Guards against prefills that are wasted on clients whose deadline is shorter than a prefill.
+    let mut rig = Rig::fleet(base_config());
     for id in 1..5 {
-        rig.ask(id, "safe");
+        rig.request(id, "safe");
         rig.now += 300 * MS;
         rig.event(Event::AttemptCompleted(AttemptCompleted {
             request: RequestId(id),
@@ -828,18 +889,18 @@
             cached_tokens: 0,
             report: None,
         }));
-        rig.end(id, 1, AttemptOutcome::Served);
+        rig.complete(id, 1, AttemptOutcome::Served);
     }
-    // One request of ours is out, so this one isn't needed to learn from.
-    rig.ask(50, "safe");
-    let hasty = RequestSpec {
+    // With another request in flight, this one is not needed as a probe of the current speed.
+    rig.request(50, "safe");
+    let short_deadline = RequestSpec {
         request: RequestId(51),
         deadline: rig.now + 150 * MS,
-        ..ask(rig.now, "safe")
+        ..request_spec(rig.now, "safe")
     };
-    let actions = rig.ask_with(hasty);
+    let actions = rig.request_with(short_deadline);
     assert_eq!(
-        (sends(&actions).len(), finals(&actions)),
+        (sent_to(&actions).len(), final_answer_count(&actions)),
         (0, 1),
         "{actions:?}"
     );
@@ -847,24 +908,24 @@
 
 #[test]
 fn short_prompts_go_to_mixed_workers_and_long_ones_to_prefill_workers() {
-    let mut rig = Rig::new(settings());
+    let mut rig = Rig::new(base_config());
     let list = ["r1", "m1"]
-        .map(|w| entry(w, 0, Status::Ready, None))
+        .map(|name| endpoint(name, 0, Status::Ready, None))
         .to_vec();
-    rig.list(EndpointUpdate::Full, list);
-    let of = |id, prompt_tokens, now| RequestSpec {
+    rig.update_endpoints(EndpointUpdate::Full, list);
+    let spec = |id, prompt_tokens, now| RequestSpec {
         request: RequestId(id),
         prompt_tokens,
-        ..ask(now, "safe")
+        ..request_spec(now, "safe")
     };
-    assert_eq!(sends(&rig.ask_with(of(1, 1_000, rig.now))), ["m1"]);
-    assert_eq!(sends(&rig.ask_with(of(2, 9_000, rig.now))), ["r1"]);
+    assert_eq!(sent_to(&rig.request_with(spec(1, 1_000, rig.now))), ["m1"]);
+    assert_eq!(sent_to(&rig.request_with(spec(2, 9_000, rig.now))), ["r1"]);
     assert_eq!(
-        sends(&rig.end(2, 0, AttemptOutcome::Prefilled)),
+        sent_to(&rig.complete(2, 0, AttemptOutcome::Prefilled)),
         ["m1"],
-        "a mixed worker answers what was read"
+        "a mixed worker decodes a prefilled request"
     );
-    assert_eq!(sends(&rig.ask_with(of(3, 500, rig.now))), ["m1"]);
+    assert_eq!(sent_to(&rig.request_with(spec(3, 500, rig.now))), ["m1"]);
 }
 
 #[test]
@@ -875,10 +936,10 @@
     }];
     let mut rig = Rig::fleet(RoutingConfig {
         tenants,
-        ..settings()
+        ..base_config()
     });
     for id in 1..5 {
-        rig.ask(id, "safe");
+        rig.request(id, "safe");
         rig.now += 900 * MS;
         rig.event(Event::AttemptCompleted(AttemptCompleted {
             request: RequestId(id),
@@ -889,24 +950,24 @@
             cached_tokens: 0,
             report: None,
         }));
-        rig.end(id, 1, AttemptOutcome::Served);
+        rig.complete(id, 1, AttemptOutcome::Served);
     }
     for id in 10..40 {
         let tenant = Some("small".to_owned());
-        rig.ask_with(RequestSpec {
+        rig.request_with(RequestSpec {
             request: RequestId(id),
             tenant,
-            ..ask(rig.now, "safe")
+            ..request_spec(rig.now, "safe")
         });
     }
-    let refused = finals(&rig.log);
+    let rejected = final_answer_count(&rig.actions);
     assert!(
-        refused >= 10,
-        "only {refused} of thirty at once, far past the share, were refused"
+        rejected >= 10,
+        "only {rejected} of 30 simultaneous requests, far beyond the quota, were rejected"
     );
 }
 
-/// A hundred routers each see a few requests of a tenant: chance arrivals are no excess.
+/// Guards against rejections of random bursts: each of many routers sees only a few requests of a tenant.
 #[test]
 fn small_burst_is_within_quota_at_one_of_many_routers() {
     let tenants = vec![Tenant {
@@ -916,348 +977,376 @@
     let mut rig = Rig::fleet(RoutingConfig {
         routers: 200,
         tenants,
-        ..settings()
+        ..base_config()
     });
     for id in 1..6 {
         let tenant = Some("small".to_owned());
-        rig.ask_with(RequestSpec {
+        rig.request_with(RequestSpec {
             request: RequestId(id),
             tenant,
-            ..ask(rig.now, "safe")
+            ..request_spec(rig.now, "safe")
         });
     }
-    assert_eq!(finals(&rig.log), 0);
+    assert_eq!(final_answer_count(&rig.actions), 0);
 }
 
-/// Routers that hear of a restarted worker together must not all send to it at once.
+/// Guards against many routers that learn of a restarted worker at the same time and all send to it immediately.
 #[test]
 fn many_routers_take_turns_at_a_worker_in_slow_start() {
-    let mut first = Vec::new();
+    let mut sends_per_router = Vec::new();
     for seed in 0..20 {
-        let set = RoutingConfig {
+        let config = RoutingConfig {
             routers: 100,
-            ..settings()
+            ..base_config()
         };
         let mut rig = Rig {
-            policy: module(set.clone(), seed),
-            ..Rig::new(set)
+            policy: new_policy(config.clone(), seed),
+            ..Rig::new(config)
         };
         let warm = [
-            entry("w1", 0, Status::Ready, None),
-            entry("w2", 0, Status::Ready, None),
+            endpoint("w1", 0, Status::Ready, None),
+            endpoint("w2", 0, Status::Ready, None),
         ];
-        rig.list(EndpointUpdate::Restored, warm.to_vec());
-        rig.list(
+        rig.update_endpoints(EndpointUpdate::Restored, warm.to_vec());
+        rig.update_endpoints(
             EndpointUpdate::Incremental,
-            vec![entry("r1", 0, Status::Ready, Some(rig.now))],
+            vec![endpoint("r1", 0, Status::Ready, Some(rig.now))],
         );
-        rig.ask_with(RequestSpec {
+        rig.request_with(RequestSpec {
             deadline: rig.now + 20 * SECOND,
-            ..ask(rig.now, "safe")
+            ..request_spec(rig.now, "safe")
         });
         let sent = rig
-            .log
+            .actions
             .iter()
-            .filter(|a| matches!(a, Action::Send { .. }))
+            .filter(|action| matches!(action, Action::Send { .. }))
             .count();
-        first.push(sent);
+        sends_per_router.push(sent);
     }
-    let at_once: usize = first.iter().sum();
+    let immediate_sends: usize = sends_per_router.iter().sum();
     assert!(
-        at_once <= 2,
-        "{at_once} of 20 routers sent to the cold worker at once"
+        immediate_sends <= 2,
+        "{immediate_sends} of 20 routers sent to the worker in slow start immediately"
     );
 }
 
-/// Four of six workers of a role have just started, at each of a hundred routers.
-fn renewed(seed: u64) -> Rig {
-    let set = RoutingConfig {
+/// A rig of one of a hundred routers, in which four of six workers of each role have just started.
+fn rig_with_restarted_workers(seed: u64) -> Rig {
+    let config = RoutingConfig {
         routers: 100,
         index: Some(seed as u32),
-        ..settings()
+        ..base_config()
     };
     let mut rig = Rig {
-        policy: module(set.clone(), seed),
-        ..Rig::new(set)
+        policy: new_policy(config.clone(), seed),
+        ..Rig::new(config)
     };
-    let of = |role| (1..7).map(move |i| (format!("{role}{i}"), i));
+    let names = |role| (1..7).map(move |i| (format!("{role}{i}"), i));
     let list = |started: Option<Micros>| {
-        let born = |i| started.filter(|_| i > 2);
-        of("r")
-            .chain(of("w"))
-            .map(|(w, i)| entry(&w, 0, Status::Ready, born(i)))
+        let started_at = |i| started.filter(|_| i > 2);
+        names("r")
+            .chain(names("w"))
+            .map(|(name, i)| endpoint(&name, 0, Status::Ready, started_at(i)))
             .collect()
     };
-    rig.list(EndpointUpdate::Restored, list(None));
-    // A predecessor of this process may have sent until just before its start.
+    rig.update_endpoints(EndpointUpdate::Restored, list(None));
+    // The previous process of this router may have sent until just before the start of this one.
     rig.now += SLOW_START_PAUSE;
     let started = list(Some(rig.now));
-    rig.list(EndpointUpdate::Incremental, started);
+    rig.update_endpoints(EndpointUpdate::Incremental, started);
     rig
 }
 
-/// A process that starts anew in the ramp of a worker: its predecessor may have spent the router's share just before.
+/// Guards against spending this router's share twice: during a worker's slow start the router's process is restarted, and
+/// its previous process may have used the share just before.
 #[test]
 fn new_process_sends_nothing_to_workers_in_slow_start_for_one_window() {
     let mut rig = Rig::new(RoutingConfig {
         index: Some(0),
         routers: 1,
-        ..settings()
+        ..base_config()
     });
     let started = rig.now - SECOND;
     let list = vec![
-        entry("w1", 0, Status::Ready, None),
-        entry("r1", 0, Status::Ready, Some(started)),
+        endpoint("w1", 0, Status::Ready, None),
+        endpoint("r1", 0, Status::Ready, Some(started)),
     ];
-    rig.list(EndpointUpdate::Restored, list);
-    assert_eq!(sends(&rig.ask(1, "safe")).len(), 0);
+    rig.update_endpoints(EndpointUpdate::Restored, list);
+    assert_eq!(sent_to(&rig.request(1, "safe")).len(), 0);
     rig.now += SLOW_START_PAUSE - MS;
-    assert_eq!(sends(&rig.ask(2, "safe")).len(), 0);
+    assert_eq!(sent_to(&rig.request(2, "safe")).len(), 0);
     rig.now += MS;
-    assert_eq!(sends(&rig.ask(3, "safe")).len(), 1);
+    assert_eq!(sent_to(&rig.request(3, "safe")).len(), 1);
 }
 
-/// Two processes of one router share what it may send: the older one sends nothing more once it stops, and the newer
-/// one begins a window later.
+/// Two processes of one router share its budget: the older one sends nothing once it is told to stop, and the newer one
+/// starts one window later.
 #[test]
 fn at_most_one_process_of_a_router_sends_to_workers_in_slow_start() {
-    let reads = |rig: &mut Rig, id| sends(&rig.ask(id, "safe")).len();
+    let prefill_count = |rig: &mut Rig, id| sent_to(&rig.request(id, "safe")).len();
     let mut rig = Rig::new(RoutingConfig {
         index: Some(0),
         routers: 1,
-        ..settings()
+        ..base_config()
     });
-    rig.list(
+    rig.update_endpoints(
         EndpointUpdate::Restored,
-        vec![entry("w1", 0, Status::Ready, None)],
+        vec![endpoint("w1", 0, Status::Ready, None)],
     );
     rig.now += 2 * SECOND;
     let started = rig.now;
-    rig.list(
+    rig.update_endpoints(
         EndpointUpdate::Incremental,
-        vec![entry("r1", 0, Status::Ready, Some(started))],
+        vec![endpoint("r1", 0, Status::Ready, Some(started))],
     );
-    assert_eq!(reads(&mut rig, 1), 1);
+    assert_eq!(prefill_count(&mut rig, 1), 1);
     rig.event(Event::SlowStart { allowed: false });
     rig.now += 2 * SECOND;
-    assert_eq!(reads(&mut rig, 2), 0);
+    assert_eq!(prefill_count(&mut rig, 2), 0);
     rig.event(Event::SlowStart { allowed: true });
     rig.now += SLOW_START_PAUSE - MS;
-    assert_eq!(reads(&mut rig, 3), 0);
+    assert_eq!(prefill_count(&mut rig, 3), 0);
     rig.now += MS;
-    assert_eq!(reads(&mut rig, 4), 1);
+    assert_eq!(prefill_count(&mut rig, 4), 1);
 }
 
-/// Guards against a text that many ask for and one reader that drowns in it, while no router sees more than a few of
-/// its requests; where readers are few it stays in one place.
+/// Guards against a popular prefix that overloads a single prefill worker although each router sees only a few of its
+/// requests. With few prefill workers it keeps one owner.
 #[test]
 fn prefix_has_several_owners_only_in_a_large_fleet() {
-    for (readers, homes) in [(6, 1..2), (32, 3..5)] {
+    for (worker_count, owner_counts) in [(6, 1..2), (32, 3..5)] {
         let mut rig = Rig::new(RoutingConfig {
             routers: 100,
-            ..settings()
+            ..base_config()
         });
         let name = |i: usize| format!("r{i}");
-        let list = (0..readers).map(|i| entry(&name(i), 0, Status::Ready, None));
-        let list = list.chain([entry("w1", 0, Status::Ready, None)]).collect();
-        rig.list(EndpointUpdate::Restored, list);
-        let mut seen = std::collections::BTreeSet::new();
+        let list = (0..worker_count).map(|i| endpoint(&name(i), 0, Status::Ready, None));
+        let list = list
+            .chain([endpoint("w1", 0, Status::Ready, None)])
+            .collect();
+        rig.update_endpoints(EndpointUpdate::Restored, list);
+        let mut owners = std::collections::BTreeSet::new();
         for id in 1..200 {
             let (session, prefix) = (Some(Arc::from(format!("s{id}"))), Some(Arc::from("hot")));
-            let asked = RequestSpec {
+            let spec = RequestSpec {
                 request: RequestId(id),
                 session,
                 prefix,
                 prefix_tokens: 1_900,
-                ..ask(rig.now, "safe")
+                ..request_spec(rig.now, "safe")
             };
-            let to = rig.ask_with(asked).into_iter().find_map(|a| match a {
+            let worker = rig.request_with(spec).into_iter().find_map(|a| match a {
                 Action::Send { worker, .. } => Some(worker),
                 _ => None,
             });
-            seen.insert(to.expect("a reader is free"));
-            rig.end(id, 0, AttemptOutcome::Prefilled);
-            rig.end(id, 1, AttemptOutcome::Served);
+            owners.insert(worker.expect("every request is sent to a prefill worker"));
+            rig.complete(id, 0, AttemptOutcome::Prefilled);
+            rig.complete(id, 1, AttemptOutcome::Served);
         }
-        assert!(homes.contains(&seen.len()), "{readers} readers: {seen:?}");
+        assert!(
+            owner_counts.contains(&owners.len()),
+            "{worker_count} prefill workers: {owners:?}"
+        );
     }
 }
 
-/// Guards against a try at each dead worker of a lost zone by each of many routers, until attempts are spent.
+/// Guards against many routers that each try every dead worker of a lost zone until no attempts are left.
 #[test]
 fn zone_is_avoided_after_two_connect_failures() {
     let mut rig = Rig::new(RoutingConfig {
         routers: 100,
         max_attempts: 6,
-        ..settings()
+        ..base_config()
     });
-    let zone = |w: &str, zone: &str| Endpoint {
+    let zone = |worker: &str, zone: &str| Endpoint {
         zone: zone.into(),
-        ..entry(w, 0, Status::Ready, None)
+        ..endpoint(worker, 0, Status::Ready, None)
     };
-    let here = ["r1", "r2", "r3", "r4", "r5", "w1", "w2"].map(|w| zone(w, "z"));
-    let list = here
+    let near = ["r1", "r2", "r3", "r4", "r5", "w1", "w2"].map(|worker| zone(worker, "z"));
+    let list = near
         .into_iter()
         .chain([zone("r6", "far"), zone("w3", "far")])
         .collect();
-    rig.list(EndpointUpdate::Restored, list);
+    rig.update_endpoints(EndpointUpdate::Restored, list);
     for id in 1..4 {
-        rig.ask(id, "safe");
-        while sends(&rig.log).last() != Some(&"r6") {
+        rig.request(id, "safe");
+        while sent_to(&rig.actions).last() != Some(&"r6") {
             let attempt = rig
-                .log
+                .actions
                 .iter()
-                .filter(|a| matches!(a, Action::Send { request, .. } if request.0 == id));
+                .filter(|action| matches!(action, Action::Send { request, .. } if request.0 == id));
             let attempt = attempt.count() as u32 - 1;
-            assert!(attempt < 2, "{:?}", sends(&rig.log));
-            rig.end(id, attempt, AttemptOutcome::ConnectFailed);
+            assert!(attempt < 2, "{:?}", sent_to(&rig.actions));
+            rig.complete(id, attempt, AttemptOutcome::ConnectFailed);
         }
     }
-    rig.pass(5 * SECOND);
+    rig.advance(5 * SECOND);
     assert!(
-        (10..30).any(|id| sends(&rig.ask(id, "safe")).iter().any(|w| *w != "r6")),
-        "tried again in time"
+        (10..30).any(|id| sent_to(&rig.request(id, "safe"))
+            .iter()
+            .any(|worker| *worker != "r6")),
+        "the zone is tried again after a while"
     );
 }
 
-/// Guards against cold readers that are kept busy for seconds by one long prompt, which its aim doesn't allow.
+/// Guards against workers in slow start that are busy for seconds with one long prompt, which then misses its objective.
 #[test]
 fn long_prompts_avoid_prefill_workers_in_slow_start() {
     let (mut long, mut short) = (Vec::new(), Vec::new());
     for seed in 0..50 {
-        for (prompt_tokens, to) in [(16_000, &mut long), (300, &mut short)] {
-            let mut rig = renewed(seed);
+        for (prompt_tokens, workers) in [(16_000, &mut long), (300, &mut short)] {
+            let mut rig = rig_with_restarted_workers(seed);
             let session = Some(Arc::from(format!("s{seed}")));
-            let asked = RequestSpec {
+            let spec = RequestSpec {
                 session,
                 prompt_tokens,
                 deadline: rig.now + 20 * SECOND,
-                ..ask(rig.now, "safe")
+                ..request_spec(rig.now, "safe")
             };
-            to.push(sends(&rig.ask_with(asked))[0].to_owned());
+            workers.push(sent_to(&rig.request_with(spec))[0].to_owned());
         }
     }
-    assert!(long.iter().all(|r| r == "r1" || r == "r2"), "{long:?}");
-    assert!(short.iter().any(|r| r != "r1" && r != "r2"), "{short:?}");
+    assert!(
+        long.iter().all(|worker| worker == "r1" || worker == "r2"),
+        "{long:?}"
+    );
+    assert!(
+        short.iter().any(|worker| worker != "r1" && worker != "r2"),
+        "{short:?}"
+    );
 }
 
-/// Guards against a jam that feeds itself: with most readers cold, reads were given up that were well on their way,
-/// and every repeat read the whole prompt anew.
+/// Guards against overload that sustains itself: while most prefill workers are in slow start, prefills that were well
+/// under way timed out, and each retry prefilled the whole prompt again.
 #[test]
 fn prefill_timeout_grows_while_many_workers_are_in_slow_start() {
-    let wait = |rig: &mut Rig| {
-        let asked = rig.ask_with(RequestSpec {
+    let prefill_timeout = |rig: &mut Rig| {
+        let actions = rig.request_with(RequestSpec {
             deadline: rig.now + 20 * SECOND,
-            ..ask(rig.now, "safe")
+            ..request_spec(rig.now, "safe")
         });
-        let timeout = |a: &Action| {
-            if let Action::Send { timeout, .. } = a {
+        let timeout = |action: &Action| {
+            if let Action::Send { timeout, .. } = action {
                 *timeout
             } else {
                 None
             }
         };
-        asked
+        actions
             .iter()
             .find_map(timeout)
-            .expect("a read with a time-out")
+            .expect("a prefill with a timeout is sent")
     };
-    let warm = wait(&mut Rig::fleet(RoutingConfig {
+    let warm = prefill_timeout(&mut Rig::fleet(RoutingConfig {
         routers: 100,
-        ..settings()
+        ..base_config()
     }));
-    assert!(wait(&mut renewed(1)) > 2 * warm);
+    assert!(prefill_timeout(&mut rig_with_restarted_workers(1)) > 2 * warm);
 }
 
-/// Guards against a jam that feeds itself: reads given up were repeated elsewhere, though late by then, and every
-/// repeat read the whole prompt anew.
+/// Guards against overload that sustains itself: timed-out prefills were retried at other workers although their
+/// requests were already late, and each retry prefilled the whole prompt again.
 #[test]
 fn prefill_timeout_past_the_objective_rejects_without_retry() {
-    let mut rig = Rig::fleet(settings());
-    rig.ask(1, "safe");
+    let mut rig = Rig::fleet(base_config());
+    rig.request(1, "safe");
     rig.now += 3 * SECOND;
-    let after = rig.end(1, 0, AttemptOutcome::TimedOut);
-    assert!(sends(&after).is_empty());
-    assert_eq!(finals(&after), 1);
+    let after = rig.complete(1, 0, AttemptOutcome::TimedOut);
+    assert!(sent_to(&after).is_empty());
+    assert_eq!(final_answer_count(&after), 1);
 }
 
-/// Guards against bad workers that cost each of many routers a request that must not run twice, and against a read
-/// that fails at one reader until its attempts are spent.
+/// Guards against bad workers that cost each of many routers a non-idempotent request, and against a prefill that is
+/// retried at the same failing worker until no attempts are left.
 #[test]
 fn non_idempotent_request_prefers_proven_workers_and_no_retry_goes_to_a_failed_one() {
-    let mut rig = renewed(1);
+    let mut rig = rig_with_restarted_workers(1);
     for id in 1..30 {
-        rig.ask(id, "safe");
-        rig.end(id, 0, AttemptOutcome::Error);
-        rig.end(id, 1, AttemptOutcome::Prefilled);
-        rig.end(id, 2, AttemptOutcome::Error);
-        rig.end(id, 3, AttemptOutcome::Served);
-        let log = std::mem::take(&mut rig.log);
-        let to = sends(&log);
-        assert!(to[0] != to[1] && to[2] != to[3], "{to:?}");
+        rig.request(id, "safe");
+        rig.complete(id, 0, AttemptOutcome::Error);
+        rig.complete(id, 1, AttemptOutcome::Prefilled);
+        rig.complete(id, 2, AttemptOutcome::Error);
+        rig.complete(id, 3, AttemptOutcome::Served);
+        let actions = std::mem::take(&mut rig.actions);
+        let workers = sent_to(&actions);
+        assert!(
+            workers[0] != workers[1] && workers[2] != workers[3],
+            "{workers:?}"
+        );
     }
-    let mut rig = Rig::new(settings());
+    let mut rig = Rig::new(base_config());
     let list = ["r1", "w1", "w2", "w3", "w4", "w5"];
-    rig.list(
+    rig.update_endpoints(
         EndpointUpdate::Restored,
         list.iter()
-            .map(|w| entry(w, 0, Status::Ready, None))
+            .map(|name| endpoint(name, 0, Status::Ready, None))
             .collect(),
     );
-    let mut writers = Vec::new();
+    let mut decode_workers = Vec::new();
     for (id, class) in (1..).zip(["safe", "once", "once", "once", "once"]) {
-        rig.ask(id, class);
-        writers.push(sends(&rig.end(id, 0, AttemptOutcome::Prefilled))[0].to_owned());
-        rig.end(id, 1, AttemptOutcome::Served);
+        rig.request(id, class);
+        decode_workers.push(sent_to(&rig.complete(id, 0, AttemptOutcome::Prefilled))[0].to_owned());
+        rig.complete(id, 1, AttemptOutcome::Served);
     }
-    assert!(writers.iter().all(|w| *w == writers[0]), "{writers:?}");
+    assert!(
+        decode_workers
+            .iter()
+            .all(|worker| *worker == decode_workers[0]),
+        "{decode_workers:?}"
+    );
 }
 
-/// Without an answer the text may still be there: its repeat goes where it was read, not to a full read elsewhere;
-/// the home is common, so that a session's next turn at another router finds it.
+/// Guards against a full prefill of a session's next turn because another router sends it to another worker: all routers
+/// pick the same prefill worker for a session.
 #[test]
 fn next_turn_at_another_router_goes_to_the_same_prefill_worker() {
-    let mut readers = Vec::new();
+    let mut prefill_workers = Vec::new();
     for seed in 0..8 {
-        let set = RoutingConfig {
+        let config = RoutingConfig {
             routers: 100,
-            ..settings()
+            ..base_config()
         };
         let mut rig = Rig {
-            policy: module(set.clone(), seed),
-            ..Rig::new(set)
+            policy: new_policy(config.clone(), seed),
+            ..Rig::new(config)
         };
         let list = [("r1", 0), ("r2", 1), ("r3", 1), ("w1", 0)];
-        rig.list(
+        rig.update_endpoints(
             EndpointUpdate::Restored,
             list.iter()
-                .map(|(w, c)| entry(w, *c, Status::Ready, None))
+                .map(|(name, cell)| endpoint(name, *cell, Status::Ready, None))
                 .collect(),
         );
         let session = Some(Arc::from("s"));
         let prompt_tokens = 2_000 + seed * 500;
-        let read = rig.ask_with(RequestSpec {
+        let prefill = rig.request_with(RequestSpec {
             session,
             prompt_tokens,
-            ..ask(rig.now, "safe")
+            ..request_spec(rig.now, "safe")
         });
-        readers.push(sends(&read)[0].to_owned());
+        prefill_workers.push(sent_to(&prefill)[0].to_owned());
     }
-    assert!(readers.iter().all(|r| *r == readers[0]), "{readers:?}");
+    assert!(
+        prefill_workers
+            .iter()
+            .all(|worker| *worker == prefill_workers[0]),
+        "{prefill_workers:?}"
+    );
 }
 
-/// One writer beside many readers: near is kept only as far as its part goes, or it alone gets everything.
+/// Guards against a single decode worker near many prefill workers that gets all of their KV state: only its share of the
+/// decodes stays near.
 #[test]
 fn lone_decode_worker_does_not_get_all_local_kv_state() {
-    let mut near = 0;
+    let mut local_decodes = 0;
     for seed in 0..40 {
-        let set = RoutingConfig {
+        let config = RoutingConfig {
             routers: 100,
-            ..settings()
+            ..base_config()
         };
         let mut rig = Rig {
-            policy: module(set.clone(), seed),
-            ..Rig::new(set)
+            policy: new_policy(config.clone(), seed),
+            ..Rig::new(config)
         };
         let list = [
             ("r1", 0),
@@ -1267,78 +1356,95 @@
             ("w2", 1),
             ("w3", 1),
         ];
-        rig.list(
+        rig.update_endpoints(
             EndpointUpdate::Restored,
             list.iter()
-                .map(|(w, c)| entry(w, *c, Status::Ready, None))
+                .map(|(name, cell)| endpoint(name, *cell, Status::Ready, None))
                 .collect(),
         );
-        rig.ask(seed, "safe");
-        near += usize::from(sends(&rig.end(seed, 0, AttemptOutcome::Prefilled)) == ["w1"]);
+        rig.request(seed, "safe");
+        local_decodes +=
+            usize::from(sent_to(&rig.complete(seed, 0, AttemptOutcome::Prefilled)) == ["w1"]);
     }
-    assert!((5..25).contains(&near), "{near} of 40 near");
+    assert!(
+        (5..25).contains(&local_decodes),
+        "{local_decodes} of 40 decodes are local"
+    );
 }
 
-/// Guards against calls in step: many routers that start together, or whose calls failed together, kept discovery
-/// full for good. How long a call may be put off in all: `tests/list_calls.rs`.
+/// Guards against synchronized fetches: many routers that start at the same time, or whose fetches fail at the same time,
+/// overload discovery permanently. The total delay of a fetch is tested in `tests/list_calls.rs`.
 #[test]
 fn endpoint_fetches_are_spread_over_routers_and_back_off_after_failures() {
-    let mut calls: Vec<Vec<Micros>> = vec![Vec::new(); 2];
+    let mut fetch_delays: Vec<Vec<Micros>> = vec![Vec::new(); 2];
     for seed in 0..50 {
-        let many = RoutingConfig {
+        let config = RoutingConfig {
             endpoints_require_subscription: true,
             routers: 50,
-            ..settings()
+            ..base_config()
         };
         let mut rig = Rig {
-            policy: module(many.clone(), seed),
-            ..Rig::new(many)
+            policy: new_policy(config.clone(), seed),
+            ..Rig::new(config)
         };
-        for (kind, calls) in [EndpointUpdate::Restored, EndpointUpdate::Failed]
+        for (update, fetch_delays) in [EndpointUpdate::Restored, EndpointUpdate::Failed]
             .into_iter()
-            .zip(&mut calls)
+            .zip(&mut fetch_delays)
         {
             assert!(
-                !rig.list(kind, Vec::new()).contains(&Action::Subscribe),
-                "not at once"
+                !rig.update_endpoints(update, Vec::new())
+                    .contains(&Action::Subscribe),
+                "no fetch is made immediately"
             );
-            let told = rig.now;
-            let mut asked = 0;
-            while asked == 0 && rig.now < told + 60 * SECOND {
-                let actions = rig.pass(SECOND / 10);
-                asked = actions.iter().filter(|a| **a == Action::Subscribe).count();
+            let updated_at = rig.now;
+            let mut fetches = 0;
+            while fetches == 0 && rig.now < updated_at + 60 * SECOND {
+                let actions = rig.advance(SECOND / 10);
+                fetches = actions.iter().filter(|a| **a == Action::Subscribe).count();
             }
-            assert_eq!(asked, 1);
-            calls.push(rig.now - told);
+            assert_eq!(fetches, 1);
+            fetch_delays.push(rig.now - updated_at);
         }
     }
-    for (calls, seconds) in calls.iter().zip([1, 2]) {
-        let most = (0..seconds)
-            .map(|s| calls.iter().filter(|at| **at / SECOND == s).count())
+    for (fetch_delays, seconds) in fetch_delays.iter().zip([1, 2]) {
+        let max_per_second = (0..seconds)
+            .map(|second| {
+                fetch_delays
+                    .iter()
+                    .filter(|delay| **delay / SECOND == second)
+                    .count()
+            })
             .max();
-        assert!(most < Some(75 / seconds as usize), "{most:?} in a second");
-        assert!(calls.iter().all(|at| *at <= seconds * SECOND + SECOND / 5));
+        assert!(
+            max_per_second < Some(75 / seconds as usize),
+            "{max_per_second:?} in a second"
+        );
+        assert!(
+            fetch_delays
+                .iter()
+                .all(|delay| *delay <= seconds * SECOND + SECOND / 5)
+        );
     }
 }
 
 #[test]
 fn invalid_events_cause_no_panic_and_break_no_rule() {
-    let mut rig = Rig::fleet(settings());
-    let absurd = RequestSpec {
+    let mut rig = Rig::fleet(base_config());
+    let huge_values = RequestSpec {
         prompt_tokens: u64::MAX,
         prefix_tokens: u64::MAX,
         max_tokens: u64::MAX,
-        ..ask(rig.now, "?")
+        ..request_spec(rig.now, "?")
     };
-    rig.ask_with(RequestSpec {
+    rig.request_with(RequestSpec {
         duration_hint: Some(u64::MAX),
-        ..absurd
+        ..huge_values
     });
-    rig.ask_with(RequestSpec {
+    rig.request_with(RequestSpec {
         request: RequestId(2),
         prompt_tokens: 0,
         deadline: 0,
-        ..ask(rig.now, "safe")
+        ..request_spec(rig.now, "safe")
     });
     rig.event(Event::AttemptCompleted(AttemptCompleted {
         request: RequestId(0),
@@ -1353,28 +1459,28 @@
             ..LoadReport::default()
         }),
     }));
-    rig.end(77, 0, AttemptOutcome::Prefilled);
-    rig.end(0, 99, AttemptOutcome::Prefilled);
+    rig.complete(77, 0, AttemptOutcome::Prefilled);
+    rig.complete(0, 99, AttemptOutcome::Prefilled);
     rig.event(Event::ClientDisconnected {
         request: RequestId(99),
     });
-    let twice = vec![
-        entry("r1", 0, Status::Ready, Some(u64::MAX)),
-        entry("r1", 5, Status::Draining, None),
+    let listed_twice = vec![
+        endpoint("r1", 0, Status::Ready, Some(u64::MAX)),
+        endpoint("r1", 5, Status::Draining, None),
     ];
-    rig.list(EndpointUpdate::Full, twice);
-    rig.ask(5, "safe");
-    rig.pass(6 * SECOND);
-    assert_eq!(finals(&rig.log), 3);
+    rig.update_endpoints(EndpointUpdate::Full, listed_twice);
+    rig.request(5, "safe");
+    rig.advance(6 * SECOND);
+    assert_eq!(final_answer_count(&rig.actions), 3);
 }
 
 #[test]
 fn same_events_give_the_same_actions() {
     let run = || {
-        let mut rig = Rig::fleet(settings());
+        let mut rig = Rig::fleet(base_config());
         for id in 1..30 {
-            rig.ask(id, if id % 3 == 0 { "once" } else { "safe" });
-            rig.end(
+            rig.request(id, if id % 3 == 0 { "once" } else { "safe" });
+            rig.complete(
                 id,
                 0,
                 if id % 7 == 0 {
@@ -1383,142 +1489,150 @@
                     AttemptOutcome::Prefilled
                 },
             );
-            rig.pass(30 * MS);
+            rig.advance(30 * MS);
         }
-        rig.log
+        rig.actions
     };
     assert_eq!(run(), run());
 }
 
-/// Routers with empty views must not all choose alike, or one worker gets the whole fleet's work.
+/// Guards against many routers that know nothing of the workers' load and all pick the same decode worker.
 #[test]
 fn routers_break_ties_between_decode_workers_differently() {
-    let mut chosen = std::collections::BTreeSet::new();
+    let mut picked_workers = std::collections::BTreeSet::new();
     for seed in 0..16 {
         let mut rig = Rig {
-            policy: module(settings(), seed),
-            ..Rig::new(settings())
+            policy: new_policy(base_config(), seed),
+            ..Rig::new(base_config())
         };
         let list = [("r1", 0), ("w1", 1), ("w2", 1), ("w3", 1)];
-        let entries = list
+        let endpoints = list
             .iter()
-            .map(|(w, cell)| entry(w, *cell, Status::Ready, None))
+            .map(|(name, cell)| endpoint(name, *cell, Status::Ready, None))
             .collect();
-        rig.list(EndpointUpdate::Restored, entries);
-        rig.ask(1, "safe");
-        chosen.insert(sends(&rig.end(1, 0, AttemptOutcome::Prefilled))[0].to_owned());
+        rig.update_endpoints(EndpointUpdate::Restored, endpoints);
+        rig.request(1, "safe");
+        picked_workers
+            .insert(sent_to(&rig.complete(1, 0, AttemptOutcome::Prefilled))[0].to_owned());
     }
-    assert_eq!(chosen.len(), 3, "{chosen:?}");
+    assert_eq!(picked_workers.len(), 3, "{picked_workers:?}");
 }
 
-/// A worker that turns one tenant away is not full for the others, nor asked again at once for that tenant.
+/// A worker that rejects one tenant is not considered full for other tenants, and is not tried again immediately for the
+/// rejected one.
 #[test]
 fn worker_full_for_one_tenant_serves_the_others() {
-    let mut rig = Rig::fleet(settings());
-    let of = |id, tenant: &str, now| RequestSpec {
+    let mut rig = Rig::fleet(base_config());
+    let spec = |id, tenant: &str, now| RequestSpec {
         request: RequestId(id),
         tenant: Some(tenant.to_owned()),
         prefix: Some(Arc::from("p")),
         prefix_tokens: 1_900,
-        ..ask(now, "safe")
+        ..request_spec(now, "safe")
     };
-    let home = sends(&rig.ask_with(of(1, "a", rig.now)))[0].to_owned();
-    let repeat = rig.end(1, 0, AttemptOutcome::Rejected);
-    assert_ne!(sends(&repeat), [home.as_str()]);
-    assert_eq!(sends(&rig.ask_with(of(2, "b", rig.now))), [home.as_str()]);
-    assert_ne!(sends(&rig.ask_with(of(3, "a", rig.now))), [home.as_str()]);
+    let owner = sent_to(&rig.request_with(spec(1, "a", rig.now)))[0].to_owned();
+    let retry = rig.complete(1, 0, AttemptOutcome::Rejected);
+    assert_ne!(sent_to(&retry), [owner.as_str()]);
+    assert_eq!(
+        sent_to(&rig.request_with(spec(2, "b", rig.now))),
+        [owner.as_str()]
+    );
+    assert_ne!(
+        sent_to(&rig.request_with(spec(3, "a", rig.now))),
+        [owner.as_str()]
+    );
 }
 
-/// One slow answer, the first that a router sees of a worker, does not make it a slow worker.
+/// Guards against a worker that counts as slow because of a single late answer, the first that the router got from it.
 #[test]
 fn one_late_answer_does_not_raise_the_latency_factor() {
     let timeout = |actions: &[Action]| {
-        actions.iter().find_map(|a| {
-            if let Action::Send { timeout, .. } = a {
+        actions.iter().find_map(|action| {
+            if let Action::Send { timeout, .. } = action {
                 *timeout
             } else {
                 None
             }
         })
     };
-    let mut rig = Rig::new(settings());
+    let mut rig = Rig::new(base_config());
     let list = [("r1", 0), ("r3", 0), ("w1", 0), ("w2", 0)];
-    rig.list(
+    rig.update_endpoints(
         EndpointUpdate::Restored,
         list.iter()
-            .map(|(w, c)| entry(w, *c, Status::Ready, None))
+            .map(|(name, cell)| endpoint(name, *cell, Status::Ready, None))
             .collect(),
     );
     for id in 10..20 {
-        rig.ask(id, "safe");
-        rig.end(id, 0, AttemptOutcome::Prefilled);
-        rig.end(id, 1, AttemptOutcome::Served);
+        rig.request(id, "safe");
+        rig.complete(id, 0, AttemptOutcome::Prefilled);
+        rig.complete(id, 1, AttemptOutcome::Served);
     }
-    rig.list(
+    rig.update_endpoints(
         EndpointUpdate::Incremental,
-        vec![entry("r2", 0, Status::Ready, None)],
+        vec![endpoint("r2", 0, Status::Ready, None)],
     );
-    let mut seen = Vec::new();
+    let mut timeouts = Vec::new();
     for id in 100..140 {
         let session = Some(Arc::from(format!("s{id}")));
-        let read = rig.ask_with(RequestSpec {
+        let prefill = rig.request_with(RequestSpec {
             request: RequestId(id),
             session,
-            ..ask(rig.now, "safe")
+            ..request_spec(rig.now, "safe")
         });
-        let new = sends(&read) == ["r2"];
-        if new {
-            seen.push(timeout(&read));
+        let is_new_worker = sent_to(&prefill) == ["r2"];
+        if is_new_worker {
+            timeouts.push(timeout(&prefill));
         }
         rig.event(Event::AttemptCompleted(AttemptCompleted {
             request: RequestId(id),
             attempt: AttemptIndex(0),
             outcome: AttemptOutcome::Prefilled,
-            elapsed: if new { 800 * MS } else { 50 * MS },
+            elapsed: if is_new_worker { 800 * MS } else { 50 * MS },
             request_finished: false,
             cached_tokens: 0,
             report: None,
         }));
-        rig.end(id, 1, AttemptOutcome::Served);
-        if seen.len() == 2 {
+        rig.complete(id, 1, AttemptOutcome::Served);
+        if timeouts.len() == 2 {
             break;
         }
     }
-    let [Some(before), Some(after)] = seen[..] else {
-        panic!("{seen:?}")
+    let [Some(before), Some(after)] = timeouts[..] else {
+        panic!("{timeouts:?}")
     };
     assert!(
         after < before * 3,
-        "as if it were slow: {before} then {after}"
+        "the timeout grew from {before} to {after}"
     );
 }
 
-/// Settings that state zero or a thousand routers, a tenant that they don't name, reports that make no sense.
+/// Configurations with zero or a thousand routers, tenants that are not configured, and invalid load reports.
 #[test]
 fn odd_configuration_and_reports_cost_no_answer() {
     for routers in [0, 1, 1_000] {
-        for may in [false, true] {
+        for is_allowed in [false, true] {
             let tenants = vec![Tenant {
                 name: "t".into(),
                 quota_per_s: 0.0,
             }];
-            let set = RoutingConfig {
+            let config = RoutingConfig {
                 routers,
                 tenants,
-                gossip_allowed: may,
-                health_checks_allowed: may,
-                ..settings()
+                gossip_allowed: is_allowed,
+                health_checks_allowed: is_allowed,
+                ..base_config()
             };
             let mut rig = Rig::fleet(RoutingConfig {
                 load_reporting: LoadReporting::Responses,
-                ..set
+                ..config
             });
             for id in 1..30 {
                 let tenant = Some(if id % 2 == 0 { "t" } else { "stranger" }.to_owned());
-                rig.ask_with(RequestSpec {
+                rig.request_with(RequestSpec {
                     request: RequestId(id),
                     tenant,
-                    ..ask(rig.now, "safe")
+                    ..request_spec(rig.now, "safe")
                 });
                 let report = Some(LoadReport {
                     memory_share: Some(f64::NAN),
@@ -1533,47 +1647,48 @@
                         report,
                     });
                 }
-                rig.pass(20 * MS);
+                rig.advance(20 * MS);
             }
-            // Nothing is ever answered: at its deadline each request has had exactly one final answer.
-            rig.pass(6 * SECOND);
-            assert_eq!(finals(&rig.log), 29, "{routers} routers");
+            // No worker ever answers, so each request has exactly one final answer by its deadline.
+            rig.advance(6 * SECOND);
+            assert_eq!(final_answer_count(&rig.actions), 29, "{routers} routers");
         }
     }
 }
 
-/// Guards against slow links: paces learned over seconds kept sending states out of the cell, where they timed
-/// out, though the near writer had room.
+/// Guards against transfers over a link that has become slow: rates that are learned over seconds keep KV state moving out
+/// of its cell, where requests time out although the cell's decode worker has capacity.
 #[test]
 fn near_decode_worker_takes_all_after_remote_timeout() {
-    let mut rig = Rig::fleet(settings());
-    let write = |rig: &mut Rig, id: u64| {
-        let reader = sends(&rig.ask(id, "safe"))[0].to_owned();
-        let writer = sends(&rig.end(id, 0, AttemptOutcome::Prefilled))[0].to_owned();
-        (reader == "r1").then_some(writer)
+    let mut rig = Rig::fleet(base_config());
+    let run_to_decode = |rig: &mut Rig, id: u64| {
+        let prefill_worker = sent_to(&rig.request(id, "safe"))[0].to_owned();
+        let decode_worker = sent_to(&rig.complete(id, 0, AttemptOutcome::Prefilled))[0].to_owned();
+        (prefill_worker == "r1").then_some(decode_worker)
     };
-    let far = (1..200).find(|id| {
-        let writer = write(&mut rig, *id);
-        let far = writer.is_some_and(|w| w != "w1");
-        if !far {
-            rig.end(*id, 1, AttemptOutcome::Served);
+    let first_remote = (1..200).find(|id| {
+        let decode_worker = run_to_decode(&mut rig, *id);
+        let is_remote = decode_worker.is_some_and(|worker| worker != "w1");
+        if !is_remote {
+            rig.complete(*id, 1, AttemptOutcome::Served);
         }
-        far
+        is_remote
     });
-    let again = rig.end(
-        far.expect("some states leave the cell of the lone writer"),
+    let retry = rig.complete(
+        first_remote.expect("some KV states leave the cell of the only decode worker near them"),
         1,
         AttemptOutcome::TimedOut,
     );
-    assert_eq!(sends(&again), ["w1"], "the state still waits at r1");
+    assert_eq!(sent_to(&retry), ["w1"], "r1 still holds the KV state");
     for id in 200..230 {
-        let writer = write(&mut rig, id);
-        assert!(writer.is_none_or(|w| w == "w1"));
-        rig.end(id, 1, AttemptOutcome::Served);
+        let decode_worker = run_to_decode(&mut rig, id);
+        assert!(decode_worker.is_none_or(|worker| worker == "w1"));
+        rig.complete(id, 1, AttemptOutcome::Served);
     }
 }
 
-/// Guards against states pinned by reads that ended well just as they were given up or their connection broke.
+/// Guards against KV state that is never released, because a prefill completed just when it timed out or its connection
+/// broke.
 #[test]
 fn timed_out_or_broken_prefill_is_released_before_the_next_one() {
     for outcome in [
@@ -1581,248 +1696,262 @@
         AttemptOutcome::ConnectionLost,
         AttemptOutcome::Error,
     ] {
-        let mut rig = Rig::fleet(settings());
-        rig.ask(1, "once");
-        let then = rig.end(1, 0, outcome);
-        let release = then
+        let mut rig = Rig::fleet(base_config());
+        rig.request(1, "once");
+        let actions = rig.complete(1, 0, outcome);
+        let release = actions
+            .iter()
+            .position(|action| matches!(action, Action::Release { .. }));
+        let send = actions
             .iter()
-            .position(|a| matches!(a, Action::Release { .. }));
-        let send = then.iter().position(|a| matches!(a, Action::Send { .. }));
+            .position(|action| matches!(action, Action::Send { .. }));
         assert!(
             release.is_some() && send.is_none_or(|send| release < Some(send)),
-            "{outcome:?}: {then:?}"
+            "{outcome:?}: {actions:?}"
         );
     }
 }
 
-/// Guards against readers that idle beside one whose queue is long: what waited anywhere kept prompts from moving.
+/// Guards against idle prefill workers next to one with a long queue, because any queued work elsewhere kept prompts from
+/// being moved.
 #[test]
 fn overloaded_prefix_holder_sheds_prefills_to_idle_workers() {
-    let mut rig = Rig::new(settings());
+    let mut rig = Rig::new(base_config());
     let list = ["r1", "r2", "r3", "r4", "r5", "r6", "w1", "w2"];
-    rig.list(
+    rig.update_endpoints(
         EndpointUpdate::Restored,
         list.iter()
-            .map(|w| entry(w, 0, Status::Ready, None))
+            .map(|name| endpoint(name, 0, Status::Ready, None))
             .collect(),
     );
-    let prefix = |id, now| RequestSpec {
+    let spec = |id, now| RequestSpec {
         request: RequestId(id),
         prefix: Some(Arc::from("p")),
         prefix_tokens: 1_900,
-        ..ask(now, "safe")
+        ..request_spec(now, "safe")
     };
-    let readers: Vec<String> = (0..16)
-        .map(|id| sends(&rig.ask_with(prefix(id, rig.now))).join(" "))
+    let prefill_workers: Vec<String> = (0..16)
+        .map(|id| sent_to(&rig.request_with(spec(id, rig.now))).join(" "))
         .collect();
     assert!(
-        readers[..4].iter().all(|r| *r == readers[0]),
-        "its holder first: {readers:?}"
+        prefill_workers[..4]
+            .iter()
+            .all(|worker| *worker == prefill_workers[0]),
+        "the first prefills go to the holder: {prefill_workers:?}"
     );
     assert!(
-        readers.iter().any(|r| *r != readers[0]),
-        "others idle: {readers:?}"
+        prefill_workers
+            .iter()
+            .any(|worker| *worker != prefill_workers[0]),
+        "other workers stay idle: {prefill_workers:?}"
     );
 }
 
-/// Answers that are lost on the way tell nothing of the worker that has answered a later send; those that time
-/// out with nothing answered since do. Guards against most readers set aside and the rest swamped.
+/// Guards against ejecting most prefill workers, and overloading the rest, because some answers are lost on the way: a
+/// timeout counts as a failure only if the worker has not answered a later send.
 #[test]
 fn timeout_overtaken_by_a_later_answer_does_not_count_as_failure() {
-    for overtaken in [true, false] {
-        let mut rig = Rig::fleet(settings());
-        let prefix = |id, now| RequestSpec {
+    for is_later_answered in [true, false] {
+        let mut rig = Rig::fleet(base_config());
+        let spec = |id, now| RequestSpec {
             request: RequestId(id),
             prefix: Some(Arc::from("p")),
             prefix_tokens: 1_900,
-            ..ask(now, "safe")
+            ..request_spec(now, "safe")
         };
-        let mut home = String::new();
+        let mut owner = String::new();
         for id in 1..=4 {
-            home = sends(&rig.ask_with(prefix(id, rig.now)))[0].to_owned();
+            owner = sent_to(&rig.request_with(spec(id, rig.now)))[0].to_owned();
             rig.now += MS;
         }
-        let (answered, lost) = if overtaken {
+        let (answered_id, lost_ids) = if is_later_answered {
             (4, [1, 2, 3])
         } else {
             (1, [2, 3, 4])
         };
-        rig.end(answered, 0, AttemptOutcome::Prefilled);
+        rig.complete(answered_id, 0, AttemptOutcome::Prefilled);
         rig.now += 900 * MS;
-        for id in lost {
-            rig.end(id, 0, AttemptOutcome::TimedOut);
+        for id in lost_ids {
+            rig.complete(id, 0, AttemptOutcome::TimedOut);
         }
         assert_eq!(
-            sends(&rig.ask_with(prefix(9, rig.now))) == [home.as_str()],
-            overtaken
+            sent_to(&rig.request_with(spec(9, rig.now))) == [owner.as_str()],
+            is_later_answered
         );
     }
 }
 
-/// Guards against a worker that answers one class and not another: each class is sent where its own answers come.
+/// Guards against a prefill worker that answers one class but not another: only the unanswered class is sent elsewhere.
 #[test]
 fn class_with_lost_answers_moves_away_and_other_classes_stay() {
-    let mut rig = Rig::new(settings());
+    let mut rig = Rig::new(base_config());
     let list = ["r1", "r2", "r3", "r4", "r5", "r6", "w1", "w2"];
-    rig.list(
+    rig.update_endpoints(
         EndpointUpdate::Restored,
         list.iter()
-            .map(|w| entry(w, 0, Status::Ready, None))
+            .map(|name| endpoint(name, 0, Status::Ready, None))
             .collect(),
     );
-    let prefix = |id, now, class| RequestSpec {
+    let spec = |id, now, class| RequestSpec {
         request: RequestId(id),
         prefix: Some(Arc::from("p")),
         prefix_tokens: 1_900,
-        ..ask(now, class)
+        ..request_spec(now, class)
     };
-    let home = sends(&rig.ask_with(prefix(1, rig.now, "safe"))).join(" ");
+    let owner = sent_to(&rig.request_with(spec(1, rig.now, "safe"))).join(" ");
     rig.now += MS;
     assert_eq!(
-        sends(&rig.ask_with(prefix(2, rig.now, "safe"))),
-        [home.as_str()]
+        sent_to(&rig.request_with(spec(2, rig.now, "safe"))),
+        [owner.as_str()]
     );
     rig.now += MS;
     assert_eq!(
-        sends(&rig.ask_with(prefix(3, rig.now, "once"))),
-        [home.as_str()]
+        sent_to(&rig.request_with(spec(3, rig.now, "once"))),
+        [owner.as_str()]
     );
-    rig.end(3, 0, AttemptOutcome::Prefilled);
+    rig.complete(3, 0, AttemptOutcome::Prefilled);
     rig.now += 600 * MS;
-    rig.end(1, 0, AttemptOutcome::TimedOut);
-    rig.end(2, 0, AttemptOutcome::TimedOut);
+    rig.complete(1, 0, AttemptOutcome::TimedOut);
+    rig.complete(2, 0, AttemptOutcome::TimedOut);
     assert_ne!(
-        sends(&rig.ask_with(prefix(4, rig.now, "safe"))),
-        [home.as_str()]
+        sent_to(&rig.request_with(spec(4, rig.now, "safe"))),
+        [owner.as_str()]
     );
     assert_eq!(
-        sends(&rig.ask_with(prefix(5, rig.now, "once"))),
-        [home.as_str()]
+        sent_to(&rig.request_with(spec(5, rig.now, "once"))),
+        [owner.as_str()]
     );
-    // Nothing is known of the text any more, nor of what was lost.
-    rig.pass(40 * SECOND);
+    // By now the cached prefix and the lost answers are forgotten.
+    rig.advance(40 * SECOND);
     for (id, attempt) in [(4, 0), (5, 0)] {
-        rig.end(id, attempt, AttemptOutcome::Cancelled);
+        rig.complete(id, attempt, AttemptOutcome::Cancelled);
     }
     assert_eq!(
-        sends(&rig.ask_with(prefix(6, rig.now, "safe"))),
-        [home.as_str()],
-        "it is tried again"
+        sent_to(&rig.request_with(spec(6, rig.now, "safe"))),
+        [owner.as_str()],
+        "the worker is tried again"
     );
 }
 
-/// The same for writers, of which one that answers no request of a class looks full to it.
+/// Guards against a decode worker that answers one class but not another. For the unanswered class it counts as full.
 #[test]
 fn class_with_lost_answers_moves_to_another_decode_worker() {
-    let mut rig = Rig::new(settings());
+    let mut rig = Rig::new(base_config());
     let list = ["r1", "w1", "w2"];
-    rig.list(
+    rig.update_endpoints(
         EndpointUpdate::Restored,
         list.iter()
-            .map(|w| entry(w, 0, Status::Ready, None))
+            .map(|name| endpoint(name, 0, Status::Ready, None))
             .collect(),
     );
-    let write = |rig: &mut Rig, id: u64, class| {
+    let run_to_decode = |rig: &mut Rig, id: u64, class| {
         rig.now += MS;
-        rig.ask(id, class);
-        sends(&rig.end(id, 0, AttemptOutcome::Prefilled))[0].to_owned()
+        rig.request(id, class);
+        sent_to(&rig.complete(id, 0, AttemptOutcome::Prefilled))[0].to_owned()
     };
-    // One at each writer; then another class is answered by w1, and what waits there longer is not.
-    let first = [write(&mut rig, 1, "safe"), write(&mut rig, 2, "safe")];
-    let lost = 1 + first
+    // Each decode worker gets one request. Then w1 answers another class, but not the request that it got before.
+    let first_workers = [
+        run_to_decode(&mut rig, 1, "safe"),
+        run_to_decode(&mut rig, 2, "safe"),
+    ];
+    let lost_id = 1 + first_workers
         .iter()
-        .position(|w| w == "w1")
-        .expect("the emptier one is taken") as u64;
+        .position(|worker| worker == "w1")
+        .expect("the second request goes to the other decode worker") as u64;
     let answered = (10..100).find(|id| {
-        let there = write(&mut rig, *id, "cell") == "w1";
-        rig.end(*id, 1, AttemptOutcome::Served);
-        there
+        let is_at_w1 = run_to_decode(&mut rig, *id, "cell") == "w1";
+        rig.complete(*id, 1, AttemptOutcome::Served);
+        is_at_w1
     });
     assert!(answered.is_some());
-    rig.pass(600 * MS);
+    rig.advance(600 * MS);
     assert_eq!(
-        sends(&rig.end(lost, 1, AttemptOutcome::TimedOut)),
+        sent_to(&rig.complete(lost_id, 1, AttemptOutcome::TimedOut)),
         ["w2"],
-        "the state may still wait"
+        "the KV state may still be held"
     );
-    rig.end(lost, 2, AttemptOutcome::Served);
-    rig.end(3 - lost, 1, AttemptOutcome::Served);
-    let to_w1 = |rig: &mut Rig, ids: std::ops::Range<u64>, class| {
-        let chosen = ids.filter(|id| {
-            let there = write(rig, *id, class) == "w1";
-            rig.end(*id, 1, AttemptOutcome::Served);
-            there
+    rig.complete(lost_id, 2, AttemptOutcome::Served);
+    rig.complete(3 - lost_id, 1, AttemptOutcome::Served);
+    let count_at_w1 = |rig: &mut Rig, ids: std::ops::Range<u64>, class| {
+        let at_w1 = ids.filter(|id| {
+            let is_at_w1 = run_to_decode(rig, *id, class) == "w1";
+            rig.complete(*id, 1, AttemptOutcome::Served);
+            is_at_w1
         });
-        chosen.count()
+        at_w1.count()
     };
-    assert_eq!(to_w1(&mut rig, 100..120, "safe"), 0);
-    assert!(to_w1(&mut rig, 120..140, "cell") > 0);
+    assert_eq!(count_at_w1(&mut rig, 100..120, "safe"), 0);
+    assert!(count_at_w1(&mut rig, 120..140, "cell") > 0);
 }
 
-/// Guards against a writer that begins its streams at once and then crawls: first tokens alone make it look as good
-/// as any, and it stands near the reader.
+/// Guards against a decode worker that starts its streams immediately and then decodes slowly. By its first tokens alone it
+/// looks healthy, and it is near the prefill worker.
 #[test]
 fn decode_worker_with_slow_streams_is_avoided() {
-    let mut rig = Rig::new(settings());
+    let mut rig = Rig::new(base_config());
     let list = [("r1", 0), ("w1", 0), ("w2", 0), ("w3", 1)];
     let list = list
         .iter()
-        .map(|(w, cell)| entry(w, *cell, Status::Ready, None));
-    rig.list(EndpointUpdate::Restored, list.collect());
-    let write = |rig: &mut Rig, id: u64| {
+        .map(|(name, cell)| endpoint(name, *cell, Status::Ready, None));
+    rig.update_endpoints(EndpointUpdate::Restored, list.collect());
+    let start_stream = |rig: &mut Rig, id: u64| {
         rig.now += MS;
-        rig.ask(id, "safe");
-        let writer = sends(&rig.end(id, 0, AttemptOutcome::Prefilled))[0].to_owned();
+        rig.request(id, "safe");
+        let decode_worker = sent_to(&rig.complete(id, 0, AttemptOutcome::Prefilled))[0].to_owned();
         let (request, attempt) = (RequestId(id), AttemptIndex(1));
         rig.event(Event::StreamStarted {
             request,
             attempt,
             elapsed: 20 * MS,
         });
-        writer
+        decode_worker
     };
-    let to: Vec<(u64, String)> = (1..20).map(|id| (id, write(&mut rig, id))).collect();
+    let placements: Vec<(u64, String)> =
+        (1..20).map(|id| (id, start_stream(&mut rig, id))).collect();
     assert!(
         ["w1", "w2", "w3"]
             .iter()
-            .all(|name| to.iter().any(|(_, w)| w == name))
+            .all(|name| placements.iter().any(|(_, worker)| worker == name))
     );
-    for (wait, crawls) in [(500 * MS, false), (8 * SECOND, true)] {
-        rig.pass(wait);
-        for (id, _) in to.iter().filter(|(_, w)| (w == "w1") == crawls) {
-            rig.end(*id, 1, AttemptOutcome::Served);
+    for (duration, is_slow) in [(500 * MS, false), (8 * SECOND, true)] {
+        rig.advance(duration);
+        for (id, _) in placements
+            .iter()
+            .filter(|(_, worker)| (worker == "w1") == is_slow)
+        {
+            rig.complete(*id, 1, AttemptOutcome::Served);
         }
     }
-    // All is over, and no writer holds anything.
+    // All streams have ended, and no decode worker has any load.
     for id in 100..120 {
-        assert_ne!(write(&mut rig, id), "w1");
+        assert_ne!(start_stream(&mut rig, id), "w1");
         rig.now += 100 * MS;
-        rig.end(id, 1, AttemptOutcome::Served);
+        rig.complete(id, 1, AttemptOutcome::Served);
     }
 }
 
-/// Guards against a calm start in which every writer that has a stream looks slow beside those that have had none:
-/// nothing is usual before some stream has ended.
+/// Guards against decode workers that count as slow because they have running streams while others have none: there is no
+/// usual duration before a stream has ended.
 #[test]
 fn no_stream_counts_as_slow_before_one_has_ended() {
-    let mut rig = Rig::new(settings());
+    let mut rig = Rig::new(base_config());
     let list = [("r1", 0), ("r2", 1), ("w1", 0), ("w2", 1)];
     let list = list
         .iter()
-        .map(|(w, cell)| entry(w, *cell, Status::Ready, None));
-    rig.list(EndpointUpdate::Restored, list.collect());
+        .map(|(name, cell)| endpoint(name, *cell, Status::Ready, None));
+    rig.update_endpoints(EndpointUpdate::Restored, list.collect());
     for id in 1..5 {
         rig.now += 200 * MS;
-        let reader = sends(&rig.ask_with(RequestSpec {
+        let prefill_worker = sent_to(&rig.request_with(RequestSpec {
             request: RequestId(id),
             prompt_tokens: 500,
-            ..ask(rig.now, "safe")
+            ..request_spec(rig.now, "safe")
         }))[0]
             .to_owned();
-        let near = reader.replace('r', "w");
+        let near_decode_worker = prefill_worker.replace('r', "w");
         assert_eq!(
-            sends(&rig.end(id, 0, AttemptOutcome::Prefilled)),
-            [near.as_str()]
+            sent_to(&rig.complete(id, 0, AttemptOutcome::Prefilled)),
+            [near_decode_worker.as_str()]
         );
         let (request, attempt) = (RequestId(id), AttemptIndex(1));
         rig.event(Event::StreamStarted {
@@ -1833,78 +1962,83 @@
     }
 }
 
-/// Guards against bounds that a large fleet meets: a whole list of 1,024 workers and a change of all of them, at one of
-/// 350 routers.
+/// Guards against limits that a large deployment reaches: at one of 350 routers, a full list of 1,024 workers and a change
+/// of all of them.
 #[test]
 fn requests_are_served_across_updates_of_a_large_endpoint_list() {
     let mut rig = Rig::new(RoutingConfig {
         routers: 350,
         index: Some(349),
-        ..settings()
+        ..base_config()
     });
     let list = |status, started| {
-        let of = |role: &'static str| (0..512).map(move |i| (format!("{role}{i}"), i / 6));
-        of("r")
-            .chain(of("w"))
-            .map(|(w, cell)| entry(&w, cell, status, started))
+        let names = |role: &'static str| (0..512).map(move |i| (format!("{role}{i}"), i / 6));
+        names("r")
+            .chain(names("w"))
+            .map(|(name, cell)| endpoint(&name, cell, status, started))
             .collect::<Vec<_>>()
     };
-    let sent = |actions: &[Action]| {
+    let send_count = |actions: &[Action]| {
         actions
             .iter()
-            .filter(|a| matches!(a, Action::Send { .. }))
+            .filter(|action| matches!(action, Action::Send { .. }))
             .count()
     };
-    rig.list(EndpointUpdate::Restored, list(Status::Ready, None));
+    rig.update_endpoints(EndpointUpdate::Restored, list(Status::Ready, None));
     for id in 1..=64 {
-        assert_eq!(sent(&rig.ask(id, "safe")), 1, "request {id}");
+        assert_eq!(send_count(&rig.request(id, "safe")), 1, "request {id}");
         assert_eq!(
-            sent(&rig.end(id, 0, AttemptOutcome::Prefilled)),
+            send_count(&rig.complete(id, 0, AttemptOutcome::Prefilled)),
             1,
             "request {id}"
         );
-        rig.end(id, 1, AttemptOutcome::Served);
+        rig.complete(id, 1, AttemptOutcome::Served);
     }
     rig.now += 2 * SECOND;
     let started = Some(rig.now);
-    rig.list(EndpointUpdate::Incremental, list(Status::Ready, started));
-    rig.list(EndpointUpdate::Incremental, list(Status::Draining, started));
-    assert_eq!(sent(&rig.ask(65, "safe")), 0);
-    rig.list(EndpointUpdate::Full, list(Status::Ready, None));
-    assert_eq!(sent(&rig.ask(66, "safe")), 1);
+    rig.update_endpoints(EndpointUpdate::Incremental, list(Status::Ready, started));
+    rig.update_endpoints(EndpointUpdate::Incremental, list(Status::Draining, started));
+    assert_eq!(send_count(&rig.request(65, "safe")), 0);
+    rig.update_endpoints(EndpointUpdate::Full, list(Status::Ready, None));
+    assert_eq!(send_count(&rig.request(66, "safe")), 1);
 }
 
-/// Guards against a jam that takes all of a process's time: each end of an attempt had everything that waits looked at.
+/// Guards against a process that spends all of its time on the queue, because each completed attempt leads to a pass over
+/// all queued requests.
 #[test]
 fn long_queue_is_dispatched_in_batches() {
-    let mut rig = Rig::fleet(settings());
-    // Readers that can't be used: all that comes later waits.
+    let mut rig = Rig::fleet(base_config());
+    // All prefill workers drain, so that later requests are queued.
     for id in 0..10 {
-        rig.ask(id, "safe");
+        rig.request(id, "safe");
     }
-    let drain = |w: &str, c| entry(w, c, Status::Draining, None);
-    rig.list(
+    let draining = |name: &str, cell| endpoint(name, cell, Status::Draining, None);
+    rig.update_endpoints(
         EndpointUpdate::Incremental,
-        vec![drain("r1", 0), drain("r2", 1)],
+        vec![draining("r1", 0), draining("r2", 1)],
     );
     for id in 100..200 {
-        rig.ask(id, "safe");
+        rig.request(id, "safe");
     }
-    rig.list(
+    rig.update_endpoints(
         EndpointUpdate::Incremental,
         ["r1", "r2"]
-            .map(|w| entry(w, 0, Status::Ready, None))
+            .map(|name| endpoint(name, 0, Status::Ready, None))
             .to_vec(),
     );
-    let mut at_once = Vec::new();
+    let mut immediate_actions = Vec::new();
     for id in 0..10 {
-        at_once.extend(rig.end(id, 0, AttemptOutcome::Prefilled));
+        immediate_actions.extend(rig.complete(id, 0, AttemptOutcome::Prefilled));
     }
-    let to_readers =
-        |actions: &[Action]| sends(actions).iter().filter(|w| w.starts_with('r')).count();
-    assert_eq!(to_readers(&at_once), 0);
+    let prefill_count = |actions: &[Action]| {
+        sent_to(actions)
+            .iter()
+            .filter(|worker| worker.starts_with('r'))
+            .count()
+    };
+    assert_eq!(prefill_count(&immediate_actions), 0);
     assert!(
-        to_readers(&rig.pass(10 * MS)) > 0,
-        "not gone on with in time"
+        prefill_count(&rig.advance(10 * MS)) > 0,
+        "the queue is not dispatched in time"
     );
 }
