--- a/src/dispatch/clock.rs
+++ b/src/dispatch/clock.rs
@@ -4,11 +4,11 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Reading of the clock at the start of the process: larger than any span that is subtracted from it.
+/// Reading of the clock at the start of the process. Larger than any duration that is subtracted from a reading.
 const INITIAL_READING: Micros = 1_000_000_000_000;
 
-/// Microseconds of the monotonic clock. The zero has no meaning, and a step of the wall clock doesn't change it; start
-/// times of model hosts are converted to it by [`crate::net::host_starts`].
+/// Monotonic clock with readings in microseconds. Its origin has no meaning, and steps of the wall clock don't affect it.
+/// Start times of model hosts are converted to it by [`crate::net::host_starts`].
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     origin: Instant,
@@ -16,7 +16,7 @@
 }
 
 impl Clock {
-    /// Starts the clock.
+    /// Starts a clock at the initial reading.
     pub fn start() -> Self {
         Clock {
             origin: Instant::now(),
@@ -24,24 +24,24 @@
         }
     }
 
-    /// The current time.
+    /// Reads the current time in microseconds.
     pub fn now(&self) -> Micros {
         self.reading_at_origin + self.origin.elapsed().as_micros() as Micros
     }
 
-    /// The reading at a time of the runtime's clock, also one before the clock was started.
+    /// Converts a time of the tokio clock to a reading. The time may be before the start of this clock.
     pub fn reading(&self, at: Instant) -> Micros {
         let before = self.origin.saturating_duration_since(at);
         let after = at.saturating_duration_since(self.origin);
         self.reading_at_origin + after.as_micros() as Micros - before.as_micros() as Micros
     }
 
-    /// Converts a time to the runtime's clock.
+    /// Converts a reading to a time of the tokio clock.
     pub fn instant(&self, at: Micros) -> Instant {
         self.origin + Duration::from_micros(at.saturating_sub(self.reading_at_origin))
     }
 
-    /// Waits until `at`; with `None`, forever.
+    /// Sleeps until the reading `at`; with `None`, forever.
     pub async fn sleep_until(&self, at: Option<Micros>) {
         match at {
             Some(at) => tokio::time::sleep_until(self.instant(at)).await,
--- a/src/dispatch/dispatcher.rs
+++ b/src/dispatch/dispatcher.rs
@@ -1,4 +1,5 @@
-//! The dispatcher: hands events to routing, carries out its actions, owns the timers and the table of open requests.
+//! The dispatcher: passes events to the routing policy, executes its actions, and owns the timers and the table of open
+//! requests.
 
 use super::invariants::InvariantViolation;
 use super::open_request::OpenRequest;
@@ -17,23 +18,23 @@
 use std::rc::Rc;
 use tokio::sync::mpsc;
 
-/// Drives one instance of the routing policy.
+/// Runs one instance of the routing policy.
 pub struct Dispatcher {
     policy: Policy,
     config: RoutingConfig,
     clock: Clock,
     outbound: Rc<dyn Outbound>,
     counters: Rc<Counters>,
-    pub(super) open: HashMap<RequestId, OpenRequest>,
+    pub(super) open_requests: HashMap<RequestId, OpenRequest>,
     pub(super) timers: TimerQueue,
-    /// Reused buffer for the actions of one event.
+    /// Buffer for the actions of one event, kept to reuse its allocation.
     actions: Vec<Action>,
-    /// Requests that got their final answer while the actions of one event were carried out.
+    /// Requests that were answered while the actions of the current event were executed.
     answered: Vec<RequestId>,
 }
 
 impl Dispatcher {
-    /// A dispatcher with a new routing policy.
+    /// Creates a dispatcher with a new routing policy.
     pub fn new(
         config: RoutingConfig,
         seed: u64,
@@ -47,14 +48,14 @@
             clock,
             outbound,
             counters,
-            open: HashMap::new(),
+            open_requests: HashMap::new(),
             timers: TimerQueue::default(),
             actions: Vec::new(),
             answered: Vec::new(),
         }
     }
 
-    /// Runs until every handle is dropped.
+    /// Processes events and timers until all handles are dropped.
     pub async fn run(mut self, mut queue: mpsc::UnboundedReceiver<DispatcherEvent>) {
         loop {
             let next_timer = self.clock.sleep_until(self.timers.next_due());
@@ -66,7 +67,7 @@
                 },
                 () = next_timer => {}
             }
-            // Also after an event: a queue that is never empty must not starve the timers.
+            // Fires timers after events as well, because a queue that is never empty would otherwise starve them.
             self.fire_due_timers();
         }
     }
@@ -88,10 +89,10 @@
         match event {
             DispatcherEvent::RequestArrived {
                 spec,
-                call,
+                upstream_request,
                 answer,
                 client_disconnected,
-            } => self.on_request(spec, call, answer, client_disconnected),
+            } => self.on_request_arrived(spec, upstream_request, answer, client_disconnected),
             DispatcherEvent::ClientDisconnected(request) => self.on_client_disconnected(request),
             DispatcherEvent::StreamStarted {
                 request,
@@ -131,15 +132,15 @@
         }
     }
 
-    fn on_request(
+    fn on_request_arrived(
         &mut self,
         spec: RequestSpec,
-        call: Rc<UpstreamRequest>,
+        upstream_request: Rc<UpstreamRequest>,
         answer: AnswerHandle,
         client_disconnected: Rc<Cell<bool>>,
     ) {
         self.counters.taken.up();
-        log::debug!("request {}: {spec:?}", call.id);
+        log::debug!("request {}: accepted: {spec:?}", upstream_request.id);
         let class = self
             .config
             .classes
@@ -149,36 +150,38 @@
         let max_attempts = self.config.max_attempts;
         let (request, deadline) = (spec.request, spec.deadline);
         let open = OpenRequest::new(
-            call,
+            upstream_request,
             deadline,
             answer,
             client_disconnected,
             max_attempts,
             idempotency,
         );
-        self.open.insert(request, open);
-        let last_moment = deadline + self.config.response_grace;
-        self.timers.set(last_moment, Timer::AnswerDeadline(request));
-        let open = &self.open;
+        self.open_requests.insert(request, open);
+        let answer_deadline = deadline + self.config.response_grace;
         self.timers
-            .purge_deadlines(open.len(), |request| open.contains_key(request));
+            .set(answer_deadline, Timer::AnswerDeadline(request));
+        let open_requests = &self.open_requests;
+        self.timers.purge_deadlines(open_requests.len(), |request| {
+            open_requests.contains_key(request)
+        });
         self.route(Event::RequestArrived(spec));
     }
 
     fn on_client_disconnected(&mut self, request: RequestId) {
-        let Some(open) = self.open.get_mut(&request) else {
+        let Some(open) = self.open_requests.get_mut(&request) else {
             return;
         };
         self.counters.clients_left.up();
-        // Nobody is there to receive it.
+        // No client is left to receive an answer.
         open.answer = None;
-        let streaming = open
+        let streaming_attempts = open
             .attempts
             .iter_mut()
             .filter(|attempt| attempt.is_streaming);
-        streaming.for_each(super::open_request::AttemptState::cancel);
+        streaming_attempts.for_each(super::open_request::AttemptState::cancel);
         self.route(Event::ClientDisconnected { request });
-        self.forget_if_finished(request);
+        self.remove_if_finished(request);
     }
 
     fn on_stream_started(
@@ -187,20 +190,20 @@
         attempt: AttemptIndex,
         stream: StreamReceiver,
     ) {
-        let Some(open) = self.open.get_mut(&request) else {
+        let Some(open) = self.open_requests.get_mut(&request) else {
             return;
         };
         let Some(state) = open.attempts.get_mut(attempt.0 as usize) else {
             return;
         };
-        // An answer that was already given stands: the stream is dropped, and with it the attempt.
+        // If the request has been answered already, dropping the stream ends the attempt.
         let Some(answer) = open.answer.take() else {
             return;
         };
         state.is_streaming = true;
         let elapsed = self.clock.now().saturating_sub(state.sent_at);
         log::debug!(
-            "request {}: attempt {} streams after {elapsed} us",
+            "request {}: attempt {} started to stream after {elapsed} us",
             open.upstream_request.id,
             attempt.0
         );
@@ -217,7 +220,7 @@
         });
     }
 
-    /// Fills in what the dispatcher knows of the attempt, and tells routing.
+    /// Completes the event with the dispatcher's data on the attempt and passes it to the policy.
     fn on_attempt_completed(&mut self, mut completed: AttemptCompleted) {
         let AttemptCompleted {
             request,
@@ -226,7 +229,7 @@
             cached_tokens,
             ..
         } = completed;
-        let Some(open) = self.open.get_mut(&request) else {
+        let Some(open) = self.open_requests.get_mut(&request) else {
             return;
         };
         let state = open.attempts.get_mut(attempt.0 as usize);
@@ -238,7 +241,7 @@
         completed.elapsed = self.clock.now().saturating_sub(state.sent_at);
         completed.request_finished = open.answer.is_none();
         log::debug!(
-            "request {}: attempt {} ended {outcome:?} after {} us, {cached_tokens} kept",
+            "request {}: attempt {} ended with {outcome:?} after {} us; {cached_tokens} prompt tokens were cached",
             open.upstream_request.id,
             attempt.0,
             completed.elapsed
@@ -248,19 +251,20 @@
         open.release_history.attempt_ended(outcome);
         outcome_counter(&self.counters, outcome).up();
         self.route(Event::AttemptCompleted(completed));
-        self.forget_if_finished(request);
+        self.remove_if_finished(request);
     }
 
-    /// Answers a request that routing has lost (after a panic, for example): it is rejected only if nothing can have run.
+    /// Answers a request that the policy has lost, for example after a panic. It is rejected if it can't have run, else
+    /// failed.
     fn on_answer_deadline(&mut self, request: RequestId) {
-        let Some(open) = self.open.get_mut(&request) else {
+        let Some(open) = self.open_requests.get_mut(&request) else {
             return;
         };
         let Some(answer) = open.answer.take() else {
             return;
         };
         log::warn!(
-            "request {}: no decision by its deadline, ended by the driver",
+            "request {}: the routing policy gave no answer by the deadline; the dispatcher ends the request",
             open.upstream_request.id
         );
         if open.monitor.check_rejection().is_ok() {
@@ -275,37 +279,37 @@
         }
         self.release(request, ReleaseReason::RequestFinished);
         self.route(Event::ClientDisconnected { request });
-        self.forget_if_finished(request);
+        self.remove_if_finished(request);
     }
 
-    fn forget_if_finished(&mut self, request: RequestId) {
-        let open = self.open.get(&request);
+    fn remove_if_finished(&mut self, request: RequestId) {
+        let open = self.open_requests.get(&request);
         if open.is_some_and(OpenRequest::is_finished) {
-            self.open.remove(&request);
+            self.open_requests.remove(&request);
         }
     }
 
-    /// Hands an event to routing and carries out its actions. A panic of the policy costs that decision only: requests
-    /// that it loses are answered at their deadlines.
+    /// Passes an event to the policy and executes the resulting actions. A panic of the policy affects only this event;
+    /// requests that are lost by it are answered at their deadlines.
     fn route(&mut self, event: Event) {
         let mut actions = std::mem::take(&mut self.actions);
         let now = self.clock.now();
-        let (policy, list) = (&mut self.policy, &mut actions);
-        if catch_unwind(AssertUnwindSafe(|| policy.handle(now, event, list))).is_err() {
+        let (policy, out) = (&mut self.policy, &mut actions);
+        if catch_unwind(AssertUnwindSafe(|| policy.handle(now, event, out))).is_err() {
             self.counters.panics.up();
-            log::error!("the module panicked; the event is skipped");
+            log::error!("the routing policy panicked; the event is skipped");
         }
         for action in actions.drain(..) {
-            self.carry_out(action);
+            self.execute(action);
         }
         self.actions = actions;
-        // Only now: a release that follows the answer still has to find the request.
+        // Removes answered requests only now, because a release that follows the answer needs the request's entry.
         while let Some(request) = self.answered.pop() {
-            self.forget_if_finished(request);
+            self.remove_if_finished(request);
         }
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
             Action::Send {
                 request,
@@ -318,7 +322,7 @@
                 worker,
                 denial,
             } => {
-                let open = self.open.get(&request);
+                let open = self.open_requests.get(&request);
                 let id = open.map_or("", |open| &open.upstream_request.id);
                 self.counters.sends_refused.up();
                 log::info!("request {id}: not sent to {}: {denial}", worker.0);
@@ -337,13 +341,13 @@
     }
 
     fn reject(&mut self, request: RequestId, reason: EndReason, retry_after: Option<Micros>) {
-        let Some(open) = self.open.get_mut(&request) else {
+        let Some(open) = self.open_requests.get_mut(&request) else {
             return;
         };
         let Some(answer) = open.answer.take() else {
             return;
         };
-        log::debug!("request {}: refused: {reason:?}", open.upstream_request.id);
+        log::debug!("request {}: rejected: {reason:?}", open.upstream_request.id);
         if let Err(violation) = open.monitor.check_rejection() {
             report_violation(&self.counters, &open.upstream_request.id, violation);
         }
@@ -353,7 +357,7 @@
     }
 
     fn fail(&mut self, request: RequestId, reason: EndReason) {
-        let Some(open) = self.open.get_mut(&request) else {
+        let Some(open) = self.open_requests.get_mut(&request) else {
             return;
         };
         let Some(answer) = open.answer.take() else {
@@ -365,9 +369,9 @@
         self.answered.push(request);
     }
 
-    /// Cancels an attempt, unless it streams already.
+    /// Cancels an attempt unless it is streaming.
     fn cancel(&mut self, request: RequestId, attempt: AttemptIndex) {
-        let open = self.open.get_mut(&request);
+        let open = self.open_requests.get_mut(&request);
         let state = open.and_then(|open| open.attempts.get_mut(attempt.0 as usize));
         if let Some(state) = state.filter(|state| !state.is_streaming) {
             state.cancel();
@@ -382,51 +386,51 @@
         permit: SendPermit,
     ) {
         let now = self.clock.now();
-        let open = self.open.get_mut(&request);
+        let open = self.open_requests.get_mut(&request);
         let Some(open) = open.filter(|open| open.answer.is_some()) else {
             return;
         };
         if let Err(violation) = open.monitor.sent(permit.is_prefill()) {
             report_violation(&self.counters, &open.upstream_request.id, violation);
         }
-        let until = timeout.map_or(open.deadline, |timeout| {
+        let first_event_deadline = timeout.map_or(open.deadline, |timeout| {
             open.deadline.min(now.saturating_add(timeout))
         });
-        let attempt = open.begin_attempt(request, worker, now, until, permit);
+        let attempt = open.begin_attempt(request, worker, now, first_event_deadline, permit);
         log::debug!(
-            "request {}: attempt {} to {}, {} us",
+            "request {}: sending attempt {} to {}, timeout {} us",
             attempt.upstream_request.id,
             attempt.attempt.0,
             attempt.worker.0,
-            until.saturating_sub(now)
+            first_event_deadline.saturating_sub(now)
         );
         self.outbound.send(attempt);
     }
 
     fn release(&mut self, request: RequestId, reason: ReleaseReason) {
-        let Some(open) = self.open.get_mut(&request) else {
+        let Some(open) = self.open_requests.get_mut(&request) else {
             return;
         };
         open.monitor.released();
         let is_releasing = open.is_releasing();
         let permit = match open.release_history.permit(reason, is_releasing) {
             Ok(permit) => permit,
-            Err(refusal) => {
+            Err(denial) => {
                 return log::debug!(
-                    "request {}: no release for {reason:?}: {refusal}",
+                    "request {}: release for {reason:?} not started: {denial}",
                     open.upstream_request.id
                 );
             }
         };
-        if let Some(last) = &open.release {
-            last.stop();
+        if let Some(previous) = &open.release {
+            previous.stop();
         }
         let progress = Rc::<ReleaseProgress>::default();
         self.counters.releases.up();
         if reason == ReleaseReason::SendUnanswered {
             self.counters.releases_behind_sends.up();
             log::info!(
-                "request {}: release ordered, its send is not answered yet",
+                "request {}: release ordered near the hold limit, its send is not answered yet",
                 open.upstream_request.id
             );
         } else {
@@ -440,11 +444,11 @@
         open.release = Some(progress);
     }
 
-    /// Reports KV state that is held for longer than allowed.
+    /// Reports KV state that is held beyond its limit.
     fn check_held_kv_state(&mut self) {
         let now = self.clock.now();
         let limit = self.config.kv_state_hold_limit;
-        for open in self.open.values_mut() {
+        for open in self.open_requests.values_mut() {
             if let Err(violation) = open.monitor.check_held(now, limit) {
                 report_violation(&self.counters, &open.upstream_request.id, violation);
             }
@@ -452,7 +456,7 @@
     }
 }
 
-/// The counter of attempts that completed with this outcome.
+/// The counter for attempts with this outcome.
 fn outcome_counter(counters: &Counters, outcome: AttemptOutcome) -> &Count {
     match outcome {
         AttemptOutcome::Prefilled => &counters.ended_read,
@@ -467,9 +471,12 @@
     }
 }
 
-/// Counts and logs a violation; with debug assertions it panics, unless a stalled process explains it.
+/// Counts and logs a violation. With debug assertions it panics, unless a stall of the process may explain the violation.
 fn report_violation(counters: &Counters, id: &str, violation: InvariantViolation) {
     counters.violations.up();
     log::error!("request {id}: rule broken: {violation}");
-    debug_assert!(violation.may_come_of_a_stall(), "request {id}: {violation}");
+    debug_assert!(
+        violation.may_be_due_to_a_stall(),
+        "request {id}: {violation}"
+    );
 }
--- a/src/dispatch/handle.rs
+++ b/src/dispatch/handle.rs
@@ -1,4 +1,4 @@
-//! Events for the dispatcher, and the handle by which other parts send them.
+//! Events of the dispatcher, and the handle through which other modules send them.
 
 use super::Clock;
 use crate::exchange::{AnswerHandle, PendingAnswer, StreamReceiver, UpstreamRequest, open};
@@ -11,58 +11,58 @@
 use std::rc::Rc;
 use tokio::sync::{mpsc, oneshot};
 
-/// An event for the dispatcher.
+/// An input of the dispatcher.
 pub enum DispatcherEvent {
     /// A request was accepted.
     RequestArrived {
-        /// What routing is told of it.
+        /// Description of the request for the routing policy.
         spec: RequestSpec,
-        /// What is forwarded.
-        call: Rc<UpstreamRequest>,
-        /// Takes the final answer.
+        /// Content of the request that is forwarded to workers.
+        upstream_request: Rc<UpstreamRequest>,
+        /// Handle for the final answer.
         answer: AnswerHandle,
         /// Set when the client disconnects.
         client_disconnected: Rc<Cell<bool>>,
     },
-    /// The client has disconnected.
+    /// The client of this request has disconnected.
     ClientDisconnected(RequestId),
     /// The first event of a stream has arrived.
     StreamStarted {
-        /// The request.
+        /// Request that is answered.
         request: RequestId,
-        /// The attempt.
+        /// Attempt that streams the response.
         attempt: AttemptIndex,
-        /// The stream.
+        /// Receives the frames of the stream.
         stream: StreamReceiver,
     },
     /// An attempt has completed.
     AttemptCompleted {
-        /// The request.
+        /// Request to which the attempt belongs.
         request: RequestId,
-        /// The attempt.
+        /// Attempt that has completed.
         attempt: AttemptIndex,
-        /// How it completed.
+        /// How the attempt ended.
         outcome: AttemptOutcome,
         /// Prompt tokens that the worker found in its prefix cache.
         cached_tokens: u64,
-        /// The worker's load, if reported.
+        /// Load report that came with the response, if any.
         load_report: Option<LoadReport>,
     },
-    /// New requests begin under this configuration; open ones keep theirs.
+    /// The configuration has changed. It applies to new requests; open ones keep the values under which they were accepted.
     ConfigChanged(Box<RoutingConfig>),
     /// Discovery has sent an update of the endpoint list.
     EndpointsUpdated {
-        /// Kind of the update.
+        /// Whether the update is complete, incremental, restored or failed.
         update: EndpointUpdate,
-        /// Endpoints in it.
+        /// Endpoints contained in the update.
         endpoints: Vec<Endpoint>,
     },
-    /// Whether this process may send to workers in slow start.
+    /// Whether this process may send to workers in slow start. Of two processes of one router only one may.
     SlowStart {
-        /// Of two processes of one router, only one may.
+        /// If true, sends are allowed after a pause of one slow start window.
         allowed: bool,
     },
-    /// Asks how many listed workers routing avoids now.
+    /// Requests the number of listed workers that the policy currently avoids.
     CountAvoidedWorkers(oneshot::Sender<usize>),
 }
 
@@ -76,7 +76,8 @@
 }
 
 impl DispatcherHandle {
-    /// A handle, and the queue that the dispatcher reads. The queue is unbounded; the number of open requests is bounded.
+    /// Creates a handle and the queue from which the dispatcher reads. The queue is unbounded, because the number of open
+    /// requests is bounded.
     pub fn channel(clock: Clock) -> (Self, mpsc::UnboundedReceiver<DispatcherEvent>) {
         let (events, queue) = mpsc::unbounded_channel();
         let handle = DispatcherHandle {
@@ -87,34 +88,35 @@
         (handle, queue)
     }
 
-    /// Sends an event.
+    /// Sends an event to the dispatcher.
     pub fn send(&self, event: DispatcherEvent) {
-        // The queue is closed only when the process ends.
+        // Fails only when the process is exiting, which closes the queue.
         let _ = self.events.send(event);
     }
 
-    /// Submits a request that was admitted; its number is filled in.
+    /// Submits an admitted request. Assigns its number; the one in `spec` is ignored.
     pub fn submit(
         &self,
         mut spec: RequestSpec,
-        call: UpstreamRequest,
+        upstream_request: UpstreamRequest,
         _: AdmissionPermit,
     ) -> PendingAnswer {
         let request = RequestId(self.next_request.get());
         self.next_request.set(request.0 + 1);
         spec.request = request;
         let client_disconnected = Rc::<Cell<bool>>::default();
-        let (server, answer) = open(self.on_disconnect(request, client_disconnected.clone()));
+        let (pending_answer, answer) =
+            open(self.on_disconnect(request, client_disconnected.clone()));
         self.send(DispatcherEvent::RequestArrived {
             spec,
-            call: Rc::new(call),
+            upstream_request: Rc::new(upstream_request),
             answer,
             client_disconnected,
         });
-        server
+        pending_answer
     }
 
-    /// What is called when the client of a request disconnects.
+    /// Creates the callback that is called when the client of a request disconnects.
     fn on_disconnect(
         &self,
         request: RequestId,
--- a/src/dispatch/invariants.rs
+++ b/src/dispatch/invariants.rs
@@ -1,39 +1,41 @@
-//! Run-time check of the routing invariants, by an independent account of each request.
+//! Run-time check of the routing invariants, based on an independent record of each request.
 //!
-//! Routing decides by [`crate::routing::policy::send_permit`] and [`crate::routing::policy::kv_state`]. This monitor sees the same
-//! orders and completions, knows nothing of the reasons, and checks the result. The dispatcher counts and logs each
-//! violation; builds with debug assertions panic, unless a stalled process may explain it.
+//! The policy decides according to [`crate::routing::policy::send_permit`] and [`crate::routing::policy::kv_state`]. This
+//! monitor sees the same actions and completions without the reasons, and checks that no invariant is violated. The
+//! dispatcher counts and logs each violation. Builds with debug assertions panic, unless a stalled process may explain the
+//! violation.
 
 use crate::routing::types::{AttemptOutcome, Idempotency, Micros};
 
-/// How long a process may stall between a decision and the next check.
+/// Time for which the process may stall between a decision and the next check.
 const STALL_ALLOWANCE: Micros = 150_000;
 
 /// A violated invariant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvariantViolation {
     /// An attempt was sent while another one was in flight.
-    #[error("sent while another attempt was out")]
+    #[error("sent while another attempt was in flight")]
     ConcurrentAttempt,
-    /// A request that is not idempotent was sent again though it may have run.
-    #[error("sent again though it may have run")]
+    /// A non-idempotent request was sent again although it may have run.
+    #[error("sent again although it may have run")]
     RetryAfterPossibleRun,
-    /// A request that is not idempotent was rejected, which promises that a retry is harmless, though it may have run.
-    #[error("refused though it may have run")]
+    /// A request that is not safe to repeat was rejected, which tells the client that a retry is safe, although it may have
+    /// run.
+    #[error("rejected although it may have run")]
     RejectionAfterPossibleRun,
-    /// KV state that may be held was neither fetched nor released in time.
+    /// KV state that may be held was neither fetched nor released in time. Tools match the text of this error.
     #[error("what may be held was not released in time")]
     KvStateHeldTooLong,
 }
 
 impl InvariantViolation {
-    /// Whether a stall of the process may explain it, without a fault of the program.
-    pub fn may_come_of_a_stall(self) -> bool {
+    /// Whether a stall of the process may explain the violation, rather than a fault of the program.
+    pub fn may_be_due_to_a_stall(self) -> bool {
         self == InvariantViolation::KvStateHeldTooLong
     }
 }
 
-/// What the monitor knows of one attempt.
+/// The monitor's record of one attempt.
 struct Attempt {
     is_prefill: bool,
     outcome: Option<AttemptOutcome>,
@@ -48,18 +50,18 @@
     }
 }
 
-/// Account of one request.
+/// Record of one request, for checking the invariants.
 pub(super) struct InvariantMonitor {
     idempotency: Idempotency,
     attempts: Vec<Attempt>,
-    /// Since when KV state may be held with neither a release ordered nor an attempt known to have arrived.
+    /// Time since which KV state may be held without an ordered release or an attempt that is known to have arrived.
     held_since: Option<Micros>,
-    /// A release was ordered since the latest attempt was sent.
+    /// A release was ordered after the latest attempt was sent.
     is_released: bool,
 }
 
 impl InvariantMonitor {
-    /// Account of a request of a class with this idempotency.
+    /// Starts the record of a request whose class has this idempotency.
     pub fn new(idempotency: Idempotency) -> Self {
         InvariantMonitor {
             idempotency,
@@ -69,10 +71,10 @@
         }
     }
 
-    /// An attempt is about to be sent.
+    /// Records that an attempt is about to be sent.
     ///
     /// # Errors
-    /// It breaks a rule.
+    /// Returns the invariant that the send violates.
     pub fn sent(&mut self, is_prefill: bool) -> Result<(), InvariantViolation> {
         let may_have_run = self.attempts.iter().any(Attempt::may_have_run);
         let has_attempt_in_flight = self
@@ -93,7 +95,7 @@
         Ok(())
     }
 
-    /// An attempt has completed.
+    /// Records the completion of an attempt.
     pub fn attempt_completed(&mut self, index: usize, outcome: AttemptOutcome, now: Micros) {
         let Some(attempt) = self.attempts.get_mut(index) else {
             return;
@@ -111,21 +113,21 @@
         }
     }
 
-    /// A release was ordered.
+    /// Records that a release was ordered.
     pub fn released(&mut self) {
         self.held_since = None;
         self.is_released = true;
     }
 
-    /// A stream has started: everything that was held is released by itself.
+    /// Records that a stream has started, which frees all held KV state.
     pub fn stream_started(&mut self) {
         self.held_since = None;
     }
 
-    /// Whether the request may be rejected, which promises that a retry is harmless.
+    /// Checks whether the request may be rejected, which tells the client that a retry is safe.
     ///
     /// # Errors
-    /// It may not.
+    /// Returns a violation if the request may have run and is not safe to repeat.
     pub fn check_rejection(&self) -> Result<(), InvariantViolation> {
         let may_have_run = self.attempts.iter().any(Attempt::may_have_run);
         if self.idempotency.is_harmless_to_repeat() || !may_have_run {
@@ -135,10 +137,10 @@
         }
     }
 
-    /// Whether KV state that may be held is still within its limit; reported once for each.
+    /// Checks whether KV state that may be held is still within its limit.
     ///
     /// # Errors
-    /// It is not.
+    /// Returns a violation, once per hold, if the limit is exceeded.
     pub fn check_held(&mut self, now: Micros, limit: Micros) -> Result<(), InvariantViolation> {
         let max_held = limit.saturating_add(STALL_ALLOWANCE);
         match self.held_since {
--- a/src/dispatch/invariants/tests.rs
+++ b/src/dispatch/invariants/tests.rs
@@ -23,27 +23,27 @@
 }
 
 #[rstest]
-#[case::unknown(
+#[case::unknown_outcome(
     AttemptOutcome::TimedOut,
     Err(InvariantViolation::RetryAfterPossibleRun),
     Err(InvariantViolation::RejectionAfterPossibleRun)
 )]
-#[case::claims_prefill(
+#[case::prefill_reported_by_a_decode_worker(
     AttemptOutcome::Prefilled,
     Err(InvariantViolation::RetryAfterPossibleRun),
     Err(InvariantViolation::RejectionAfterPossibleRun)
 )]
-#[case::never_ran(AttemptOutcome::Rejected, Ok(()), Ok(()))]
+#[case::did_not_run(AttemptOutcome::Rejected, Ok(()), Ok(()))]
 fn request_that_may_have_run_is_neither_retried_nor_rejected(
     #[case] outcome: AttemptOutcome,
-    #[case] repeat: Result<(), InvariantViolation>,
-    #[case] refusal: Result<(), InvariantViolation>,
+    #[case] on_retry: Result<(), InvariantViolation>,
+    #[case] on_rejection: Result<(), InvariantViolation>,
 ) {
     let mut monitor = after_prefill(Idempotency::NonIdempotent);
     monitor.sent(false).unwrap();
     monitor.attempt_completed(1, outcome, 0);
-    assert_eq!(monitor.check_rejection(), refusal);
-    assert_eq!(monitor.sent(false), repeat);
+    assert_eq!(monitor.check_rejection(), on_rejection);
+    assert_eq!(monitor.sent(false), on_retry);
     assert!(
         InvariantMonitor::new(Idempotency::NonIdempotent)
             .check_rejection()
@@ -51,9 +51,9 @@
     );
 }
 
-/// A send in flight proves nothing of its arrival; the monitor must not share that mistake with routing.
+/// Guards against a monitor that takes a send in flight as proof of its arrival and so misses the same error in the policy.
 #[test]
-fn kv_state_behind_an_unanswered_send_is_reported_once() {
+fn kv_state_held_during_an_unanswered_send_is_reported_once() {
     let mut monitor = after_prefill(Idempotency::Idempotent);
     monitor.sent(false).unwrap();
     assert_eq!(monitor.check_held(LATE - 1, LIMIT), Ok(()));
--- a/src/dispatch/open_request.rs
+++ b/src/dispatch/open_request.rs
@@ -1,4 +1,4 @@
-//! A request in the dispatcher's table.
+//! An open request in the dispatcher's table.
 
 use super::invariants::InvariantMonitor;
 use super::{Attempt, ReleaseProgress};
@@ -11,29 +11,29 @@
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
-/// A request that has no final answer yet, or attempts in flight.
+/// A request that has no final answer yet, or that still has attempts in flight.
 pub(super) struct OpenRequest {
     pub upstream_request: Rc<UpstreamRequest>,
     pub deadline: Micros,
-    /// `None` once the final answer is given.
+    /// Handle for the final answer; `None` once the answer has been given or the client has disconnected.
     pub answer: Option<AnswerHandle>,
-    /// Whether its client has disconnected.
+    /// Whether the client has disconnected.
     client_disconnected: Rc<Cell<bool>>,
-    /// By the configuration under which it began.
+    /// Maximum number of attempts by the configuration under which the request was accepted.
     max_attempts: u32,
     pub attempts: Vec<AttemptState>,
-    /// The last release, from its order until a stream has started.
+    /// Latest release, from its order until a stream starts.
     pub release: Option<Rc<ReleaseProgress>>,
-    /// Decides whether another release begins.
+    /// Decides whether another release may start.
     pub release_history: ReleaseHistory,
-    /// Independent account of the request, by which orders are checked.
+    /// Independent record of the request, against which the policy's actions are checked.
     pub monitor: InvariantMonitor,
 }
 
 /// One attempt of an open request.
 pub(super) struct AttemptState {
     pub sent_at: Micros,
-    /// Dropped to cancel the attempt.
+    /// Cancels the attempt when dropped.
     cancel: Option<oneshot::Sender<()>>,
     pub outcome: Option<AttemptOutcome>,
     pub is_streaming: bool,
@@ -48,7 +48,7 @@
 
 impl OpenRequest {
     pub fn new(
-        call: Rc<UpstreamRequest>,
+        upstream_request: Rc<UpstreamRequest>,
         deadline: Micros,
         answer: AnswerHandle,
         client_disconnected: Rc<Cell<bool>>,
@@ -56,7 +56,7 @@
         idempotency: Idempotency,
     ) -> Self {
         OpenRequest {
-            upstream_request: call,
+            upstream_request,
             deadline,
             answer: Some(answer),
             client_disconnected,
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Whether it has its final answer and no attempt in flight.
+    /// Whether the request has its final answer and no attempt in flight.
     pub fn is_finished(&self) -> bool {
         self.answer.is_none()
             && self
@@ -77,14 +77,14 @@
                 .all(|attempt| attempt.outcome.is_some())
     }
 
-    /// Whether the last release has neither been taken nor stopped.
+    /// Whether the latest release has been neither accepted nor stopped.
     pub fn is_releasing(&self) -> bool {
         self.release
             .as_ref()
             .is_some_and(|release| release.is_active())
     }
 
-    /// Adds an attempt that is sent at `now`.
+    /// Adds an attempt that is sent at `now` and times out at `first_event_deadline`.
     pub fn begin_attempt(
         &mut self,
         request: RequestId,
--- a/src/dispatch/outbound.rs
+++ b/src/dispatch/outbound.rs
@@ -1,4 +1,4 @@
-//! What the dispatcher asks of the upstream side.
+//! Interface between the dispatcher and the upstream side, which talks to model hosts.
 
 use super::ReleaseProgress;
 use crate::exchange::UpstreamRequest;
@@ -7,42 +7,43 @@
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
-/// One attempt of a request, for the upstream side to carry out.
+/// One attempt of a request, to be sent by the upstream side.
 pub struct Attempt {
-    /// The request.
+    /// Number of the request.
     pub request: RequestId,
     /// Index of the attempt within the request.
     pub attempt: AttemptIndex,
-    /// The worker that it goes to.
+    /// Worker to which the attempt is sent.
     pub worker: WorkerId,
-    /// The request as it is forwarded.
+    /// Content of the request that is forwarded to the worker.
     pub upstream_request: Rc<UpstreamRequest>,
-    /// Attempts allowed for the request, by the configuration under which it began.
+    /// Maximum number of attempts by the configuration under which the request was accepted.
     pub max_attempts: u32,
-    /// When to stop waiting for the first event.
+    /// Time at which the attempt times out if no event of its response has arrived.
     pub first_event_deadline: Micros,
-    /// Conditions of the send; nothing is sent without a permit.
+    /// Permission to send, with its time limits.
     pub permit: SendPermit,
-    /// A release to wait for: if it arrived while a prefill is out, it could take the KV state that the prefill
-    /// leaves. It goes on whatever becomes of this attempt, which may never arrive.
+    /// Release that must end before the attempt is sent, if any. If the release arrived during a prefill, it could release
+    /// the KV state of that prefill. The release continues regardless of this attempt, which may never arrive.
     pub wait_for_release: Option<Rc<ReleaseProgress>>,
-    /// Resolves, or its sender is dropped, when the attempt is cancelled.
+    /// Completes when the attempt is cancelled, by a message or because its sender is dropped.
     pub cancelled: oneshot::Receiver<()>,
-    /// Set as soon as the client has disconnected, before the dispatcher is notified, and also where attempts may not be
-    /// cancelled: nothing is sent for a client that has gone.
+    /// Set as soon as the client has disconnected, before the dispatcher is notified. It is set even if attempts may not be
+    /// cancelled, so that nothing is sent for a client that has disconnected.
     pub client_disconnected: Rc<Cell<bool>>,
 }
 
-/// The upstream side. No method blocks; results come back as
+/// Sends attempts and releases to model hosts. No method blocks; results return as
 /// [`DispatcherEvent`](super::DispatcherEvent)s.
 pub trait Outbound {
-    /// Sends a request. Answered by exactly one
+    /// Sends an attempt. Results in exactly one
     /// [`DispatcherEvent::AttemptCompleted`](super::DispatcherEvent::AttemptCompleted).
     fn send(&self, attempt: Attempt);
-    /// Releases everything that is held for a request, at any model host, until `progress` is stopped.
+    /// Releases all KV state that model hosts hold for a request. Tries hosts until one has accepted the release or
+    /// `progress` is stopped.
     fn release(
         &self,
-        call: Rc<UpstreamRequest>,
+        request: Rc<UpstreamRequest>,
         permit: ReleasePermit,
         progress: Rc<ReleaseProgress>,
     );
--- a/src/dispatch/tests.rs
+++ b/src/dispatch/tests.rs
@@ -6,15 +6,16 @@
 use bytes::Bytes;
 use std::rc::Rc;
 
-struct Nowhere;
+/// Sends nothing.
+struct NullOutbound;
 
-impl Outbound for Nowhere {
+impl Outbound for NullOutbound {
     fn send(&self, _: Attempt) {}
     fn release(&self, _: Rc<UpstreamRequest>, _: ReleasePermit, _: Rc<ReleaseProgress>) {}
     fn subscribe(&self) {}
 }
 
-/// Else memory would grow with each request for as long as the longest deadline that clients state.
+/// Guards against memory that grows with each request for as long as the longest deadline that clients state.
 #[tokio::test]
 async fn finished_requests_leave_no_deadline_timers() {
     let clock = Clock::start();
@@ -23,7 +24,7 @@
         RoutingConfig::default(),
         1,
         clock,
-        Rc::new(Nowhere),
+        Rc::new(NullOutbound),
         Rc::default(),
     );
     for _ in 0..5 * MAX_STALE_DEADLINES {
@@ -40,7 +41,7 @@
             tenant: None,
         };
         let target = String::new();
-        let call = UpstreamRequest {
+        let upstream_request = UpstreamRequest {
             id: String::new(),
             target,
             headers: hyper::HeaderMap::new(),
@@ -48,12 +49,12 @@
             lifetime_guards: None,
             claim_key: None,
         };
-        drop(handle.submit(spec, call, permit()));
-        while let Ok(input) = queue.try_recv() {
-            dispatcher.on_event(input);
+        drop(handle.submit(spec, upstream_request, permit()));
+        while let Ok(event) = queue.try_recv() {
+            dispatcher.on_event(event);
         }
     }
-    assert!(dispatcher.open.is_empty());
+    assert!(dispatcher.open_requests.is_empty());
     assert!(
         dispatcher.timers.len() <= MAX_STALE_DEADLINES + 1,
         "{}",
@@ -61,17 +62,17 @@
     );
 }
 
-/// Admission by a process that runs.
+/// An admission permit of a process that is not stopping.
 fn permit() -> AdmissionPermit {
     let shutdown = Shutdown::new(StopRequest::default(), Clock::start());
     shutdown.permit_admission().unwrap()
 }
 
-/// Records the attempts that it is given.
+/// Records attempts instead of sending them.
 #[derive(Default)]
-struct Sent(std::cell::RefCell<Vec<Attempt>>);
+struct RecordingOutbound(std::cell::RefCell<Vec<Attempt>>);
 
-impl Outbound for Sent {
+impl Outbound for RecordingOutbound {
     fn send(&self, attempt: Attempt) {
         self.0.borrow_mut().push(attempt);
     }
@@ -79,7 +80,8 @@
     fn subscribe(&self) {}
 }
 
-/// Else the fleet's record would allow an open request fewer attempts than it began with.
+/// Guards against a configuration change that lowers the attempt limit of an open request, which the fleet's record of the
+/// request would then apply.
 #[tokio::test]
 async fn attempts_carry_the_attempt_limit_of_their_request() {
     let clock = Clock::start();
@@ -90,7 +92,7 @@
         client_timeout: 8_000_000,
         ..RequestClass::default()
     };
-    let settings = |max_attempts| RoutingConfig {
+    let config = |max_attempts| RoutingConfig {
         routers: 1,
         kinds: vec![WorkerKind {
             name: "k".into(),
@@ -102,9 +104,9 @@
         kv_state_hold_limit: 500_000,
         ..RoutingConfig::default()
     };
-    let sent = Rc::<Sent>::default();
-    let mut dispatcher = Dispatcher::new(settings(6), 1, clock, sent.clone(), Rc::default());
-    let entries = (0..4).map(|i| Endpoint {
+    let outbound = Rc::<RecordingOutbound>::default();
+    let mut dispatcher = Dispatcher::new(config(6), 1, clock, outbound.clone(), Rc::default());
+    let endpoints = (0..4).map(|i| Endpoint {
         worker: WorkerId(format!("w{i}").into()),
         zone: String::new(),
         kind: "k".into(),
@@ -115,9 +117,9 @@
     });
     dispatcher.on_event(DispatcherEvent::EndpointsUpdated {
         update: EndpointUpdate::Full,
-        endpoints: entries.collect(),
+        endpoints: endpoints.collect(),
     });
-    let ask = || {
+    let submit = || {
         let spec = RequestSpec {
             request: RequestId(0),
             deadline: clock.now() + 8_000_000,
@@ -144,14 +146,14 @@
             permit(),
         )
     };
-    let _open = ask();
+    let _open_request = submit();
     dispatcher.on_event(queue.try_recv().unwrap());
-    dispatcher.on_event(DispatcherEvent::ConfigChanged(Box::new(settings(2))));
-    let (request, attempt) = sent
+    dispatcher.on_event(DispatcherEvent::ConfigChanged(Box::new(config(2))));
+    let (request, attempt) = outbound
         .0
         .borrow()
         .first()
-        .map(|a| (a.request, a.attempt))
+        .map(|attempt| (attempt.request, attempt.attempt))
         .unwrap();
     let outcome = AttemptOutcome::ConnectFailed;
     dispatcher.on_event(DispatcherEvent::AttemptCompleted {
@@ -161,13 +163,13 @@
         cached_tokens: 0,
         load_report: None,
     });
-    let _new = ask();
+    let _new_request = submit();
     dispatcher.on_event(queue.try_recv().unwrap());
-    let sent: Vec<_> = sent
+    let sent: Vec<_> = outbound
         .0
         .borrow()
         .iter()
-        .map(|a| (a.request.0, a.max_attempts))
+        .map(|attempt| (attempt.request.0, attempt.max_attempts))
         .collect();
     assert_eq!(sent, [(1, 6), (1, 6), (2, 2)]);
 }
--- a/src/dispatch/timers.rs
+++ b/src/dispatch/timers.rs
@@ -1,18 +1,18 @@
-//! The dispatcher's timers, ordered by when they are due.
+//! Timers of the dispatcher, ordered by due time.
 
 use crate::routing::types::{Micros, RequestId, TimerId};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// Deadlines that are kept without checking whether their requests are still open.
+/// Number of deadline timers that may remain set after their requests have ended.
 pub(super) const MAX_STALE_DEADLINES: usize = 1024;
 
-/// What a timer is for.
+/// Purpose of a timer.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
-    /// A timer that routing has set.
+    /// Set by the routing policy.
     Routing(TimerId),
-    /// The last moment for the final answer of a request, whatever routing does.
+    /// Latest time for the final answer of a request, independent of the routing policy.
     AnswerDeadline(RequestId),
 }
 
@@ -27,7 +27,7 @@
         self.queue.push(Reverse((at, timer)));
     }
 
-    /// When the next timer is due.
+    /// Due time of the next timer.
     pub fn next_due(&self) -> Option<Micros> {
         self.queue.peek().map(|Reverse((at, _))| *at)
     }
@@ -40,10 +40,10 @@
         self.queue.pop().map(|Reverse((_, timer))| timer)
     }
 
-    /// Removes deadlines of requests that have ended, once they may be the majority. Deadlines stand for as long as clients
-    /// state, minutes perhaps, though most requests end long before.
-    pub fn purge_deadlines(&mut self, open: usize, is_open: impl Fn(&RequestId) -> bool) {
-        if self.queue.len() <= 2 * open + MAX_STALE_DEADLINES {
+    /// Removes the deadline timers of requests that have ended, as soon as these timers may be the majority. Clients may
+    /// state deadlines of minutes, although most requests end much earlier.
+    pub fn purge_deadlines(&mut self, open_count: usize, is_open: impl Fn(&RequestId) -> bool) {
+        if self.queue.len() <= 2 * open_count + MAX_STALE_DEADLINES {
             return;
         }
         self.queue.retain(|Reverse((_, timer))| match timer {
--- a/src/exchange.rs
+++ b/src/exchange.rs
@@ -1,8 +1,9 @@
-//! The exchange: the one object in which the server side and the client side of a request meet.
+//! The exchange: channels between the server side, which talks to clients, and the upstream side, which talks to model
+//! hosts.
 //!
-//! [`open`] gives a [`PendingAnswer`] to whoever took the request, and an [`AnswerHandle`] that travels to whoever
-//! ends it. The handle is consumed by its use, so there is one final answer by construction; dropped unused,
-//! it fails the request rather than losing it.
+//! [`open`] creates a [`PendingAnswer`] for the code that accepted the request and an [`AnswerHandle`] for the code that
+//! answers it. Answering consumes the handle, so a request can't have more than one final answer. Dropping the handle
+//! without an answer fails the request, so that it always gets one.
 
 use crate::routing::types::Micros;
 use bytes::Bytes;
@@ -12,94 +13,96 @@
 use std::rc::Rc;
 use tokio::sync::{mpsc, oneshot};
 
-/// Frames of a stream that may wait for a slow client before the model host is made to wait.
-const FRAMES: usize = 16;
+/// Number of frames of a stream that are buffered for a slow client before the model host's stream is blocked.
+const STREAM_BUFFER_FRAMES: usize = 16;
 
-/// Whether an id may stand in a path and a header as it is.
+/// Whether an id can be used in a path and in a header without escaping: 1 to 64 ASCII letters, digits, `-`, `_` or `.`.
 pub fn is_plain_id(id: &str) -> bool {
     !id.is_empty()
         && id.len() <= 64
         && id
             .bytes()
-            .all(|b| b.is_ascii_alphanumeric() || b"-_.".contains(&b))
+            .all(|byte| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte))
 }
 
-/// A request as it is passed on to model hosts, unchanged.
+/// A request as it is forwarded to model hosts, unchanged.
 #[derive(Clone, Debug)]
 pub struct UpstreamRequest {
-    /// The id under which model hosts know it.
+    /// Id by which model hosts know the request.
     pub id: String,
-    /// Path and query.
+    /// Path and query of the request's URI.
     pub target: String,
-    /// The client's headers that are meant for whoever answers (see [`crate::front::platform::end_to_end`]).
+    /// The client's end-to-end headers (see [`crate::front::platform::end_to_end`]).
     pub headers: HeaderMap,
-    /// Its body.
+    /// Body of the request.
     pub body: Bytes,
-    /// What lasts for as long as anything of the request does, after its answer too: its id, the room it takes.
+    /// Resources that are held until nothing of the request is in progress any more, which may be after its answer: the
+    /// reservation of its id and the memory that its body counts against.
     pub lifetime_guards: Option<Rc<dyn Any>>,
-    /// The lasting name under which its client may ask again, and the generation of this conductor's claim to it.
+    /// For requests that the fleet records: the name under which the client may send the request again, and the generation
+    /// of this router's claim to it. Otherwise `None`.
     pub claim_key: Option<(String, u64)>,
 }
 
-/// The final answer, or the beginning of one.
+/// The final answer of a request, or the start of a streamed one.
 #[derive(Debug)]
 pub enum Answer {
-    /// Trying again is harmless.
+    /// The request is rejected; a retry is safe.
     Rejected {
-        /// When to come back.
+        /// Delay after which the client should retry; `None` if retry advice is not configured.
         retry_after: Option<Micros>,
     },
-    /// No promise about the effect.
+    /// The request has failed and may have had an effect.
     Failed,
-    /// A model host's stream; it belongs to the client from here on.
+    /// A model host streams the response. No other attempt follows.
     Stream(StreamReceiver),
 }
 
-/// A part of a stream.
+/// A part of a response stream.
 #[derive(Debug)]
 pub enum Frame {
-    /// Bytes, as they came.
+    /// Bytes of the stream, unchanged.
     Data(Bytes),
-    /// The whole stream has passed. A feed that closes without this one is broken.
+    /// The stream is complete. A stream that closes without this frame is broken.
     End,
 }
 
-/// What a server side sends back to the model host that streams: the body of a message about this request.
+/// A message about the request that the server side sends back to the model host that streams the response.
 #[derive(Debug)]
 pub struct Reply {
-    /// Its body.
+    /// Body of the message.
     pub body: Bytes,
-    /// Told whether the model host took it.
+    /// Receives whether the model host accepted the message.
     pub accepted: oneshot::Sender<bool>,
 }
 
-/// The server side's end of a stream.
+/// Receiving end of a response stream, used by the server side.
 #[derive(Debug)]
 pub struct StreamReceiver {
-    /// The stream's type, as the model host named it.
+    /// Content type that the model host stated, if any.
     pub content_type: Option<String>,
     frames: mpsc::Receiver<Frame>,
     replies: mpsc::Sender<Reply>,
-    paused: Rc<Cell<bool>>,
+    is_paused: Rc<Cell<bool>>,
 }
 
 impl StreamReceiver {
-    /// Whether the model host is being waited for, or itself waits for a reply: then its silence is no failure.
-    pub fn set_paused(&self, paused: bool) {
-        self.paused.set(paused);
+    /// Sets whether the model host waits for a reply. While it does, a silent stream is no failure.
+    pub fn set_paused(&self, is_paused: bool) {
+        self.is_paused.set(is_paused);
     }
 
-    /// The next frame; `None` when the stream is broken.
+    /// Receives the next frame; `None` if the stream is broken.
     pub async fn next(&mut self) -> Option<Frame> {
         self.frames.recv().await
     }
 
-    /// The same, for callers that poll.
+    /// Polling variant of [`next`](Self::next).
     pub fn poll_next(&mut self, cx: &mut std::task::Context<'_>) -> std::task::Poll<Option<Frame>> {
         self.frames.poll_recv(cx)
     }
 
-    /// Sends a message back to the model host that streams; whether it took it.
+    /// Sends a message to the model host that streams the response. Returns whether the model host accepted it.
     pub async fn reply(&self, body: Bytes) -> bool {
         let (accepted, reply_accepted) = oneshot::channel();
         self.replies.send(Reply { body, accepted }).await.is_ok()
@@ -107,26 +110,26 @@
     }
 }
 
-/// The client side's end of a stream.
+/// Sending end of a response stream, used by the upstream side.
 #[derive(Debug)]
 pub struct StreamSender {
-    /// Frames for the server side.
+    /// Sends frames to the server side.
     pub frames: mpsc::Sender<Frame>,
-    /// What comes back.
+    /// Receives messages that are to be sent to the model host.
     pub replies: mpsc::Receiver<Reply>,
-    /// Whether the model host is known to wait for a reply.
-    pub paused: Rc<Cell<bool>>,
+    /// Whether the model host waits for a reply, so that a silent stream is no failure.
+    pub is_paused: Rc<Cell<bool>>,
 }
 
-/// A stream's two ends.
+/// Creates the two ends of a response stream.
 pub fn stream_channel(content_type: Option<String>) -> (StreamSender, StreamReceiver) {
-    let (tx, frames) = mpsc::channel(FRAMES);
-    let (replies, back) = mpsc::channel(1);
-    let paused = Rc::new(Cell::new(false));
+    let (frame_sender, frames) = mpsc::channel(STREAM_BUFFER_FRAMES);
+    let (replies, reply_receiver) = mpsc::channel(1);
+    let is_paused = Rc::new(Cell::new(false));
     let source = StreamSender {
-        frames: tx,
-        replies: back,
-        paused: paused.clone(),
+        frames: frame_sender,
+        replies: reply_receiver,
+        is_paused: is_paused.clone(),
     };
     (
         source,
@@ -134,50 +137,53 @@
             content_type,
             frames,
             replies,
-            paused,
+            is_paused,
         },
     )
 }
 
-/// Gives the final answer. Every way of giving one consumes it.
+/// Gives the final answer of a request. Each method that answers consumes the handle.
 #[derive(Debug)]
 pub struct AnswerHandle(Option<oneshot::Sender<Answer>>);
 
 impl AnswerHandle {
-    /// Refuses: trying again is harmless.
+    /// Rejects the request, which tells the client that a retry is safe.
     pub fn reject(self, retry_after: Option<Micros>) {
-        self.give(Answer::Rejected { retry_after });
+        self.answer(Answer::Rejected { retry_after });
     }
 
-    /// Fails: no promise about the effect.
+    /// Fails the request, which makes no promise about its effect.
     pub fn fail(self) {
-        self.give(Answer::Failed);
+        self.answer(Answer::Failed);
     }
 
-    /// Hands a stream over; whether anybody was there to take it.
-    pub fn stream(self, feed: StreamReceiver) -> bool {
-        self.give(Answer::Stream(feed))
+    /// Answers with a stream. Returns whether the server side was still waiting for it.
+    pub fn stream(self, stream: StreamReceiver) -> bool {
+        self.answer(Answer::Stream(stream))
     }
 
-    fn give(mut self, answer: Answer) -> bool {
-        self.0.take().is_some_and(|tx| tx.send(answer).is_ok())
+    fn answer(mut self, answer: Answer) -> bool {
+        self.0
+            .take()
+            .is_some_and(|sender| sender.send(answer).is_ok())
     }
 }
 
 impl Drop for AnswerHandle {
     fn drop(&mut self) {
-        // Whoever held it has gone wrong (a panic, say): the client hears of a failure, not of nothing.
-        if let Some(tx) = self.0.take() {
-            let _ = tx.send(Answer::Failed);
+        // The code that held the handle did not answer, for example because of a panic. The client must still get an
+        // answer.
+        if let Some(sender) = self.0.take() {
+            let _ = sender.send(Answer::Failed);
         }
     }
 }
 
-/// Tells the dispatcher, when dropped before [`DisconnectNotifier::finished`], that the client has left.
+/// Notifies the dispatcher that the client has disconnected if it is dropped before [`DisconnectNotifier::finished`].
 pub struct DisconnectNotifier(Option<Rc<dyn Fn()>>);
 
 impl DisconnectNotifier {
-    /// The client has its whole answer.
+    /// Records that the client has received its complete answer, after which dropping notifies nobody.
     pub fn finished(&mut self) {
         self.0 = None;
     }
@@ -185,38 +191,40 @@
 
 impl Drop for DisconnectNotifier {
     fn drop(&mut self) {
-        if let Some(left) = self.0.take() {
-            left();
+        if let Some(on_disconnect) = self.0.take() {
+            on_disconnect();
         }
     }
 }
 
-/// The end that waits for the answer. Dropping it, or the presence taken from it, tells that the client left.
+/// Waits for the answer of a request. Dropping it, or the [`DisconnectNotifier`] taken from it, means that the client has
+/// disconnected.
 pub struct PendingAnswer {
     answer: oneshot::Receiver<Answer>,
-    presence: DisconnectNotifier,
+    disconnect: DisconnectNotifier,
 }
 
 impl PendingAnswer {
-    /// Waits for the answer; the presence must live as long as the client is being answered.
+    /// Waits for the answer. The caller must keep the [`DisconnectNotifier`] until the client has received the complete
+    /// answer.
     pub async fn answer(mut self) -> (Answer, DisconnectNotifier) {
         let answer = (&mut self.answer).await.unwrap_or(Answer::Failed);
         if !matches!(answer, Answer::Stream(_)) {
-            self.presence.finished();
+            self.disconnect.finished();
         }
-        (answer, self.presence)
+        (answer, self.disconnect)
     }
 }
 
-/// Opens an exchange; `left` is called if the client leaves early.
-pub fn open(left: Rc<dyn Fn()>) -> (PendingAnswer, AnswerHandle) {
-    let (tx, answer) = oneshot::channel();
+/// Opens an exchange. `on_disconnect` is called if the client disconnects before it has its complete answer.
+pub fn open(on_disconnect: Rc<dyn Fn()>) -> (PendingAnswer, AnswerHandle) {
+    let (answer_sender, answer) = oneshot::channel();
     (
         PendingAnswer {
             answer,
-            presence: DisconnectNotifier(Some(left)),
+            disconnect: DisconnectNotifier(Some(on_disconnect)),
         },
-        AnswerHandle(Some(tx)),
+        AnswerHandle(Some(answer_sender)),
     )
 }
 
--- a/src/net/client.rs
+++ b/src/net/client.rs
@@ -370,7 +370,7 @@
             StreamSender {
                 frames,
                 mut replies,
-                paused,
+                is_paused: paused,
             },
             feed,
         ) = stream_channel(content_type);
