--- a/src/dispatch/clock.rs
+++ b/src/dispatch/clock.rs
@@ -7,8 +7,8 @@
 /// Reading of the clock at the start of the process. Larger than any duration that is subtracted from a reading.
 const INITIAL_READING: Micros = 1_000_000_000_000;
 
-/// Monotonic clock with readings in microseconds. Its origin has no meaning, and steps of the wall clock don't affect it.
-/// Start times of model hosts are converted to it by [`crate::net::host_starts`].
+/// Monotonic clock with readings in microseconds. Its origin has no meaning, and steps of the wall clock don't affect
+/// it. Start times of model hosts are converted to it by [`crate::net::host_starts`].
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     origin: Instant,
--- a/src/dispatch/dispatcher.rs
+++ b/src/dispatch/dispatcher.rs
@@ -471,7 +471,8 @@
     }
 }
 
-/// Counts and logs a violation. With debug assertions it panics, unless a stall of the process may explain the violation.
+/// Counts and logs a violation. With debug assertions it panics, unless a stall of the process may explain the
+/// violation.
 fn report_violation(counters: &Counters, id: &str, violation: InvariantViolation) {
     counters.violations.up();
     log::error!("request {id}: rule broken: {violation}");
--- a/src/dispatch/handle.rs
+++ b/src/dispatch/handle.rs
@@ -48,7 +48,8 @@
         /// Load report that came with the response, if any.
         load_report: Option<LoadReport>,
     },
-    /// The configuration has changed. It applies to new requests; open ones keep the values under which they were accepted.
+    /// The configuration has changed. It applies to new requests; open ones keep the values under which they were
+    /// accepted.
     ConfigChanged(Box<RoutingConfig>),
     /// Discovery has sent an update of the endpoint list.
     EndpointsUpdated {
@@ -76,8 +77,8 @@
 }
 
 impl DispatcherHandle {
-    /// Creates a handle and the queue from which the dispatcher reads. The queue is unbounded, because the number of open
-    /// requests is bounded.
+    /// Creates a handle and the queue from which the dispatcher reads. The queue is unbounded, because the number of
+    /// open requests is bounded.
     pub fn channel(clock: Clock) -> (Self, mpsc::UnboundedReceiver<DispatcherEvent>) {
         let (events, queue) = mpsc::unbounded_channel();
         let handle = DispatcherHandle {
--- a/src/dispatch/invariants.rs
+++ b/src/dispatch/invariants.rs
@@ -1,9 +1,9 @@
 //! Run-time check of the routing invariants, based on an independent record of each request.
 //!
-//! The policy decides according to [`crate::routing::policy::send_permit`] and [`crate::routing::policy::kv_state`]. This
-//! monitor sees the same actions and completions without the reasons, and checks that no invariant is violated. The
-//! dispatcher counts and logs each violation. Builds with debug assertions panic, unless a stalled process may explain the
-//! violation.
+//! The policy decides according to [`crate::routing::policy::send_permit`] and [`crate::routing::policy::kv_state`].
+//! This monitor sees the same actions and completions without the reasons, and checks that no invariant is violated.
+//! The dispatcher counts and logs each violation. Builds with debug assertions panic, unless a stalled process may
+//! explain the violation.
 
 use crate::routing::types::{AttemptOutcome, Idempotency, Micros};
 
@@ -19,8 +19,8 @@
     /// A non-idempotent request was sent again although it may have run.
     #[error("sent again although it may have run")]
     RetryAfterPossibleRun,
-    /// A request that is not safe to repeat was rejected, which tells the client that a retry is safe, although it may have
-    /// run.
+    /// A request that is not safe to repeat was rejected, which tells the client that a retry is safe, although it may
+    /// have run.
     #[error("rejected although it may have run")]
     RejectionAfterPossibleRun,
     /// KV state that may be held was neither fetched nor released in time. Tools match the text of this error.
--- a/src/dispatch/invariants/tests.rs
+++ b/src/dispatch/invariants/tests.rs
@@ -51,7 +51,8 @@
     );
 }
 
-/// Guards against a monitor that takes a send in flight as proof of its arrival and so misses the same error in the policy.
+/// Guards against a monitor that takes a send in flight as proof of its arrival and so misses the same error in the
+/// policy.
 #[test]
 fn kv_state_held_during_an_unanswered_send_is_reported_once() {
     let mut monitor = after_prefill(Idempotency::Idempotent);
--- a/src/dispatch/outbound.rs
+++ b/src/dispatch/outbound.rs
@@ -23,13 +23,13 @@
     pub first_event_deadline: Micros,
     /// Permission to send, with its time limits.
     pub permit: SendPermit,
-    /// Release that must end before the attempt is sent, if any. If the release arrived during a prefill, it could release
-    /// the KV state of that prefill. The release continues regardless of this attempt, which may never arrive.
+    /// Release that must end before the attempt is sent, if any. If the release arrived during a prefill, it could
+    /// release the KV state of that prefill. The release continues regardless of this attempt, which may never arrive.
     pub wait_for_release: Option<Rc<ReleaseProgress>>,
     /// Completes when the attempt is cancelled, by a message or because its sender is dropped.
     pub cancelled: oneshot::Receiver<()>,
-    /// Set as soon as the client has disconnected, before the dispatcher is notified. It is set even if attempts may not be
-    /// cancelled, so that nothing is sent for a client that has disconnected.
+    /// Set as soon as the client has disconnected, before the dispatcher is notified. It is set even if attempts may
+    /// not be cancelled, so that nothing is sent for a client that has disconnected.
     pub client_disconnected: Rc<Cell<bool>>,
 }
 
--- a/src/dispatch/tests.rs
+++ b/src/dispatch/tests.rs
@@ -80,8 +80,8 @@
     fn subscribe(&self) {}
 }
 
-/// Guards against a configuration change that lowers the attempt limit of an open request, which the fleet's record of the
-/// request would then apply.
+/// Guards against a configuration change that lowers the attempt limit of an open request, which the fleet's record of
+/// the request would then apply.
 #[tokio::test]
 async fn attempts_carry_the_attempt_limit_of_their_request() {
     let clock = Clock::start();
--- a/src/dispatch/timers.rs
+++ b/src/dispatch/timers.rs
@@ -40,8 +40,8 @@
         self.queue.pop().map(|Reverse((_, timer))| timer)
     }
 
-    /// Removes the deadline timers of requests that have ended, as soon as these timers may be the majority. Clients may
-    /// state deadlines of minutes, although most requests end much earlier.
+    /// Removes the deadline timers of requests that have ended, as soon as these timers may be the majority. Clients
+    /// may state deadlines of minutes, although most requests end much earlier.
     pub fn purge_deadlines(&mut self, open_count: usize, is_open: impl Fn(&RequestId) -> bool) {
         if self.queue.len() <= 2 * open_count + MAX_STALE_DEADLINES {
             return;
--- a/src/exchange.rs
+++ b/src/exchange.rs
@@ -1,9 +1,9 @@
 //! The exchange: channels between the server side, which talks to clients, and the upstream side, which talks to model
 //! hosts.
 //!
-//! [`open`] creates a [`PendingAnswer`] for the code that accepted the request and an [`AnswerHandle`] for the code that
-//! answers it. Answering consumes the handle, so a request can't have more than one final answer. Dropping the handle
-//! without an answer fails the request, so that it always gets one.
+//! [`open`] creates a [`PendingAnswer`] for the code that accepted the request and an [`AnswerHandle`] for the code
+//! that answers it. Answering consumes the handle, so a request can't have more than one final answer. Dropping the
+//! handle without an answer fails the request, so that it always gets one.
 
 use crate::routing::types::Micros;
 use bytes::Bytes;
@@ -16,7 +16,8 @@
 /// Number of frames of a stream that are buffered for a slow client before the model host's stream is blocked.
 const STREAM_BUFFER_FRAMES: usize = 16;
 
-/// Whether an id can be used in a path and in a header without escaping: 1 to 64 ASCII letters, digits, `-`, `_` or `.`.
+/// Whether an id can be used in a path and in a header without escaping: 1 to 64 ASCII letters, digits, `-`, `_` or
+/// `.`.
 pub fn is_plain_id(id: &str) -> bool {
     !id.is_empty()
         && id.len() <= 64
@@ -39,8 +40,8 @@
     /// Resources that are held until nothing of the request is in progress any more, which may be after its answer: the
     /// reservation of its id and the memory that its body counts against.
     pub lifetime_guards: Option<Rc<dyn Any>>,
-    /// For requests that the fleet records: the name under which the client may send the request again, and the generation
-    /// of this router's claim to it. Otherwise `None`.
+    /// For requests that the fleet records: the name under which the client may send the request again, and the
+    /// generation of this router's claim to it. Otherwise `None`.
     pub claim_key: Option<(String, u64)>,
 }
 
@@ -197,8 +198,8 @@
     }
 }
 
-/// Waits for the answer of a request. Dropping it, or the [`DisconnectNotifier`] taken from it, means that the client has
-/// disconnected.
+/// Waits for the answer of a request. Dropping it, or the [`DisconnectNotifier`] taken from it, means that the client
+/// has disconnected.
 pub struct PendingAnswer {
     answer: oneshot::Receiver<Answer>,
     disconnect: DisconnectNotifier,
--- a/src/routing/model/classes.rs
+++ b/src/routing/model/classes.rs
@@ -4,7 +4,8 @@
 use crate::routing::types::{Idempotency, RequestClass};
 use std::collections::BTreeMap;
 
-/// The index of the class with this name. For names that are not configured it is the index of the last class.
+/// The index of the class with this name. For names that are not configured it is the index of the last
+/// class.
 pub(crate) fn class_index(classes: &[RequestClass], name: &str) -> usize {
     classes
         .iter()
@@ -12,8 +13,9 @@
         .unwrap_or(classes.len() - 1)
 }
 
-/// Returns the classes of a new configuration, followed by the classes of the requests in flight, and updates the
-/// class index of each request. A request keeps the idempotency, weight and objectives under which it arrived.
+/// Returns the classes of a new configuration, followed by the classes of the requests in flight, and updates
+/// the class index of each request. A request keeps the idempotency, weight and objectives under which it
+/// arrived.
 pub(crate) fn merge_classes<'a>(
     old: &[RequestClass],
     new: &[RequestClass],
--- a/src/routing/model/learned.rs
+++ b/src/routing/model/learned.rs
@@ -80,8 +80,8 @@
     pub prompt_tokens: Ewma,
 }
 
-/// Exponential backoff of attempt timeouts, one exponent per stage. Each timeout increases the exponent, each answer
-/// decreases it.
+/// Exponential backoff of attempt timeouts, one exponent per stage. Each timeout increases the exponent, each
+/// answer decreases it.
 #[derive(Default)]
 pub(crate) struct TimeoutBackoff {
     prefill: u32,
@@ -115,7 +115,8 @@
     }
 }
 
-/// Recent timeouts of sends to decode workers, counted separately for KV transfers within a cell and beyond it.
+/// Recent timeouts of sends to decode workers, counted separately for KV transfers within a cell and beyond
+/// it.
 #[derive(Default)]
 pub(crate) struct DecodeTimeouts {
     same_cell: DecayingSum,
--- a/src/routing/model/prefix_table.rs
+++ b/src/routing/model/prefix_table.rs
@@ -1,5 +1,5 @@
-//! The prefix table: which prefill workers are assumed to have cached which prefixes and sessions, and how often each
-//! prefix is requested. Entries expire. Decisions based on them are in `src/routing/policy.rs`.
+//! The prefix table: which prefill workers are assumed to have cached which prefixes and sessions, and how
+//! often each prefix is requested. Entries expire. Decisions based on them are in `src/routing/policy.rs`.
 
 use super::DecayingSum;
 use crate::routing::types::{Micros, RequestSpec, WorkerId};
@@ -14,7 +14,8 @@
     sent_at: Micros,
 }
 
-/// Prefixes and sessions that this router recently sent to prefill workers, and the request rate of each prefix.
+/// Prefixes and sessions that this router recently sent to prefill workers, and the request rate of each
+/// prefix.
 #[derive(Default)]
 pub(crate) struct PrefixTable {
     prefixes: BTreeMap<Arc<str>, BTreeMap<WorkerId, CacheEntry>>,
@@ -66,8 +67,8 @@
         }
     }
 
-    /// Prompt tokens that a worker is assumed to have cached, according to entries not older than `since`. If both
-    /// prefix and session match, the longer match counts.
+    /// Prompt tokens that a worker is assumed to have cached, according to entries not older than `since`. If
+    /// both prefix and session match, the longer match counts.
     pub fn cached_tokens(&self, spec: &RequestSpec, worker: &WorkerId, since: Micros) -> f64 {
         let prefix = (spec.prefix.as_ref())
             .and_then(|prefix| self.prefixes.get(prefix)?.get(worker))
--- a/src/routing/model/quota.rs
+++ b/src/routing/model/quota.rs
@@ -59,8 +59,8 @@
         self.0 = buckets.collect();
     }
 
-    /// Takes a token for a request of a tenant. Returns false if the request is over quota. Requests of tenants
-    /// without a quota never are.
+    /// Takes a token for a request of a tenant. Returns false if the request is over quota. Requests of
+    /// tenants without a quota never are.
     pub fn try_take(&mut self, tenant: Option<&str>, now: Micros) -> bool {
         tenant
             .and_then(|name| self.0.get_mut(name))
--- a/src/routing/model/request.rs
+++ b/src/routing/model/request.rs
@@ -64,8 +64,8 @@
             .filter(|attempt| attempt.outcome.is_none())
     }
 
-    /// Whether some attempt may have had an effect, or may still have one. An attempt in flight always counts, since its
-    /// outcome is unknown until it ends.
+    /// Whether some attempt may have had an effect, or may still have one. An attempt in flight always
+    /// counts, since its outcome is unknown until it ends.
     pub fn may_have_run(&self) -> bool {
         self.in_flight().next().is_some() || self.possible_runs().next().is_some()
     }
@@ -92,8 +92,8 @@
             .any(|attempt| attempt.outcome == Some(AttemptOutcome::TimedOut))
     }
 
-    /// Whether an attempt at this worker has failed. A prefill that timed out does not count, since the worker may have
-    /// cached the prompt.
+    /// Whether an attempt at this worker has failed. A prefill that timed out does not count, since the
+    /// worker may have cached the prompt.
     pub fn failed_at(&self, worker: &WorkerId) -> bool {
         self.attempts.iter().any(|attempt| {
             let has_failed = match attempt.outcome {
@@ -105,8 +105,8 @@
         })
     }
 
-    /// Whether KV state is held and its hold limit continued to run during the last attempt, because the outcome of that
-    /// attempt does not prove its arrival.
+    /// Whether KV state is held and its hold limit continued to run during the last attempt, because the
+    /// outcome of that attempt does not prove its arrival.
     pub fn is_hold_expiring(&self) -> bool {
         let last = self.attempts.last();
         let is_arrival_unproven = last
--- a/src/routing/model/tests.rs
+++ b/src/routing/model/tests.rs
@@ -1,7 +1,8 @@
 use super::*;
 use crate::routing::types::{AttemptOutcome, Idempotency, RequestClass, WorkerId};
 
-/// Guards against unbounded memory: clients choose tenant names, and each name that a worker rejects adds an entry.
+/// Guards against unbounded memory: clients choose tenant names, and each name that a worker rejects adds an
+/// entry.
 #[test]
 fn expired_full_marks_of_tenants_are_removed() {
     let mut worker = Worker::default();
@@ -25,8 +26,8 @@
     assert!(worker.full_until.len() <= 10, "{}", worker.full_until.len());
 }
 
-/// Guards against a retry of a non-idempotent request after an update has made its class idempotent while the request
-/// was in flight.
+/// Guards against a retry of a non-idempotent request after an update has made its class idempotent while the
+/// request was in flight.
 #[test]
 fn requests_in_flight_keep_their_class_after_a_config_update() {
     let classes = |names: &[&str], idempotency| -> Vec<RequestClass> {
@@ -91,7 +92,8 @@
         merged[class_index(&merged, "send")].idempotency,
         Idempotency::Idempotent
     );
-    // Classes kept for requests in flight have no name, and a request without a class name does not match them.
+    // Classes kept for requests in flight have no name, and a request without a class name does not match
+    // them.
     assert_eq!(
         (class_index(&merged, "explain"), class_index(&merged, "")),
         (merged.len() - 1, merged.len() - 1)
@@ -107,8 +109,8 @@
     assert_eq!(merged.len(), 1 + 3 + 1);
 }
 
-/// Guards against a second run of a request that a decode worker has accepted and then answered with an outcome that is
-/// meant for prefill workers only.
+/// Guards against a second run of a request that a decode worker has accepted and then answered with an
+/// outcome that is meant for prefill workers only.
 #[test]
 fn prefill_outcome_of_a_decode_worker_does_not_rule_out_a_run() {
     let attempt = |is_decode, outcome| Attempt {
--- a/src/routing/model/worker.rs
+++ b/src/routing/model/worker.rs
@@ -20,15 +20,16 @@
     pub completions: DecayingSum,
 }
 
-/// Ratio of decode capacity to prefill capacity near a worker, each as a fraction of all workers' capacity. Above 1
-/// there is spare decode capacity.
+/// Ratio of decode capacity to prefill capacity near a worker, each as a fraction of all workers' capacity.
+/// Above 1 there is spare decode capacity.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct LocalDecodeShare {
     pub cell: f64,
     pub zone: f64,
 }
 
-/// Class (by index) and tenant of requests. Workers may reject these for lack of capacity while they accept others.
+/// Class (by index) and tenant of requests. Workers may reject these for lack of capacity while they accept
+/// others.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct CapacityKey {
     pub class: usize,
@@ -77,8 +78,8 @@
 }
 
 impl Worker {
-    /// Records that the worker has rejected such a request for lack of capacity. Removes expired entries, since the map
-    /// would otherwise grow with every tenant name that clients send.
+    /// Records that the worker has rejected such a request for lack of capacity. Removes expired entries,
+    /// since the map would otherwise grow with every tenant name that clients send.
     pub fn mark_full(&mut self, key: CapacityKey, now: Micros, until: Micros) {
         self.full_until.retain(|_, until| *until > now);
         self.full_until.insert(key, until);
@@ -97,7 +98,8 @@
                 .is_none_or(|at| at < self.last_success_at)
     }
 
-    /// Whether the worker is listed but gets no regular traffic, because it is draining, ejected or unreachable.
+    /// Whether the worker is listed but gets no regular traffic, because it is draining, ejected or
+    /// unreachable.
     pub fn is_avoided(&self, now: Micros) -> bool {
         match self.status {
             Status::Ready => self.unreachable || self.ejected_until > now,
--- a/src/routing/policy.rs
+++ b/src/routing/policy.rs
@@ -1,8 +1,8 @@
-//! Routing decisions. Configuration, events and actions are defined in `src/routing/types.rs`; the rationale is in
-//! `docs/design.md`.
+//! Routing decisions. Configuration, events and actions are defined in `src/routing/types.rs`; the rationale
+//! is in `docs/design.md`.
 //!
-//! Without failures, placement follows the E2 algorithm of Preble: exploit a cached prefix, else explore by load. All
-//! other code handles failure modes, which the comments name.
+//! Without failures, placement follows the E2 algorithm of Preble: exploit a cached prefix, else explore by
+//! load. All other code handles failure modes, which the comments name.
 
 mod admission;
 pub(crate) mod call_permit;
@@ -30,22 +30,25 @@
 const PREFIX_TTL: Micros = 30_000_000;
 /// Maximum ratio of a prefill worker's load to the mean load at which it is picked for its cached prefix.
 const MAX_LOAD_IMBALANCE: f64 = 2.0;
-/// Weight of a new sample in the moving averages. They cover about ten samples, so that one outlier has little effect.
+/// Weight of a new sample in the moving averages. They cover about ten samples, so that one outlier has
+/// little effect.
 const EWMA_WEIGHT: f64 = 0.1;
-/// Fraction of the time-to-first-token objective that one stage may take. The remaining third is reserved for a retry.
+/// Fraction of the time-to-first-token objective that one stage may take. The remaining third is reserved for
+/// a retry.
 const STAGE_SHARE: f64 = 1.0 / 3.0;
 /// Failure rate above which a worker is ejected.
 const EJECTION_THRESHOLD: f64 = 0.5;
 /// Maximum number of doublings in exponential backoffs.
 const MAX_BACKOFF_DOUBLINGS: u32 = 4;
-/// Number of sweeps within the KV state hold limit: frequent enough that no hold gets close to the limit unnoticed.
+/// Number of sweeps within the KV state hold limit: frequent enough that no hold gets close to the limit
+/// unnoticed.
 const SWEEPS_PER_HOLD_LIMIT: Micros = 12;
 /// Minimum interval between sweeps, unless the batch interval is longer.
 const MIN_SWEEP_INTERVAL: Micros = 1_000;
 /// Maximum interval between sweeps.
 const MAX_SWEEP_INTERVAL: Micros = 100_000;
-/// Half-life of load reports and of recent outcomes. Workers queue requests for seconds before they reject any, so load
-/// changes on this time scale.
+/// Half-life of load reports and of recent outcomes. Workers queue requests for seconds before they reject
+/// any, so load changes on this time scale.
 const LOAD_HALF_LIFE: Micros = 2_000_000;
 /// Half-life of stream statistics. Streams last for seconds.
 const STREAM_HALF_LIFE: Micros = 4 * LOAD_HALF_LIFE;
@@ -91,15 +94,16 @@
     timeout_backoff: TimeoutBackoff,
     /// Maximum number of workers of each role that were ready at the same time.
     max_ready: PerRole<usize>,
-    /// Time before which nothing is sent to workers in slow start, because the previous process of this router may have
-    /// sent to them.
+    /// Time before which nothing is sent to workers in slow start, because the previous process of this
+    /// router may have sent to them.
     slow_start_from: Micros,
     timers: Timers,
     endpoint_fetch: EndpointFetch,
 }
 
 impl Policy {
-    /// Creates a policy that knows no workers yet. `seed` makes its random draws differ from those of other routers.
+    /// Creates a policy that knows no workers yet. `seed` makes its random draws differ from those of other
+    /// routers.
     pub fn new(config: RoutingConfig, seed: u64) -> Self {
         let mut policy = Policy {
             seed,
@@ -125,8 +129,8 @@
         };
     }
 
-    /// Processes one event and appends the resulting actions to `out`. If `now` is earlier than in a previous call, the
-    /// latest time seen is used instead.
+    /// Processes one event and appends the resulting actions to `out`. If `now` is earlier than in a previous
+    /// call, the latest time seen is used instead.
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         self.now = self.now.max(now);
         let may_free_capacity = matches!(
@@ -160,8 +164,8 @@
                 let allowed_from = now.saturating_add(self.slow_start_window());
                 self.slow_start_from = if allowed { allowed_from } else { Micros::MAX };
             }
-            // Routers exchange no gossip. They reserve no capacity either, because the decode worker is picked after the
-            // prefill.
+            // Routers exchange no gossip. They reserve no capacity either, because the decode worker is
+            // picked after the prefill.
             Event::Timer(_) | Event::ReservationResult { .. } | Event::GossipReceived { .. } => {}
         }
         if may_free_capacity {
@@ -183,8 +187,8 @@
             .clamp(min_interval, MAX_SWEEP_INTERVAL)
     }
 
-    /// Handles everything that changes with time alone: overdue attempts, KV state holds, queued requests, expired cache
-    /// entries and retries of the subscription.
+    /// Handles everything that changes with time alone: overdue attempts, KV state holds, queued requests,
+    /// expired cache entries and retries of the subscription.
     fn on_sweep_timer(&mut self, out: &mut Vec<Action>) {
         self.timers.is_sweep_scheduled = false;
         if self
@@ -200,8 +204,8 @@
         self.dispatch_queued(true, out);
     }
 
-    /// Dispatches the queue immediately if it is short, else as a batch. With a long queue, one pass per completed attempt
-    /// would take all of the process's time.
+    /// Dispatches the queue immediately if it is short, else as a batch. With a long queue, one pass per
+    /// completed attempt would take all of the process's time.
     fn schedule_dispatch(&mut self, out: &mut Vec<Action>) {
         let queued = self
             .requests
@@ -220,8 +224,9 @@
         }
     }
 
-    /// Advances queued requests: first those whose KV state is held, then the others by descending priority weight. With
-    /// `include_in_flight` it also advances requests that wait for an answer, whose attempts may be overdue.
+    /// Advances queued requests: first those whose KV state is held, then the others by descending priority
+    /// weight. With `include_in_flight` it also advances requests that wait for an answer, whose attempts may
+    /// be overdue.
     fn dispatch_queued(&mut self, include_in_flight: bool, out: &mut Vec<Action>) {
         let mut queue = Vec::new();
         for (id, request) in &self.requests {
@@ -258,7 +263,8 @@
                 .any(|worker| self.may_repeat_at(request, worker));
         match request.phase {
             Phase::Streaming | Phase::Done => {}
-            // The attempt's timeout ends at the deadline at the latest; its outcome arrives within the response grace.
+            // The attempt's timeout ends at the deadline at the latest; its outcome arrives within the
+            // response grace.
             Phase::Prefilling if self.now < request.spec.deadline => {}
             Phase::DecodeRequested if self.now < request.spec.deadline => {
                 self.release_during_send(id, out);
@@ -276,8 +282,8 @@
         }
     }
 
-    /// Sends a request with held KV state to a decode worker. Near the hold limit, releases the KV state and starts the
-    /// request again instead.
+    /// Sends a request with held KV state to a decode worker. Near the hold limit, releases the KV state and
+    /// starts the request again instead.
     fn advance_held(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else {
             return;
--- a/src/routing/policy/admission.rs
+++ b/src/routing/policy/admission.rs
@@ -65,8 +65,8 @@
         class.ttft_objective.saturating_add(prompt_part as Micros)
     }
 
-    /// Starts a queued request if both stages can meet its objective, ends it if it can't be answered in time, and
-    /// otherwise leaves it queued.
+    /// Starts a queued request if both stages can meet its objective, ends it if it can't be answered in
+    /// time, and otherwise leaves it queued.
     pub(super) fn start(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else {
             return;
@@ -120,7 +120,8 @@
         let objective = self.ttft_objective(request) as f64;
         let waiting_time = (self.now - request.arrived_at) as f64;
 
-        // Until a rate has been measured a default is used. With a rate of zero all queued requests would start at once.
+        // Until a rate has been measured a default is used. With a rate of zero all queued requests would
+        // start at once.
         let default_rate = self.expected_prefill_us_per_token() / MAX_PREFILL_SPEEDUP;
         let prefill_us_per_token = self.learned.prefill_us_per_token.value_or(default_rate)
             * self.latency_factor(&plan.worker);
@@ -153,9 +154,9 @@
         let can_decode = prompts_before_first_token.len() < plan.decode_worker_count
             || first_token_us(tokens_per_decode_worker + prompt) <= objective * STAGE_SHARE;
 
-        // The request ends here if its stream can't start before the deadline, or if it has timed out and can't meet its
-        // objective any more. This guards against clients with short deadlines, and against overload that grows because
-        // late requests are prefilled again.
+        // The request ends here if its stream can't start before the deadline, or if it has timed out and
+        // can't meet its objective any more. This guards against clients with short deadlines, and against
+        // overload that grows because late requests are prefilled again.
         let remaining = request.spec.deadline.saturating_sub(self.now) as f64;
         let misses_deadline = !prompts_before_first_token.is_empty()
             && prefill_us(queued + uncached) + first_token_us(prompt) > remaining;
@@ -175,8 +176,8 @@
         Admission::Wait
     }
 
-    /// Ends a request without a worker's answer. Rejects it, with retry advice, if a retry is safe; otherwise fails it,
-    /// which makes no promise about the request's effect.
+    /// Ends a request without a worker's answer. Rejects it, with retry advice, if a retry is safe; otherwise
+    /// fails it, which makes no promise about the request's effect.
     pub(super) fn end_unanswered(
         &mut self,
         id: RequestId,
@@ -208,16 +209,16 @@
         self.close(id, out);
     }
 
-    /// Retry advice. Its values are spread, so that requests rejected at the same time are not all retried at the same
-    /// time.
+    /// Retry advice. Its values are spread, so that requests rejected at the same time are not all retried at
+    /// the same time.
     fn retry_after(&self, id: RequestId) -> Micros {
         let half = self.config.max_retry_after / 2;
         let step = xxh3_64_with_seed(&id.0.to_le_bytes(), self.seed) % RETRY_SPREAD_STEPS;
         half + half * step / RETRY_SPREAD_STEPS
     }
 
-    /// Closes a request that is answered or abandoned: cancels its attempts, releases its KV state, and removes it once no
-    /// attempt is in flight.
+    /// Closes a request that is answered or abandoned: cancels its attempts, releases its KV state, and
+    /// removes it once no attempt is in flight.
     pub(super) fn close(&mut self, id: RequestId, out: &mut Vec<Action>) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.phase = Phase::Done;
--- a/src/routing/policy/call_permit.rs
+++ b/src/routing/policy/call_permit.rs
@@ -1,8 +1,8 @@
 //! Permits for calls other than attempts: releases of KV state, tool calls and their results.
 //!
-//! Writing such a call to a connection requires a [`CallPermit`]. Only [`permit_call`] creates one, after the connection
-//! has been established, since the conditions may have changed since the call was decided. This module also decides
-//! whether a release may start ([`ReleaseHistory::permit`]).
+//! Writing such a call to a connection requires a [`CallPermit`]. Only [`permit_call`] creates one, after the
+//! connection has been established, since the conditions may have changed since the call was decided. This
+//! module also decides whether a release may start ([`ReleaseHistory::permit`]).
 
 use crate::routing::types::{AttemptOutcome, ReleaseReason};
 
@@ -27,8 +27,8 @@
 /// Decides when another release may start for one request.
 #[derive(Debug, Default)]
 pub struct ReleaseHistory {
-    /// An attempt that may have arrived has ended since the latest release started. It may have left KV state behind, or
-    /// may have prevented that release from taking effect.
+    /// An attempt that may have arrived has ended since the latest release started. It may have left KV state
+    /// behind, or may have prevented that release from taking effect.
     is_outdated: bool,
 }
 
@@ -38,7 +38,8 @@
         self.is_outdated |= outcome.may_have_arrived();
     }
 
-    /// Decides whether a release may start. `is_in_progress` states whether the latest release is still in progress.
+    /// Decides whether a release may start. `is_in_progress` states whether the latest release is still in
+    /// progress.
     ///
     /// # Errors
     /// Returns an error if the release in progress covers all KV state of the request.
@@ -61,8 +62,8 @@
 pub enum CallState {
     /// A release of KV state.
     Release {
-        /// Whether the release has been neither accepted by a worker nor stopped. After that, the call could release
-        /// KV state of the next prefill.
+        /// Whether the release has been neither accepted by a worker nor stopped. After that, the call could
+        /// release KV state of the next prefill.
         is_active: bool,
     },
     /// The release of an attempt that may arrive at its worker after the router has ended it.
--- a/src/routing/policy/call_permit/tests.rs
+++ b/src/routing/policy/call_permit/tests.rs
@@ -3,7 +3,8 @@
 
 const REASON: ReleaseReason = ReleaseReason::AttemptEnded;
 
-/// Guards against relying on a release in progress after a later attempt has ended, which may have left KV state.
+/// Guards against relying on a release in progress after a later attempt has ended, which may have left KV
+/// state.
 #[rstest]
 #[case::no_attempt_ended(None, Err(ReleaseInProgress))]
 #[case::unanswered_attempt(Some(AttemptOutcome::TimedOut), Ok(ReleasePermit { reason: REASON }))]
--- a/src/routing/policy/close_permit.rs
+++ b/src/routing/policy/close_permit.rs
@@ -1,8 +1,8 @@
 //! Permits to close client connections.
 //!
-//! Closing a connection loses requests that were read and have no response yet, and requests whose bytes have reached
-//! this machine but were not read. So closing requires a [`ClosePermit`], which only [`permit_close`] creates, from the
-//! state of the connection and its socket.
+//! Closing a connection loses requests that were read and have no response yet, and requests whose bytes have
+//! reached this machine but were not read. So closing requires a [`ClosePermit`], which only [`permit_close`]
+//! creates, from the state of the connection and its socket.
 
 /// Why a client connection is to be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/src/routing/policy/decode_placement.rs
+++ b/src/routing/policy/decode_placement.rs
@@ -6,15 +6,16 @@
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Maximum excess of a near worker's cost, in memory share, over the best worker's at which the near worker is still
-/// preferred: about one long request.
+/// Maximum excess of a near worker's cost, in memory share, over the best worker's at which the near worker
+/// is still preferred: about one long request.
 const MEMORY_SHARE_TOLERANCE: f64 = 0.1;
-/// Ratio of the first-token times over a link and within a cell above which the link counts as slow. Sites state ratios
-/// of up to 2.7 for normal links.
+/// Ratio of the first-token times over a link and within a cell above which the link counts as slow. Sites
+/// state ratios of up to 2.7 for normal links.
 const SLOW_LINK_FACTOR: f64 = 3.0;
 /// Number of ordinary streams that is added to each worker's statistics, because a few streams say little.
 const STREAM_PRIOR_COMPLETIONS: f64 = 2.0;
-/// Ratio of a worker's stream duration to the usual one that is normal, because response lengths differ that much.
+/// Ratio of a worker's stream duration to the usual one that is normal, because response lengths differ that
+/// much.
 const SLOW_STREAM_FACTOR: f64 = 2.0;
 /// Slowdown below which a difference counts as random. Reacting to it would only move KV state farther.
 const MIN_STREAM_SLOWDOWN: f64 = 0.3;
@@ -55,8 +56,8 @@
         }
     }
 
-    /// The cheapest worker with a property. Ties are broken at random, because otherwise all routers would pick the same
-    /// worker.
+    /// The cheapest worker with a property. Ties are broken at random, because otherwise all routers would
+    /// pick the same worker.
     fn cheapest(&self, has_property: &dyn Fn(&Worker) -> bool) -> Option<&'a WorkerId> {
         let seed = self.request.0 ^ self.policy.seed;
         let draw = |id: &WorkerId| xxh3_64_with_seed(id.0.as_bytes(), seed);
@@ -76,7 +77,8 @@
 }
 
 impl Policy {
-    /// Picks the worker that streams the response. `holder` is the prefill worker that holds the KV state, if any.
+    /// Picks the worker that streams the response. `holder` is the prefill worker that holds the KV state, if
+    /// any.
     pub(super) fn pick_decode_worker(
         &self,
         id: RequestId,
@@ -107,8 +109,8 @@
                 _ => holder_worker.local_decode_share.zone,
             };
             let link_slowdown = self.link_slowdown(distance, distance.next_larger());
-            // Only as many decodes stay near as corresponds to the near workers' share of all decode capacity; see
-            // `balance_kv_transfers`.
+            // Only as many decodes stay near as corresponds to the near workers' share of all decode
+            // capacity; see `balance_kv_transfers`.
             let share =
                 local_share * link_slowdown.min(1.0 + MEMORY_SHARE_TOLERANCE) * local_health;
             if candidates.slowdown[candidate] == 0.0 && has_memory && draw < share {
@@ -124,8 +126,8 @@
             .cloned()
     }
 
-    /// The best candidates within the holder's cell and within its zone. A candidate in slow start that has budget left
-    /// is preferred.
+    /// The best candidates within the holder's cell and within its zone. A candidate in slow start that has
+    /// budget left is preferred.
     fn near_candidates<'a>(
         &self,
         candidates: &DecodeCandidates<'a>,
@@ -149,16 +151,17 @@
         ]
     }
 
-    /// Ratio of the first-token times over `far` and over `near`, at least 1. The slower a link, the more strongly nearer
-    /// workers are preferred.
+    /// Ratio of the first-token times over `far` and over `near`, at least 1. The slower a link, the more
+    /// strongly nearer workers are preferred.
     fn link_slowdown(&self, near: Distance, far: Distance) -> f64 {
         let us_per_token =
             |distance: Distance| self.learned.first_token_us_per_token[distance].value_or(0.0);
         (us_per_token(far) / us_per_token(near).max(1e-9)).max(1.0)
     }
 
-    /// A number drawn for a request from 0 to 1; the decode stays near the KV state if it is below the share that stays
-    /// near. While KV transfers out of the cell have recently timed out it is 0, so that all decodes stay near.
+    /// A number drawn for a request from 0 to 1; the decode stays near the KV state if it is below the share
+    /// that stays near. While KV transfers out of the cell have recently timed out it is 0, so that all
+    /// decodes stay near.
     fn locality_draw(&self, id: RequestId) -> f64 {
         if self.decode_timeouts.other_cells(self.now, LOAD_HALF_LIFE) >= REMOTE_TIMEOUT_THRESHOLD {
             return 0.0;
@@ -166,9 +169,9 @@
         hash_to_unit(xxh3_64_with_seed(&id.0.to_le_bytes(), self.seed ^ 1))
     }
 
-    /// Health of decodes within the cell: 1 if healthy, less with each timeout there in excess of those outside the cell.
-    /// Never 0, because a recovery would then go unnoticed. Always 1 if links out of the cell are slow, since workers
-    /// outside the cell would be worse.
+    /// Health of decodes within the cell: 1 if healthy, less with each timeout there in excess of those
+    /// outside the cell. Never 0, because a recovery would then go unnoticed. Always 1 if links out of the
+    /// cell are slow, since workers outside the cell would be worse.
     fn local_decode_health(&self) -> f64 {
         let us_per_token =
             |distance: Distance| self.learned.first_token_us_per_token[distance].value_or(0.0);
@@ -193,8 +196,8 @@
         }
     }
 
-    /// Projected memory share of a decode worker, multiplied by its latency factor. Without a fresh report, each other
-    /// router is assumed to use as much memory there as this one.
+    /// Projected memory share of a decode worker, multiplied by its latency factor. Without a fresh report,
+    /// each other router is assumed to use as much memory there as this one.
     fn projected_memory_share(&self, id: &WorkerId) -> f64 {
         let Some(worker) = self.workers.get(id) else {
             return f64::MAX;
@@ -228,9 +231,9 @@
         projected_tokens / worker.memory_tokens * self.latency_factor(id)
     }
 
-    /// Fraction of a class's recent attempts at a worker whose answers were lost. Each received answer offsets
-    /// `received_per_lost` lost answers. Detects workers that answer some classes but not others, whose overall failure
-    /// rate is low.
+    /// Fraction of a class's recent attempts at a worker whose answers were lost. Each received answer
+    /// offsets `received_per_lost` lost answers. Detects workers that answer some classes but not others,
+    /// whose overall failure rate is low.
     pub(super) fn loss_rate(&self, id: &WorkerId, class: usize, received_per_lost: f64) -> f64 {
         let worker = self.workers.get(id);
         let Some(answers) = worker.and_then(|worker| worker.answers_by_class.get(&class)) else {
@@ -241,8 +244,9 @@
         (lost - received_per_lost * received).max(0.0) / (lost + received + 1.0)
     }
 
-    /// Penalty for a decode worker's recent failures and, with non-idempotent requests, for having never answered this
-    /// router. Each router finds out about a bad worker by one failed request, which should be one that can be retried.
+    /// Penalty for a decode worker's recent failures and, with non-idempotent requests, for having never
+    /// answered this router. Each router finds out about a bad worker by one failed request, which should be
+    /// one that can be retried.
     fn failure_risk(&self, id: &WorkerId, request: &Request) -> f64 {
         let Some(worker) = self.workers.get(id) else {
             return 0.0;
@@ -259,8 +263,9 @@
         failures / (failures + successes + 1.0) + untried_penalty
     }
 
-    /// How much longer each decode worker's streams take than usual, from 0 (normal) to 1. Detects workers that start
-    /// streams immediately and then decode slowly. Running streams are included, because they show it first.
+    /// How much longer each decode worker's streams take than usual, from 0 (normal) to 1. Detects workers
+    /// that start streams immediately and then decode slowly. Running streams are included, because they show
+    /// it first.
     fn stream_slowdowns<'a>(&self, ids: &'a [WorkerId]) -> BTreeMap<&'a WorkerId, f64> {
         let streams: Vec<Streams> = ids.iter().map(|id| self.streams_at(id)).collect();
         let mut means: Vec<f64> = (streams.iter())
--- a/src/routing/policy/health.rs
+++ b/src/routing/policy/health.rs
@@ -1,5 +1,5 @@
-//! Worker health: outlier ejection, unreachable workers and zones, and the selection of workers that are usable for a
-//! request.
+//! Worker health: outlier ejection, unreachable workers and zones, and the selection of workers that are
+//! usable for a request.
 
 use super::{EJECTION_THRESHOLD, LOAD_HALF_LIFE, MAX_BACKOFF_DOUBLINGS, PREFIX_TTL, Policy};
 use crate::routing::model::{
@@ -12,8 +12,8 @@
 const BASE_EJECTION_CONNECT_TIMEOUTS: Micros = 4;
 /// Latency factor below which a worker counts as normal, since workers differ by as much.
 const MIN_LATENCY_FACTOR: f64 = 1.5;
-/// Time for which a failed connection counts as evidence against the worker's zone, and an answer as evidence that the
-/// worker is reachable.
+/// Time for which a failed connection counts as evidence against the worker's zone, and an answer as evidence
+/// that the worker is reachable.
 const REACHABILITY_WINDOW: Micros = 2 * LOAD_HALF_LIFE;
 
 /// Recent connect failures and answers of the workers of one zone.
@@ -31,7 +31,8 @@
         }
     }
 
-    /// Records that a worker has answered an attempt successfully. `class` is the index of the request's class.
+    /// Records that a worker has answered an attempt successfully. `class` is the index of the request's
+    /// class.
     pub(super) fn record_success(&mut self, worker: &WorkerId, sent_at: Micros, class: usize) {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(worker) else {
@@ -51,8 +52,9 @@
         }
     }
 
-    /// Records that an attempt at a worker has failed. Ejects the worker for a few connect timeouts if most of its recent
-    /// attempts failed. Each failed trial after an ejection doubles the duration of the next one.
+    /// Records that an attempt at a worker has failed. Ejects the worker for a few connect timeouts if most
+    /// of its recent attempts failed. Each failed trial after an ejection doubles the duration of the next
+    /// one.
     pub(super) fn record_failure(&mut self, worker: &WorkerId, sent_at: Micros) {
         let connect_timeout = self.config.connect_timeout.max(self.config.batch_interval);
         let base_ejection_time = connect_timeout * BASE_EJECTION_CONNECT_TIMEOUTS;
@@ -67,8 +69,8 @@
         }
     }
 
-    /// Ratio of a worker's latency to the median of its role, 1 for normal workers. At least the slowdown that slow start
-    /// explains.
+    /// Ratio of a worker's latency to the median of its role, 1 for normal workers. At least the slowdown
+    /// that slow start explains.
     pub(super) fn latency_factor(&self, worker: &WorkerId) -> f64 {
         let Some(worker) = self.workers.get(worker) else {
             return 1.0;
@@ -95,8 +97,8 @@
             .filter(move |(_, worker)| worker.role == role && worker.status == Status::Ready)
     }
 
-    /// Zones in which connections to several workers failed and no worker has answered since. Without this, each of many
-    /// routers would try every worker of a lost zone until the endpoint list reports the loss.
+    /// Zones in which connections to several workers failed and no worker has answered since. Without this,
+    /// each of many routers would try every worker of a lost zone until the endpoint list reports the loss.
     fn unreachable_zones(&self) -> BTreeSet<&str> {
         let mut zones = BTreeMap::<&str, ZoneReachability>::new();
         for worker in self.workers.values() {
@@ -117,8 +119,8 @@
             .collect()
     }
 
-    /// The workers of a role that may be sent this request now. Ejected and suspect workers are left out as long as enough
-    /// others remain.
+    /// The workers of a role that may be sent this request now. Ejected and suspect workers are left out as
+    /// long as enough others remain.
     pub(super) fn usable(&self, role: Role, id: RequestId) -> Vec<WorkerId> {
         let request = self.requests.get(&id);
         let mut ready = self.permitted(role, request);
@@ -131,8 +133,8 @@
             .filter(|(id, worker)| self.is_healthy(id, worker))
             .map(|(id, _)| (*id).clone())
             .collect();
-        // If most workers of a role look unhealthy, the cause is elsewhere (a link, or the load), and all are used.
-        // Unreachable workers are still sent only trials as long as another worker is left.
+        // If most workers of a role look unhealthy, the cause is elsewhere (a link, or the load), and all are
+        // used. Unreachable workers are still sent only trials as long as another worker is left.
         if healthy.len() * 2 >= reachable_count && !healthy.is_empty() {
             return healthy;
         }
@@ -198,8 +200,8 @@
         };
         retain_preferred(workers, |(id, _)| !request.failed_at(id));
         if request.is_hold_expiring() {
-            // Prefer zones that have answered within the hold limit, such as that of the KV state's holder, because others
-            // may be cut off.
+            // Prefer zones that have answered within the hold limit, such as that of the KV state's holder,
+            // because others may be cut off.
             let hold_limit = self.config.kv_state_hold_limit;
             let answering_zones: BTreeSet<&str> = (self.workers.values())
                 .filter(|worker| worker.answered_within(self.now, hold_limit))
@@ -214,9 +216,9 @@
         }
     }
 
-    /// Whether a worker is healthy. It is not while it is ejected, while it is on trial and already has an attempt in
-    /// flight, or while an answer is overdue and no success has arrived since that attempt's send (the worker may hang or
-    /// be cut off).
+    /// Whether a worker is healthy. It is not while it is ejected, while it is on trial and already has an
+    /// attempt in flight, or while an answer is overdue and no success has arrived since that attempt's send
+    /// (the worker may hang or be cut off).
     fn is_healthy(&self, id: &WorkerId, worker: &Worker) -> bool {
         let is_on_trial = worker.failure_rate > EJECTION_THRESHOLD || worker.unreachable;
         let is_overdue = |attempt: &Attempt| {
--- a/src/routing/policy/membership.rs
+++ b/src/routing/policy/membership.rs
@@ -8,8 +8,8 @@
 
 /// Time that discovery, a single service for all routers, may need to serve one fetch of the list.
 const FETCH_INTERVAL: Micros = 20_000;
-/// Maximum delay of a retry. Every router is expected to know of an endpoint change after 6 s, and half of that time
-/// passes before a router notices that a fetch or a watch was lost.
+/// Maximum delay of a retry. Every router is expected to know of an endpoint change after 6 s, and half of
+/// that time passes before a router notices that a fetch or a watch was lost.
 const MAX_FETCH_DELAY: Micros = 2_000_000;
 /// KV memory in tokens assumed for a worker whose kind states none.
 const DEFAULT_MEMORY_TOKENS: f64 = 1e6;
@@ -60,8 +60,8 @@
         }
     }
 
-    /// Schedules the retry of a failed fetch at a random time within a span that is long enough for all routers to fetch
-    /// one after another. The span doubles with each failure.
+    /// Schedules the retry of a failed fetch at a random time within a span that is long enough for all
+    /// routers to fetch one after another. The span doubles with each failure.
     fn schedule_endpoint_fetch(&mut self, update: EndpointUpdate) {
         let failures = if update == EndpointUpdate::Failed {
             self.endpoint_fetch.failures + 1
@@ -113,8 +113,8 @@
         }
     }
 
-    /// Sets each worker's share of KV transfers that stay within its cell and its zone. It depends on the endpoint list
-    /// alone, so that all routers compute the same shares.
+    /// Sets each worker's share of KV transfers that stay within its cell and its zone. It depends on the
+    /// endpoint list alone, so that all routers compute the same shares.
     fn balance_kv_transfers(&mut self) {
         let cell = |worker: &Worker| -> Neighbourhood { (worker.zone.clone(), Some(worker.cell)) };
         let zone = |worker: &Worker| -> Neighbourhood { (worker.zone.clone(), None) };
--- a/src/routing/policy/outcomes.rs
+++ b/src/routing/policy/outcomes.rs
@@ -1,5 +1,5 @@
-//! Attempt outcomes: updates estimates and health from started streams and completed attempts, and advances their
-//! requests.
+//! Attempt outcomes: updates estimates and health from started streams and completed attempts, and advances
+//! their requests.
 
 use super::{
     EJECTION_THRESHOLD, EWMA_WEIGHT, LOAD_HALF_LIFE, MAX_BACKOFF_DOUBLINGS, PREFIX_TTL, Policy,
@@ -13,8 +13,8 @@
 
 /// Time for which a worker counts as full after it has rejected a request for lack of capacity.
 const FULL_PERIOD: Micros = LOAD_HALF_LIFE / 2;
-/// Maximum ratio of a latency sample to the average. Larger samples are capped, so that one hung worker has little effect
-/// on the average over all workers.
+/// Maximum ratio of a latency sample to the average. Larger samples are capped, so that one hung worker has
+/// little effect on the average over all workers.
 const MAX_SAMPLE_FACTOR: f64 = 2.0;
 /// Minimum and maximum of one sample of a worker's latency factor.
 const LATENCY_FACTOR_BOUNDS: (f64, f64) = (0.1, 10.0);
@@ -62,8 +62,8 @@
         self.learn_latency(&worker, Some(distance), elapsed, work_tokens);
     }
 
-    /// Updates latency estimates with the time `elapsed` that a prefill (`distance` is `None`) or a first token took for
-    /// the given work.
+    /// Updates latency estimates with the time `elapsed` that a prefill (`distance` is `None`) or a first
+    /// token took for the given work.
     fn learn_latency(
         &mut self,
         worker: &WorkerId,
@@ -172,7 +172,8 @@
         })
     }
 
-    /// Starts the hold of KV state that a prefill has left, or releases KV state that an attempt may have left.
+    /// Starts the hold of KV state that a prefill has left, or releases KV state that an attempt may have
+    /// left.
     fn update_kv_state_hold(
         &mut self,
         id: RequestId,
@@ -188,8 +189,8 @@
         if outcome == AttemptOutcome::Prefilled && request.phase != Phase::Done {
             request.kv_state.hold(attempt.worker.clone(), now);
         } else if outcome == AttemptOutcome::KvStateMissing || may_have_left_state {
-            // The prefill may have completed when it was cancelled or its connection broke. KV state that this decode worker
-            // does not find may be held elsewhere.
+            // The prefill may have completed when it was cancelled or its connection broke. KV state that
+            // this decode worker does not find may be held elsewhere.
             request.kv_state.clear();
             out.push(Action::Release {
                 request: id,
@@ -221,7 +222,8 @@
                 self.record_success(id, sent_at, attempt.class);
             }
             AttemptOutcome::Rejected => {
-                // The worker may be full for this class and tenant only, so other requests may still be sent to it.
+                // The worker may be full for this class and tenant only, so other requests may still be sent
+                // to it.
                 let until = self.now + FULL_PERIOD;
                 if let Some(worker) = self.workers.get_mut(id) {
                     worker.mark_full(attempt.capacity_key.clone(), self.now, until);
@@ -236,7 +238,8 @@
             }
             AttemptOutcome::ConnectFailed => {
                 if let Some(worker) = self.workers.get_mut(id) {
-                    // Only after two consecutive failures: a single one may be due to a full connection table.
+                    // Only after two consecutive failures: a single one may be due to a full connection
+                    // table.
                     worker.unreachable |= worker.failure_rate >= EJECTION_THRESHOLD;
                     worker.connect_failed_at = Some(self.now);
                 }
@@ -264,8 +267,8 @@
         if let Some(worker) = self.workers.get_mut(&attempt.worker)
             && worker.latest_answered_send > attempt.sent_at
         {
-            // A later send was answered, so this one is not queued at the worker: its answer was lost. A worker that still
-            // answers most requests must be neither ejected nor considered full.
+            // A later send was answered, so this one is not queued at the worker: its answer was lost. A
+            // worker that still answers most requests must be neither ejected nor considered full.
             let answers = worker.answers_by_class.entry(attempt.class).or_default();
             answers.failures.add(now, LOAD_HALF_LIFE, 1.0);
             return;
@@ -282,7 +285,8 @@
             self.decode_timeouts
                 .record(attempt.distance, now, LOAD_HALF_LIFE);
         } else if self.config.load_unknown() {
-            // Without load reports, a timeout is taken as evidence of as much queued work as fits into its duration.
+            // Without load reports, a timeout is taken as evidence of as much queued work as fits into its
+            // duration.
             let us_per_token = self.learned.prefill_us_per_token.value_or(f64::MAX);
             let queued_tokens = attempt.elapsed as f64 / us_per_token.max(1e-9);
             if let Some(worker) = self.workers.get_mut(&attempt.worker) {
--- a/src/routing/policy/placement.rs
+++ b/src/routing/policy/placement.rs
@@ -6,11 +6,13 @@
 use std::collections::BTreeSet;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Prefill time per token, in microseconds, of a slow worker. Used if the objectives do not depend on the prompt's length.
+/// Prefill time per token, in microseconds, of a slow worker. Used if the objectives do not depend on the
+/// prompt's length.
 const DEFAULT_PREFILL_US_PER_TOKEN: f64 = 70.0;
 /// Maximum fraction of the time-to-first-token objective that a prefill on a worker in slow start may take.
 const MAX_WARMING_UP_PREFILL_SHARE: f64 = 0.75;
-/// Minimum number of prefill workers per owner of a prefix. The most popular prefixes make up a sixth of all prefill work.
+/// Minimum number of prefill workers per owner of a prefix. The most popular prefixes make up a sixth of all
+/// prefill work.
 const MIN_PREFILL_WORKERS_PER_OWNER: u64 = 8;
 /// Minimum ratio of the whole prompt to its uncached part at which the holder of a cached prefix is picked.
 const MIN_CACHE_GAIN: f64 = 2.0;
@@ -23,7 +25,8 @@
     load: f64,
     /// Prompt tokens that the worker has not cached.
     uncached_tokens: f64,
-    /// Tie-breaker that is the same at all routers, so that the next turn of a session finds its prefix cached.
+    /// Tie-breaker that is the same at all routers, so that the next turn of a session finds its prefix
+    /// cached.
     rank: u64,
 }
 
@@ -73,9 +76,9 @@
             .map(|candidate| (candidate.id.clone(), candidate.uncached_tokens))
     }
 
-    /// The worker in slow start that gets the prefill, if any. A prefill that would take long there goes to a warm worker,
-    /// since the prefix is cached elsewhere and other prefills would queue behind it. Without warm workers, the owner of
-    /// the prefix gets it.
+    /// The worker in slow start that gets the prefill, if any. A prefill that would take long there goes to a
+    /// warm worker, since the prefix is cached elsewhere and other prefills would queue behind it. Without
+    /// warm workers, the owner of the prefix gets it.
     fn pick_warming_up_worker(
         &self,
         request: &Request,
@@ -136,9 +139,9 @@
         warm.iter().map(candidate).collect()
     }
 
-    /// Cost of a prefill at a worker, in tokens. The prefill's uncached tokens are counted once for each prefill that is
-    /// queued there, because they delay all of them. Otherwise a prefill would be moved from its holder to a worker with
-    /// an equally long queue, where it adds more work than it avoids.
+    /// Cost of a prefill at a worker, in tokens. The prefill's uncached tokens are counted once for each
+    /// prefill that is queued there, because they delay all of them. Otherwise a prefill would be moved from
+    /// its holder to a worker with an equally long queue, where it adds more work than it avoids.
     fn prefill_cost(&self, candidate: &PrefillCandidate) -> f64 {
         let queued = self
             .in_flight_at(candidate.id)
@@ -149,8 +152,8 @@
             + candidate.uncached_tokens * candidate.latency_factor * affected_prefills
     }
 
-    /// Expected prefill time per token, in microseconds: the part of the objectives that grows with the prompt, or a default
-    /// if there is none.
+    /// Expected prefill time per token, in microseconds: the part of the objectives that grows with the
+    /// prompt, or a default if there is none.
     pub(super) fn expected_prefill_us_per_token(&self) -> f64 {
         let per_1000_tokens = (self.config.classes.iter())
             .map(|class| class.ttft_objective_per_1000_tokens)
@@ -163,8 +166,8 @@
         }
     }
 
-    /// Expected number of cached tokens that a prefill would evict, estimated from the worker's memory share and the memory
-    /// that the prefill needs.
+    /// Expected number of cached tokens that a prefill would evict, estimated from the worker's memory share
+    /// and the memory that the prefill needs.
     fn eviction_cost(&self, id: &WorkerId, uncached_tokens: f64) -> f64 {
         let Some(worker) = self.workers.get(id) else {
             return 0.0;
@@ -178,9 +181,9 @@
         cached * memory_share * (uncached_tokens / worker.memory_tokens).min(1.0)
     }
 
-    /// The prefill worker that owns a request's prefix, by rendezvous hashing weighted by capacity. All routers of a zone
-    /// compute the same owner. As many prefixes as the zone's share of all prefill capacity allows have an owner within
-    /// the zone.
+    /// The prefill worker that owns a request's prefix, by rendezvous hashing weighted by capacity. All
+    /// routers of a zone compute the same owner. As many prefixes as the zone's share of all prefill capacity
+    /// allows have an owner within the zone.
     pub(super) fn rendezvous_owner(
         &self,
         spec: &RequestSpec,
@@ -215,9 +218,9 @@
         zone_capacity * zones.len() as f64 / total_capacity.max(1e-9)
     }
 
-    /// Number of owners over which the sessions of a request's prefix are spread: the prefix's share of all requests, as a
-    /// number of prefill workers. It is limited because each owner prefills the prefix once, and it grows with the share
-    /// because a frequent prefix exceeds the capacity of one worker.
+    /// Number of owners over which the sessions of a request's prefix are spread: the prefix's share of all
+    /// requests, as a number of prefill workers. It is limited because each owner prefills the prefix once,
+    /// and it grows with the share because a frequent prefix exceeds the capacity of one worker.
     fn rendezvous_owner_count(&self, spec: &RequestSpec) -> u64 {
         let workers = self.max_ready[Role::Prefill] as u64;
         let share = self.prefix_cache.share(spec, self.now, PREFIX_TTL);
@@ -232,9 +235,9 @@
         in_flight.filter_map(|(id, index)| self.requests.get(id)?.attempts.get(*index))
     }
 
-    /// Tokens queued at a prefill worker: those of this router, those inferred from timeouts, and those reported. An aging
-    /// report decays to `mean_queue` rather than to an empty queue, which would attract prompts away from the holders of
-    /// their prefixes.
+    /// Tokens queued at a prefill worker: those of this router, those inferred from timeouts, and those
+    /// reported. An aging report decays to `mean_queue` rather than to an empty queue, which would attract
+    /// prompts away from the holders of their prefixes.
     pub(super) fn queued_tokens(&self, id: &WorkerId, mean_queue: f64) -> f64 {
         let own: f64 = (self.in_flight_at(id))
             .filter(|attempt| !attempt.is_decode)
--- a/src/routing/policy/send_permit.rs
+++ b/src/routing/policy/send_permit.rs
@@ -1,15 +1,15 @@
 //! Permits for attempts: the only place that decides whether a request may be sent, retried or rejected.
 //!
-//! Every attempt requires a [`SendPermit`]. Only [`Policy::permit_send`] creates one, so that no other code can write a
-//! request to a connection. A permit is created when the send is decided and checked again
-//! ([`SendPermit::check_write`]) before the first byte is written, up to a connect timeout later. Releases, tool calls
-//! and their results require a permit of [`super::call_permit`]; closing a client connection requires one of
-//! [`super::close_permit`].
+//! Every attempt requires a [`SendPermit`]. Only [`Policy::permit_send`] creates one, so that no other code
+//! can write a request to a connection. A permit is created when the send is decided and checked again
+//! ([`SendPermit::check_write`]) before the first byte is written, up to a connect timeout later. Releases,
+//! tool calls and their results require a permit of [`super::call_permit`]; closing a client connection
+//! requires one of [`super::close_permit`].
 //!
-//! A permit depends on what is known of each earlier attempt: whether it was written, was answered, has ended, or is
-//! proved not to have run. Until an attempt has ended, it is unknown whether it has arrived. So it counts as run where a
-//! second run would be harmful (retries, rejections), and as not arrived where KV state would otherwise be held too long
-//! (see [`super::kv_state`]).
+//! A permit depends on what is known of each earlier attempt: whether it was written, was answered, has
+//! ended, or is proved not to have run. Until an attempt has ended, it is unknown whether it has arrived. So
+//! it counts as run where a second run would be harmful (retries, rejections), and as not arrived where KV
+//! state would otherwise be held too long (see [`super::kv_state`]).
 
 use super::Policy;
 use crate::routing::model::{Phase, Request, Worker};
@@ -78,14 +78,14 @@
         }
     }
 
-    /// Time by which the last byte of the request must be written; `None` if there is no limit. After that time the attempt
-    /// could run in addition to an earlier one.
+    /// Time by which the last byte of the request must be written; `None` if there is no limit. After that
+    /// time the attempt could run in addition to an earlier one.
     pub fn send_by(&self) -> Option<Micros> {
         self.send_by
     }
 
-    /// Time by which the connection must be established, if KV state is held for the request; else `None`. The hold limit
-    /// continues to run while a connection is being established.
+    /// Time by which the connection must be established, if KV state is held for the request; else `None`.
+    /// The hold limit continues to run while a connection is being established.
     pub fn connect_by(&self) -> Option<Micros> {
         self.connect_by
     }
@@ -95,7 +95,8 @@
         self.is_prefill
     }
 
-    /// Decides whether the attempt may be written now, which may be up to a connect timeout after the send was decided.
+    /// Decides whether the attempt may be written now, which may be up to a connect timeout after the send
+    /// was decided.
     ///
     /// # Errors
     /// Returns the reason if the attempt must not be written.
@@ -154,9 +155,9 @@
         })
     }
 
-    /// Time until which a request may be written to a worker, or `None` if it may not be written there. A request that may
-    /// have run and is not safe to repeat may be sent only to workers that deduplicate it against each earlier attempt,
-    /// and only within the deduplication window of that attempt.
+    /// Time until which a request may be written to a worker, or `None` if it may not be written there. A
+    /// request that may have run and is not safe to repeat may be sent only to workers that deduplicate it
+    /// against each earlier attempt, and only within the deduplication window of that attempt.
     fn repeat_deadline(&self, request: &Request, worker: &Worker) -> Option<Micros> {
         let class = &self.config.classes[request.class];
         if class.idempotency == Idempotency::Idempotent {
@@ -179,8 +180,8 @@
         Some(deadline)
     }
 
-    /// Whether a request that may have run may be repeated at this worker, including the time for establishing a
-    /// connection.
+    /// Whether a request that may have run may be repeated at this worker, including the time for
+    /// establishing a connection.
     pub(super) fn may_repeat_at(&self, request: &Request, worker: &Worker) -> bool {
         let latest_write = self.now.saturating_add(self.config.connect_timeout);
         self.repeat_deadline(request, worker)
--- a/src/routing/policy/send_permit/tests.rs
+++ b/src/routing/policy/send_permit/tests.rs
@@ -3,7 +3,8 @@
 
 const SEND_BY: Micros = 100;
 
-/// Guards against writing an attempt whose conditions have changed while its connection was being established.
+/// Guards against writing an attempt whose conditions have changed while its connection was being
+/// established.
 #[rstest]
 #[case::in_time(SEND_BY - 1, true, false, Ok(()))]
 #[case::late(SEND_BY, true, false, Err(SendDenial::MayHaveRun))]
--- a/src/routing/policy/sending.rs
+++ b/src/routing/policy/sending.rs
@@ -4,8 +4,8 @@
 use crate::routing::model::{Attempt, Distance, Ewma, Phase, Request, Worker};
 use crate::routing::types::{Action, Idempotency, Micros, RequestClass, RequestId, WorkerId};
 
-/// Ratio of an attempt's duration to its expected duration from which it is overdue: more than queued work of other
-/// routers explains.
+/// Ratio of an attempt's duration to its expected duration from which it is overdue: more than queued work of
+/// other routers explains.
 const OVERDUE_FACTOR: f64 = 4.0;
 /// Maximum factor by which prefill timeouts grow while part of the capacity is in slow start.
 const MAX_SLOW_START_TIMEOUT_FACTOR: f64 = 4.0;
@@ -17,14 +17,15 @@
     load_tokens: f64,
     /// Tokens that the worker has to process before it answers, including its queue.
     work_tokens: f64,
-    /// Prompt tokens included in `work_tokens`. The rest of the prompt is added if the cached prefix has been evicted.
+    /// Prompt tokens included in `work_tokens`. The rest of the prompt is added if the cached prefix has been
+    /// evicted.
     prompt_tokens: f64,
     us_per_token: Ewma,
 }
 
 impl Request {
-    /// Expected number of output tokens: derived from the client's duration hint and the inter-token objective, else half of
-    /// the maximum.
+    /// Expected number of output tokens: derived from the client's duration hint and the inter-token
+    /// objective, else half of the maximum.
     fn expected_output_tokens(&self, class: &RequestClass) -> f64 {
         let half = self.spec.max_tokens as f64 / 2.0;
         match self.spec.duration_hint {
@@ -37,8 +38,9 @@
 }
 
 impl Policy {
-    /// Sends a request to a worker if all rules permit it. With `uncached_tokens` it is sent for a prefill in which that
-    /// many prompt tokens are to be processed, else for the response. All sends to workers use this function.
+    /// Sends a request to a worker if all rules permit it. With `uncached_tokens` it is sent for a prefill in
+    /// which that many prompt tokens are to be processed, else for the response. All sends to workers use
+    /// this function.
     pub(super) fn send(
         &mut self,
         id: RequestId,
@@ -63,8 +65,8 @@
         };
         let estimate = self.estimate(request, worker, target, uncached_tokens);
         let due = self.due_after(request, worker, target, &estimate, is_decode);
-        // A decode that may not be retried without restriction has no timeout before the deadline, since an earlier end would
-        // not allow a retry.
+        // A decode that may not be retried without restriction has no timeout before the deadline, since an
+        // earlier end would not allow a retry.
         let class = &self.config.classes[request.class];
         let may_time_out = !is_decode || class.idempotency == Idempotency::Idempotent;
         self.record_send(id, worker, &estimate, due, is_decode);
@@ -109,8 +111,8 @@
         }
     }
 
-    /// Time after its send from which an attempt is overdue: well after its expected end, but early enough that a retry of
-    /// the same duration can complete before the deadline, if there is time for one.
+    /// Time after its send from which an attempt is overdue: well after its expected end, but early enough
+    /// that a retry of the same duration can complete before the deadline, if there is time for one.
     fn due_after(
         &self,
         request: &Request,
@@ -155,8 +157,8 @@
         } else {
             STAGE_SHARE
         };
-        // If much of the role is in slow start, other workers are no faster, and a retry prefills the whole prompt again.
-        // Longer timeouts keep such retries from adding to the overload.
+        // If much of the role is in slow start, other workers are no faster, and a retry prefills the whole
+        // prompt again. Longer timeouts keep such retries from adding to the overload.
         let (mut capacity, mut weight) = (0.0, 1e-9);
         for (_, peer) in self.ready(target.role) {
             capacity += self.capacity(peer);
--- a/src/routing/policy/slow_start.rs
+++ b/src/routing/policy/slow_start.rs
@@ -5,15 +5,15 @@
 use crate::routing::types::{Micros, Role, WorkerId};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Number of sends below which a budget may exceed its mean by two standard deviations; larger budgets may exceed it by
-/// one.
+/// Number of sends below which a budget may exceed its mean by two standard deviations; larger budgets may
+/// exceed it by one.
 const SMALL_BUDGET: f64 = 30.0;
 /// Fraction of the slow start duration after which a worker has its full capacity.
 const RAMP_FRACTION: f64 = 0.7;
 /// Lower bound of the estimated capacity fraction.
 const MIN_CAPACITY_FRACTION: f64 = 0.05;
-/// Factor by which completion rates are averaged more slowly than other estimates, because each sample covers only a few
-/// requests.
+/// Factor by which completion rates are averaged more slowly than other estimates, because each sample covers
+/// only a few requests.
 const RATE_SMOOTHING: f64 = 5.0;
 
 impl Policy {
@@ -40,9 +40,9 @@
             .is_some_and(|at| self.now < at.saturating_add(self.config.slow_start_duration))
     }
 
-    /// The only prefill worker in slow start that may get this request, in at most one of its attempts. For the first
-    /// attempt of a request whose session is not cached anywhere, it is a worker whose small budget is currently granted to
-    /// this router; otherwise it is the owner of the prefix.
+    /// The only prefill worker in slow start that may get this request, in at most one of its attempts. For
+    /// the first attempt of a request whose session is not cached anywhere, it is a worker whose small budget
+    /// is currently granted to this router; otherwise it is the owner of the prefix.
     pub(super) fn slow_start_prefill_worker(&self, request: &Request) -> Option<WorkerId> {
         let key = affinity_key(&request.spec, self.seed, 1);
         let is_first = request.attempts.is_empty();
@@ -67,8 +67,8 @@
             .filter(|id| request.attempts.iter().all(|attempt| attempt.worker != *id))
     }
 
-    /// Updates the completion rate of a warm worker of each role; called when a request arrives. A rate is kept while no
-    /// worker of the role is warm.
+    /// Updates the completion rate of a warm worker of each role; called when a request arrives. A rate is
+    /// kept while no worker of the role is warm.
     pub(super) fn learn_completion_rates(&mut self) {
         for role in [Role::Prefill, Role::Decode, Role::Mixed] {
             let warm = || {
@@ -87,9 +87,9 @@
         }
     }
 
-    /// Number of sends that a worker in slow start may get from all routers within the overload window: its fraction of
-    /// what a warm worker completes, or of its share of the tenants' quotas if that is more, plus an allowance for random
-    /// fluctuation.
+    /// Number of sends that a worker in slow start may get from all routers within the overload window: its
+    /// fraction of what a warm worker completes, or of its share of the tenants' quotas if that is more, plus
+    /// an allowance for random fluctuation.
     pub(super) fn slow_start_budget(&self, worker: &Worker) -> f64 {
         let quota_per_us = self.quotas.total_rate_per_s() / 1e6;
         let per_worker = self.learned.completions_per_us[worker.role]
@@ -123,8 +123,9 @@
         mean + deviations * (mean.sqrt() + 1.0)
     }
 
-    /// Window in which sends count against the slow start budget. It is a connect timeout longer than the overload window,
-    /// because sends are counted when they are decided and may be written a connect timeout later.
+    /// Window in which sends count against the slow start budget. It is a connect timeout longer than the
+    /// overload window, because sends are counted when they are decided and may be written a connect timeout
+    /// later.
     pub(super) fn slow_start_window(&self) -> Micros {
         self.config
             .overload_window
@@ -137,9 +138,9 @@
         self.slow_start_budget(worker) < f64::from(self.config.routers)
     }
 
-    /// Whether this router may send once more to a worker in slow start. It may use its share of the budget per window, and
-    /// half of it per half window. If the budget has fewer sends than there are routers, routers take turns with one send
-    /// each.
+    /// Whether this router may send once more to a worker in slow start. It may use its share of the budget
+    /// per window, and half of it per half window. If the budget has fewer sends than there are routers,
+    /// routers take turns with one send each.
     pub(super) fn has_slow_start_budget(&self, id: &WorkerId, worker: &Worker) -> bool {
         let routers = f64::from(self.config.routers.max(1));
         let window = self.slow_start_window();
@@ -159,8 +160,8 @@
             && sends_within(window / 2) < share.div_ceil(2)
     }
 
-    /// This router's current position, from 0 to 1, in the order in which routers take turns at a worker. Without a
-    /// configured index it is 0, and the router never gets a fractional send.
+    /// This router's current position, from 0 to 1, in the order in which routers take turns at a worker.
+    /// Without a configured index it is 0, and the router never gets a fractional send.
     fn rotation(&self, id: &WorkerId, worker: &Worker) -> f64 {
         let Some(index) = self.config.index else {
             return 0.0;
--- a/src/routing/types/config.rs
+++ b/src/routing/types/config.rs
@@ -164,8 +164,8 @@
 }
 
 impl RoutingConfig {
-    /// Whether the load that other routers cause at a worker is unknown. Reports in health checks don't count: each
-    /// of many routers would have to send checks.
+    /// Whether the load that other routers cause at a worker is unknown. Reports in health checks don't
+    /// count: each of many routers would have to send checks.
     pub fn load_unknown(&self) -> bool {
         self.load_reporting != LoadReporting::Responses
     }
--- a/src/routing/types/event.rs
+++ b/src/routing/types/event.rs
@@ -29,8 +29,8 @@
     pub outcome: AttemptOutcome,
     /// Time between the attempt's send and its completion.
     pub elapsed: Micros,
-    /// Whether the request needs no further attempt: its client has received the final answer or the start of a
-    /// stream, or has disconnected.
+    /// Whether the request needs no further attempt: its client has received the final answer or the start of
+    /// a stream, or has disconnected.
     pub request_finished: bool,
     /// Prompt tokens that the worker found in its prefix cache; set with `Prefilled` and `Served`, else 0.
     pub cached_tokens: u64,
--- a/src/routing/types/request.rs
+++ b/src/routing/types/request.rs
@@ -64,8 +64,9 @@
         )
     }
 
-    /// Whether this outcome proves that an attempt at a decode worker had no effect. `Prefilled` proves nothing
-    /// here: decode workers are never asked for a prefill alone, so one that reports it may have run the request.
+    /// Whether this outcome proves that an attempt at a decode worker had no effect. `Prefilled` proves
+    /// nothing here: decode workers are never asked for a prefill alone, so one that reports it may have run
+    /// the request.
     pub fn proves_no_run_at_decode_worker(self) -> bool {
         self.proves_no_run() && self != AttemptOutcome::Prefilled
     }
@@ -91,7 +92,8 @@
 pub enum ReleaseReason {
     /// The hold limit is near and no decode worker has fetched the KV state.
     HoldExpiring,
-    /// The hold limit is near and the send to the decode worker is unanswered, so that it may not have arrived.
+    /// The hold limit is near and the send to the decode worker is unanswered, so that it may not have
+    /// arrived.
     SendUnanswered,
     /// An attempt has ended that may have left KV state behind, or that did not find it.
     AttemptEnded,
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -639,14 +639,15 @@
     );
 }
 
-/// Guards against KV state that is held beyond its limit because each failed connection and each unanswered send restarts
-/// the limit, and against KV state that is not released after a decode worker has answered that it can't find it.
+/// Guards against KV state that is held beyond its limit because each failed connection and each unanswered send
+/// restarts the limit, and against KV state that is not released after a decode worker has answered that it can't find
+/// it.
 #[rstest]
 #[case::connect_failures_after_the_prefill(&[], 3)]
 #[case::connect_failures_after_an_answer(&[(AttemptOutcome::Error, 300)], 3)]
 #[case::connect_failures_after_a_lost_connection(&[(AttemptOutcome::ConnectionLost, 100)], 3)]
-#[case::connect_failures_after_a_release_during_an_unanswered_send(&[(AttemptOutcome::TimedOut, 570)], 3)]
-#[case::decode_worker_that_finds_no_kv_state(&[(AttemptOutcome::TimedOut, 570), (AttemptOutcome::ConnectFailed, 250)], 0)]
+#[case::connect_failures_after_an_unanswered_send(&[(AttemptOutcome::TimedOut, 570)], 3)]
+#[case::kv_state_not_found(&[(AttemptOutcome::TimedOut, 570), (AttemptOutcome::ConnectFailed, 250)], 0)]
 fn hold_limit_runs_on_while_connections_fail(
     #[case] earlier_sends: &[(AttemptOutcome, Micros)],
     #[case] connect_failures: u32,
@@ -1057,8 +1058,8 @@
     rig
 }
 
-/// Guards against spending this router's share twice: during a worker's slow start the router's process is restarted, and
-/// its previous process may have used the share just before.
+/// Guards against spending this router's share twice: during a worker's slow start the router's process is restarted,
+/// and its previous process may have used the share just before.
 #[test]
 fn new_process_sends_nothing_to_workers_in_slow_start_for_one_window() {
     let mut rig = Rig::new(RoutingConfig {
@@ -1189,7 +1190,8 @@
     );
 }
 
-/// Guards against workers in slow start that are busy for seconds with one long prompt, which then misses its objective.
+/// Guards against workers in slow start that are busy for seconds with one long prompt, which then misses its
+/// objective.
 #[test]
 fn long_prompts_avoid_prefill_workers_in_slow_start() {
     let (mut long, mut short) = (Vec::new(), Vec::new());
@@ -1296,8 +1298,8 @@
     );
 }
 
-/// Guards against a full prefill of a session's next turn because another router sends it to another worker: all routers
-/// pick the same prefill worker for a session.
+/// Guards against a full prefill of a session's next turn because another router sends it to another worker: all
+/// routers pick the same prefill worker for a session.
 #[test]
 fn next_turn_at_another_router_goes_to_the_same_prefill_worker() {
     let mut prefill_workers = Vec::new();
@@ -1334,8 +1336,8 @@
     );
 }
 
-/// Guards against a single decode worker near many prefill workers that gets all of their KV state: only its share of the
-/// decodes stays near.
+/// Guards against a single decode worker near many prefill workers that gets all of their KV state: only its share of
+/// the decodes stays near.
 #[test]
 fn lone_decode_worker_does_not_get_all_local_kv_state() {
     let mut local_decodes = 0;
@@ -1372,8 +1374,8 @@
     );
 }
 
-/// Guards against synchronized fetches: many routers that start at the same time, or whose fetches fail at the same time,
-/// overload discovery permanently. The total delay of a fetch is tested in `tests/list_calls.rs`.
+/// Guards against synchronized fetches: many routers that start at the same time, or whose fetches fail at the same
+/// time, overload discovery permanently. The total delay of a fetch is tested in `tests/list_calls.rs`.
 #[test]
 fn endpoint_fetches_are_spread_over_routers_and_back_off_after_failures() {
     let mut fetch_delays: Vec<Vec<Micros>> = vec![Vec::new(); 2];
@@ -1518,8 +1520,8 @@
     assert_eq!(picked_workers.len(), 3, "{picked_workers:?}");
 }
 
-/// A worker that rejects one tenant is not considered full for other tenants, and is not tried again immediately for the
-/// rejected one.
+/// A worker that rejects one tenant is not considered full for other tenants, and is not tried again immediately for
+/// the rejected one.
 #[test]
 fn worker_full_for_one_tenant_serves_the_others() {
     let mut rig = Rig::fleet(base_config());
@@ -1656,8 +1658,8 @@
     }
 }
 
-/// Guards against transfers over a link that has become slow: rates that are learned over seconds keep KV state moving out
-/// of its cell, where requests time out although the cell's decode worker has capacity.
+/// Guards against transfers over a link that has become slow: rates that are learned over seconds keep KV state moving
+/// out of its cell, where requests time out although the cell's decode worker has capacity.
 #[test]
 fn near_decode_worker_takes_all_after_remote_timeout() {
     let mut rig = Rig::fleet(base_config());
@@ -1712,8 +1714,8 @@
     }
 }
 
-/// Guards against idle prefill workers next to one with a long queue, because any queued work elsewhere kept prompts from
-/// being moved.
+/// Guards against idle prefill workers next to one with a long queue, because any queued work elsewhere kept prompts
+/// from being moved.
 #[test]
 fn overloaded_prefix_holder_sheds_prefills_to_idle_workers() {
     let mut rig = Rig::new(base_config());
@@ -1884,8 +1886,8 @@
     assert!(count_at_w1(&mut rig, 120..140, "cell") > 0);
 }
 
-/// Guards against a decode worker that starts its streams immediately and then decodes slowly. By its first tokens alone it
-/// looks healthy, and it is near the prefill worker.
+/// Guards against a decode worker that starts its streams immediately and then decodes slowly. By its first tokens
+/// alone it looks healthy, and it is near the prefill worker.
 #[test]
 fn decode_worker_with_slow_streams_is_avoided() {
     let mut rig = Rig::new(base_config());
@@ -1930,8 +1932,8 @@
     }
 }
 
-/// Guards against decode workers that count as slow because they have running streams while others have none: there is no
-/// usual duration before a stream has ended.
+/// Guards against decode workers that count as slow because they have running streams while others have none: there is
+/// no usual duration before a stream has ended.
 #[test]
 fn no_stream_counts_as_slow_before_one_has_ended() {
     let mut rig = Rig::new(base_config());
@@ -1962,8 +1964,8 @@
     }
 }
 
-/// Guards against limits that a large deployment reaches: at one of 350 routers, a full list of 1,024 workers and a change
-/// of all of them.
+/// Guards against limits that a large deployment reaches: at one of 350 routers, a full list of 1,024 workers and a
+/// change of all of them.
 #[test]
 fn requests_are_served_across_updates_of_a_large_endpoint_list() {
     let mut rig = Rig::new(RoutingConfig {
@@ -2003,8 +2005,8 @@
     assert_eq!(send_count(&rig.request(66, "safe")), 1);
 }
 
-/// Guards against a process that spends all of its time on the queue, because each completed attempt leads to a pass over
-/// all queued requests.
+/// Guards against a process that spends all of its time on the queue, because each completed attempt leads to a pass
+/// over all queued requests.
 #[test]
 fn long_queue_is_dispatched_in_batches() {
     let mut rig = Rig::fleet(base_config());
