--- a/src/routing/model.rs
+++ b/src/routing/model.rs
@@ -44,7 +44,7 @@
 
 /// The key by which a request is hashed to workers. Routers agree on it: with a prefix it is derived from the
 /// prefix and from which of the prefix's `owner_count` owners serves the session; without a prefix from the
-/// session. Only for requests with neither it depends on this router's seed.
+/// session. This router's seed stands in for a missing session.
 pub(crate) fn affinity_key(spec: &RequestSpec, router_seed: u64, owner_count: u64) -> u64 {
     let RequestId(id) = spec.request;
     let session = spec
--- a/src/routing/model/prefix_table.rs
+++ b/src/routing/model/prefix_table.rs
@@ -37,7 +37,7 @@
     }
 
     /// Fraction of recent requests that have the same prefix as this one, not counting the request itself.
-    pub fn share(&self, spec: &RequestSpec, now: Micros, half_life: Micros) -> f64 {
+    pub fn request_share(&self, spec: &RequestSpec, now: Micros, half_life: Micros) -> f64 {
         let requests = spec
             .prefix
             .as_ref()
@@ -82,7 +82,7 @@
     }
 
     /// Whether some worker is assumed to have cached the request's session.
-    pub fn knows_session(&self, spec: &RequestSpec) -> bool {
+    pub fn has_session(&self, spec: &RequestSpec) -> bool {
         spec.session
             .as_ref()
             .is_some_and(|session| self.sessions.contains_key(session))
--- a/src/routing/model/prefix_table/tests.rs
+++ b/src/routing/model/prefix_table/tests.rs
@@ -53,10 +53,10 @@
         0.0
     );
     table.expire(2 * SECOND);
-    assert!(!table.knows_session(&spec("p", "s")));
-    assert!(table.knows_session(&spec("q", "t")));
+    assert!(!table.has_session(&spec("p", "s")));
+    assert!(table.has_session(&spec("q", "t")));
     table.remove_worker(&worker("b"));
-    assert!(!table.knows_session(&spec("q", "t")));
+    assert!(!table.has_session(&spec("q", "t")));
     assert_eq!(table.total_cached_tokens(&worker("b")), 0.0);
 }
 
@@ -66,10 +66,16 @@
     for prefix in ["p", "p", "p", "q"] {
         table.record_request(&spec(prefix, "s"), SECOND, LOAD_HALF_LIFE);
     }
-    assert_eq!(table.share(&spec("p", "s"), SECOND, LOAD_HALF_LIFE), 0.5);
-    assert_eq!(table.share(&spec("q", "s"), SECOND, LOAD_HALF_LIFE), 0.0);
     assert_eq!(
-        table.share(&spec("never", "s"), SECOND, LOAD_HALF_LIFE),
+        table.request_share(&spec("p", "s"), SECOND, LOAD_HALF_LIFE),
+        0.5
+    );
+    assert_eq!(
+        table.request_share(&spec("q", "s"), SECOND, LOAD_HALF_LIFE),
+        0.0
+    );
+    assert_eq!(
+        table.request_share(&spec("never", "s"), SECOND, LOAD_HALF_LIFE),
         0.0
     );
 }
--- a/src/routing/policy.rs
+++ b/src/routing/policy.rs
@@ -278,13 +278,13 @@
             }
             _ if !may_retry => self.end_unanswered(id, EndReason::RetryNotAllowed, out),
             Phase::Queued => self.start(id, out),
-            Phase::AwaitingDecode => self.advance_held(id, out),
+            Phase::AwaitingDecode => self.advance_held_request(id, out),
         }
     }
 
     /// Sends a request with held KV state to a decode worker. Near the hold limit, releases the KV state and
     /// starts the request again instead.
-    fn advance_held(&mut self, id: RequestId, out: &mut Vec<Action>) {
+    fn advance_held_request(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
--- a/src/routing/policy/admission.rs
+++ b/src/routing/policy/admission.rs
@@ -86,9 +86,9 @@
 
     /// Picks the worker for the first stage. Returns `None` if no worker is usable now.
     fn plan_start(&self, id: RequestId, request: &Request) -> Option<StartPlan> {
-        let prefill_workers = self.usable(Role::Prefill, id);
-        let mixed_workers = self.usable(Role::Mixed, id);
-        let decode_worker_count = self.usable(Role::Decode, id).len() + mixed_workers.len();
+        let prefill_workers = self.usable_workers(Role::Prefill, id);
+        let mixed_workers = self.usable_workers(Role::Mixed, id);
+        let decode_worker_count = self.usable_workers(Role::Decode, id).len() + mixed_workers.len();
         let mean_prompt_tokens = self.learned.prompt_tokens.value_or(0.0);
         let is_short = request.spec.prompt_tokens as f64 <= mean_prompt_tokens;
         let goes_to_mixed = !mixed_workers.is_empty() && (is_short || prefill_workers.is_empty());
--- a/src/routing/policy/decode_placement.rs
+++ b/src/routing/policy/decode_placement.rs
@@ -10,12 +10,12 @@
 /// is still preferred: about one long request.
 const MEMORY_SHARE_TOLERANCE: f64 = 0.1;
 /// Ratio of the first-token times over a link and within a cell above which the link counts as slow. Sites
-/// state ratios of up to 2.7 for normal links.
+/// state ratios of up to 2.7.
 const SLOW_LINK_FACTOR: f64 = 3.0;
 /// Number of ordinary streams that is added to each worker's statistics, because a few streams say little.
 const STREAM_PRIOR_COMPLETIONS: f64 = 2.0;
-/// Ratio of a worker's stream duration to the usual one that is normal, because response lengths differ that
-/// much.
+/// Maximum ratio of a worker's stream duration to the usual one that counts as normal, because response
+/// lengths differ by as much.
 const SLOW_STREAM_FACTOR: f64 = 2.0;
 /// Slowdown below which a difference counts as random. Reacting to it would only move KV state farther.
 const MIN_STREAM_SLOWDOWN: f64 = 0.3;
@@ -85,8 +85,8 @@
         holder: Option<&WorkerId>,
     ) -> Option<WorkerId> {
         let request = self.requests.get(&id)?;
-        let mut usable = self.usable(Role::Decode, id);
-        usable.extend(self.usable(Role::Mixed, id));
+        let mut usable = self.usable_workers(Role::Decode, id);
+        usable.extend(self.usable_workers(Role::Mixed, id));
         let candidates = DecodeCandidates::new(self, id, request, &usable);
         let best = candidates.cheapest(&|_| true)?;
         let Some(holder_worker) = holder.and_then(|id| self.workers.get(id)) else {
--- a/src/routing/policy/health.rs
+++ b/src/routing/policy/health.rs
@@ -91,7 +91,8 @@
             median(peers.map(|worker| worker.latency_factor.value_or(1.0)));
     }
 
-    pub(super) fn ready(&self, role: Role) -> impl Iterator<Item = (&WorkerId, &Worker)> {
+    /// The workers of a role that are listed as ready, whatever their health.
+    pub(super) fn ready_workers(&self, role: Role) -> impl Iterator<Item = (&WorkerId, &Worker)> {
         self.workers
             .iter()
             .filter(move |(_, worker)| worker.role == role && worker.status == Status::Ready)
@@ -121,9 +122,9 @@
 
     /// The workers of a role that may be sent this request now. Ejected and suspect workers are left out as
     /// long as enough others remain.
-    pub(super) fn usable(&self, role: Role, id: RequestId) -> Vec<WorkerId> {
+    pub(super) fn usable_workers(&self, role: Role, id: RequestId) -> Vec<WorkerId> {
         let request = self.requests.get(&id);
-        let mut ready = self.permitted(role, request);
+        let mut ready = self.permitted_workers(role, request);
         let reachable_count = ready
             .iter()
             .filter(|(_, worker)| !worker.unreachable)
@@ -151,9 +152,13 @@
     }
 
     /// The ready workers of a role that the rules for retries and slow start permit for a request.
-    fn permitted(&self, role: Role, request: Option<&Request>) -> Vec<(&WorkerId, &Worker)> {
+    fn permitted_workers(
+        &self,
+        role: Role,
+        request: Option<&Request>,
+    ) -> Vec<(&WorkerId, &Worker)> {
         let any_warm = self
-            .ready(role)
+            .ready_workers(role)
             .any(|(_, worker)| !self.is_warming_up(worker));
         // If any prefill worker is warm, a request may go to at most one of those in slow start.
         let slow_start_pick = request
@@ -170,7 +175,7 @@
                     .as_ref()
                     .is_none_or(|pick| pick.as_ref() == Some(id))
         };
-        self.ready(role)
+        self.ready_workers(role)
             .filter(|(id, worker)| {
                 may_retry(worker)
                     && (!self.is_warming_up(worker) || may_use_in_slow_start(id, worker))
--- a/src/routing/policy/membership.rs
+++ b/src/routing/policy/membership.rs
@@ -55,7 +55,7 @@
         self.workers
             .retain(|id, worker| worker.status != Status::Gone || self.in_flight.contains_key(id));
         for role in [Role::Prefill, Role::Decode, Role::Mixed] {
-            self.max_ready[role] = self.max_ready[role].max(self.ready(role).count());
+            self.max_ready[role] = self.max_ready[role].max(self.ready_workers(role).count());
             self.learn_median_latency_factor(role);
         }
     }
--- a/src/routing/policy/placement.rs
+++ b/src/routing/policy/placement.rs
@@ -209,7 +209,7 @@
         let zones: BTreeSet<&str> = (self.workers.values())
             .map(|worker| worker.zone.as_str())
             .collect();
-        let ready = || self.ready(Role::Prefill).map(|(_, worker)| worker);
+        let ready = || self.ready_workers(Role::Prefill).map(|(_, worker)| worker);
         let zone_capacity: f64 = ready()
             .filter(|worker| worker.zone == self.config.zone)
             .map(|worker| self.capacity(worker))
@@ -223,7 +223,7 @@
     /// and it grows with the share because a frequent prefix exceeds the capacity of one worker.
     fn rendezvous_owner_count(&self, spec: &RequestSpec) -> u64 {
         let workers = self.max_ready[Role::Prefill] as u64;
-        let share = self.prefix_cache.share(spec, self.now, PREFIX_TTL);
+        let share = self.prefix_cache.request_share(spec, self.now, PREFIX_TTL);
         ((share * workers as f64).round() as u64)
             .min(workers / MIN_PREFILL_WORKERS_PER_OWNER)
             .max(1)
--- a/src/routing/policy/sending.rs
+++ b/src/routing/policy/sending.rs
@@ -160,7 +160,7 @@
         // If much of the role is in slow start, other workers are no faster, and a retry prefills the whole
         // prompt again. Longer timeouts keep such retries from adding to the overload.
         let (mut capacity, mut weight) = (0.0, 1e-9);
-        for (_, peer) in self.ready(target.role) {
+        for (_, peer) in self.ready_workers(target.role) {
             capacity += self.capacity(peer);
             weight += peer.weight;
         }
--- a/src/routing/policy/slow_start.rs
+++ b/src/routing/policy/slow_start.rs
@@ -46,10 +46,10 @@
     pub(super) fn slow_start_prefill_worker(&self, request: &Request) -> Option<WorkerId> {
         let key = affinity_key(&request.spec, self.seed, 1);
         let is_first = request.attempts.is_empty();
-        let picked = (self.ready(Role::Prefill))
+        let picked = (self.ready_workers(Role::Prefill))
             .filter(|(id, worker)| {
                 is_first
-                    && !self.prefix_cache.knows_session(&request.spec)
+                    && !self.prefix_cache.has_session(&request.spec)
                     && self.is_warming_up(worker)
                     && self.is_budget_concentrated(worker)
                     && self.has_slow_start_budget(id, worker)
@@ -57,7 +57,7 @@
             .max_by_key(|(id, _)| xxh3_64_with_seed(id.0.as_bytes(), key))
             .map(|(id, _)| id.clone());
         let owner = || {
-            let ready: Vec<WorkerId> = (self.ready(Role::Prefill))
+            let ready: Vec<WorkerId> = (self.ready_workers(Role::Prefill))
                 .map(|(id, _)| id.clone())
                 .collect();
             self.rendezvous_owner(&request.spec, &ready)
@@ -72,7 +72,7 @@
     pub(super) fn learn_completion_rates(&mut self) {
         for role in [Role::Prefill, Role::Decode, Role::Mixed] {
             let warm = || {
-                self.ready(role)
+                self.ready_workers(role)
                     .filter(|(_, worker)| !self.is_warming_up(worker))
                     .map(|(_, worker)| worker)
             };
@@ -110,7 +110,7 @@
             * self.config.overload_window as f64;
         let mean = (expected * self.config.overload_factor).max(1.0);
         let any_warm = self
-            .ready(worker.role)
+            .ready_workers(worker.role)
             .any(|(_, peer)| !self.is_warming_up(peer));
         // If all workers are in slow start, sends are not placed at random, and no allowance is needed.
         let deviations = if !any_warm {
@@ -153,7 +153,7 @@
         } else {
             budget
         };
-        let share = (all_routers_share / routers + self.rotation(id, worker)) as usize;
+        let share = (all_routers_share / routers + self.turn_position(id, worker)) as usize;
         let sends_within = |window| worker.recent_sends.count_within(self.now, window);
         self.now >= self.slow_start_from
             && sends_within(window) < share
@@ -162,7 +162,7 @@
 
     /// This router's current position, from 0 to 1, in the order in which routers take turns at a worker.
     /// Without a configured index it is 0, and the router never gets a fractional send.
-    fn rotation(&self, id: &WorkerId, worker: &Worker) -> f64 {
+    fn turn_position(&self, id: &WorkerId, worker: &Worker) -> f64 {
         let Some(index) = self.config.index else {
             return 0.0;
         };
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -709,7 +709,7 @@
         sent_to(&actions[release..])
             .iter()
             .all(|worker| worker.starts_with('r')),
-        "the prompt is prefilled again: {actions:?}"
+        "only prefills may follow the release: {actions:?}"
     );
 }
 
@@ -806,7 +806,7 @@
         decode_workers_prefill: true,
         ..base_config()
     });
-    let mut decode_only = 0;
+    let mut answered_by_decode_workers = 0;
     for id in 1..30 {
         let mut actions = rig.request(id, "safe");
         for attempt in 0..5 {
@@ -815,7 +815,7 @@
                     actions = rig.complete(id, attempt, AttemptOutcome::ConnectFailed);
                 }
                 Some(_) => {
-                    decode_only += 1;
+                    answered_by_decode_workers += 1;
                     rig.complete(id, attempt, AttemptOutcome::Served);
                     break;
                 }
@@ -825,8 +825,8 @@
         rig.now += 20 * MS;
     }
     assert!(
-        decode_only >= 20,
-        "only {decode_only} of 29 were answered by decode workers"
+        answered_by_decode_workers >= 20,
+        "only {answered_by_decode_workers} of 29 were answered by decode workers"
     );
 }
 
@@ -1080,8 +1080,8 @@
     assert_eq!(sent_to(&rig.request(3, "safe")).len(), 1);
 }
 
-/// Two processes of one router share its budget: the older one sends nothing once it is told to stop, and the newer one
-/// starts one window later.
+/// Guards against two processes of one router that both use its budget: the older one sends nothing once it is no
+/// longer allowed to, and the newer one starts one window after it is allowed to.
 #[test]
 fn at_most_one_process_of_a_router_sends_to_workers_in_slow_start() {
     let prefill_count = |rig: &mut Rig, id| sent_to(&rig.request(id, "safe")).len();
@@ -1136,10 +1136,13 @@
                 prefix_tokens: 1_900,
                 ..request_spec(rig.now, "safe")
             };
-            let worker = rig.request_with(spec).into_iter().find_map(|a| match a {
-                Action::Send { worker, .. } => Some(worker),
-                _ => None,
-            });
+            let worker = rig
+                .request_with(spec)
+                .into_iter()
+                .find_map(|action| match action {
+                    Action::Send { worker, .. } => Some(worker),
+                    _ => None,
+                });
             owners.insert(worker.expect("every request is sent to a prefill worker"));
             rig.complete(id, 0, AttemptOutcome::Prefilled);
             rig.complete(id, 1, AttemptOutcome::Served);
@@ -1396,13 +1399,16 @@
             assert!(
                 !rig.update_endpoints(update, Vec::new())
                     .contains(&Action::Subscribe),
-                "no fetch is made immediately"
+                "no fetch may be made immediately"
             );
             let updated_at = rig.now;
             let mut fetches = 0;
             while fetches == 0 && rig.now < updated_at + 60 * SECOND {
                 let actions = rig.advance(SECOND / 10);
-                fetches = actions.iter().filter(|a| **a == Action::Subscribe).count();
+                fetches = actions
+                    .iter()
+                    .filter(|action| **action == Action::Subscribe)
+                    .count();
             }
             assert_eq!(fetches, 1);
             fetch_delays.push(rig.now - updated_at);
@@ -1430,7 +1436,7 @@
 }
 
 #[test]
-fn invalid_events_cause_no_panic_and_break_no_rule() {
+fn invalid_events_cause_no_panic_and_each_request_gets_one_answer() {
     let mut rig = Rig::fleet(base_config());
     let huge_values = RequestSpec {
         prompt_tokens: u64::MAX,
@@ -1611,7 +1617,7 @@
 
 /// Configurations with zero or a thousand routers, tenants that are not configured, and invalid load reports.
 #[test]
-fn odd_configuration_and_reports_cost_no_answer() {
+fn unusual_configuration_and_invalid_reports_lose_no_answer() {
     for routers in [0, 1, 1_000] {
         for is_allowed in [false, true] {
             let tenants = vec![Tenant {
@@ -1753,7 +1759,7 @@
 /// timeout counts as a failure only if the worker has not answered a later send.
 #[test]
 fn timeout_overtaken_by_a_later_answer_does_not_count_as_failure() {
-    for is_later_answered in [true, false] {
+    for later_send_is_answered in [true, false] {
         let mut rig = Rig::fleet(base_config());
         let spec = |id, now| RequestSpec {
             request: RequestId(id),
@@ -1766,7 +1772,7 @@
             owner = sent_to(&rig.request_with(spec(id, rig.now)))[0].to_owned();
             rig.now += MS;
         }
-        let (answered_id, lost_ids) = if is_later_answered {
+        let (answered_id, lost_ids) = if later_send_is_answered {
             (4, [1, 2, 3])
         } else {
             (1, [2, 3, 4])
@@ -1778,7 +1784,7 @@
         }
         assert_eq!(
             sent_to(&rig.request_with(spec(9, rig.now))) == [owner.as_str()],
-            is_later_answered
+            later_send_is_answered
         );
     }
 }
@@ -1870,7 +1876,7 @@
     assert_eq!(
         sent_to(&rig.complete(lost_id, 1, AttemptOutcome::TimedOut)),
         ["w2"],
-        "the KV state may still be held"
+        "the held KV state is decoded at the other worker"
     );
     rig.complete(lost_id, 2, AttemptOutcome::Served);
     rig.complete(3 - lost_id, 1, AttemptOutcome::Served);
