--- a/src/admin/server.rs
+++ b/src/admin/server.rs
@@ -11,8 +11,8 @@
 use crate::net::Local;
 use crate::net::discovery::Directory;
 use crate::net::drain::DrainSwitch;
-use crate::net::fault::pause_after_accept;
-use crate::net::stream::{SteadyStream, end_sending, uninterrupted};
+use crate::net::fault::accept_retry_delay;
+use crate::net::stream::{RetryingStream, retry_interrupted, shutdown_write};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
@@ -70,7 +70,7 @@
                 }
                 Err(error) => {
                     log::warn!("admin endpoint: accept: {error}");
-                    if let Some(pause) = pause_after_accept(&error) {
+                    if let Some(pause) = accept_retry_delay(&error) {
                         tokio::time::sleep(pause).await;
                     }
                 }
@@ -99,7 +99,7 @@
             .half_close(true)
             .header_read_timeout(None)
             .max_buf_size(MAX_HEAD_BYTES)
-            .serve_connection(TokioIo::new(SteadyStream(stream)), service)
+            .serve_connection(TokioIo::new(RetryingStream(stream)), service)
             .without_shutdown();
         match tokio::time::timeout(REQUEST_TIMEOUT, serving).await {
             Ok(Ok(parts)) => linger(parts.io.into_inner().0).await,
@@ -226,11 +226,11 @@
 /// Shuts down the sending side, then reads and discards until the caller has closed, so that it can read the response
 /// though it still sends.
 async fn linger(stream: TcpStream) {
-    let _ = end_sending(&stream);
+    let _ = shutdown_write(&stream);
     let drained = async {
         let (mut scrap, mut left) = (vec![0; 4 * 1024], MAX_LINGER_BYTES);
         while left > 0 && stream.readable().await.is_ok() {
-            match uninterrupted(|| stream.try_read(&mut scrap)) {
+            match retry_interrupted(|| stream.try_read(&mut scrap)) {
                 Ok(0) => return,
                 Ok(n) => left = left.saturating_sub(n),
                 Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => {}
--- a/src/fleet/transport/admin.rs
+++ b/src/fleet/transport/admin.rs
@@ -8,7 +8,7 @@
 use crate::fleet::node::NodeStatus;
 use crate::fleet::raft::VoterId;
 use crate::fleet::{Incarnation, MemberInstance, MemberName, policy_epoch};
-use crate::net::stream::SteadyStream;
+use crate::net::stream::RetryingStream;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 use std::fmt::Write;
@@ -139,7 +139,7 @@
     bounds: &Bounds,
     request: Request,
 ) -> io::Result<Reply> {
-    let mut stream = SteadyStream(TcpStream::connect(address).await?);
+    let mut stream = RetryingStream(TcpStream::connect(address).await?);
     let mut session = [0; 16];
     stream.read_exact(&mut session).await?;
     let own = MemberName::try_from(ADMINISTRATOR).map_err(io::Error::other)?;
--- a/src/fleet/transport/links.rs
+++ b/src/fleet/transport/links.rs
@@ -7,7 +7,7 @@
 use super::{MESSAGE, within};
 use crate::counters::FleetCounters;
 use crate::fleet::{MemberInstance, MemberName};
-use crate::net::stream::SteadyStream;
+use crate::net::stream::RetryingStream;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
 use std::io;
@@ -182,10 +182,10 @@
     }
 }
 
-async fn connect(link: &Link) -> io::Result<(SteadyStream, Session)> {
+async fn connect(link: &Link) -> io::Result<(RetryingStream, Session)> {
     let stream = within(CONNECT, TcpStream::connect(link.address.get())).await?;
     stream.set_nodelay(true)?;
-    let mut stream = SteadyStream(stream);
+    let mut stream = RetryingStream(stream);
     let mut session = [0; 16];
     within(CONNECT, stream.read_exact(&mut session)).await?;
     Ok((stream, Session(session)))
@@ -194,7 +194,7 @@
 /// Carries what comes until there is nothing for long. The receiver says nothing: whatever can be read is its end.
 async fn carry(
     link: &Link,
-    stream: SteadyStream,
+    stream: RetryingStream,
     mut sealer: StreamSealer,
     counters: &FleetCounters,
 ) -> io::Result<()> {
--- a/src/fleet/transport/reception.rs
+++ b/src/fleet/transport/reception.rs
@@ -11,8 +11,8 @@
 use crate::dispatch::Clock;
 use crate::fleet::message::Message;
 use crate::fleet::{MemberInstance, MemberName};
-use crate::net::fault::pause_after_accept;
-use crate::net::stream::SteadyStream;
+use crate::net::fault::accept_retry_delay;
+use crate::net::stream::RetryingStream;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::io;
@@ -93,7 +93,7 @@
                 Ok(accepted) => accepted,
                 Err(error) => {
                     log::warn!("fleet: accept: {error}");
-                    if let Some(pause) = pause_after_accept(&error) {
+                    if let Some(pause) = accept_retry_delay(&error) {
                         tokio::time::sleep(pause).await;
                     }
                     continue;
@@ -122,7 +122,7 @@
 
     async fn serve(&self, stream: TcpStream, from: IpAddr, place: &Place) -> io::Result<()> {
         stream.set_nodelay(true)?;
-        let mut stream = SteadyStream(stream);
+        let mut stream = RetryingStream(stream);
         let session = Session(draw()?);
         stream.write_all(&session.0).await?;
         let mut inbound = Inbound::new(session);
@@ -174,7 +174,7 @@
         }
     }
 
-    async fn frame(&self, stream: &mut SteadyStream, from: IpAddr) -> io::Result<Vec<u8>> {
+    async fn frame(&self, stream: &mut RetryingStream, from: IpAddr) -> io::Result<Vec<u8>> {
         let mut prefix = [0; 4];
         stream.read_exact(&mut prefix).await?;
         let length = frame_length(prefix, &self.bounds).map_err(|reason| {
@@ -193,7 +193,7 @@
     /// Answers one request. Its opener is its own: administrators are no members.
     async fn administrator(
         &self,
-        stream: &mut SteadyStream,
+        stream: &mut RetryingStream,
         from: IpAddr,
         mut inbound: Inbound,
         frame: &[u8],
--- a/src/fleet/transport/sites.rs
+++ b/src/fleet/transport/sites.rs
@@ -17,7 +17,7 @@
 use crate::fleet::sites::watch;
 use crate::fleet::state::{Command, StateChange};
 use crate::net::discovery::Directory;
-use crate::net::stream::SteadyStream;
+use crate::net::stream::RetryingStream;
 use crate::routing::types::{Endpoint, EndpointUpdate, Role, Status, WorkerId, WorkerKind};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -157,7 +157,7 @@
     /// Looks at which hosts discovery's list has now.
     fn listed(self: &Rc<Self>) {
         for (site, name) in self.names.iter().enumerate() {
-            let hosts = self.hosts.directory.of_zone(name);
+            let hosts = self.hosts.directory.hosts_in_zone(name);
             let ready = hosts.iter().filter(|(_, ready)| *ready).count() as u32;
             let of = {
                 let mut had = self.had.borrow_mut();
@@ -278,7 +278,7 @@
     }
 
     fn try_host(self: &Rc<Self>, site: usize) {
-        let hosts = self.hosts.directory.of_zone(&self.names[site]);
+        let hosts = self.hosts.directory.hosts_in_zone(&self.names[site]);
         let addresses: Vec<SocketAddr> = hosts
             .into_iter()
             .filter_map(|(address, _)| address)
@@ -299,7 +299,7 @@
 
 /// Whether anything answers there.
 async fn answers(address: SocketAddr) -> std::io::Result<()> {
-    let mut stream = SteadyStream(TcpStream::connect(address).await?);
+    let mut stream = RetryingStream(TcpStream::connect(address).await?);
     stream.write_all(TRY).await?;
     stream.read_u8().await.map(|_| ())
 }
--- a/src/front/ledger.rs
+++ b/src/front/ledger.rs
@@ -334,7 +334,7 @@
             .retain(|_, e| e.ended.is_none_or(|at| at.elapsed() < remember));
         self.bytes
             .set(self.entries.borrow().values().map(|e| e.bytes).sum());
-        self.pool.retire();
+        self.pool.evict_stale();
     }
 
     /// Runs the tool. Tried again only while not all of the call has been written: it can't have run.
@@ -389,9 +389,9 @@
         let target = Target {
             worker: WorkerId("tools".into()),
             address: self.settings.dial,
-            within: None,
-            reserved: false,
-            is_new: false,
+            connect_timeout: None,
+            may_use_reserve: false,
+            requires_new: false,
         };
         let mut connection = self
             .pool
--- a/src/net/answer.rs
+++ b/src/net/answer.rs
@@ -1,6 +1,6 @@
 //! What a model host's answer says about the attempt that it ends.
 
-use super::events::Events;
+use super::events::EventStream;
 use crate::routing::types::{AttemptOutcome, LoadReport};
 use crate::wire::read_report;
 use bytes::Bytes;
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 /// The longest answer that is not a stream.
-pub(super) const MOST_ANSWER: usize = 64 * 1024;
+pub(super) const MAX_RESPONSE_BYTES: usize = 64 * 1024;
 /// The short body of an answer that is no stream comes with its head.
 const BODY_BEHIND: Duration = Duration::from_millis(500);
 /// Bytes at the end of a stream in which the report of kept tokens is looked for.
@@ -42,7 +42,7 @@
     /// That event.
     pub first: Bytes,
     /// Those behind it.
-    pub events: Events,
+    pub events: EventStream,
     /// The stream's type, as the host named it.
     pub content_type: Option<String>,
     /// Whether its end can be told from a connection that breaks.
@@ -68,8 +68,11 @@
             return Self::read_stream(&head.headers, body).await;
         }
         // The status says it all: a body that doesn't come, or not to an end, costs the connection alone.
-        let whole =
-            tokio::time::timeout(BODY_BEHIND, Limited::new(body, MOST_ANSWER).collect()).await;
+        let whole = tokio::time::timeout(
+            BODY_BEHIND,
+            Limited::new(body, MAX_RESPONSE_BYTES).collect(),
+        )
+        .await;
         let body = whole
             .ok()
             .and_then(Result::ok)
@@ -108,7 +111,7 @@
         let checked = content_type
             .as_ref()
             .is_some_and(|t| t.starts_with("text/event-stream"));
-        let mut events = Events::new(body, checked);
+        let mut events = EventStream::new(body, checked);
         // The head alone is no event: until one has come, the attempt is still this conductor's.
         match events.next().await? {
             Some(first) => Ok(Answered::Stream(Stream {
--- a/src/net/client.rs
+++ b/src/net/client.rs
@@ -1,9 +1,9 @@
 //! The client side: carries out attempts at model hosts and the calls around them.
 
-use super::answer::{Answered, End, MOST_ANSWER, Stream, Tail};
+use super::answer::{Answered, End, MAX_RESPONSE_BYTES, Stream, Tail};
 use super::discovery::Directory;
 use super::pool::{ConnectError, Connection, Pool, Target};
-use super::releases::LateFollower;
+use super::releases::LateArrivalTracker;
 use crate::counters::Counters;
 use crate::dispatch::{
     Attempt, Clock, DispatcherEvent, DispatcherHandle, Outbound, ReleaseProgress,
@@ -39,7 +39,7 @@
 
 /// The client side: an [`Outbound`] for the dispatcher, and a tower service for one call at one model host.
 #[derive(Clone)]
-pub struct Hosts {
+pub struct HostClient {
     /// Where model hosts are.
     pub directory: Rc<Directory>,
     /// Connections to them.
@@ -49,28 +49,28 @@
     /// Counters.
     pub counters: Rc<Counters>,
     /// Asks for a new watch.
-    pub watch_again: Rc<Notify>,
+    pub resubscribe: Rc<Notify>,
     /// Releases under way.
-    pub pending: Rc<Pending>,
+    pub pending_releases: Rc<PendingReleases>,
     /// Attempts given up that may arrive late.
-    pub late_arrivals: Rc<LateFollower>,
+    pub late_arrivals: Rc<LateArrivalTracker>,
 }
 
 /// Counts releases under way, so that the process doesn't end before they have.
 #[derive(Default)]
-pub struct Pending {
+pub struct PendingReleases {
     count: Cell<usize>,
     none: Notify,
 }
 
-impl Pending {
+impl PendingReleases {
     fn enter(self: &Rc<Self>) -> Entered {
         self.count.set(self.count.get() + 1);
         Entered(self.clone())
     }
 
     /// Waits until none is under way.
-    pub async fn none(&self) {
+    pub async fn wait_until_done(&self) {
         while self.count.get() > 0 {
             self.none.notified().await;
         }
@@ -78,7 +78,7 @@
 }
 
 /// One release's place among those under way, given back however it ends.
-struct Entered(Rc<Pending>);
+struct Entered(Rc<PendingReleases>);
 
 impl Drop for Entered {
     fn drop(&mut self) {
@@ -136,15 +136,15 @@
     }
 }
 
-impl Hosts {
+impl HostClient {
     pub(super) fn target(&self, worker: &WorkerId) -> Option<Target> {
         let (worker, address) = (worker.clone(), self.directory.address(worker)?);
         Some(Target {
             worker,
             address,
-            within: None,
-            reserved: false,
-            is_new: false,
+            connect_timeout: None,
+            may_use_reserve: false,
+            requires_new: false,
         })
     }
 
@@ -201,8 +201,8 @@
             }
         }
         // A repeat counts when it arrives: on a kept connection that has fallen silent it would come behind its window.
-        target.is_new = attempt.permit.send_by().is_some();
-        target.within = attempt
+        target.requires_new = attempt.permit.send_by().is_some();
+        target.connect_timeout = attempt
             .permit
             .connect_by()
             .map(|by| Duration::from_micros(by.saturating_sub(clock.now())));
@@ -286,7 +286,7 @@
             () = clock.reach(Some(give_up_at)) => {
                 log::info!("request {}: no answer of {} in time", attempt.call.id, attempt.worker.0);
                 // It may be cut off, with a kept connection that looks alive.
-                self.pool.doubt(&attempt.worker);
+                self.pool.mark_unreachable(&attempt.worker);
                 abandon(connection).await;
                 return cut_off(AttemptOutcome::TimedOut).into();
             }
@@ -304,7 +304,7 @@
                     attempt.call.id,
                     attempt.worker.0
                 );
-                self.pool.broke(&connection);
+                self.pool.note_broken(&connection);
                 abandon(connection).await;
                 cut_off(AttemptOutcome::ConnectionLost).into()
             }
@@ -460,7 +460,7 @@
         let permit = permit_call(state()).inspect_err(|_| self.counters.calls_refused.up())?;
         let response = connection.send_call(request, body, permit).await?;
         let (head, body) = response.into_parts();
-        Limited::new(body, MOST_ANSWER)
+        Limited::new(body, MAX_RESPONSE_BYTES)
             .collect()
             .await
             .map_err(|e| CallError::Body(e.to_string()))?;
@@ -489,13 +489,13 @@
     request.body(Full::new(call.body.clone())).ok()
 }
 
-impl Outbound for Hosts {
+impl Outbound for HostClient {
     fn send(&self, attempt: Attempt) {
         tokio::task::spawn_local(self.clone().attempt(attempt));
     }
 
     fn release(&self, call: Rc<Call>, permit: ReleasePermit, releasing: Rc<ReleaseProgress>) {
-        let (hosts, entered) = (self.clone(), self.pending.enter());
+        let (hosts, entered) = (self.clone(), self.pending_releases.enter());
         tokio::task::spawn_local(async move {
             let _entered = entered;
             hosts.release_now(&call, permit, releasing).await;
@@ -503,7 +503,7 @@
     }
 
     fn subscribe(&self) {
-        self.watch_again.notify_one();
+        self.resubscribe.notify_one();
     }
 }
 
--- a/src/net/client/tests.rs
+++ b/src/net/client/tests.rs
@@ -15,7 +15,7 @@
 
 /// The client side in front of one host, and what it tells the dispatcher.
 struct Rig {
-    hosts: Hosts,
+    hosts: HostClient,
     told: mpsc::UnboundedReceiver<DispatcherEvent>,
 }
 
@@ -33,12 +33,12 @@
         };
         directory.apply(&Listing {
             seq: 1,
-            whole: true,
+            is_full: true,
             entries: vec![(entry, Some(address))],
         });
         let counters = Rc::new(Counters::default());
         let (dispatcher, told) = DispatcherHandle::channel(Clock::start());
-        let hosts = Hosts {
+        let hosts = HostClient {
             directory,
             pool: Pool::new(
                 64,
@@ -48,8 +48,8 @@
             ),
             dispatcher,
             counters,
-            watch_again: Rc::default(),
-            pending: Rc::default(),
+            resubscribe: Rc::default(),
+            pending_releases: Rc::default(),
             late_arrivals: Rc::default(),
         };
         Rig { hosts, told }
--- a/src/net/client_connection.rs
+++ b/src/net/client_connection.rs
@@ -4,7 +4,7 @@
 use super::Local;
 use super::framing::{Standing, Watch, Watched};
 use super::server::{DAWDLES, SILENT_CLIENT, Stage};
-use super::stream::{end_sending, uninterrupted};
+use super::stream::{retry_interrupted, shutdown_write};
 use crate::admin::metrics::{RequestMetrics, RequestOutcome};
 use crate::counters::Counters;
 use crate::front::platform::{self, AnswerBody};
@@ -172,7 +172,7 @@
         Standing::Arriving(_) => ConnectionState::Arriving,
         Standing::Idle(_) => {
             let peek = || SockRef::from(socket).peek(&mut [MaybeUninit::uninit()]);
-            let has_bytes = || uninterrupted(peek).is_ok_and(|n| n > 0);
+            let has_bytes = || retry_interrupted(peek).is_ok_and(|n| n > 0);
             // A client that takes nothing of its answer gets no other one.
             ConnectionState::Resting {
                 has_unread: !watch.is_blocked() && has_bytes(),
@@ -222,11 +222,11 @@
     };
     if is_late && !watch.is_blocked() {
         counters.slow_clients.up();
-        let _ = uninterrupted(|| socket.try_write(TOO_SLOW));
+        let _ = retry_interrupted(|| socket.try_write(TOO_SLOW));
     }
     if !matches!(served, Served::Closed(_)) || !watch.is_blocked() {
         watch.finish();
-        let _ = end_sending(&socket);
+        let _ = shutdown_write(&socket);
         tokio::select! {
             biased;
             () = async { while !watch.is_unwanted() { watch.changed().await } } => {}
@@ -307,7 +307,7 @@
         match socket
             .readable()
             .await
-            .and_then(|()| uninterrupted(|| socket.try_read(&mut scrap)))
+            .and_then(|()| retry_interrupted(|| socket.try_read(&mut scrap)))
         {
             Ok(n) if n > 0 => left = left.saturating_sub(n),
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -6,8 +6,8 @@
 
 use self::messages::Messages;
 use super::Local;
-use super::host_starts::{HostStarts, Reading};
-use super::stream::SteadyStream;
+use super::host_starts::{ClockReading, HostStarts};
+use super::stream::RetryingStream;
 use crate::counters::Counters;
 use crate::dispatch::{DispatcherEvent, DispatcherHandle};
 use crate::routing::types::{Endpoint, EndpointUpdate, Micros, Role, Status, WorkerId, WorkerKind};
@@ -63,8 +63,8 @@
 #[derive(Clone, Debug, Deserialize)]
 pub struct ListMessage {
     seq: u64,
-    #[serde(default)]
-    whole: bool,
+    #[serde(default, rename = "whole")]
+    is_full: bool,
     #[serde(default)]
     hosts: Vec<HostEntry>,
 }
@@ -104,7 +104,7 @@
     /// The version.
     pub seq: u64,
     /// Whether all others are gone.
-    pub whole: bool,
+    pub is_full: bool,
     /// The entries, with the addresses they are reached at.
     pub entries: Vec<(Endpoint, Option<SocketAddr>)>,
 }
@@ -133,7 +133,7 @@
         let entries = message.hosts.into_iter().map(entry).collect();
         Listing {
             seq: message.seq,
-            whole: message.whole,
+            is_full: message.is_full,
             entries,
         }
     }
@@ -159,7 +159,7 @@
     pub fn apply(&self, listing: &Listing) -> Vec<WorkerId> {
         let mut hosts = self.hosts.borrow_mut();
         self.seq.set(listing.seq);
-        if listing.whole {
+        if listing.is_full {
             hosts.values_mut().for_each(|h| h.status = Status::Gone);
         }
         let mut reborn = Vec::new();
@@ -220,7 +220,7 @@
     }
 
     /// All hosts in service, and after them those that drain, each with its zone: any of them takes a release.
-    pub fn running(&self) -> Vec<(WorkerId, String)> {
+    pub fn release_targets(&self) -> Vec<(WorkerId, String)> {
         let hosts = self.hosts.borrow();
         let mut running: Vec<(&WorkerId, &Host)> = hosts.iter().collect();
         running.sort_by_key(|(_, h)| h.status != Status::Ready);
@@ -231,7 +231,7 @@
     }
 
     /// The addresses of a zone's hosts, by their names, and whether each is in service.
-    pub fn of_zone(&self, zone: &str) -> Vec<(Option<SocketAddr>, bool)> {
+    pub fn hosts_in_zone(&self, zone: &str) -> Vec<(Option<SocketAddr>, bool)> {
         let hosts = self.hosts.borrow();
         let mut here: Vec<(&WorkerId, &Host)> =
             hosts.iter().filter(|(_, h)| h.zone == zone).collect();
@@ -242,7 +242,7 @@
     }
 
     /// Whether hosts in service can do both stages between them.
-    pub fn can_serve(&self, kinds: &[WorkerKind]) -> bool {
+    pub fn covers_both_stages(&self, kinds: &[WorkerKind]) -> bool {
         let hosts = self.hosts.borrow();
         let role = |h: &Host| {
             kinds
@@ -308,7 +308,7 @@
     failures: u32,
     /// The list held is the configuration's or this agent's. Versions of another one say nothing of it, so that one
     /// is asked for its whole list before its changes.
-    whole: bool,
+    needs_full_list: bool,
     /// The address is new.
     moved: bool,
 }
@@ -317,38 +317,38 @@
     fn moved() -> Self {
         Calls {
             failures: 0,
-            whole: true,
+            needs_full_list: true,
             moved: true,
         }
     }
 }
 
 /// Changes the entries of a list or of its changes.
-pub type Weigh = Box<dyn Fn(EndpointUpdate, &mut [Endpoint])>;
+pub type AdjustEndpoints = Box<dyn Fn(EndpointUpdate, &mut [Endpoint])>;
 
 /// Follows discovery for as long as the conductor runs.
-pub struct Follower {
+pub struct DiscoveryWatcher {
     /// What it keeps.
     pub directory: Rc<Directory>,
     /// Whom it tells.
     pub dispatcher: DispatcherHandle,
     /// Called for hosts whose idle connections are of no more use.
-    pub hang_up: Box<dyn Fn(&WorkerId)>,
+    pub close_idle: Box<dyn Fn(&WorkerId)>,
     /// Where discovery has to be asked for its list: the module's word that it is time for it.
-    pub ask: Option<Rc<Notify>>,
+    pub subscribe_request: Option<Rc<Notify>>,
     /// Asks for the whole list.
     pub fetch_list: Rc<Notify>,
     /// Counters.
     pub counters: Rc<Counters>,
     /// Changes what the dispatcher is told of a list, once the directory has it.
-    pub weigh: Option<Weigh>,
+    pub adjust_endpoints: Option<AdjustEndpoints>,
     /// When hosts started.
-    pub starts: RefCell<HostStarts>,
+    pub host_starts: RefCell<HostStarts>,
 }
 
-impl Follower {
+impl DiscoveryWatcher {
     /// Takes a listing in and tells the dispatcher.
-    pub fn take(&self, listing: Listing, kind: EndpointUpdate) {
+    pub fn apply(&self, listing: Listing, kind: EndpointUpdate) {
         for (entry, _) in &listing.entries {
             let level = if kind == EndpointUpdate::Incremental {
                 log::Level::Info
@@ -370,7 +370,7 @@
             );
         }
         for worker in self.directory.apply(&listing) {
-            (self.hang_up)(&worker);
+            (self.close_idle)(&worker);
         }
         let mut entries: Vec<Endpoint> = listing
             .entries
@@ -378,7 +378,7 @@
             .map(|(entry, _)| entry)
             .collect();
         self.judge_starts(&mut entries, kind);
-        if let Some(weigh) = &self.weigh {
+        if let Some(weigh) = &self.adjust_endpoints {
             weigh(kind, &mut entries);
         }
         self.dispatcher.tell(DispatcherEvent::EndpointsUpdated {
@@ -389,8 +389,8 @@
 
     /// Turns the starts of hosts, told as Unix time, into moments of the dispatcher's clock.
     fn judge_starts(&self, entries: &mut [Endpoint], kind: EndpointUpdate) {
-        let reading = Reading::at(self.dispatcher.clock.now());
-        let mut starts = self.starts.borrow_mut();
+        let reading = ClockReading::at(self.dispatcher.clock.now());
+        let mut starts = self.host_starts.borrow_mut();
         for Endpoint {
             worker, started, ..
         } in entries
@@ -404,16 +404,16 @@
 
     /// Watches until the task ends; what breaks is begun again, from the version held. Where the address changes,
     /// the watch moves at once.
-    pub async fn follow(self, address: watch::Receiver<Option<SocketAddr>>) {
+    pub async fn run(self, address: watch::Receiver<Option<SocketAddr>>) {
         let dial = |address| -> Local<std::io::Result<Box<dyn Stream>>> {
             Box::pin(async move {
-                Ok(Box::new(SteadyStream(TcpStream::connect(address).await?)) as Box<dyn Stream>)
+                Ok(Box::new(RetryingStream(TcpStream::connect(address).await?)) as Box<dyn Stream>)
             })
         };
-        self.follow_over(Rc::new(dial), address).await;
+        self.run_with(Rc::new(dial), address).await;
     }
 
-    async fn follow_over(self, dial: Dial, mut address: watch::Receiver<Option<SocketAddr>>) {
+    async fn run_with(self, dial: Dial, mut address: watch::Receiver<Option<SocketAddr>>) {
         let mut calls = Calls::default();
         loop {
             let Some(at) = *address.borrow_and_update() else {
@@ -424,7 +424,7 @@
             };
             // Where it has to be asked, the module says when: it knows how many ask besides. A new address tells of
             // all that this one missed, and can't wait.
-            if let Some(ask) = self.ask.as_ref().filter(|_| !calls.moved) {
+            if let Some(ask) = self.subscribe_request.as_ref().filter(|_| !calls.moved) {
                 tokio::select! {
                     _ = address.changed() => {
                         calls = Calls::moved();
@@ -466,7 +466,7 @@
                 update: EndpointUpdate::Failed,
                 endpoints: Vec::new(),
             });
-            if self.ask.is_none() {
+            if self.subscribe_request.is_none() {
                 tokio::select! {
                     _ = address.changed() => calls = Calls::moved(),
                     () = tokio::time::sleep(PAUSE) => {}
@@ -477,13 +477,17 @@
 
     /// How long a call may take.
     fn patience(&self) -> Duration {
-        if self.ask.is_some() { TURN } else { ANSWER }
+        if self.subscribe_request.is_some() {
+            TURN
+        } else {
+            ANSWER
+        }
     }
 
     async fn watching(&self, mut discovery: Discovery, calls: &mut Calls) -> Result<(), Error> {
-        if calls.whole {
+        if calls.needs_full_list {
             self.news(self.fetch(&mut discovery).await?)?;
-            calls.whole = false;
+            calls.needs_full_list = false;
         }
         let target = format!("/v1/servers?watch=1&after={}", self.directory.seq.get());
         log::debug!("discovery: GET {target}");
@@ -554,15 +558,15 @@
     /// started again may count anew.
     fn news(&self, listing: Listing) -> Result<(), Error> {
         // An agent that has just started may know nobody yet: no reason to think that all have gone.
-        if listing.whole && listing.entries.is_empty() {
+        if listing.is_full && listing.entries.is_empty() {
             return Err("the whole list is empty".into());
         }
-        let kind = if listing.whole {
+        let kind = if listing.is_full {
             EndpointUpdate::Full
         } else {
             EndpointUpdate::Incremental
         };
-        self.take(listing, kind);
+        self.apply(listing, kind);
         Ok(())
     }
 
@@ -573,13 +577,13 @@
             return;
         };
         let since = date.duration_since(UNIX_EPOCH).unwrap_or_default();
-        let reading = Reading::at(self.dispatcher.clock.now());
+        let reading = ClockReading::at(self.dispatcher.clock.now());
         let ahead = (i128::from(reading.wall) - since.as_micros() as i128) / 1_000_000;
         log::debug!("discovery: answered at {since:?}, {ahead} s behind this machine's clock");
         if self
-            .starts
+            .host_starts
             .borrow_mut()
-            .heard_date(since.as_micros() as Micros, reading)
+            .note_discovery_date(since.as_micros() as Micros, reading)
         {
             log::warn!("discovery: this machine's clock is {ahead} s ahead of discovery's");
             // Those that were read by it are told again.
@@ -599,7 +603,7 @@
                 &body.map_err(|e| e.to_string())?.to_bytes(),
             )?;
             Ok(Listing {
-                whole: true,
+                is_full: true,
                 ..message.into()
             })
         };
--- a/src/net/discovery/tests.rs
+++ b/src/net/discovery/tests.rs
@@ -159,7 +159,7 @@
     }
 }
 
-/// A follower that holds version 1 with one host, and the discovery that it follows.
+/// A watcher that holds version 1 with one host, and the discovery that it follows.
 struct Rig {
     directory: Rc<Directory>,
     told: UnboundedReceiver<DispatcherEvent>,
@@ -177,17 +177,17 @@
         let (dispatcher, told) = DispatcherHandle::channel(Clock::start());
         let (directory, counters) = (Rc::<Directory>::default(), Rc::<Counters>::default());
         let (ask, fetch_list) = (Rc::<Notify>::default(), Rc::<Notify>::default());
-        let follower = Follower {
+        let watcher = DiscoveryWatcher {
             directory: directory.clone(),
             dispatcher,
-            hang_up: Box::new(|_| {}),
-            ask: on_request.then(|| ask.clone()),
+            close_idle: Box::new(|_| {}),
+            subscribe_request: on_request.then(|| ask.clone()),
             fetch_list: fetch_list.clone(),
             counters: counters.clone(),
-            weigh: None,
-            starts: Default::default(),
+            adjust_endpoints: None,
+            host_starts: Default::default(),
         };
-        follower.take(listing(&host(1, true, "ready")), EndpointUpdate::Restored);
+        watcher.apply(listing(&host(1, true, "ready")), EndpointUpdate::Restored);
         let (address, address_told) = watch::channel(Some(([127, 0, 0, 1], 1).into()));
         let (lost, (up, wires)) = (Rc::new(Cell::new(0)), unbounded_channel());
         let losing = lost.clone();
@@ -200,7 +200,7 @@
             let _ = up.send(theirs);
             Box::pin(async { Ok(Box::new(ours) as Box<dyn Stream>) })
         };
-        tokio::task::spawn_local(follower.follow_over(Rc::new(dial), address_told));
+        tokio::task::spawn_local(watcher.run_with(Rc::new(dial), address_told));
         Rig {
             directory,
             told,
@@ -256,7 +256,7 @@
     host(seq, whole, health) + "\n"
 }
 
-/// Plays a story beside the follower, in one thread.
+/// Plays a story beside the watcher, in one thread.
 async fn play<F: Future<Output = ()>>(story: F) {
     LocalSet::new().run_until(story).await;
 }
--- a/src/net/events.rs
+++ b/src/net/events.rs
@@ -13,7 +13,7 @@
 
 /// Why a stream can't go on.
 #[derive(Debug, thiserror::Error)]
-pub enum Spoilt {
+pub enum StreamError {
     /// It broke, or its framing can't be read.
     #[error("{0}")]
     Broken(#[from] hyper::Error),
@@ -26,17 +26,17 @@
 }
 
 /// The events of one answer.
-pub struct Events {
+pub struct EventStream {
     body: Incoming,
     /// Whether the answer says that it is made of events; others are passed on as they come.
     checked: bool,
     gate: Gate,
 }
 
-impl Events {
+impl EventStream {
     /// Over an answer's body.
     pub fn new(body: Incoming, checked: bool) -> Self {
-        Events {
+        EventStream {
             body,
             checked,
             gate: Gate::default(),
@@ -53,7 +53,7 @@
     ///
     /// # Errors
     /// The stream is spoilt from here on.
-    pub async fn next(&mut self) -> Result<Option<Bytes>, Spoilt> {
+    pub async fn next(&mut self) -> Result<Option<Bytes>, StreamError> {
         while let Some(frame) = self.body.frame().await {
             let Ok(data) = frame?.into_data() else {
                 continue;
@@ -82,14 +82,14 @@
 }
 
 impl Gate {
-    fn take(&mut self, data: Bytes) -> Result<Bytes, Spoilt> {
+    fn take(&mut self, data: Bytes) -> Result<Bytes, StreamError> {
         self.held.extend_from_slice(&data);
         let mut whole = 0;
         while let Some(end) = self.held[self.seen..].iter().position(|b| *b == b'\n') {
             let line = &self.held[self.seen..self.seen + end];
             let line = line.strip_suffix(b"\r").unwrap_or(line);
             if !is_field(line) {
-                return Err(Spoilt::NoEvent);
+                return Err(StreamError::NoEvent);
             }
             self.seen += end + 1;
             if line.is_empty() {
@@ -97,19 +97,19 @@
             }
         }
         if self.held.len() - whole > MOST_EVENT {
-            return Err(Spoilt::TooLong);
+            return Err(StreamError::TooLong);
         }
         self.seen -= whole;
         Ok(self.held.split_to(whole).freeze())
     }
 
-    fn rest(&mut self) -> Result<Bytes, Spoilt> {
+    fn rest(&mut self) -> Result<Bytes, StreamError> {
         let rest = self.held.split().freeze();
         let last = &rest[std::mem::take(&mut self.seen)..];
         if is_field(last) {
             Ok(rest)
         } else {
-            Err(Spoilt::NoEvent)
+            Err(StreamError::NoEvent)
         }
     }
 }
--- a/src/net/fault.rs
+++ b/src/net/fault.rs
@@ -20,7 +20,7 @@
 
 /// What a failure concerns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum ErrorScope {
     /// This machine, for a moment: descriptors, memory, ports, routes. It says nothing of the other end, and the same
     /// call may succeed soon.
     Local,
@@ -33,42 +33,42 @@
 }
 
 /// Classifies a failed call.
-pub fn classify(call: SystemCall, error: &io::Error) -> Fault {
+pub fn classify_error(call: SystemCall, error: &io::Error) -> ErrorScope {
     let Some(number) = error.raw_os_error() else {
         return without_number(error);
     };
     match (call, number) {
-        (_, libc::EINTR) => Fault::Connection,
-        (_, libc::EMFILE | libc::ENFILE | libc::ENOBUFS | libc::ENOMEM) => Fault::Local,
-        (_, libc::EBADF | libc::EINVAL | libc::ENOTSOCK | libc::EFAULT) => Fault::Fatal,
+        (_, libc::EINTR) => ErrorScope::Connection,
+        (_, libc::EMFILE | libc::ENFILE | libc::ENOBUFS | libc::ENOMEM) => ErrorScope::Local,
+        (_, libc::EBADF | libc::EINVAL | libc::ENOTSOCK | libc::EFAULT) => ErrorScope::Fatal,
         // accept(2) hands on errors that wait on the new connection; they are to be taken like EAGAIN.
-        (SystemCall::Accept, libc::EOPNOTSUPP) => Fault::Fatal,
-        (SystemCall::Accept, _) => Fault::Connection,
+        (SystemCall::Accept, libc::EOPNOTSUPP) => ErrorScope::Fatal,
+        (SystemCall::Accept, _) => ErrorScope::Connection,
         // No port, no route or no permission here; the request has not left this machine.
         (SystemCall::Connect, libc::EADDRNOTAVAIL | libc::EADDRINUSE | libc::EAGAIN) => {
-            Fault::Local
+            ErrorScope::Local
         }
-        (SystemCall::Connect, libc::ENETUNREACH | libc::ENETDOWN) => Fault::Local,
-        (SystemCall::Connect, libc::EPERM | libc::EACCES) => Fault::Local,
+        (SystemCall::Connect, libc::ENETUNREACH | libc::ENETDOWN) => ErrorScope::Local,
+        (SystemCall::Connect, libc::EPERM | libc::EACCES) => ErrorScope::Local,
         (SystemCall::Connect, libc::EAFNOSUPPORT | libc::EPROTONOSUPPORT | libc::EPROTOTYPE) => {
-            Fault::Fatal
+            ErrorScope::Fatal
         }
         // ECONNREFUSED, ECONNRESET, ETIMEDOUT, EHOSTUNREACH, EHOSTDOWN.
-        (SystemCall::Connect, _) => Fault::Host,
+        (SystemCall::Connect, _) => ErrorScope::Host,
     }
 }
 
 /// How long to wait before the next accept after one that failed; `None`: the failure was of one connection, and the
 /// next may be accepted at once.
-pub fn pause_after_accept(error: &io::Error) -> Option<Duration> {
-    (classify(SystemCall::Accept, error) != Fault::Connection).then_some(ACCEPT_PAUSE)
+pub fn accept_retry_delay(error: &io::Error) -> Option<Duration> {
+    (classify_error(SystemCall::Accept, error) != ErrorScope::Connection).then_some(ACCEPT_PAUSE)
 }
 
 /// Errors that the runtime made itself carry no number.
-fn without_number(error: &io::Error) -> Fault {
+fn without_number(error: &io::Error) -> ErrorScope {
     match error.kind() {
-        io::ErrorKind::Interrupted | io::ErrorKind::WouldBlock => Fault::Connection,
-        _ => Fault::Host,
+        io::ErrorKind::Interrupted | io::ErrorKind::WouldBlock => ErrorScope::Connection,
+        _ => ErrorScope::Host,
     }
 }
 
--- a/src/net/fault/tests.rs
+++ b/src/net/fault/tests.rs
@@ -2,54 +2,54 @@
 use rstest::rstest;
 
 #[rstest]
-#[case::aborted(libc::ECONNABORTED, Fault::Connection)]
-#[case::interrupted(libc::EINTR, Fault::Connection)]
-#[case::protocol(libc::EPROTO, Fault::Connection)]
-#[case::network_down(libc::ENETDOWN, Fault::Connection)]
-#[case::network_unreachable(libc::ENETUNREACH, Fault::Connection)]
-#[case::no_protocol_option(libc::ENOPROTOOPT, Fault::Connection)]
-#[case::host_down(libc::EHOSTDOWN, Fault::Connection)]
-#[case::host_unreachable(libc::EHOSTUNREACH, Fault::Connection)]
-#[case::not_on_the_net(libc::ENONET, Fault::Connection)]
-#[case::firewall(libc::EPERM, Fault::Connection)]
-#[case::timed_out(libc::ETIMEDOUT, Fault::Connection)]
-#[case::descriptors_of_the_process(libc::EMFILE, Fault::Local)]
-#[case::descriptors_of_the_system(libc::ENFILE, Fault::Local)]
-#[case::buffers(libc::ENOBUFS, Fault::Local)]
-#[case::memory(libc::ENOMEM, Fault::Local)]
-#[case::bad_descriptor(libc::EBADF, Fault::Fatal)]
-#[case::not_listening(libc::EINVAL, Fault::Fatal)]
-#[case::no_socket(libc::ENOTSOCK, Fault::Fatal)]
-#[case::no_stream(libc::EOPNOTSUPP, Fault::Fatal)]
-fn a_failed_accept(#[case] number: i32, #[case] expected: Fault) {
+#[case::aborted(libc::ECONNABORTED, ErrorScope::Connection)]
+#[case::interrupted(libc::EINTR, ErrorScope::Connection)]
+#[case::protocol(libc::EPROTO, ErrorScope::Connection)]
+#[case::network_down(libc::ENETDOWN, ErrorScope::Connection)]
+#[case::network_unreachable(libc::ENETUNREACH, ErrorScope::Connection)]
+#[case::no_protocol_option(libc::ENOPROTOOPT, ErrorScope::Connection)]
+#[case::host_down(libc::EHOSTDOWN, ErrorScope::Connection)]
+#[case::host_unreachable(libc::EHOSTUNREACH, ErrorScope::Connection)]
+#[case::not_on_the_net(libc::ENONET, ErrorScope::Connection)]
+#[case::firewall(libc::EPERM, ErrorScope::Connection)]
+#[case::timed_out(libc::ETIMEDOUT, ErrorScope::Connection)]
+#[case::descriptors_of_the_process(libc::EMFILE, ErrorScope::Local)]
+#[case::descriptors_of_the_system(libc::ENFILE, ErrorScope::Local)]
+#[case::buffers(libc::ENOBUFS, ErrorScope::Local)]
+#[case::memory(libc::ENOMEM, ErrorScope::Local)]
+#[case::bad_descriptor(libc::EBADF, ErrorScope::Fatal)]
+#[case::not_listening(libc::EINVAL, ErrorScope::Fatal)]
+#[case::no_socket(libc::ENOTSOCK, ErrorScope::Fatal)]
+#[case::no_stream(libc::EOPNOTSUPP, ErrorScope::Fatal)]
+fn a_failed_accept(#[case] number: i32, #[case] expected: ErrorScope) {
     assert_eq!(
-        classify(SystemCall::Accept, &io::Error::from_raw_os_error(number)),
+        classify_error(SystemCall::Accept, &io::Error::from_raw_os_error(number)),
         expected
     );
 }
 
 #[rstest]
-#[case::refused(libc::ECONNREFUSED, Fault::Host)]
-#[case::reset(libc::ECONNRESET, Fault::Host)]
-#[case::timed_out(libc::ETIMEDOUT, Fault::Host)]
-#[case::host_unreachable(libc::EHOSTUNREACH, Fault::Host)]
-#[case::host_down(libc::EHOSTDOWN, Fault::Host)]
-#[case::no_port(libc::EADDRNOTAVAIL, Fault::Local)]
-#[case::port_in_use(libc::EADDRINUSE, Fault::Local)]
-#[case::no_route_entries(libc::EAGAIN, Fault::Local)]
-#[case::network_unreachable(libc::ENETUNREACH, Fault::Local)]
-#[case::network_down(libc::ENETDOWN, Fault::Local)]
-#[case::firewall(libc::EPERM, Fault::Local)]
-#[case::access(libc::EACCES, Fault::Local)]
-#[case::descriptors_of_the_process(libc::EMFILE, Fault::Local)]
-#[case::descriptors_of_the_system(libc::ENFILE, Fault::Local)]
-#[case::buffers(libc::ENOBUFS, Fault::Local)]
-#[case::memory(libc::ENOMEM, Fault::Local)]
-#[case::interrupted(libc::EINTR, Fault::Connection)]
-#[case::family(libc::EAFNOSUPPORT, Fault::Fatal)]
-fn a_failed_connect(#[case] number: i32, #[case] expected: Fault) {
+#[case::refused(libc::ECONNREFUSED, ErrorScope::Host)]
+#[case::reset(libc::ECONNRESET, ErrorScope::Host)]
+#[case::timed_out(libc::ETIMEDOUT, ErrorScope::Host)]
+#[case::host_unreachable(libc::EHOSTUNREACH, ErrorScope::Host)]
+#[case::host_down(libc::EHOSTDOWN, ErrorScope::Host)]
+#[case::no_port(libc::EADDRNOTAVAIL, ErrorScope::Local)]
+#[case::port_in_use(libc::EADDRINUSE, ErrorScope::Local)]
+#[case::no_route_entries(libc::EAGAIN, ErrorScope::Local)]
+#[case::network_unreachable(libc::ENETUNREACH, ErrorScope::Local)]
+#[case::network_down(libc::ENETDOWN, ErrorScope::Local)]
+#[case::firewall(libc::EPERM, ErrorScope::Local)]
+#[case::access(libc::EACCES, ErrorScope::Local)]
+#[case::descriptors_of_the_process(libc::EMFILE, ErrorScope::Local)]
+#[case::descriptors_of_the_system(libc::ENFILE, ErrorScope::Local)]
+#[case::buffers(libc::ENOBUFS, ErrorScope::Local)]
+#[case::memory(libc::ENOMEM, ErrorScope::Local)]
+#[case::interrupted(libc::EINTR, ErrorScope::Connection)]
+#[case::family(libc::EAFNOSUPPORT, ErrorScope::Fatal)]
+fn a_failed_connect(#[case] number: i32, #[case] expected: ErrorScope) {
     assert_eq!(
-        classify(SystemCall::Connect, &io::Error::from_raw_os_error(number)),
+        classify_error(SystemCall::Connect, &io::Error::from_raw_os_error(number)),
         expected
     );
 }
--- a/src/net/framing.rs
+++ b/src/net/framing.rs
@@ -3,7 +3,7 @@
 //! hyper settles a head with both `Content-Length` and `Transfer-Encoding` by dropping the one, and before the
 //! service can see it. Such a head may hide a second request in its body, so heads are looked at here, as bytes.
 
-use super::stream::{self, uninterrupted};
+use super::stream::{self, retry_interrupted};
 use crate::front::shared::Held;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -165,7 +165,7 @@
         match socket
             .readable()
             .await
-            .and_then(|()| uninterrupted(|| socket.try_read(&mut scrap)))
+            .and_then(|()| retry_interrupted(|| socket.try_read(&mut scrap)))
         {
             Ok(n) if n > 0 => self.ahead.borrow_mut().keep(&scrap[..n], room),
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
@@ -393,7 +393,7 @@
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Poll::Ready(stream::end_sending(&self.stream))
+        Poll::Ready(stream::shutdown_write(&self.stream))
     }
 }
 
--- a/src/net/host_starts.rs
+++ b/src/net/host_starts.rs
@@ -25,20 +25,20 @@
 
 /// The wall clock and this process's own, read together.
 #[derive(Clone, Copy, Debug)]
-pub struct Reading {
+pub struct ClockReading {
     /// Microseconds since 1970.
     pub wall: Micros,
     /// The dispatcher's monotonic clock.
     pub now: Micros,
 }
 
-impl Reading {
+impl ClockReading {
     /// Reads the wall clock beside a moment of the dispatcher's clock.
     pub fn at(now: Micros) -> Self {
         let since = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
-        Reading {
+        ClockReading {
             wall: since.as_micros() as Micros,
             now,
         }
@@ -66,7 +66,7 @@
     order: VecDeque<WorkerId>,
     last_told: Option<Micros>,
     /// Discovery's clock as it was last read, where this machine's differs from it.
-    discovery_clock: Option<Reading>,
+    discovery_clock: Option<ClockReading>,
 }
 
 impl HostStarts {
@@ -76,7 +76,7 @@
         &mut self,
         worker: &WorkerId,
         born: Micros,
-        reading: Reading,
+        reading: ClockReading,
         is_change: bool,
     ) -> Micros {
         if let Some(known) = self.starts.get(worker).filter(|known| known.born == born) {
@@ -110,9 +110,9 @@
 
     /// An answer of discovery carries this date. Whether starts have to be told again: they were read by a clock that
     /// differs from the one that counts now.
-    pub fn heard_date(&mut self, date: Micros, reading: Reading) -> bool {
+    pub fn note_discovery_date(&mut self, date: Micros, reading: ClockReading) -> bool {
         let differs = reading.wall.abs_diff(date) > IN_STEP;
-        let clock = differs.then_some(Reading {
+        let clock = differs.then_some(ClockReading {
             wall: date,
             now: reading.now,
         });
--- a/src/net/host_starts/tests.rs
+++ b/src/net/host_starts/tests.rs
@@ -11,8 +11,8 @@
     WorkerId("reader".into())
 }
 
-fn reading(wall: Micros, now: Micros) -> Reading {
-    Reading { wall, now }
+fn reading(wall: Micros, now: Micros) -> ClockReading {
+    ClockReading { wall, now }
 }
 
 /// Guards against a host in slow start that is taken for a warm one, or stays in slow start for an hour, since the wall
@@ -71,7 +71,7 @@
     let mut starts = HostStarts::default();
     // Read before discovery could be asked.
     starts.judge(&host(), WALL, reading(own(WALL + SECOND), NOW), false);
-    let differs = starts.heard_date(
+    let differs = starts.note_discovery_date(
         WALL + 2 * SECOND,
         reading(own(WALL + 2 * SECOND), NOW + SECOND),
     );
@@ -82,7 +82,7 @@
         now - age
     );
     assert!(
-        !starts.heard_date(WALL + 4 * SECOND, reading(own(WALL + 4 * SECOND), now)),
+        !starts.note_discovery_date(WALL + 4 * SECOND, reading(own(WALL + 4 * SECOND), now)),
         "told once"
     );
 }
--- a/src/net/late_arrivals.rs
+++ b/src/net/late_arrivals.rs
@@ -16,7 +16,7 @@
 /// Between two calls to a host that is silent.
 const ASK_AGAIN: Duration = Duration::from_millis(200);
 /// A call that has no answer by then shows that its host is silent.
-pub const ANSWERS_WITHIN: Duration = Duration::from_millis(250);
+pub const LATE_CALL_TIMEOUT: Duration = Duration::from_millis(250);
 /// Between the two releases of what a silent host may have got late: a read may take that long, and what it leaves may
 /// be held for longer.
 const RELEASE_AGAIN: Duration = Duration::from_millis(300);
--- a/src/net/late_arrivals/tests.rs
+++ b/src/net/late_arrivals/tests.rs
@@ -32,8 +32,8 @@
     let mut late = LateArrivals::default();
     late.abandoned(&host(), "a".into(), start);
     late.next(start);
-    late.unanswered(&host(), start + ANSWERS_WITHIN);
-    late.abandoned(&host(), "b".into(), start + ANSWERS_WITHIN);
+    late.unanswered(&host(), start + LATE_CALL_TIMEOUT);
+    late.abandoned(&host(), "b".into(), start + LATE_CALL_TIMEOUT);
     let mut now = late.due().unwrap();
     assert_eq!(late.next(now), round(&["b"]));
     late.answered(&host(), now);
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -4,9 +4,9 @@
 //! written: whether an attempt may have run hangs on that, and hyper doesn't tell.
 
 use super::Local;
-use super::fault::{Fault, SystemCall, classify};
-use super::reach::Reach;
-use super::stream::{self, uninterrupted};
+use super::fault::{ErrorScope, SystemCall, classify_error};
+use super::reach::Reachability;
+use super::stream::{self, retry_interrupted};
 use crate::counters::Counters;
 use crate::routing::types::{CallPermit, WorkerId, WritePermit};
 use bytes::Bytes;
@@ -215,7 +215,7 @@
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Poll::Ready(stream::end_sending(&self.stream))
+        Poll::Ready(stream::shutdown_write(&self.stream))
     }
 }
 
@@ -286,7 +286,7 @@
     /// behind the first would have it taken for the answer to the next request, before hyper has looked at the socket.
     fn usable(&self) -> bool {
         let peek = || SockRef::from(&*self.stream).peek(&mut [MaybeUninit::uninit()]);
-        let waiting = uninterrupted(peek);
+        let waiting = retry_interrupted(peek);
         let quiet = waiting.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock);
         quiet && self.sender.is_ready() && !self.sender.is_closed()
     }
@@ -308,7 +308,7 @@
     /// The system said no.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// The connection broke as it was set up.
+    /// The connection note_broken as it was set up.
     #[error("{0}")]
     Http(#[from] hyper::Error),
 }
@@ -321,11 +321,11 @@
     /// Its address.
     pub address: SocketAddr,
     /// The longest that a new connection may take to come up, if that is to be less than for others.
-    pub within: Option<Duration>,
+    pub connect_timeout: Option<Duration>,
     /// Whether it may have a socket of the reserve: a release must not wait for what other requests hold.
-    pub reserved: bool,
+    pub may_use_reserve: bool,
     /// Whether the connection has to be a new one: that it comes up shows that the model host can be reached now.
-    pub is_new: bool,
+    pub requires_new: bool,
 }
 
 struct Idle {
@@ -348,7 +348,7 @@
     /// Until when kept connections are not to be trusted.
     distrust: Rc<Cell<Option<Instant>>>,
     /// Which hosts connections last came up to, and which failed to.
-    reach: Rc<RefCell<Reach>>,
+    reach: Rc<RefCell<Reachability>>,
     counters: Rc<Counters>,
 }
 
@@ -393,7 +393,7 @@
         }
         let most = size - sockets;
         if self.sockets.available_permits() < most {
-            self.clear();
+            self.close_all_idle();
         }
         self.size.set(size - self.sockets.forget_permits(most));
     }
@@ -402,7 +402,7 @@
     /// to it had been closed at its other end without a word, and others will have been, too: what is written to those
     /// may have run for all that anybody knows, and what must not run twice is lost. So none is kept for a while; a
     /// new one costs a few round trips. An answer that can't be read is no such thing: the connection was alive.
-    pub fn broke(&self, connection: &Connection) {
+    pub fn note_broken(&self, connection: &Connection) {
         if !connection.reused || connection.meter.heard.get() || connection.sent.elapsed() > AT_ONCE
         {
             return;
@@ -415,7 +415,7 @@
             );
         }
         self.distrust.set(Some(Instant::now() + DISTRUST));
-        self.clear();
+        self.close_all_idle();
     }
 
     fn distrusts(&self) -> bool {
@@ -444,31 +444,35 @@
     }
 
     /// Closes a model host's idle connections.
-    pub fn hang_up(&self, worker: &WorkerId) {
+    pub fn close_idle(&self, worker: &WorkerId) {
         self.idle.borrow_mut().remove(worker);
     }
 
     /// Puts hosts, each with its zone, in the order in which a call that any of them may take should try them: those
-    /// that connections came up to lately first, those that failed to come up last (see [`Reach::order_spread`]).
-    pub fn by_reach(&self, candidates: Vec<(WorkerId, String)>, spread: u64) -> Vec<WorkerId> {
+    /// that connections came up to lately first, those that failed to come up last (see [`Reachability::order_spread`]).
+    pub fn order_by_reachability(
+        &self,
+        candidates: Vec<(WorkerId, String)>,
+        spread: u64,
+    ) -> Vec<WorkerId> {
         self.reach
             .borrow()
             .order_spread(candidates, Instant::now(), spread)
     }
 
     /// Whether an answer of a model host came whole since a moment.
-    pub fn was_heard_since(&self, worker: &WorkerId, since: Instant) -> bool {
-        self.reach.borrow().was_heard_since(worker, since)
+    pub fn answered_since(&self, worker: &WorkerId, since: Instant) -> bool {
+        self.reach.borrow().answered_since(worker, since)
     }
 
     /// A host has said nothing to a call for longer than one that runs would. Guards against a machine that has
     /// vanished being asked first over and over, for a connection to it that was kept and looks alive.
-    pub fn doubt(&self, worker: &WorkerId) {
+    pub fn mark_unreachable(&self, worker: &WorkerId) {
         self.reach.borrow_mut().unreached(worker, Instant::now());
     }
 
     /// Closes connections that have idled for long or were closed from afar, and forgets old news of hosts.
-    pub fn retire(&self) {
+    pub fn evict_stale(&self) {
         self.reach.borrow_mut().forget_old(Instant::now());
         self.idle.borrow_mut().retain(|_, idle| {
             idle.retain(|i| i.since.elapsed() < self.keep && !i.connection.sender.is_closed());
@@ -477,7 +481,7 @@
     }
 
     /// Closes all idle connections.
-    pub fn clear(&self) {
+    pub fn close_all_idle(&self) {
         self.idle.borrow_mut().clear();
     }
 
@@ -516,24 +520,24 @@
                 Ok(stream) => return Ok(stream),
                 Err(error) => error,
             };
-            match classify(SystemCall::Connect, &error) {
-                Fault::Host | Fault::Fatal => return Err(error.into()),
-                Fault::Local | Fault::Connection if Instant::now() + pause >= until => {
+            match classify_error(SystemCall::Connect, &error) {
+                ErrorScope::Host | ErrorScope::Fatal => return Err(error.into()),
+                ErrorScope::Local | ErrorScope::Connection if Instant::now() + pause >= until => {
                     return Err(ConnectError::Local(error));
                 }
-                Fault::Local | Fault::Connection => {}
+                ErrorScope::Local | ErrorScope::Connection => {}
             }
             log::debug!("connect to {address}: {error}; again in {pause:?}");
             self.counters.connects_repeated.up();
             // What this machine is short of may be held by idle connections.
-            self.clear();
+            self.close_all_idle();
             tokio::time::sleep(pause).await;
             pause *= 2;
         }
     }
 
     async fn connect(self, target: Target) -> Result<Connection, ConnectError> {
-        if !target.is_new
+        if !target.requires_new
             && let Some(connection) = self.reuse(&target)
         {
             return Ok(connection);
@@ -542,20 +546,20 @@
             permit
         } else {
             // Idle connections to others hold sockets that are wanted here.
-            self.clear();
+            self.close_all_idle();
             let again = self.sockets.clone().try_acquire_owned();
             let reserve = || {
                 self.reserve
                     .clone()
                     .try_acquire_owned()
                     .ok()
-                    .filter(|_| target.reserved)
+                    .filter(|_| target.may_use_reserve)
             };
             again.ok().or_else(reserve).ok_or(ConnectError::OverBound)?
         };
         self.counters.connections_out.up();
         let within = target
-            .within
+            .connect_timeout
             .map_or(self.connect_timeout, |w| w.min(self.connect_timeout));
         let connected = self.open_within(target.address, within).await;
         match &connected {
--- a/src/net/pool/tests.rs
+++ b/src/net/pool/tests.rs
@@ -26,9 +26,9 @@
     let target = |reserved| Target {
         worker: WorkerId("a".into()),
         address,
-        within: None,
-        reserved,
-        is_new: false,
+        connect_timeout: None,
+        may_use_reserve: reserved,
+        requires_new: false,
     };
     let ask = |reserved| pool.clone().connect(target(reserved));
     let run = async {
@@ -85,9 +85,9 @@
     let target = Target {
         worker: WorkerId("a".into()),
         address,
-        within: None,
-        reserved: false,
-        is_new: false,
+        connect_timeout: None,
+        may_use_reserve: false,
+        requires_new: false,
     };
     let run = async {
         let mut open = Vec::new();
--- a/src/net/reach.rs
+++ b/src/net/reach.rs
@@ -29,9 +29,9 @@
 /// The table of reachability, one entry a host heard of within [`REMEMBER`].
 ///
 /// Bounded: an entry is only made for a host that a connection was tried to, and entries older than [`REMEMBER`]
-/// are dropped by [`Reach::forget_old`], so it holds at most the hosts tried within that time.
+/// are dropped by [`Reachability::forget_old`], so it holds at most the hosts tried within that time.
 #[derive(Debug, Default)]
-pub struct Reach {
+pub struct Reachability {
     seen: HashMap<WorkerId, Seen>,
 }
 
@@ -46,7 +46,7 @@
     Unreached,
 }
 
-impl Reach {
+impl Reachability {
     /// A connection to `worker` came up, at `now`. Its machine takes connections; whether its process runs is not said.
     pub fn reached(&mut self, worker: &WorkerId, now: Instant) {
         self.seen.entry(worker.clone()).or_default().reached = Some(now);
@@ -59,7 +59,7 @@
     }
 
     /// Whether an answer of `worker` came since a moment.
-    pub fn was_heard_since(&self, worker: &WorkerId, since: Instant) -> bool {
+    pub fn answered_since(&self, worker: &WorkerId, since: Instant) -> bool {
         self.seen
             .get(worker)
             .is_some_and(|seen| seen.heard.is_some_and(|heard| heard > since))
--- a/src/net/reach/tests.rs
+++ b/src/net/reach/tests.rs
@@ -13,7 +13,7 @@
 #[test]
 fn zones_take_turns_among_hosts_that_have_not_failed() {
     let start = Instant::now();
-    let mut reach = Reach::default();
+    let mut reach = Reachability::default();
     for (i, name) in ["a1", "a2", "a3", "b1"].iter().enumerate() {
         reach.reached(
             &w(name),
@@ -29,7 +29,7 @@
 #[test]
 fn hosts_just_heard_from_go_first_and_silent_ones_last() {
     let start = Instant::now();
-    let mut reach = Reach::default();
+    let mut reach = Reachability::default();
     reach.unreached(&w("cut-1"), start);
     reach.reached(&w("old"), start);
     reach.reached(&w("holder"), start + Duration::from_millis(400));
@@ -47,7 +47,7 @@
 #[test]
 fn a_host_that_comes_up_again_is_trusted_again_and_old_news_is_forgotten() {
     let start = Instant::now();
-    let mut reach = Reach::default();
+    let mut reach = Reachability::default();
     reach.unreached(&w("a"), start);
     reach.reached(&w("a"), start + Duration::from_secs(1));
     assert_eq!(
@@ -66,7 +66,7 @@
 #[test]
 fn calls_of_one_moment_spread_over_the_hosts_just_reached() {
     let start = Instant::now();
-    let mut reach = Reach::default();
+    let mut reach = Reachability::default();
     reach.reached(&w("old"), start);
     let now = start + Duration::from_secs(2);
     for name in ["a", "b", "c"] {
@@ -82,9 +82,9 @@
         );
     }
     assert!(
-        !reach.was_heard_since(&w("a"), start),
+        !reach.answered_since(&w("a"), start),
         "a connection that came up is no answer"
     );
     reach.heard(&w("a"), now);
-    assert!(reach.was_heard_since(&w("a"), start));
+    assert!(reach.answered_since(&w("a"), start));
 }
--- a/src/net/release.rs
+++ b/src/net/release.rs
@@ -4,7 +4,7 @@
 //! running host within the release limit. Which hosts run is known only as of the last connection to them: a zone may
 //! have been cut off, or a fifth of the hosts fallen silent, in this very moment. One further host after each pause
 //! would meet only as many hosts as pauses fit into the limit, all of which may be silent. So each wave asks twice as
-//! many as the one before, over zones in turn ([`super::reach::Reach::order`]), and within four waves some fifteen
+//! many as the one before, over zones in turn ([`super::reach::Reachability::order`]), and within four waves some fifteen
 //! hosts of all zones have been asked. On an ordinary day the first host takes it and no second one hears of it.
 //!
 //! A call without an answer has two explanations: a host that is silent, or a process that is held up and has not looked
@@ -17,7 +17,7 @@
 use tokio::time::Instant;
 
 /// Before the next wave: far longer than a call takes at a host that runs, and a fifth of the platform's slack.
-pub const HEDGE: Duration = Duration::from_millis(60);
+pub const HEDGE_DELAY: Duration = Duration::from_millis(60);
 /// Before the next wave where all of one have failed already: a host that refuses is worth no waiting.
 const AFTER_FAILURE: Duration = Duration::from_millis(10);
 /// A wave that comes later than this past its time shows that the process was held up.
@@ -29,7 +29,7 @@
 
 /// One release, from its order until some host has taken it.
 #[derive(Debug)]
-pub struct Fanout {
+pub struct ReleaseFanout {
     asked: BTreeSet<WorkerId>,
     /// Calls of the wave that have neither failed nor been taken.
     open: usize,
@@ -42,10 +42,10 @@
     is_put_off: bool,
 }
 
-impl Fanout {
+impl ReleaseFanout {
     /// A release whose first call is due now.
     pub fn new(now: Instant) -> Self {
-        Fanout {
+        ReleaseFanout {
             asked: BTreeSet::new(),
             open: 0,
             width: 1,
@@ -56,19 +56,19 @@
         }
     }
 
-    /// When [`Fanout::wave`] has something to do next.
+    /// When [`ReleaseFanout::wave`] has something to do next.
     pub fn due(&self) -> Instant {
         self.due
     }
 
-    /// The hosts to ask now, out of all that there are, best first; `was_heard_since` tells whether a host has answered
+    /// The hosts to ask now, out of all that there are, best first; `answered_since` tells whether a host has answered
     /// any call since a moment. Once all have been asked in vain, the next round begins after a pause, which grows up to
     /// a quarter of a second.
     pub fn wave(
         &mut self,
         now: Instant,
         hosts: &[WorkerId],
-        was_heard_since: impl Fn(&WorkerId, Instant) -> bool,
+        answered_since: impl Fn(&WorkerId, Instant) -> bool,
     ) -> Vec<WorkerId> {
         if now < self.due {
             return Vec::new();
@@ -77,12 +77,12 @@
             && now > self.due + HELD_UP
             && !std::mem::replace(&mut self.is_put_off, true)
         {
-            self.due = now + HEDGE / 2;
+            self.due = now + HEDGE_DELAY / 2;
             return Vec::new();
         }
         self.is_put_off = false;
         let fresh = || hosts.iter().filter(|h| !self.asked.contains(h));
-        let answers = |h: &&WorkerId| self.last_wave.is_some_and(|wave| was_heard_since(h, wave));
+        let answers = |h: &&WorkerId| self.last_wave.is_some_and(|wave| answered_since(h, wave));
         let running = fresh().find(answers).cloned();
         let wave: Vec<WorkerId> = match &running {
             Some(worker) => vec![worker.clone()],
@@ -100,7 +100,7 @@
             self.width = (self.width * 2).min(WIDEST);
         }
         self.last_wave = Some(now);
-        self.due = now + HEDGE;
+        self.due = now + HEDGE_DELAY;
         wave
     }
 
--- a/src/net/release/tests.rs
+++ b/src/net/release/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::net::reach::Reach;
+use crate::net::reach::Reachability;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -23,13 +23,17 @@
 }
 
 /// When the first call reaches a host that runs, in a simulation of the calls' ends.
-fn reached(hosts: &[(WorkerId, String, Host)], reach: &Reach, start: Instant) -> Option<Duration> {
+fn reached(
+    hosts: &[(WorkerId, String, Host)],
+    reach: &Reachability,
+    start: Instant,
+) -> Option<Duration> {
     let kind = |w: &WorkerId| hosts.iter().find(|(h, ..)| h == w).map(|(.., kind)| *kind);
     let listed: Vec<_> = hosts
         .iter()
         .map(|(w, zone, _)| (w.clone(), zone.clone()))
         .collect();
-    let mut fanout = Fanout::new(start);
+    let mut fanout = ReleaseFanout::new(start);
     let mut failing: Vec<Instant> = Vec::new();
     let mut now = start;
     while now < start + Duration::from_secs(5) {
@@ -88,7 +92,7 @@
     #[test]
     fn a_call_reaches_a_host_that_runs_within_the_slack(fleet in fleets()) {
         let start = Instant::now() + Duration::from_secs(60);
-        let mut reach = Reach::default();
+        let mut reach = Reachability::default();
         for (worker, _, _, heard) in &fleet {
             if let Some(ago) = heard {
                 reach.reached(worker, start - Duration::from_millis(*ago));
@@ -115,7 +119,7 @@
 #[test]
 fn the_first_wave_is_one_host_and_the_next_ones_come_after_a_pause_and_grow() {
     let (start, hosts) = (Instant::now(), names(40));
-    let mut fanout = Fanout::new(start);
+    let mut fanout = ReleaseFanout::new(start);
     let mut widths = Vec::new();
     for _ in 0..6 {
         let now = fanout.due();
@@ -124,7 +128,7 @@
             fanout.wave(now, &hosts, nobody).is_empty(),
             "nobody further before the pause is over"
         );
-        assert_eq!(fanout.due(), now + HEDGE);
+        assert_eq!(fanout.due(), now + HEDGE_DELAY);
     }
     assert_eq!(widths, [1, 2, 4, 8, 8, 8]);
 }
@@ -133,7 +137,7 @@
 #[test]
 fn rounds_over_hosts_that_all_refuse_come_more_seldom_and_do_not_end() {
     let (start, hosts) = (Instant::now(), names(3));
-    let mut fanout = Fanout::new(start);
+    let mut fanout = ReleaseFanout::new(start);
     let (mut asked, mut calls) = (Vec::new(), 0);
     while fanout.due() < start + Duration::from_secs(10) {
         let now = fanout.due();
@@ -154,7 +158,7 @@
 #[test]
 fn a_wave_that_has_failed_whole_is_followed_at_once() {
     let (start, hosts) = (Instant::now(), names(9));
-    let mut fanout = Fanout::new(start);
+    let mut fanout = ReleaseFanout::new(start);
     fanout.wave(start, &hosts, nobody);
     fanout.failed(start);
     assert_eq!(fanout.due(), start + AFTER_FAILURE);
@@ -169,7 +173,7 @@
 #[test]
 fn a_host_that_has_answered_since_the_last_wave_is_asked_alone() {
     let (start, hosts) = (Instant::now(), names(40));
-    let mut fanout = Fanout::new(start);
+    let mut fanout = ReleaseFanout::new(start);
     fanout.wave(start, &hosts, nobody);
     let second = fanout.due();
     assert_eq!(
@@ -190,7 +194,7 @@
 #[test]
 fn a_wave_that_comes_late_is_put_off_once() {
     let (start, hosts) = (Instant::now(), names(40));
-    let mut fanout = Fanout::new(start);
+    let mut fanout = ReleaseFanout::new(start);
     fanout.wave(start, &hosts, nobody);
     let late = fanout.due() + Duration::from_millis(100);
     assert!(fanout.wave(late, &hosts, nobody).is_empty());
--- a/src/net/releases.rs
+++ b/src/net/releases.rs
@@ -1,9 +1,9 @@
 //! Carries releases out: the calls that [`super::release`] and [`super::late_arrivals`] decide on.
 
-use super::client::{CallError, Hosts, SETTLE};
-use super::late_arrivals::{ANSWERS_WITHIN, LateArrivals, Round};
+use super::client::{CallError, HostClient, SETTLE};
+use super::late_arrivals::{LATE_CALL_TIMEOUT, LateArrivals, Round};
 use super::pool::ConnectError;
-use super::release::{Fanout, HEDGE};
+use super::release::{HEDGE_DELAY, ReleaseFanout};
 use crate::dispatch::{Attempt, ReleaseProgress};
 use crate::exchange::Call;
 use crate::routing::types::{AttemptOutcome, CallState, ReleasePermit, WorkerId};
@@ -28,7 +28,7 @@
 
 /// How a host met a call of a release.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Met {
+enum CallResult {
     /// It answered.
     Answered,
     /// It did not, in time.
@@ -39,21 +39,21 @@
 
 /// Attempts that may arrive late, and the task that follows them.
 #[derive(Default)]
-pub struct LateFollower {
+pub struct LateArrivalTracker {
     arrivals: RefCell<LateArrivals>,
     /// Tells the task that something is due at another moment.
     changed: Notify,
     is_followed: Cell<bool>,
 }
 
-impl LateFollower {
+impl LateArrivalTracker {
     fn change(&self, change: impl FnOnce(&mut LateArrivals)) {
         change(&mut self.arrivals.borrow_mut());
         self.changed.notify_one();
     }
 }
 
-impl Hosts {
+impl HostClient {
     /// Releases what is held for a request, at whichever hosts take it, until one has.
     pub(super) async fn release_now(
         &self,
@@ -65,14 +65,15 @@
         // The calls end with this: one that arrives later would take what the next read leaves.
         let mut calls = tokio::task::JoinSet::new();
         let begun = Instant::now();
-        let mut fanout = Fanout::new(begun);
+        let mut fanout = ReleaseFanout::new(begun);
         let spread = xxh3_64(call.id.as_bytes());
         while releasing.is_going() && begun.elapsed() < RELEASE_WITHIN {
             // Which hosts were just heard from may change meanwhile, and so may the list.
-            let hosts = self.pool.by_reach(self.directory.running(), spread);
-            let was_heard_since =
-                |worker: &WorkerId, since| self.pool.was_heard_since(worker, since);
-            for worker in fanout.wave(Instant::now(), &hosts, was_heard_since) {
+            let hosts = self
+                .pool
+                .order_by_reachability(self.directory.release_targets(), spread);
+            let answered_since = |worker: &WorkerId, since| self.pool.answered_since(worker, since);
+            for worker in fanout.wave(Instant::now(), &hosts, answered_since) {
                 calls.spawn_local(self.clone().ask_release(
                     worker,
                     call.id.clone(),
@@ -117,16 +118,16 @@
         else {
             return false;
         };
-        target.reserved = true;
+        target.may_use_reserve = true;
         let state = || CallState::Release {
             is_going: releasing.is_going(),
         };
         let calling = self.small_call(Some(&target), request, 0, state);
         tokio::pin!(calling);
-        let answer = if let Ok(answer) = tokio::time::timeout(HEDGE, &mut calling).await {
+        let answer = if let Ok(answer) = tokio::time::timeout(HEDGE_DELAY, &mut calling).await {
             Ok(answer)
         } else {
-            self.pool.doubt(&worker);
+            self.pool.mark_unreachable(&worker);
             tokio::time::timeout(RELEASE_CALL, calling).await
         };
         match answer {
@@ -178,44 +179,48 @@
 
     /// Releases at one host what it may have got late.
     async fn release_late(self, round: Round) {
-        let mut met = Met::Answered;
+        let mut met = CallResult::Answered;
         for requests in round.requests.chunks(LATE_CALLS) {
             let calls = requests.iter().map(|id| self.release_at(&round.worker, id));
             for call in futures_util::future::join_all(calls).await {
-                met = if met == Met::Answered { call } else { met };
+                met = if met == CallResult::Answered {
+                    call
+                } else {
+                    met
+                };
             }
-            if met != Met::Answered {
+            if met != CallResult::Answered {
                 break;
             }
         }
         let (worker, now) = (&round.worker, Instant::now());
         self.late_arrivals.change(|late| match met {
-            Met::Answered => late.answered(worker, now),
-            Met::Silent => late.unanswered(worker, now),
-            Met::Gone => late.gone(worker),
+            CallResult::Answered => late.answered(worker, now),
+            CallResult::Silent => late.unanswered(worker, now),
+            CallResult::Gone => late.gone(worker),
         });
     }
 
     /// Asks one host to release a request.
-    async fn release_at(&self, worker: &WorkerId, id: &str) -> Met {
+    async fn release_at(&self, worker: &WorkerId, id: &str) -> CallResult {
         let request =
             Request::delete(format!("/internal/reservations/{id}")).header("host", "model-host");
         let (Some(mut target), Ok(request)) =
             (self.target(worker), request.body(Full::new(Bytes::new())))
         else {
-            return Met::Gone;
+            return CallResult::Gone;
         };
-        target.reserved = true;
+        target.may_use_reserve = true;
         self.counters.late_releases.up();
         match tokio::time::timeout(
-            ANSWERS_WITHIN,
+            LATE_CALL_TIMEOUT,
             self.small_call(Some(&target), request, 0, || CallState::LateRelease),
         )
         .await
         {
-            Ok(Ok(_)) => Met::Answered,
-            Ok(Err(error)) if is_refusal(&error) => Met::Gone,
-            Ok(Err(_)) | Err(_) => Met::Silent,
+            Ok(Ok(_)) => CallResult::Answered,
+            Ok(Err(error)) if is_refusal(&error) => CallResult::Gone,
+            Ok(Err(_)) | Err(_) => CallResult::Silent,
         }
     }
 }
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -3,7 +3,7 @@
 use super::Local;
 use super::client_connection::{Answerer, Answering, serve};
 use super::connections::Connections;
-use super::fault::pause_after_accept;
+use super::fault::accept_retry_delay;
 use super::framing::Watch;
 use super::upgrade::socket::turn_away_new;
 use crate::admin::metrics::RequestMetrics;
@@ -375,7 +375,7 @@
     /// Counts a failed accept, and waits where another one at once would fail as well.
     async fn accept_failed(&self, error: &std::io::Error) {
         let counters = &self.edge.shared.counters;
-        let Some(pause) = pause_after_accept(error) else {
+        let Some(pause) = accept_retry_delay(error) else {
             counters.accepts_of_one_failed.up();
             return log::debug!("accept: {error}");
         };
--- a/src/net/stream.rs
+++ b/src/net/stream.rs
@@ -12,7 +12,7 @@
 use tokio::net::TcpStream;
 
 /// Makes a call anew for as long as it is interrupted.
-pub fn uninterrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+pub fn retry_interrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     loop {
         match call() {
             Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
@@ -29,7 +29,7 @@
 ) -> Poll<io::Result<()>> {
     loop {
         ready!(stream.poll_read_ready(cx))?;
-        match uninterrupted(|| stream.try_read_buf(buf)) {
+        match retry_interrupted(|| stream.try_read_buf(buf)) {
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
             done => return Poll::Ready(done.map(drop)),
         }
@@ -44,7 +44,7 @@
 ) -> Poll<io::Result<usize>> {
     loop {
         ready!(stream.poll_write_ready(cx))?;
-        match uninterrupted(|| stream.try_write_vectored(bufs)) {
+        match retry_interrupted(|| stream.try_write_vectored(bufs)) {
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
             done => return Poll::Ready(done),
         }
@@ -52,15 +52,15 @@
 }
 
 /// Ends the sending of a connection.
-pub fn end_sending(stream: &TcpStream) -> io::Result<()> {
+pub fn shutdown_write(stream: &TcpStream) -> io::Result<()> {
     socket2::SockRef::from(stream).shutdown(Shutdown::Write)
 }
 
 /// A connection that reads and writes so.
 #[derive(Debug)]
-pub struct SteadyStream(pub TcpStream);
+pub struct RetryingStream(pub TcpStream);
 
-impl AsyncRead for SteadyStream {
+impl AsyncRead for RetryingStream {
     fn poll_read(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -70,7 +70,7 @@
     }
 }
 
-impl AsyncWrite for SteadyStream {
+impl AsyncWrite for RetryingStream {
     fn poll_write(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -96,6 +96,6 @@
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Poll::Ready(end_sending(&self.0))
+        Poll::Ready(shutdown_write(&self.0))
     }
 }
--- a/src/run.rs
+++ b/src/run.rs
@@ -27,9 +27,9 @@
 use whinhaven::front::jsonrpc::Front;
 use whinhaven::front::shared::Shared;
 use whinhaven::live_settings::LiveSettings;
-use whinhaven::net::client::{Hosts, Pending};
+use whinhaven::net::client::{HostClient, PendingReleases};
 use whinhaven::net::connections::Connections;
-use whinhaven::net::discovery::{Directory, Follower, Weigh};
+use whinhaven::net::discovery::{AdjustEndpoints, Directory, DiscoveryWatcher};
 use whinhaven::net::drain::{self, DrainSwitch};
 use whinhaven::net::pool::Pool;
 use whinhaven::net::server::{Edge, Listener, OVER, Stage};
@@ -204,15 +204,15 @@
         counters.clone(),
     );
     let directory = Rc::new(Directory::default());
-    let (watch_again, fetch_list) = (Rc::new(Notify::new()), Rc::new(Notify::new()));
-    let pending = Rc::<Pending>::default();
-    let hosts = Hosts {
+    let (resubscribe, fetch_list) = (Rc::new(Notify::new()), Rc::new(Notify::new()));
+    let pending_releases = Rc::<PendingReleases>::default();
+    let hosts = HostClient {
         directory: directory.clone(),
         pool: pool.clone(),
         dispatcher: dispatcher.clone(),
         counters: counters.clone(),
-        watch_again: watch_again.clone(),
-        pending: pending.clone(),
+        resubscribe: resubscribe.clone(),
+        pending_releases: pending_releases.clone(),
         late_arrivals: Rc::default(),
     };
     // Before the fleet begins: it would wait for this member meanwhile.
@@ -289,20 +289,20 @@
         outbound,
         counters.clone(),
     );
-    let follower = Follower {
+    let watcher = DiscoveryWatcher {
         directory: directory.clone(),
         dispatcher: dispatcher.clone(),
-        hang_up: Box::new({
+        close_idle: Box::new({
             let pool = pool.clone();
-            move |worker| pool.hang_up(worker)
+            move |worker| pool.close_idle(worker)
         }),
-        ask: settings.endpoints_on_request.then_some(watch_again),
+        subscribe_request: settings.endpoints_on_request.then_some(resubscribe),
         fetch_list: fetch_list.clone(),
         counters: counters.clone(),
-        weigh: sites.clone().map(|sites| {
-            Box::new(move |kind, entries: &mut [_]| sites.weigh(kind, entries)) as Weigh
+        adjust_endpoints: sites.clone().map(|sites| {
+            Box::new(move |kind, entries: &mut [_]| sites.weigh(kind, entries)) as AdjustEndpoints
         }),
-        starts: RefCell::default(),
+        host_starts: RefCell::default(),
     };
     let refresh_list = {
         let discovery = config.discovery.is_some();
@@ -312,16 +312,16 @@
             }
         }
     };
-    follower.take(std::mem::take(&mut config.known), EndpointUpdate::Restored);
+    watcher.apply(std::mem::take(&mut config.known), EndpointUpdate::Restored);
     tokio::task::spawn_local(driver.run(queue));
     let (discovery, address_told) = watch::channel(config.discovery);
-    tokio::task::spawn_local(follower.follow(address_told));
+    tokio::task::spawn_local(watcher.run(address_told));
     let drain = Rc::new(DrainSwitch::default());
     let stopping = Rc::new(Cell::new(false));
     let (listening, other_serves) = (Rc::new(Cell::new(false)), Rc::new(Cell::new(false)));
     let able = {
         let (directory, kinds) = (directory.clone(), settings.kinds.clone());
-        Rc::new(move || directory.can_serve(&kinds))
+        Rc::new(move || directory.covers_both_stages(&kinds))
     };
     let holds = {
         let (able, listening, gate) = (able.clone(), listening.clone(), gate.clone());
@@ -454,7 +454,7 @@
             () = signals.report.notified() => report(&counters, fleet.as_ref()),
             () = signals.reload.notified() => reload.run(),
             _ = retire.tick() => {
-                pool.retire();
+                pool.evict_stale();
                 if let Some(front) = &front {
                     front.tidy();
                 }
@@ -479,7 +479,7 @@
         stage,
         accepting,
         pool,
-        pending,
+        pending_releases,
         fleet: fleet.clone(),
         work,
         front,
--- a/src/run/orderly_end.rs
+++ b/src/run/orderly_end.rs
@@ -8,7 +8,7 @@
 use whinhaven::fleet::transport::Fleet;
 use whinhaven::fleet::transport::work::Work;
 use whinhaven::front::jsonrpc::Front;
-use whinhaven::net::client::Pending;
+use whinhaven::net::client::PendingReleases;
 use whinhaven::net::connections::Connections;
 use whinhaven::net::pool::Pool;
 use whinhaven::net::server::Stage;
@@ -39,7 +39,7 @@
     /// Connections to model hosts.
     pub pool: Pool,
     /// Releases under way.
-    pub pending: Rc<Pending>,
+    pub pending_releases: Rc<PendingReleases>,
     /// The fleet, if this router is a member of one.
     pub fleet: Option<Fleet>,
     /// Records of requests in flight, if the fleet keeps them.
@@ -62,7 +62,7 @@
         tokio::join!(self.leave_early(), close_clients);
         // What the system has accepted by now is taken.
         let _ = (&mut self.accepting).await;
-        self.pool.clear();
+        self.pool.close_all_idle();
         self.finish_requests().await;
         if self.work.is_some() {
             self.leave().await;
@@ -70,7 +70,8 @@
         // What was just answered may still have a release on its way, or get one as its last attempt ends. The time
         // that it may be held, and the platform's slack, are over by then: later it helps no longer.
         tokio::time::sleep(LAST_RELEASE_WITHIN).await;
-        let _ = tokio::time::timeout(RELEASED_WITHIN, self.pending.none()).await;
+        let _ =
+            tokio::time::timeout(RELEASED_WITHIN, self.pending_releases.wait_until_done()).await;
     }
 
     /// The others need not wait for leases to run out: they are given back when no more requests are admitted under them,
--- a/tests/golden_config.rs
+++ b/tests/golden_config.rs
@@ -134,7 +134,7 @@
 #[test]
 fn operator_file_gives_the_known_hosts() {
     let known = operator().known;
-    assert_eq!((known.seq, known.whole), (1, true));
+    assert_eq!((known.seq, known.is_full), (1, true));
     let hosts: Vec<_> = known
         .entries
         .iter()
@@ -324,7 +324,7 @@
 #[test]
 fn platform_document_gives_the_known_hosts() {
     let known = platform().known;
-    assert_eq!((known.seq, known.whole), (41, true));
+    assert_eq!((known.seq, known.is_full), (41, true));
     let (lens, address) = &known.entries[0];
     assert_eq!(
         (&*lens.worker.0, lens.zone.as_str(), lens.kind.as_str()),
--- a/tests/golden_protocol.rs
+++ b/tests/golden_protocol.rs
@@ -265,7 +265,7 @@
 #[test]
 fn a_whole_list_of_discovery_is_read() {
     let list = listing("discovery-list.json");
-    assert_eq!((list.seq, list.whole), (41, true));
+    assert_eq!((list.seq, list.is_full), (41, true));
     let expected = [
         (first_host(Status::Ready), "127.0.0.1:8001"),
         (second_host(), "127.0.0.1:8002"),
@@ -276,7 +276,7 @@
 #[test]
 fn a_change_of_discovery_is_read() {
     let change = listing("discovery-change.json");
-    assert_eq!((change.seq, change.whole), (43, false));
+    assert_eq!((change.seq, change.is_full), (43, false));
     assert_entries(&change, &[(first_host(Status::Gone), "127.0.0.1:8001")]);
 }
 
--- a/tests/releases.rs
+++ b/tests/releases.rs
@@ -14,7 +14,7 @@
 use whinhaven::counters::Counters as Counts;
 use whinhaven::dispatch::{Attempt, Clock, DispatcherEvent, DispatcherHandle, Outbound};
 use whinhaven::exchange::Call;
-use whinhaven::net::client::Hosts;
+use whinhaven::net::client::HostClient;
 use whinhaven::net::discovery::{Directory, Listing};
 use whinhaven::net::pool::Pool;
 use whinhaven::routing::types::*;
@@ -166,17 +166,17 @@
         };
         directory.apply(&Listing {
             seq: 1,
-            whole: true,
+            is_full: true,
             entries: vec![(entry.clone(), Some(peer.address))],
         });
         let wait = Duration::from_secs(5);
-        let hosts = Hosts {
+        let hosts = HostClient {
             directory,
             pool: Pool::new(64, wait, wait, counters.clone()),
             dispatcher: dispatcher.clone(),
             counters,
-            watch_again: Rc::default(),
-            pending: Rc::default(),
+            resubscribe: Rc::default(),
+            pending_releases: Rc::default(),
             late_arrivals: Rc::default(),
         };
         let (id, target, body) = (
