--- a/src/net/client.rs
+++ b/src/net/client.rs
@@ -3,7 +3,7 @@
 use super::answer::{Answered, End, MAX_RESPONSE_BYTES, Stream, Tail};
 use super::discovery::Directory;
 use super::pool::{ConnectError, Connection, Pool, Target};
-use super::releases::LateArrivalTracker;
+use super::release_calls::LateArrivalTracker;
 use crate::counters::Counters;
 use crate::dispatch::{
     Attempt, Clock, DispatcherEvent, DispatcherHandle, Outbound, ReleaseProgress,
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -5,7 +5,7 @@
 
 use super::Local;
 use super::fault::{ErrorScope, SystemCall, classify_error};
-use super::reach::Reachability;
+use super::reachability::Reachability;
 use super::stream::{self, retry_interrupted};
 use crate::counters::Counters;
 use crate::routing::types::{CallPermit, WorkerId, WritePermit};
--- a/src/net/releases.rs
+++ b/src/net/release_calls.rs
@@ -1,9 +1,9 @@
-//! Carries releases out: the calls that [`super::release`] and [`super::late_arrivals`] decide on.
+//! Carries releases out: the calls that [`super::release_fanout`] and [`super::late_arrivals`] decide on.
 
 use super::client::{CallError, HostClient, SETTLE};
 use super::late_arrivals::{LATE_CALL_TIMEOUT, LateArrivals, Round};
 use super::pool::ConnectError;
-use super::release::{HEDGE_DELAY, ReleaseFanout};
+use super::release_fanout::{HEDGE_DELAY, ReleaseFanout};
 use crate::dispatch::{Attempt, ReleaseProgress};
 use crate::exchange::Call;
 use crate::routing::types::{AttemptOutcome, CallState, ReleasePermit, WorkerId};
--- a/src/net/release.rs
+++ b/src/net/release_fanout.rs
@@ -4,7 +4,7 @@
 //! running host within the release limit. Which hosts run is known only as of the last connection to them: a zone may
 //! have been cut off, or a fifth of the hosts fallen silent, in this very moment. One further host after each pause
 //! would meet only as many hosts as pauses fit into the limit, all of which may be silent. So each wave asks twice as
-//! many as the one before, over zones in turn ([`super::reach::Reachability::order`]), and within four waves some fifteen
+//! many as the one before, over zones in turn ([`super::reachability::Reachability::order`]), and within four waves some fifteen
 //! hosts of all zones have been asked. On an ordinary day the first host takes it and no second one hears of it.
 //!
 //! A call without an answer has two explanations: a host that is silent, or a process that is held up and has not looked
--- a/src/net/release/tests.rs
+++ b/src/net/release_fanout/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::net::reach::Reachability;
+use crate::net::reachability::Reachability;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
