--- a/src/admin/server.rs
+++ b/src/admin/server.rs
@@ -8,7 +8,7 @@
 use super::metrics::{Gauges, Metrics};
 use crate::dispatch::DispatcherEvent;
 use crate::front::shared::Shared;
-use crate::net::Local;
+use crate::net::LocalBoxFuture;
 use crate::net::discovery::Directory;
 use crate::net::drain::DrainSwitch;
 use crate::net::fault::pause_after_accept;
@@ -184,7 +184,7 @@
 }
 
 /// Future of the response to one request.
-type ResponseFuture = Local<Result<Response<Full<Bytes>>, Infallible>>;
+type ResponseFuture = LocalBoxFuture<Result<Response<Full<Bytes>>, Infallible>>;
 
 /// The routes of the endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/src/main.rs
+++ b/src/main.rs
@@ -8,7 +8,7 @@
 mod signals;
 
 use cli::{Ask, Command, From, Where};
-use run::{Source, read};
+use run::{ConfigSource, read_file};
 use std::path::Path;
 use std::process::ExitCode;
 use whinhaven::config::ConfigError;
@@ -22,11 +22,11 @@
     };
     logs::start(cli.log_format);
     let done = match cli.command {
-        None => Source::platform()
+        None => ConfigSource::platform_file()
             .and_then(run::serve)
             .map_err(|e| e.to_string()),
         Some(Command::Serve { file }) => {
-            run::serve(Source::operator(file)).map_err(|e| e.to_string())
+            run::serve(ConfigSource::operator_file(file)).map_err(|e| e.to_string())
         }
         Some(Command::Import {
             from: From::Haproxy { file },
@@ -55,7 +55,7 @@
 /// Writes the operator's file to standard output, and what could not be carried over to standard error.
 fn import(file: &Path) -> Result<(), ConfigError> {
     let import =
-        whinhaven::haproxy::import(&read(file)?).map_err(|e| ConfigError(e.to_string()))?;
+        whinhaven::haproxy::import(&read_file(file)?).map_err(|e| ConfigError(e.to_string()))?;
     print!("{}", import.file);
     for (line, what) in import.left_out {
         eprintln!("line {line}, not carried over: {what}");
@@ -65,7 +65,7 @@
 
 /// Says what an operator's file sets up.
 fn check(file: &Path) -> Result<(), ConfigError> {
-    let config = Source::operator(file.to_owned()).load()?;
+    let config = ConfigSource::operator_file(file.to_owned()).load()?;
     let mut parts = vec![format!("{} would serve on {}", config.name, config.listen)];
     parts.extend(config.tools.map(|t| format!("tool calls go to {}", t.dial)));
     parts.extend(config.fleet.map(|f| {
@@ -87,7 +87,7 @@
 
 /// Asks the conductor of an operator's file, or one of its peers.
 fn ask(file: &Path, request: Request) -> Result<Reply, String> {
-    let config = Source::operator(file.to_owned())
+    let config = ConfigSource::operator_file(file.to_owned())
         .load()
         .map_err(|e| e.to_string())?;
     let fleet = config
--- a/src/net/client_connection.rs
+++ b/src/net/client_connection.rs
@@ -1,7 +1,7 @@
 //! One client's connection, from its accept to its close: serves the requests on it, and closes it where
 //! [`crate::routing::policy::close_permit`] permits it.
 
-use super::Local;
+use super::LocalBoxFuture;
 use super::framing::{Standing, Watch, Watched};
 use super::server::{DAWDLES, SILENT_CLIENT, Stage};
 use super::stream::{end_sending, uninterrupted};
@@ -47,7 +47,7 @@
     b"HTTP/1.1 408 Request Timeout\r\nconnection: close\r\ncontent-length: 0\r\n\r\n";
 
 /// What answers one request.
-pub(super) type Answerer = Local<Result<Response<Answering>, Infallible>>;
+pub(super) type Answerer = LocalBoxFuture<Result<Response<Answering>, Infallible>>;
 
 /// What answers the requests of one connection.
 pub(super) trait RequestService:
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -5,7 +5,7 @@
 mod tests;
 
 use self::messages::Messages;
-use super::Local;
+use super::LocalBoxFuture;
 use super::host_starts::{HostStarts, Reading};
 use super::stream::SteadyStream;
 use crate::counters::Counters;
@@ -264,7 +264,7 @@
 impl<S: AsyncRead + AsyncWrite + Unpin> Stream for S {}
 
 /// Opens a connection to discovery.
-type Dial = Rc<dyn Fn(SocketAddr) -> Local<std::io::Result<Box<dyn Stream>>>>;
+type Dial = Rc<dyn Fn(SocketAddr) -> LocalBoxFuture<std::io::Result<Box<dyn Stream>>>>;
 type Error = Box<dyn std::error::Error>;
 
 /// A call to discovery, given by its path and query.
@@ -277,7 +277,7 @@
 impl Service<String> for Discovery {
     type Response = Response<Incoming>;
     type Error = Error;
-    type Future = Local<Result<Self::Response, Self::Error>>;
+    type Future = LocalBoxFuture<Result<Self::Response, Self::Error>>;
 
     fn poll_ready(&mut self, _: &mut Context<'_>) -> Poll<Result<(), Self::Error>> {
         Poll::Ready(Ok(()))
@@ -405,7 +405,7 @@
     /// Watches until the task ends; what breaks is begun again, from the version held. Where the address changes,
     /// the watch moves at once.
     pub async fn follow(self, address: watch::Receiver<Option<SocketAddr>>) {
-        let dial = |address| -> Local<std::io::Result<Box<dyn Stream>>> {
+        let dial = |address| -> LocalBoxFuture<std::io::Result<Box<dyn Stream>>> {
             Box::pin(async move {
                 Ok(Box::new(SteadyStream(TcpStream::connect(address).await?)) as Box<dyn Stream>)
             })
--- a/src/net/discovery/tests.rs
+++ b/src/net/discovery/tests.rs
@@ -191,7 +191,7 @@
         let (address, address_told) = watch::channel(Some(([127, 0, 0, 1], 1).into()));
         let (lost, (up, wires)) = (Rc::new(Cell::new(0)), unbounded_channel());
         let losing = lost.clone();
-        let dial = move |_| -> Local<std::io::Result<Box<dyn Stream>>> {
+        let dial = move |_| -> LocalBoxFuture<std::io::Result<Box<dyn Stream>>> {
             if losing.get() > 0 {
                 losing.set(losing.get() - 1);
                 return Box::pin(std::future::pending());
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -24,4 +24,4 @@
 use std::pin::Pin;
 
 /// A future that stays on its thread.
-pub type Local<T> = Pin<Box<dyn Future<Output = T>>>;
+pub type LocalBoxFuture<T> = Pin<Box<dyn Future<Output = T>>>;
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -3,7 +3,7 @@
 //! The pool never sends anything again by itself, and it knows of every request whether its last byte was
 //! written: whether an attempt may have run hangs on that, and hyper doesn't tell.
 
-use super::Local;
+use super::LocalBoxFuture;
 use super::fault::{Fault, SystemCall, classify};
 use super::reach::Reach;
 use super::stream::{self, uninterrupted};
@@ -603,7 +603,7 @@
 impl tower::Service<Target> for Pool {
     type Response = Connection;
     type Error = ConnectError;
-    type Future = Local<Result<Connection, ConnectError>>;
+    type Future = LocalBoxFuture<Result<Connection, ConnectError>>;
 
     fn poll_ready(&mut self, _: &mut Context<'_>) -> Poll<Result<(), ConnectError>> {
         Poll::Ready(Ok(()))
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -1,6 +1,6 @@
 //! The server side: accepts clients, takes requests in, passes answers on.
 
-use super::Local;
+use super::LocalBoxFuture;
 use super::client_connection::{Answerer, Answering, serve};
 use super::connections::Connections;
 use super::fault::pause_after_accept;
@@ -237,7 +237,7 @@
 impl Service<Arrival> for Edge {
     type Response = Response<AnswerBody>;
     type Error = Infallible;
-    type Future = Local<Result<Self::Response, Infallible>>;
+    type Future = LocalBoxFuture<Result<Self::Response, Infallible>>;
 
     fn poll_ready(&mut self, _: &mut Context<'_>) -> Poll<Result<(), Infallible>> {
         Poll::Ready(Ok(()))
--- a/src/policies.rs
+++ b/src/policies.rs
@@ -1,7 +1,7 @@
 //! `whinhaven policy`: proposes, waits, and tells what came of it.
 
 use crate::cli::Policy;
-use crate::run::{Source, read};
+use crate::run::{ConfigSource, read_file};
 use crate::unexpected;
 use std::path::Path;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -25,7 +25,7 @@
 
 impl Asker {
     fn new(file: &Path) -> Result<Self, String> {
-        let config = Source::operator(file.to_owned())
+        let config = ConfigSource::operator_file(file.to_owned())
             .load()
             .map_err(|e| e.to_string())?;
         let fleet = config
@@ -80,7 +80,7 @@
 
 /// The policy in a file: that of its table `[settings]`, or of the whole file.
 fn policy_of(file: &Path) -> Result<String, String> {
-    let text = read(file).map_err(|e| e.to_string())?;
+    let text = read_file(file).map_err(|e| e.to_string())?;
     let fault = |what: String| format!("{}: {what}", file.display());
     if text.trim().is_empty() {
         return Err(fault("empty".to_owned()));
--- a/src/reload.rs
+++ b/src/reload.rs
@@ -1,6 +1,6 @@
 //! Reading the configuration again at SIGHUP.
 
-use crate::run::Source;
+use crate::run::ConfigSource;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::sync::watch;
@@ -12,7 +12,7 @@
 /// What a reload needs and moves.
 pub struct Reload {
     /// Where the configuration is read.
-    pub source: Source,
+    pub source: ConfigSource,
     /// The configuration in force.
     pub held: Config,
     /// Tells of discovery's address.
--- a/src/run.rs
+++ b/src/run.rs
@@ -52,20 +52,20 @@
 ///
 /// # Errors
 /// Names the file.
-pub fn read(file: &Path) -> Result<String, ConfigError> {
+pub fn read_file(file: &Path) -> Result<String, ConfigError> {
     std::fs::read_to_string(file).map_err(|e| ConfigError(format!("{}: {e}", file.display())))
 }
 
 /// Where the configuration is read, at start and at each SIGHUP.
-pub struct Source {
+pub struct ConfigSource {
     file: PathBuf,
     platform: bool,
 }
 
-impl Source {
+impl ConfigSource {
     /// An operator's file.
-    pub fn operator(file: PathBuf) -> Self {
-        Source {
+    pub fn operator_file(file: PathBuf) -> Self {
+        ConfigSource {
             file,
             platform: false,
         }
@@ -75,10 +75,10 @@
     ///
     /// # Errors
     /// NODE_CONFIG is not set.
-    pub fn platform() -> Result<Self, ConfigError> {
+    pub fn platform_file() -> Result<Self, ConfigError> {
         let file = std::env::var("NODE_CONFIG")
             .map_err(|_| ConfigError("NODE_CONFIG is not set".into()))?;
-        Ok(Source {
+        Ok(ConfigSource {
             file: file.into(),
             platform: true,
         })
@@ -89,7 +89,7 @@
     /// # Errors
     /// Names the field at fault.
     pub fn load(&self) -> Result<Config, ConfigError> {
-        let text = read(&self.file)?;
+        let text = read_file(&self.file)?;
         if self.platform {
             Config::from_json(&text, |name| {
                 std::env::var(name).ok().filter(|v| !v.is_empty())
@@ -113,7 +113,7 @@
 ///
 /// # Errors
 /// Why it could not begin.
-pub fn serve(source: Source) -> Result<(), ConfigError> {
+pub fn serve(source: ConfigSource) -> Result<(), ConfigError> {
     // Before anything else: until it is taken over, SIGHUP ends the process.
     let signals = Signals::take_over().map_err(|e| ConfigError(format!("signals: {e}")))?;
     let config = source.load()?;
@@ -152,7 +152,11 @@
         .map_err(|e| ConfigError(format!("ops {address}: {e}")))
 }
 
-async fn run(mut config: Config, source: Source, signals: Signals) -> Result<(), ConfigError> {
+async fn run(
+    mut config: Config,
+    source: ConfigSource,
+    signals: Signals,
+) -> Result<(), ConfigError> {
     // A member of a fleet is known to the others by its peer address, which two processes can't share.
     let place = match config.fleet {
         None => Place::take(&std::env::temp_dir(), config.listen).await?,
