--- a/src/net/upgrade.rs
+++ b/src/net/upgrade.rs
@@ -1,10 +1,10 @@
 //! Two processes at one clients' address, while a new version takes over from a running one.
 //!
-//! Each process holds one of two [`seat`]s, files in the temporary folder with an advisory lock, and says there how far
+//! Each process holds one of two [`lock_file`]s, files in the temporary folder with an advisory lock, and says there how far
 //! it is and how many descriptors it may hold. [`share`] decides from both claims how many that are; [`socket`] opens
 //! and closes a listener beside another one.
 
-pub mod seat;
+pub mod lock_file;
 pub mod share;
 pub mod slow_start;
 pub mod socket;
@@ -15,7 +15,7 @@
 use crate::config::ConfigError;
 use crate::dispatch::DispatcherEvent;
 use crate::front::shared::{Held, Shared};
-use seat::{Claim, Phase, Seat, SeatError};
+use lock_file::{Claim, Phase, Seat, SeatError};
 use share::{Shares, Split};
 use slow_start::SlowStartRight;
 use std::cell::{Cell, RefCell};
--- a/src/net/upgrade/share.rs
+++ b/src/net/upgrade/share.rs
@@ -4,7 +4,7 @@
 //! hand allows, and says in its seat what it keeps; the new one takes what that leaves, a half at the most. As only
 //! the new one takes more while both are there, the sum stays within the limit.
 
-use super::seat::Claim;
+use super::lock_file::Claim;
 use crate::net::server::OVER;
 
 /// The fewest sockets beside the spare ones with which a second process can serve: some of each side.
--- a/src/net/upgrade/share/tests.rs
+++ b/src/net/upgrade/share/tests.rs
@@ -1,4 +1,4 @@
-use super::super::seat::Phase;
+use super::super::lock_file::Phase;
 use super::*;
 use proptest::prelude::*;
 
--- a/src/net/upgrade/slow_start.rs
+++ b/src/net/upgrade/slow_start.rs
@@ -1,7 +1,7 @@
 //! Which of two processes of one router may send to model hosts in slow start. Their shares of a host's budget are one
 //! share, so never both: the older one may until it stops, and the newer one from then on.
 
-use super::seat::Phase;
+use super::lock_file::Phase;
 
 /// What one process knows of that right.
 pub struct SlowStartRight {
--- a/src/run.rs
+++ b/src/run.rs
@@ -33,7 +33,7 @@
 use whinhaven::net::drain::{self, DrainSwitch};
 use whinhaven::net::pool::Pool;
 use whinhaven::net::server::{Edge, Listener, OVER, Stage};
-use whinhaven::net::upgrade::seat::Phase;
+use whinhaven::net::upgrade::lock_file::Phase;
 use whinhaven::net::upgrade::share::{Shares, Split};
 use whinhaven::net::upgrade::slow_start::SlowStartRight;
 use whinhaven::net::upgrade::{self, Place, Sharing};
