--- a/src/run.rs
+++ b/src/run.rs
@@ -1,10 +1,10 @@
 //! Serving: wiring, signals, reload.
 
-mod orderly_end;
+mod graceful_shutdown;
 
 use crate::reload::Reload;
 use crate::signals::Signals;
-use orderly_end::OrderlyEnd;
+use graceful_shutdown::GracefulShutdown;
 use std::cell::{Cell, RefCell};
 use std::hash::{BuildHasher, RandomState};
 use std::net::SocketAddr;
@@ -476,7 +476,7 @@
         );
     }
     stopping.set(true);
-    let ending = OrderlyEnd {
+    let ending = GracefulShutdown {
         shutdown,
         other_serves,
         connections: open,
--- a/src/run/orderly_end.rs
+++ b/src/run/graceful_shutdown.rs
@@ -25,7 +25,7 @@
 const LOOK_AT_REQUESTS: Duration = Duration::from_millis(5);
 
 /// The parts that the orderly end has to do with.
-pub struct OrderlyEnd {
+pub struct GracefulShutdown {
     /// When the process was asked to stop.
     pub shutdown: Shutdown,
     /// Whether another process serves the address.
@@ -48,10 +48,10 @@
     pub front: Option<Rc<Front>>,
 }
 
-impl OrderlyEnd {
+impl GracefulShutdown {
     /// Finishes what was taken; resolves when the process may exit.
     pub async fn run(mut self) {
-        let OrderlyEnd {
+        let GracefulShutdown {
             shutdown,
             other_serves,
             connections,
