--- a/src/run.rs
+++ b/src/run.rs
@@ -1,10 +1,10 @@
 //! Serving: wiring, signals, reload.
 
-mod orderly_end;
+mod graceful_shutdown;
 
 use crate::reload::Reload;
 use crate::signals::Signals;
-use orderly_end::OrderlyEnd;
+use graceful_shutdown::GracefulShutdown;
 use std::cell::{Cell, RefCell};
 use std::hash::{BuildHasher, RandomState};
 use std::net::SocketAddr;
@@ -33,7 +33,7 @@
 use whinhaven::net::drain::{self, DrainSwitch};
 use whinhaven::net::pool::Pool;
 use whinhaven::net::server::{Edge, Listener, OVER, Stage};
-use whinhaven::net::upgrade::seat::Phase;
+use whinhaven::net::upgrade::lock_file::Phase;
 use whinhaven::net::upgrade::share::{Shares, Split};
 use whinhaven::net::upgrade::slow_start::SlowStartRight;
 use whinhaven::net::upgrade::{self, Place, Sharing};
@@ -52,20 +52,20 @@
 ///
 /// # Errors
 /// Names the file.
-pub fn read(file: &Path) -> Result<String, ConfigError> {
+pub fn read_file(file: &Path) -> Result<String, ConfigError> {
     std::fs::read_to_string(file).map_err(|e| ConfigError(format!("{}: {e}", file.display())))
 }
 
 /// Where the configuration is read, at start and at each SIGHUP.
-pub struct Source {
+pub struct ConfigSource {
     file: PathBuf,
     platform: bool,
 }
 
-impl Source {
+impl ConfigSource {
     /// An operator's file.
-    pub fn operator(file: PathBuf) -> Self {
-        Source {
+    pub fn operator_file(file: PathBuf) -> Self {
+        ConfigSource {
             file,
             platform: false,
         }
@@ -75,10 +75,10 @@
     ///
     /// # Errors
     /// NODE_CONFIG is not set.
-    pub fn platform() -> Result<Self, ConfigError> {
+    pub fn platform_file() -> Result<Self, ConfigError> {
         let file = std::env::var("NODE_CONFIG")
             .map_err(|_| ConfigError("NODE_CONFIG is not set".into()))?;
-        Ok(Source {
+        Ok(ConfigSource {
             file: file.into(),
             platform: true,
         })
@@ -89,7 +89,7 @@
     /// # Errors
     /// Names the field at fault.
     pub fn load(&self) -> Result<Config, ConfigError> {
-        let text = read(&self.file)?;
+        let text = read_file(&self.file)?;
         if self.platform {
             Config::from_json(&text, |name| {
                 std::env::var(name).ok().filter(|v| !v.is_empty())
@@ -113,7 +113,7 @@
 ///
 /// # Errors
 /// Why it could not begin.
-pub fn serve(source: Source) -> Result<(), ConfigError> {
+pub fn serve(source: ConfigSource) -> Result<(), ConfigError> {
     // Before anything else: until it is taken over, SIGHUP ends the process.
     let signals = Signals::take_over().map_err(|e| ConfigError(format!("signals: {e}")))?;
     let config = source.load()?;
@@ -152,7 +152,11 @@
         .map_err(|e| ConfigError(format!("ops {address}: {e}")))
 }
 
-async fn run(mut config: Config, source: Source, signals: Signals) -> Result<(), ConfigError> {
+async fn run(
+    mut config: Config,
+    source: ConfigSource,
+    signals: Signals,
+) -> Result<(), ConfigError> {
     // A member of a fleet is known to the others by its peer address, which two processes can't share.
     let place = match config.fleet {
         None => Place::take(&std::env::temp_dir(), config.listen).await?,
@@ -474,7 +478,7 @@
         );
     }
     stopping.set(true);
-    let ending = OrderlyEnd {
+    let ending = GracefulShutdown {
         shutdown,
         other_serves,
         connections: open,
