--- a/lab/src/sim_sites/mod.rs
+++ b/lab/src/sim_sites/mod.rs
@@ -116,7 +116,7 @@
             site: (0..self.sites)
                 .map(|s| Site {
                     name: name(s),
-                    conductors: self.conductors,
+                    routers: self.conductors,
                     falls_to: Default::default(),
                 })
                 .collect(),
--- a/lab/src/sim_sites/run.rs
+++ b/lab/src/sim_sites/run.rs
@@ -7,11 +7,11 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::ops::Range;
-use whinhaven::fleet::sites::epoch::{Command, Effect, Standing, Table};
+use whinhaven::fleet::sites::epoch::{Command, Effect, SiteState, SiteTable};
 use whinhaven::fleet::sites::member::{Action, Event, Member};
 use whinhaven::fleet::sites::plan::Plans;
-use whinhaven::fleet::sites::ramp::Measured;
-use whinhaven::fleet::sites::refuse::{Door, Gate};
+use whinhaven::fleet::sites::ramp::OutcomeCounts;
+use whinhaven::fleet::sites::refuse::{Admission, AdmissionGate};
 use whinhaven::fleet::sites::watch;
 
 const S: Micros = 1_000_000;
@@ -103,7 +103,7 @@
     Begun(u32, usize, u32, Micros),
     GiveUp(u32, u32),
     Tick(usize),
-    Apply(usize, Box<Table>),
+    Apply(usize, Box<SiteTable>),
     Commit(usize, Command),
     Seen(usize, watch::Event),
     Listed(usize, bool),
@@ -135,7 +135,7 @@
     site: usize,
     up: bool,
     member: Member,
-    gate: Gate,
+    gate: AdmissionGate,
     next_tick: Micros,
     applies_at: Micros,
 }
@@ -158,7 +158,7 @@
     kept: BTreeMap<(usize, usize), Micros>,
     demand: Vec<(usize, usize, usize, f64)>,
     demand_sum: f64,
-    table: Table,
+    table: SiteTable,
     lost: bool,
     out: Outcome,
 }
@@ -191,11 +191,11 @@
 impl<'a> World<'a> {
     fn new(day: &'a Day, rule: Rule, plans: Plans) -> Result<Self, String> {
         let fleet = plans.fleet().clone();
-        let table = Table::new(&plans).map_err(|e| e.to_string())?;
+        let table = SiteTable::new(&plans).map_err(|e| e.to_string())?;
         let mut hosts = Vec::new();
         let mut by_site = vec![[Vec::new(), Vec::new()]; day.sites];
         for rows in &fleet.tables.hosts {
-            let site = fleet.site(&rows.site).unwrap_or(0);
+            let site = fleet.site_index(&rows.site).unwrap_or(0);
             let reads = rows.kind == "read";
             let slots = rows.slots as usize;
             let can = if reads {
@@ -214,7 +214,7 @@
                 site,
                 up: true,
                 member: Member::new(&plans, site, day.seed ^ i as u64),
-                gate: Gate::new(S, 3 * S),
+                gate: AdmissionGate::new(S, 3 * S),
                 next_tick: Micros::MAX,
                 applies_at: 0,
             }
@@ -290,15 +290,15 @@
                 let of = self.day.conductors;
                 self.member(
                     i,
-                    Event::Seen(watch::Event::Conductors {
+                    Event::Observed(watch::Event::Routers {
                         site,
                         alive: of,
-                        of,
+                        total: of,
                     }),
                 );
                 self.member(
                     i,
-                    Event::Seen(watch::Event::Host {
+                    Event::Observed(watch::Event::Host {
                         site,
                         reached: true,
                     }),
@@ -323,7 +323,7 @@
         for action in actions {
             match action {
                 Action::Propose(command) => self.at(now + COMMIT, Ev::Commit(i, command)),
-                Action::Orders(orders) => self.conductors[i].gate.set(now, *orders),
+                Action::Allocation(orders) => self.conductors[i].gate.set_allocation(now, *orders),
                 Action::Probe { site } => {
                     let hosts: Vec<usize> = self.by_site[site].iter().flatten().copied().collect();
                     let host = hosts[self.rng.random_range(0..hosts.len())];
@@ -367,18 +367,18 @@
             Ev::Tick(i) => self.member(i, Event::Tick),
             Ev::Apply(i, table) => self.member(i, Event::Table(table)),
             Ev::Commit(i, command) => self.commit(i, command),
-            Ev::Seen(i, seen) => self.member(i, Event::Seen(seen)),
+            Ev::Seen(i, seen) => self.member(i, Event::Observed(seen)),
             Ev::Listed(site, there) => {
                 self.listed[site] = there;
                 let of = self.by_site[site].iter().map(Vec::len).sum::<usize>() as u32;
                 let seen = watch::Event::Listed {
                     site,
                     ready: if there { of } else { 0 },
-                    of,
+                    total: of,
                 };
                 if self.rule == Rule::Plan {
                     (0..self.conductors.len())
-                        .for_each(|i| self.member(i, Event::Seen(seen.clone())));
+                        .for_each(|i| self.member(i, Event::Observed(seen.clone())));
                 }
             }
             Ev::Back(host, life) => {
@@ -452,7 +452,7 @@
             let member = Member::new(&self.plans, 0, self.day.seed ^ (i as u64) << 8);
             self.conductors[i].up = true;
             (self.conductors[i].member, self.conductors[i].next_tick) = (member, Micros::MAX);
-            self.conductors[i].gate = Gate::new(S, 3 * S);
+            self.conductors[i].gate = AdmissionGate::new(S, 3 * S);
             if self.rule == Rule::Plan {
                 let table = Box::new(self.table.clone());
                 self.member(i, Event::Table(table));
@@ -468,10 +468,10 @@
         }
         let of = self.day.conductors;
         for i in 0..self.conductors.len() {
-            let seen = watch::Event::Conductors {
+            let seen = watch::Event::Routers {
                 site,
                 alive: if there { of } else { 0 },
-                of,
+                total: of,
             };
             self.later(after, Ev::Seen(i, seen));
         }
@@ -535,8 +535,8 @@
             let (class, tenant, key) = (r.class, r.tenant, r.key.to_le_bytes());
             let door = self.conductors[conductor]
                 .gate
-                .ask(now, class, tenant, &key, false);
-            if let Door::Refuse {
+                .check(now, class, tenant, &key, false);
+            if let Admission::Refuse {
                 retry_after,
                 by_level,
             } = door
@@ -553,7 +553,7 @@
     /// much of both stages.
     fn count_order(&mut self, id: u32, by_level: bool) {
         let r = &self.requests[id as usize];
-        let orders = self.conductors[r.conductor].gate.orders();
+        let orders = self.conductors[r.conductor].gate.allocation();
         let fleet = self.plans.fleet();
         let takes = |c: usize| {
             let class = &fleet.tables.classes[c];
@@ -567,7 +567,7 @@
             fleet.worth[c] < fleet.worth[r.class] && takes(c)[0] >= reads && takes(c)[1] >= writes
         };
         let taken_more = |c: usize| orders.levels[c][0] > orders.levels[r.class][0];
-        let untidy = (0..fleet.classes()).any(|c| no_better(c) && taken_more(c));
+        let untidy = (0..fleet.class_count()).any(|c| no_better(c) && taken_more(c));
         self.out.out_of_order += u32::from(by_level && untidy);
     }
 
@@ -610,9 +610,9 @@
                 key.push(attempts as u8);
                 let way = self.conductors[r.conductor]
                     .gate
-                    .orders()
-                    .way(r.class, &key);
-                way.map(|w| (w.reader, w.writer))
+                    .allocation()
+                    .pick_route(r.class, &key);
+                way.map(|w| (w.prefill_site, w.decode_site))
             }
             Rule::Near if attempts == 0 => Some((own, own)),
             Rule::Near | Rule::Even => {
@@ -704,14 +704,17 @@
         let reached = !matches!(said, Said::Silent | Said::Fell);
         if reached {
             let refused = u32::from(said == Said::Full);
-            let measured = Measured {
-                outcomes: refused,
+            let counts = OutcomeCounts {
+                total: refused,
                 late: 0,
                 refused,
             };
-            self.member(conductor, Event::Seen(watch::Event::Host { site, reached }));
+            self.member(
+                conductor,
+                Event::Observed(watch::Event::Host { site, reached }),
+            );
             if refused > 0 {
-                self.member(conductor, Event::Measured { site, measured });
+                self.member(conductor, Event::Outcomes { site, counts });
             }
         } else {
             self.at(
@@ -825,12 +828,12 @@
             s.first[site].push(waited as f64 / 1e6);
         }
         if self.rule == Rule::Plan {
-            let measured = Measured {
-                outcomes: 1,
+            let counts = OutcomeCounts {
+                total: 1,
                 late: u32::from(waited > AIM),
                 refused: 0,
             };
-            self.member(conductor, Event::Measured { site, measured });
+            self.member(conductor, Event::Outcomes { site, counts });
         }
     }
 
@@ -842,7 +845,7 @@
         self.hosts[host].running -= 1;
         self.hosts[host].held -= memory;
         loop {
-            let classes: Vec<f64> = (0..self.plans.fleet().classes())
+            let classes: Vec<f64> = (0..self.plans.fleet().class_count())
                 .map(|c| self.answer(c).1)
                 .collect();
             let requests = &self.requests;
@@ -862,7 +865,7 @@
     }
 
     fn second(&mut self) {
-        let (sites, classes) = (self.day.sites, self.plans.fleet().classes());
+        let (sites, classes) = (self.day.sites, self.plans.fleet().class_count());
         let load = |site: usize, stage: usize| {
             let hosts = &self.by_site[site][stage];
             hosts
@@ -889,13 +892,15 @@
     pub fn standings(&self) -> Vec<(f64, &'static str)> {
         let mut all = Vec::new();
         for (at, effect) in &self.agreed {
-            if let Effect::Standing { from, to, .. } = effect {
+            if let Effect::SiteChanged { from, to, .. } = effect {
                 match (from, to) {
                     // Its conductors are back, its hosts are not yet.
-                    (Standing::Lost(_), Standing::Lost(_)) => {}
-                    (_, Standing::Lost(_)) => all.push((*at, "lost")),
-                    (Standing::Lost(_), Standing::Returning { .. }) => all.push((*at, "returning")),
-                    (_, Standing::Sound) => all.push((*at, "sound")),
+                    (SiteState::Lost(_), SiteState::Lost(_)) => {}
+                    (_, SiteState::Lost(_)) => all.push((*at, "lost")),
+                    (SiteState::Lost(_), SiteState::Returning { .. }) => {
+                        all.push((*at, "returning"));
+                    }
+                    (_, SiteState::Healthy) => all.push((*at, "sound")),
                     _ => {}
                 }
             }
--- a/lab/tests/sim_sites.rs
+++ b/lab/tests/sim_sites.rs
@@ -1,7 +1,7 @@
 //! The loss and the return of a site in memory, by seed: the promise of the site plan.
 
 use rstest::rstest;
-use whinhaven::fleet::sites::epoch::{Effect, Standing};
+use whinhaven::fleet::sites::epoch::{Effect, SiteState};
 use whinhaven_lab::sim_sites::{Day, Rule, run};
 
 /// No host falls over, neither a survivor's nor a cold one; nothing is refused out of order; the return comes once and
@@ -15,8 +15,8 @@
     let words: Vec<_> = plan.standings().into_iter().map(|(_, what)| what).collect();
     assert_eq!(words, ["lost", "returning", "sound"]);
     let steps = plan.agreed.iter().filter_map(|(_, effect)| match effect {
-        Effect::Standing {
-            to: Standing::Returning { step, held, .. },
+        Effect::SiteChanged {
+            to: SiteState::Returning { step, held, .. },
             ..
         } => Some((*step, *held)),
         _ => None,
--- a/src/config.rs
+++ b/src/config.rs
@@ -311,7 +311,7 @@
                     .map_err(|e| ConfigError(format!("sites: {e}")))?;
                 let sites =
                     Sites::new(tables, &settings).map_err(|e| ConfigError(e.to_string()))?;
-                if sites.site(fleet.site.as_str()).is_none() {
+                if sites.site_index(fleet.site.as_str()).is_none() {
                     let what = format!(
                         "fleet.site: {} is not among [[sites.site]]",
                         fleet.site.as_str()
--- a/src/fleet/sites/command.rs
+++ b/src/fleet/sites/command.rs
@@ -1,6 +1,6 @@
 //! `whinhaven sites plan FILE --lose SITE`: prints, and draws, what a plan does.
 
-use super::describe::{DescribeError, Fleet};
+use super::describe::{Fleet, SitesConfigError};
 use super::plan::{Limit, Loss, Missing, Plan, PlanError, Plans};
 use super::ramp;
 use super::svg::Svg;
@@ -43,14 +43,14 @@
 /// What of a site is lost.
 #[derive(Clone, Copy, Debug, ValueEnum)]
 pub enum Part {
-    /// Conductors and hosts.
+    /// Routers and hosts.
     All,
     /// Its hosts.
     Hosts,
     /// Half of its hosts.
     Half,
     /// Its conductors.
-    Conductors,
+    Routers,
 }
 
 /// Why there is no plan to print.
@@ -61,7 +61,7 @@
     Config(#[from] ConfigError),
     /// Its `[sites]` tables can't.
     #[error(transparent)]
-    Describe(#[from] DescribeError),
+    Describe(#[from] SitesConfigError),
     /// No plan was found.
     #[error("sites: {0}")]
     Plan(#[from] PlanError),
@@ -95,7 +95,7 @@
         let text = std::fs::read_to_string(&self.file).map_err(|e| at(&self.file, e))?;
         let settings = Config::from_toml(&text)?.settings;
         let fleet = Fleet::from_toml(&text, &settings)?;
-        let mut loss = Loss::none(fleet.sites());
+        let mut loss = Loss::none(fleet.site_count());
         for name in &self.lose {
             let names = || {
                 fleet
@@ -107,17 +107,17 @@
                     .join(", ")
             };
             let site = fleet
-                .site(name)
+                .site_index(name)
                 .ok_or_else(|| CommandError::NoSite(name.clone(), names()))?;
             loss.0[site] = match self.part {
                 Part::All => Missing::All,
                 Part::Hosts => Missing::Hosts,
                 Part::Half => Missing::HalfHosts,
-                Part::Conductors => Missing::Entries,
+                Part::Routers => Missing::Routers,
             };
         }
         let mut plans = Plans::new(fleet)?;
-        plans.get_or_make(&loss)?;
+        plans.get_or_compute(&loss)?;
         print!("{}", report(&plans, &loss));
         if let Some(path) = &self.svg {
             std::fs::write(path, draw(&plans, &loss)).map_err(|e| at(path, e))?;
@@ -144,7 +144,7 @@
         let name = fleet.site_name(s);
         match m {
             Missing::Nothing => None,
-            Missing::Entries => Some(format!("{name} (its conductors)")),
+            Missing::Routers => Some(format!("{name} (its conductors)")),
             Missing::HalfHosts => Some(format!("{name} (half of its hosts)")),
             Missing::Hosts => Some(format!("{name} (its hosts)")),
             Missing::All => Some(format!("{name} (conductors and hosts)")),
@@ -161,7 +161,8 @@
 /// The plan for a loss in words and figures; empty if none was made.
 pub fn report(plans: &Plans, loss: &Loss) -> String {
     let fleet = plans.fleet();
-    let (Some(plan), Some(usual)) = (plans.get(loss), plans.get(&Loss::none(fleet.sites()))) else {
+    let (Some(plan), Some(usual)) = (plans.get(loss), plans.get(&Loss::none(fleet.site_count())))
+    else {
         return String::new();
     };
     let mut out = String::new();
@@ -223,18 +224,18 @@
         "after",
         percent(fleet.tables.fill)
     ));
-    for s in 0..fleet.sites() {
+    for s in 0..fleet.site_count() {
         for limit in [
-            Limit::Read(s),
-            Limit::ReadMemory(s),
-            Limit::Write(s),
-            Limit::WriteMemory(s),
+            Limit::PrefillRate(s),
+            Limit::PrefillMemory(s),
+            Limit::DecodeRate(s),
+            Limit::DecodeMemory(s),
         ] {
             let (before, after) = (usual.load(limit), plan.load(limit));
             let Some(before) = before else { continue };
             let what = limit.name(fleet);
             let what = what.split(" at ").next().unwrap_or_default();
-            let first = matches!(limit, Limit::Read(_));
+            let first = matches!(limit, Limit::PrefillRate(_));
             let full = after.filter(|l| l.price > 1e-6);
             let full = full.map_or(String::new(), |l| {
                 if l.price < 0.5 {
@@ -297,12 +298,16 @@
             let mut refused = asks;
             for (e, part) in falls.iter().enumerate().filter(|(_, part)| **part > 0.0) {
                 // Its clients go the ways of all that come in there, as far as their tenants are taken.
-                let taken: f64 = (fleet.demand[c].iter().zip(&plan.course.levels[c]))
+                let taken: f64 = (fleet.demand[c].iter().zip(&plan.allocation.levels[c]))
                     .map(|(d, l)| d[site] * part * l[e])
                     .sum();
                 refused -= taken;
-                let all = plan.course.taken(c, e);
-                for (w, way) in plan.course.ways().filter(|(w, _)| w[0] == c && w[1] == e) {
+                let all = plan.allocation.taken(c, e);
+                for (w, way) in plan
+                    .allocation
+                    .ways()
+                    .filter(|(w, _)| w[0] == c && w[1] == e)
+                {
                     let name = |s: usize| fleet.site_name(s);
                     let mut links: Vec<String> = Vec::new();
                     for (a, b) in [(e, w[2]), (w[2], w[3])] {
@@ -357,9 +362,9 @@
 
     if loss.0.iter().any(|m| *m != Missing::Nothing) {
         let most = plans
-            .most(&Loss::none(fleet.sites()))
-            .unwrap_or_else(|| usual.course.clone());
-        let first = plans.between(&plan.loss, &[&most], &plan.course);
+            .upper_bound(&Loss::none(fleet.site_count()))
+            .unwrap_or_else(|| usual.allocation.clone());
+        let first = plans.intermediate(&plan.loss, &[&most], &plan.allocation);
         line(String::new());
         line("UNTIL ALL CONDUCTORS HAVE AGREED".into());
         line(format!(
@@ -372,7 +377,7 @@
         .0
         .iter()
         .enumerate()
-        .filter(|(_, m)| m.hosts_left() < 1.0)
+        .filter(|(_, m)| m.remaining_hosts() < 1.0)
     {
         let (watch, set) = (&fleet.tables.watch, &fleet.tables.ramp);
         line(String::new());
@@ -386,12 +391,12 @@
             (watch.hold_down_ms << watch.most_doublings.min(16)) as f64 / 1e3
         ));
         line("  step   its hosts' part of their usual load   not before".into());
-        for (k, step) in ramp::steps(fleet, site).iter().enumerate() {
+        for (k, step) in ramp::return_steps(fleet, site).iter().enumerate() {
             line(format!(
                 "  {:>4}   {:>36}   {:>7.1} s",
                 k + 1,
                 percent(step.share),
-                step.at_s
+                step.earliest_s
             ));
         }
         line(format!(
@@ -412,10 +417,11 @@
 /// The plan for a loss as a drawing: loads before and after, ways of the lost load, refusals, the return.
 pub fn draw(plans: &Plans, loss: &Loss) -> String {
     let fleet = plans.fleet();
-    let (Some(plan), Some(usual)) = (plans.get(loss), plans.get(&Loss::none(fleet.sites()))) else {
+    let (Some(plan), Some(usual)) = (plans.get(loss), plans.get(&Loss::none(fleet.site_count())))
+    else {
         return Svg::new(10.0, 10.0).finish();
     };
-    let sites = fleet.sites();
+    let sites = fleet.site_count();
     let loads_height = 40.0 + sites as f64 * 74.0;
     let order_height = 50.0 + plan.order.len().min(24) as f64 * 18.0;
     let top = 60.0;
@@ -450,14 +456,14 @@
         "Load before (light) and after (dark)",
     );
     let (left, width) = (190.0, 300.0);
-    for s in 0..fleet.sites() {
+    for s in 0..fleet.site_count() {
         let y = top + 28.0 + s as f64 * 74.0;
         svg.text((20.0, y + 14.0), 13.0, "start", fleet.site_name(s));
         let limits = [
-            Limit::Read(s),
-            Limit::ReadMemory(s),
-            Limit::Write(s),
-            Limit::WriteMemory(s),
+            Limit::PrefillRate(s),
+            Limit::PrefillMemory(s),
+            Limit::DecodeRate(s),
+            Limit::DecodeMemory(s),
         ];
         for (i, limit) in limits.into_iter().enumerate() {
             let y = y + i as f64 * 16.0;
@@ -487,7 +493,7 @@
         "start",
         "Clients of what is lost: in at, read at, written at",
     );
-    let n = fleet.sites();
+    let n = fleet.site_count();
     let place = |column: f64, site: usize| {
         (
             left + 30.0 + column * 120.0,
@@ -504,10 +510,14 @@
         let falls = plan.falls(fleet, *site);
         for (c, demand) in fleet.demand.iter().enumerate() {
             for (e, part) in falls.iter().enumerate().filter(|(_, part)| **part > 0.0) {
-                let levels = demand.iter().zip(&plan.course.levels[c]);
+                let levels = demand.iter().zip(&plan.allocation.levels[c]);
                 let taken: f64 = levels.map(|(d, l)| d[*site] * part * l[e]).sum();
-                let all = plan.course.taken(c, e).max(1e-9);
-                for (w, way) in plan.course.ways().filter(|(w, _)| w[0] == c && w[1] == e) {
+                let all = plan.allocation.taken(c, e).max(1e-9);
+                for (w, way) in plan
+                    .allocation
+                    .ways()
+                    .filter(|(w, _)| w[0] == c && w[1] == e)
+                {
                     let v = way / all * taken;
                     for band in [(0, *site, e), (1, e, w[2]), (2, w[2], w[3])] {
                         *sums.entry(band).or_insert(0.0) += v;
@@ -538,8 +548,8 @@
     for column in 0..4 {
         for s in (0..n).filter(|s| match column {
             0 => lost.contains(s),
-            1 => !plan.loss.0[*s].entries(),
-            _ => plan.loss.0[*s].hosts_left() > 0.0,
+            1 => !plan.loss.0[*s].routers_missing(),
+            _ => plan.loss.0[*s].remaining_hosts() > 0.0,
         }) {
             let (x, y) = place(f64::from(column), s);
             svg.text((x, y - 14.0), 10.0, "middle", fleet.site_name(s));
@@ -572,10 +582,11 @@
 }
 
 fn draw_return(svg: &mut Svg, fleet: &Fleet, plan: &Plan, (left, top, height): (f64, f64, f64)) {
-    let Some(site) = (0..fleet.sites()).find(|s| plan.loss.0[*s].hosts_left() < 1.0) else {
+    let Some(site) = (0..fleet.site_count()).find(|s| plan.loss.0[*s].remaining_hosts() < 1.0)
+    else {
         return;
     };
-    let steps = ramp::steps(fleet, site);
+    let steps = ramp::return_steps(fleet, site);
     let name = fleet.site_name(site);
     svg.text(
         (left, top + 14.0),
@@ -584,17 +595,17 @@
         &format!("Return of {name}: part of its usual load, by seconds"),
     );
     let held = fleet.tables.ramp.step_ms as f64 / 1e3;
-    let whole = steps.last().map_or(1.0, |s| s.at_s) + held;
+    let whole = steps.last().map_or(1.0, |s| s.earliest_s) + held;
     let (x0, y0, w, h) = (left + 30.0, top + height - 30.0, 360.0, height - 60.0);
     svg.line((x0, y0), (x0 + w, y0), 1.0, GRID);
     svg.line((x0, y0 - h), (x0 + w, y0 - h), 1.0, GRID);
     svg.text((x0 - 4.0, y0 - h + 4.0), 9.0, "end", "100%");
     for (i, step) in steps.iter().enumerate() {
-        let until = steps.get(i + 1).map_or(whole, |s| s.at_s);
+        let until = steps.get(i + 1).map_or(whole, |s| s.earliest_s);
         let bars = h * step.share;
         svg.rect(
-            (x0 + w * step.at_s / whole, y0 - bars),
-            (w * (until - step.at_s) / whole, bars),
+            (x0 + w * step.earliest_s / whole, y0 - bars),
+            (w * (until - step.earliest_s) / whole, bars),
             AFTER,
         );
     }
@@ -602,7 +613,7 @@
     for i in 0..marks {
         let at = |i: i32| {
             let t = whole * f64::from(i) / f64::from(marks);
-            (x0 + w * t / whole, y0 - h * fleet.bears(site, t))
+            (x0 + w * t / whole, y0 - h * fleet.warm_share(site, t))
         };
         svg.line(at(i), at(i + 1), 1.5, LOST);
     }
--- a/src/fleet/sites/describe.rs
+++ b/src/fleet/sites/describe.rs
@@ -19,7 +19,7 @@
 /// The `[sites]` tables can't be used; one line that names the row and the field.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("sites: {0}")]
-pub struct DescribeError(pub String);
+pub struct SitesConfigError(pub String);
 
 /// A site.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -28,8 +28,8 @@
     /// Its name: the zone of its hosts and conductors.
     pub name: String,
     /// Its conductors; each one's part of the site's plan is one of so many.
-    #[serde(default = "one")]
-    pub conductors: u32,
+    #[serde(rename = "conductors", default = "one")]
+    pub routers: u32,
     /// Where its clients come in while it is lost, as parts; empty: evenly at all other sites.
     #[serde(default)]
     pub falls_to: BTreeMap<String, f64>,
@@ -250,19 +250,19 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Capacity {
     /// Prompt tokens a second that its readers read.
-    pub read: f64,
+    pub prefill_tokens_per_s: f64,
     /// Tokens that its readers keep.
-    pub read_memory: f64,
+    pub prefill_memory_tokens: f64,
     /// Answer tokens a second that its writers stream.
-    pub write: f64,
+    pub decode_tokens_per_s: f64,
     /// Tokens that its writers keep.
-    pub write_memory: f64,
+    pub decode_memory_tokens: f64,
     /// The same four of the hosts that do both; one of them does either at a time.
     pub mixed: [f64; 4],
     /// Seconds that a reader with all slots taken needs for a token, times its slots.
-    pub read_token_s: f64,
+    pub prefill_slot_s_per_token: f64,
     /// Seconds between two tokens of a stream.
-    pub token_s: f64,
+    pub stream_s_per_token: f64,
     /// The part of its capacity with which its coldest kind starts.
     pub cold_from: f64,
     /// Seconds until its slowest kind is warm.
@@ -300,16 +300,16 @@
     ///
     /// # Errors
     /// Names the row and the field at fault.
-    pub fn from_toml(text: &str, settings: &ModuleSettings) -> Result<Self, DescribeError> {
+    pub fn from_toml(text: &str, settings: &ModuleSettings) -> Result<Self, SitesConfigError> {
         let file: File = toml::from_str(text).map_err(|e| {
             let line = e.span().map_or(0, |s| {
                 text[..s.start.min(text.len())].lines().count().max(1)
             });
-            DescribeError(format!("line {line}: {}", e.message().replace('\n', " ")))
+            SitesConfigError(format!("line {line}: {}", e.message().replace('\n', " ")))
         })?;
         let tables = file
             .sites
-            .ok_or_else(|| DescribeError("the file has no [sites] tables".into()))?;
+            .ok_or_else(|| SitesConfigError("the file has no [sites] tables".into()))?;
         Self::new(tables, settings)
     }
 
@@ -317,8 +317,8 @@
     ///
     /// # Errors
     /// Names the row and the field at fault.
-    pub fn new(tables: Tables, settings: &ModuleSettings) -> Result<Self, DescribeError> {
-        let fault = |what: String| Err(DescribeError(what));
+    pub fn new(tables: Tables, settings: &ModuleSettings) -> Result<Self, SitesConfigError> {
+        let fault = |what: String| Err(SitesConfigError(what));
         let lengths = [
             tables.site.len(),
             tables.hosts.len(),
@@ -339,7 +339,7 @@
             if fits {
                 Ok(())
             } else {
-                Err(DescribeError(format!(
+                Err(SitesConfigError(format!(
                     "{name}: {value} is not within 0 to 1"
                 )))
             }
@@ -351,7 +351,7 @@
             if fits {
                 Ok(value)
             } else {
-                Err(DescribeError(format!("{name}: {value} can't be used")))
+                Err(SitesConfigError(format!("{name}: {value} can't be used")))
             }
         };
         plain("hold_s".into(), tables.hold_s)?;
@@ -368,10 +368,10 @@
         let n = tables.site.len();
         let site = |row: &str, name: &str| {
             let found = tables.site.iter().position(|s| s.name == name);
-            found.ok_or_else(|| DescribeError(format!("{row}: there is no site {name:?}")))
+            found.ok_or_else(|| SitesConfigError(format!("{row}: there is no site {name:?}")))
         };
         for s in &tables.site {
-            if s.conductors == 0 {
+            if s.routers == 0 {
                 return fault(format!("site {}: conductors is 0", s.name));
             }
             for (to, parts) in &s.falls_to {
@@ -392,7 +392,7 @@
         for h in &tables.hosts {
             let row = format!("hosts {} at {}", h.kind, h.site);
             let at = site(&row, &h.site)?;
-            let role = role(h, settings).map_err(DescribeError)?;
+            let role = role(h, settings).map_err(SitesConfigError)?;
             let (reads, writes) = (role != Role::Decode, role != Role::Prefill);
             plain(format!("{row}: memory_tokens"), h.memory_tokens)?;
             plain(format!("{row}: tokens_per_s"), h.tokens_per_s)?;
@@ -428,19 +428,19 @@
                     *sum += v;
                 }
             } else {
-                c.read += read[0];
-                c.read_memory += read[1];
-                c.write += write[0];
-                c.write_memory += write[1];
+                c.prefill_tokens_per_s += read[0];
+                c.prefill_memory_tokens += read[1];
+                c.decode_tokens_per_s += write[0];
+                c.decode_memory_tokens += write[1];
             }
             let w = &mut weights[at];
             if reads {
                 w[0] += count * slots;
-                c.read_token_s += count * slots * slots / h.tokens_per_s;
+                c.prefill_slot_s_per_token += count * slots * slots / h.tokens_per_s;
             }
             if writes {
                 w[1] += count * slots;
-                c.token_s += count * slots * h.token_ms / 1e3;
+                c.stream_s_per_token += count * slots * h.token_ms / 1e3;
             }
             let from = h.cold_from.unwrap_or(if settings.slow_start_duration > 0 {
                 settings.slow_start_initial_capacity
@@ -460,8 +460,8 @@
             c.cold_s = c.cold_s.max(cold_s);
         }
         for (c, w) in capacity.iter_mut().zip(&weights) {
-            c.read_token_s /= w[0].max(1.0);
-            c.token_s /= w[1].max(1.0);
+            c.prefill_slot_s_per_token /= w[0].max(1.0);
+            c.stream_s_per_token /= w[1].max(1.0);
         }
         let mut worth = Vec::new();
         for c in &tables.classes {
@@ -505,10 +505,10 @@
             let row = format!("demand of {} at {}", d.class, d.site);
             let class = tables.classes.iter().position(|c| c.name == d.class);
             let class =
-                class.ok_or_else(|| DescribeError(format!("{row}: there is no such class")))?;
+                class.ok_or_else(|| SitesConfigError(format!("{row}: there is no such class")))?;
             let tenant = tenants.iter().position(|t| *t == d.tenant);
             let tenant = tenant.ok_or_else(|| {
-                DescribeError(format!("{row}: there is no tenant {:?}", d.tenant))
+                SitesConfigError(format!("{row}: there is no tenant {:?}", d.tenant))
             })?;
             demand[class][tenant][site(&row, &d.site)?] += plain(format!("{row}: per_s"), d.per_s)?;
         }
@@ -525,7 +525,7 @@
             links[b][a] = links[a][b];
         }
         let bytes =
-            postcard::to_stdvec(&(&tables, &worth)).map_err(|e| DescribeError(e.to_string()))?;
+            postcard::to_stdvec(&(&tables, &worth)).map_err(|e| SitesConfigError(e.to_string()))?;
         let fingerprint = xxhash_rust::xxh3::xxh3_64(&bytes);
         Ok(Fleet {
             tables,
@@ -540,12 +540,12 @@
     }
 
     /// Number of sites.
-    pub fn sites(&self) -> usize {
+    pub fn site_count(&self) -> usize {
         self.tables.site.len()
     }
 
     /// Number of classes.
-    pub fn classes(&self) -> usize {
+    pub fn class_count(&self) -> usize {
         self.tables.classes.len()
     }
 
@@ -555,12 +555,12 @@
     }
 
     /// The number of a site by its name.
-    pub fn site(&self, name: &str) -> Option<usize> {
+    pub fn site_index(&self, name: &str) -> Option<usize> {
         self.tables.site.iter().position(|s| s.name == name)
     }
 
     /// The part of its capacity that a returning site bears this many seconds after its coldest host started.
-    pub fn bears(&self, site: usize, seconds: f64) -> f64 {
+    pub fn warm_share(&self, site: usize, seconds: f64) -> f64 {
         let c = &self.capacity[site];
         if seconds >= c.cold_s {
             1.0
@@ -570,11 +570,11 @@
     }
 }
 
-fn unique<'a>(row: &str, names: impl Iterator<Item = &'a str>) -> Result<(), DescribeError> {
+fn unique<'a>(row: &str, names: impl Iterator<Item = &'a str>) -> Result<(), SitesConfigError> {
     let mut seen = std::collections::BTreeSet::new();
     for name in names {
         if name.is_empty() || !seen.insert(name) {
-            return Err(DescribeError(format!(
+            return Err(SitesConfigError(format!(
                 "{row}: the name {name:?} is empty or there twice"
             )));
         }
--- a/src/fleet/sites/epoch.rs
+++ b/src/fleet/sites/epoch.rs
@@ -1,10 +1,10 @@
 //! What the group agrees on: which sites are lost, how far a return has come, and whether all conductors have stepped.
 //!
-//! One [`Table`] is part of the group's applied state. It has no clock. Every command that changes what conductors do
+//! One [`SiteTable`] is part of the group's applied state. It has no clock. Every command that changes what conductors do
 //! raises the epoch; those that pace something name the epoch they were made for and are refused under any other, so
 //! that none is applied twice, late or out of order.
 
-use super::plan::{Course, Loss, Missing, PlanError, Plans};
+use super::plan::{Allocation, Loss, Missing, PlanError, Plans};
 use super::ramp;
 use crate::fleet::{NameError, SiteName};
 use serde::{Deserialize, Serialize};
@@ -16,24 +16,24 @@
 /// Most changes in a row before all conductors have stepped; further ones wait.
 const MOST_CHANGES: usize = 4;
 /// A whole share, in millionths.
-const WHOLE: u32 = 1_000_000;
+const FULL_SHARE: u32 = 1_000_000;
 
 /// Something to agree on.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Command {
     /// Other plans are in force from now on; refused while any site is not sound.
-    Plans {
+    InstallPlans {
         /// Their fingerprint.
         plans: u64,
         /// Each site, in the order of the file, with the shares of the steps of its return in millionths.
         sites: Vec<(SiteName, Vec<u32>)>,
     },
     /// A site's conductors see that something is missing of another site, or that nothing is any more.
-    Say {
+    ReportMissing {
         /// The site that sees it.
-        by: SiteName,
+        observer: SiteName,
         /// The site that it is about.
-        of: SiteName,
+        site: SiteName,
         /// What is missing.
         missing: Missing,
         /// The fingerprint of the plans that the speaker has.
@@ -45,21 +45,21 @@
         epoch: u64,
     },
     /// Try the next step of a return.
-    Step {
+    TryStep {
         /// The epoch that this was made for.
         epoch: u64,
         /// The returning site.
         site: SiteName,
     },
     /// The step that was tried has held; it is never gone back behind.
-    Hold {
+    HoldStep {
         /// The epoch that this was made for.
         epoch: u64,
         /// The returning site.
         site: SiteName,
     },
     /// The step that is tried is bad: back to the last one that held.
-    Back {
+    StepBack {
         /// The epoch that this was made for.
         epoch: u64,
         /// The returning site.
@@ -72,17 +72,19 @@
     ///
     /// # Errors
     /// A site's name that can't be one.
-    pub fn plans(plans: &Plans) -> Result<Command, NameError> {
+    pub fn install_plans(plans: &Plans) -> Result<Command, NameError> {
         let fleet = plans.fleet();
         let site = |site: usize| {
-            let shares = ramp::steps(fleet, site).into_iter();
+            let shares = ramp::return_steps(fleet, site).into_iter();
             let shares = shares
-                .map(|s| (s.share * f64::from(WHOLE)).floor() as u32)
+                .map(|s| (s.share * f64::from(FULL_SHARE)).floor() as u32)
                 .collect();
             Ok((SiteName::try_from(fleet.site_name(site))?, shares))
         };
-        let sites = (0..fleet.sites()).map(site).collect::<Result<_, _>>()?;
-        Ok(Command::Plans {
+        let sites = (0..fleet.site_count())
+            .map(site)
+            .collect::<Result<_, _>>()?;
+        Ok(Command::InstallPlans {
             plans: plans.fingerprint(),
             sites,
         })
@@ -91,10 +93,10 @@
 
 /// What is agreed of a site.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Standing {
+pub enum SiteState {
     /// All of it serves.
     #[default]
-    Sound,
+    Healthy,
     /// Something is missing.
     Lost(Missing),
     /// Nothing is missing any more, and its load comes back.
@@ -112,11 +114,11 @@
 
 /// What is in force for each site: what is missing, and which part of that has come back, in millionths.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Stand(pub Vec<(Missing, u32)>);
+pub struct Condition(pub Vec<(Missing, u32)>);
 
-impl Stand {
-    fn sound(sites: usize) -> Self {
-        Stand(vec![(Missing::Nothing, WHOLE); sites])
+impl Condition {
+    fn healthy(sites: usize) -> Self {
+        Condition(vec![(Missing::Nothing, FULL_SHARE); sites])
     }
 
     /// What is missing, whatever has come back of it.
@@ -128,19 +130,20 @@
     ///
     /// # Errors
     /// As [`super::plan::make`], for a loss that was not prepared.
-    pub fn courses(&self, plans: &mut Plans) -> Result<(Course, Course), PlanError> {
+    pub fn allocations(&self, plans: &mut Plans) -> Result<(Allocation, Allocation), PlanError> {
         let (loss, sites) = (self.loss(), self.0.len());
-        let course = |plans: &mut Plans, loss: &Loss| -> Result<(Course, Course), PlanError> {
-            let plan = plans.get_or_make(loss)?.course.clone();
-            let most = plans.most(loss).unwrap_or_else(|| plan.clone());
-            Ok((plan, most))
-        };
-        let (mut plan, mut most) = course(plans, &loss)?;
+        let allocation =
+            |plans: &mut Plans, loss: &Loss| -> Result<(Allocation, Allocation), PlanError> {
+                let plan = plans.get_or_compute(loss)?.allocation.clone();
+                let most = plans.upper_bound(loss).unwrap_or_else(|| plan.clone());
+                Ok((plan, most))
+            };
+        let (mut plan, mut most) = allocation(plans, &loss)?;
         for site in 0..sites {
             let share = self.0[site].1;
             if self.0[site].0 != Missing::Nothing && share > 0 {
-                let (to, to_most) = course(plans, &loss.with(site, Missing::Nothing))?;
-                let part = f64::from(share) / f64::from(WHOLE);
+                let (to, to_most) = allocation(plans, &loss.with(site, Missing::Nothing))?;
+                let part = f64::from(share) / f64::from(FULL_SHARE);
                 (plan, most) = (plan.toward(&to, part), most.toward(&to_most, part));
             }
         }
@@ -151,16 +154,16 @@
 /// Something that came of a command.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Effect {
-    /// A site stands otherwise.
-    Standing {
+    /// A site conditions otherwise.
+    SiteChanged {
         /// The epoch from which on.
         epoch: u64,
         /// The site.
         site: SiteName,
         /// Before.
-        from: Standing,
+        from: SiteState,
         /// Now.
-        to: Standing,
+        to: SiteState,
     },
     /// All conductors have stepped.
     Settled {
@@ -174,13 +177,13 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 struct Row {
     /// What each other site says is missing of it.
-    said: BTreeMap<usize, Missing>,
-    standing: Standing,
+    reported: BTreeMap<usize, Missing>,
+    state: SiteState,
 }
 
 /// The agreed state of all sites.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Table {
+pub struct SiteTable {
     names: Vec<SiteName>,
     /// For each site the shares of the steps of its return, in millionths.
     steps: Vec<Vec<u32>>,
@@ -188,17 +191,17 @@
     epoch: u64,
     rows: Vec<Row>,
     /// What conductors may still be acting by, oldest first; the last is where all go.
-    chain: Vec<Stand>,
+    chain: Vec<Condition>,
 }
 
-impl Table {
+impl SiteTable {
     /// All sites are sound under these plans.
     ///
     /// # Errors
     /// A site's name that can't be one.
     pub fn new(plans: &Plans) -> Result<Self, NameError> {
-        let mut table = Table::default();
-        table.apply(Command::plans(plans)?, &mut Vec::new());
+        let mut table = SiteTable::default();
+        table.apply(Command::install_plans(plans)?, &mut Vec::new());
         Ok(table)
     }
 
@@ -218,15 +221,15 @@
     }
 
     /// What is agreed of a site.
-    pub fn standing(&self, site: usize) -> Standing {
-        self.rows.get(site).map_or(Standing::Sound, |r| r.standing)
+    pub fn state(&self, site: usize) -> SiteState {
+        self.rows.get(site).map_or(SiteState::Healthy, |r| r.state)
     }
 
-    /// What a site has said is missing of another.
-    pub fn said(&self, by: usize, of: usize) -> Missing {
+    /// What a site has reported is missing of another.
+    pub fn reported(&self, by: usize, of: usize) -> Missing {
         self.rows
             .get(of)
-            .and_then(|r| r.said.get(&by))
+            .and_then(|r| r.reported.get(&by))
             .copied()
             .unwrap_or_default()
     }
@@ -237,7 +240,7 @@
     }
 
     /// What is in force, oldest first; the last is where all go.
-    pub fn chain(&self) -> &[Stand] {
+    pub fn chain(&self) -> &[Condition] {
         &self.chain
     }
 
@@ -246,23 +249,23 @@
     ///
     /// # Errors
     /// As [`super::plan::make`], for a loss that was not prepared.
-    pub fn courses(&self, plans: &mut Plans) -> Result<(Course, Course), PlanError> {
-        if let Some(courses) = plans.kept_courses(&self.chain) {
-            return Ok(courses);
+    pub fn allocations(&self, plans: &mut Plans) -> Result<(Allocation, Allocation), PlanError> {
+        if let Some(allocations) = plans.kept_courses(&self.chain) {
+            return Ok(allocations);
         }
-        let mut stands = self.chain.iter();
-        let first = stands
+        let mut conditions = self.chain.iter();
+        let first = conditions
             .next()
             .cloned()
-            .unwrap_or_else(|| Stand::sound(self.rows.len()));
-        let (mut plan, most) = first.courses(plans)?;
+            .unwrap_or_else(|| Condition::healthy(self.rows.len()));
+        let (mut plan, most) = first.allocations(plans)?;
         let mut in_force = vec![most.clone()];
         let mut here = most;
-        for stand in stands {
-            let (to_plan, to_most) = stand.courses(plans)?;
+        for stand in conditions {
+            let (to_plan, to_most) = stand.allocations(plans)?;
             let loss = stand.loss();
-            let from: Vec<&Course> = in_force.iter().collect();
-            here = plans.between(&loss, &from, &to_most);
+            let from: Vec<&Allocation> = in_force.iter().collect();
+            here = plans.intermediate(&loss, &from, &to_most);
             plan = if here == to_most {
                 to_plan
             } else {
@@ -270,41 +273,45 @@
             };
             in_force.push(here.clone());
         }
-        let courses = (plan, here);
-        plans.keep_courses(&self.chain, &courses);
-        Ok(courses)
+        let allocations = (plan, here);
+        plans.keep_courses(&self.chain, &allocations);
+        Ok(allocations)
     }
 
     /// Applies a command of the log.
     pub fn apply(&mut self, command: Command, out: &mut Vec<Effect>) {
         let applied = match &command {
-            Command::Plans { plans, sites } => self.install(*plans, sites, out),
-            Command::Say {
-                by,
-                of,
+            Command::InstallPlans { plans, sites } => self.install(*plans, sites, out),
+            Command::ReportMissing {
+                observer,
+                site,
                 missing,
                 plans,
-            } => self.say(by, of, *missing, *plans, out),
+            } => self.report_missing(observer, site, *missing, *plans, out),
             Command::Settle { epoch } => self.settle(*epoch, out),
-            Command::Step { epoch, site } => self.pace(*epoch, site, out, |row, last| match row {
-                Standing::Returning { step, held, .. } if *step == *held && *step < last => {
-                    *step += 1;
-                    true
-                }
-                _ => false,
-            }),
-            Command::Hold { epoch, site } => self.pace(*epoch, site, out, |row, last| match row {
-                Standing::Returning { step, held, .. } if *step > *held => {
-                    *held = *step;
-                    if *step == last {
-                        *row = Standing::Sound;
+            Command::TryStep { epoch, site } => {
+                self.pace(*epoch, site, out, |row, last| match row {
+                    SiteState::Returning { step, held, .. } if *step == *held && *step < last => {
+                        *step += 1;
+                        true
                     }
-                    true
-                }
-                _ => false,
-            }),
-            Command::Back { epoch, site } => self.pace(*epoch, site, out, |row, _| match row {
-                Standing::Returning {
+                    _ => false,
+                })
+            }
+            Command::HoldStep { epoch, site } => {
+                self.pace(*epoch, site, out, |row, last| match row {
+                    SiteState::Returning { step, held, .. } if *step > *held => {
+                        *held = *step;
+                        if *step == last {
+                            *row = SiteState::Healthy;
+                        }
+                        true
+                    }
+                    _ => false,
+                })
+            }
+            Command::StepBack { epoch, site } => self.pace(*epoch, site, out, |row, _| match row {
+                SiteState::Returning {
                     step, held, backs, ..
                 } if *step > *held => {
                     *step = *held;
@@ -319,7 +326,7 @@
         }
     }
 
-    fn number(&self, name: &SiteName) -> Option<usize> {
+    fn index(&self, name: &SiteName) -> Option<usize> {
         self.names.iter().position(|n| n == name)
     }
 
@@ -330,7 +337,7 @@
         out: &mut Vec<Effect>,
     ) -> bool {
         let sound =
-            self.rows.iter().all(|r| r.standing == Standing::Sound) && self.chain.len() <= 1;
+            self.rows.iter().all(|r| r.state == SiteState::Healthy) && self.chain.len() <= 1;
         let bounded = (2..=MOST_SITES).contains(&sites.len())
             && sites
                 .iter()
@@ -341,28 +348,28 @@
         self.names = sites.iter().map(|(name, _)| name.clone()).collect();
         self.steps = sites.iter().map(|(_, steps)| steps.clone()).collect();
         self.rows = vec![Row::default(); sites.len()];
-        self.chain = vec![Stand::sound(sites.len())];
+        self.chain = vec![Condition::healthy(sites.len())];
         self.plans = plans;
         self.epoch += 1;
         out.push(Effect::Settled { epoch: self.epoch });
         true
     }
 
-    fn say(
+    fn report_missing(
         &mut self,
-        by: &SiteName,
-        of: &SiteName,
+        observer: &SiteName,
+        site: &SiteName,
         missing: Missing,
         plans: u64,
         out: &mut Vec<Effect>,
     ) -> bool {
-        let (Some(by), Some(of)) = (self.number(by), self.number(of)) else {
+        let (Some(observer), Some(site)) = (self.index(observer), self.index(site)) else {
             return false;
         };
-        if by == of || plans != self.plans {
+        if observer == site || plans != self.plans {
             return false;
         }
-        self.rows[of].said.insert(by, missing);
+        self.rows[site].reported.insert(observer, missing);
         self.review(out);
         true
     }
@@ -374,7 +381,7 @@
         self.chain.drain(..self.chain.len() - 1);
         self.epoch += 1;
         out.push(Effect::Settled { epoch: self.epoch });
-        // What was said meanwhile and had to wait.
+        // What was reported meanwhile and had to wait.
         self.review(out);
         true
     }
@@ -384,22 +391,22 @@
         epoch: u64,
         site: &SiteName,
         out: &mut Vec<Effect>,
-        change: impl Fn(&mut Standing, u16) -> bool,
+        change: impl Fn(&mut SiteState, u16) -> bool,
     ) -> bool {
-        let Some(site) = self.number(site) else {
+        let Some(site) = self.index(site) else {
             return false;
         };
         // A step back may be agreed on before all have stepped up.
         if epoch != self.epoch || self.chain.len() >= MOST_CHANGES {
             return false;
         }
-        let (from, last) = (self.rows[site].standing, self.steps[site].len() as u16);
+        let (from, last) = (self.rows[site].state, self.steps[site].len() as u16);
         let mut to = from;
         if !change(&mut to, last) {
             return false;
         }
         self.stand(site, to, out);
-        if to == Standing::Sound {
+        if to == SiteState::Healthy {
             self.review(out);
         }
         true
@@ -407,32 +414,34 @@
 
     /// What a majority of the sites that are not missing themselves says is missing of a site.
     fn agreed(&self, of: usize) -> Missing {
-        let whole =
-            |site: usize| !matches!(self.rows[site].standing, Standing::Lost(m) if m.entries());
+        let whole = |site: usize| !matches!(self.rows[site].state, SiteState::Lost(m) if m.routers_missing());
         let voices: Vec<usize> = (0..self.rows.len())
             .filter(|s| *s != of && whole(*s))
             .collect();
         let most = |says: &dyn Fn(Missing) -> bool| {
-            let count = voices.iter().filter(|by| says(self.said(**by, of))).count();
+            let count = voices
+                .iter()
+                .filter(|by| says(self.reported(**by, of)))
+                .count();
             count > 0 && count * 2 > voices.len()
         };
-        let entries = most(&|m| m.entries());
+        let entries = most(&|m| m.routers_missing());
         match (
             entries,
-            most(&|m| m.hosts_left() <= 0.0),
-            most(&|m| m.hosts_left() < 1.0),
+            most(&|m| m.remaining_hosts() <= 0.0),
+            most(&|m| m.remaining_hosts() < 1.0),
         ) {
             (true, true, _) => Missing::All,
             // Nobody says of hosts that half of them serves while the conductors are gone: it counts as the whole.
             (true, false, true) => Missing::All,
-            (true, false, false) => Missing::Entries,
+            (true, false, false) => Missing::Routers,
             (false, true, _) => Missing::Hosts,
             (false, false, true) => Missing::HalfHosts,
             (false, false, false) => Missing::Nothing,
         }
     }
 
-    /// Draws the consequences of what is said, as far as the chain has room.
+    /// Draws the consequences of what is reported, as far as the chain has room.
     fn review(&mut self, out: &mut Vec<Effect>) {
         for site in 0..self.rows.len() {
             if self.chain.len() >= MOST_CHANGES {
@@ -444,14 +453,14 @@
                 .rows
                 .iter()
                 .enumerate()
-                .any(|(s, r)| s != site && matches!(r.standing, Standing::Returning { .. }));
-            let to = match (self.rows[site].standing, agreed) {
-                (Standing::Sound | Standing::Returning { .. }, Missing::Nothing) => {
+                .any(|(s, r)| s != site && matches!(r.state, SiteState::Returning { .. }));
+            let to = match (self.rows[site].state, agreed) {
+                (SiteState::Healthy | SiteState::Returning { .. }, Missing::Nothing) => {
                     continue;
                 }
-                (Standing::Lost(m), agreed) if m == agreed => continue,
-                (Standing::Lost(Missing::Entries), Missing::Nothing) => Standing::Sound,
-                (Standing::Lost(m), Missing::Nothing) => {
+                (SiteState::Lost(m), agreed) if m == agreed => continue,
+                (SiteState::Lost(Missing::Routers), Missing::Nothing) => SiteState::Healthy,
+                (SiteState::Lost(m), Missing::Nothing) => {
                     if other_returns {
                         continue;
                     }
@@ -460,39 +469,39 @@
                     } else {
                         Missing::Hosts
                     };
-                    Standing::Returning {
+                    SiteState::Returning {
                         from,
                         step: 0,
                         held: 0,
                         backs: 0,
                     }
                 }
-                (_, missing) => Standing::Lost(missing),
+                (_, missing) => SiteState::Lost(missing),
             };
             self.stand(site, to, out);
         }
     }
 
-    fn stand(&mut self, site: usize, to: Standing, out: &mut Vec<Effect>) {
-        let from = std::mem::replace(&mut self.rows[site].standing, to);
+    fn stand(&mut self, site: usize, to: SiteState, out: &mut Vec<Effect>) {
+        let from = std::mem::replace(&mut self.rows[site].state, to);
         self.epoch += 1;
-        out.push(Effect::Standing {
+        out.push(Effect::SiteChanged {
             epoch: self.epoch,
             site: self.names[site].clone(),
             from,
             to,
         });
-        let of = |(site, row): (usize, &Row)| match row.standing {
-            Standing::Sound => (Missing::Nothing, WHOLE),
-            Standing::Lost(missing) => (missing, 0),
-            Standing::Returning { from, step, .. } => {
+        let of = |(site, row): (usize, &Row)| match row.state {
+            SiteState::Healthy => (Missing::Nothing, FULL_SHARE),
+            SiteState::Lost(missing) => (missing, 0),
+            SiteState::Returning { from, step, .. } => {
                 let share = step
                     .checked_sub(1)
                     .and_then(|k| self.steps[site].get(usize::from(k)));
                 (from, share.copied().unwrap_or(0))
             }
         };
-        let stand = Stand(self.rows.iter().enumerate().map(of).collect());
+        let stand = Condition(self.rows.iter().enumerate().map(of).collect());
         if self.chain.last() != Some(&stand) {
             self.chain.push(stand);
         }
--- a/src/fleet/sites/lp.rs
+++ b/src/fleet/sites/lp.rs
@@ -15,7 +15,7 @@
         self.objective.len() - 1
     }
 
-    /// Adds a row; the number of it is where its price stands.
+    /// Adds a row; the number of it is where its price conditions.
     pub fn limit(&mut self, terms: Vec<(usize, f64)>, limit: f64) -> usize {
         self.rows.push((terms, limit));
         self.rows.len() - 1
--- a/src/fleet/sites/member.rs
+++ b/src/fleet/sites/member.rs
@@ -1,9 +1,9 @@
-//! One conductor's part in all of it: what it sees, what it says to the group, and the orders that it acts by.
+//! One conductor's part in all of it: what it sees, what it says to the group, and the allocation that it acts by.
 
-use super::epoch::{Command, Standing, Table};
-use super::plan::{Course, Missing, PlanError, Plans};
-use super::ramp::{self, Measured, Ramp};
-use super::refuse::Orders;
+use super::epoch::{Command, SiteState, SiteTable};
+use super::plan::{Allocation, Missing, PlanError, Plans};
+use super::ramp::{self, OutcomeCounts, Ramp};
+use super::refuse::RouterAllocation;
 use super::watch::{self, Change, Status, Watch};
 use crate::routing::types::Micros;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -17,17 +17,17 @@
     /// Time has passed.
     Tick,
     /// Something was seen.
-    Seen(watch::Event),
+    Observed(watch::Event),
     /// The agreed table has changed.
-    Table(Box<Table>),
+    Table(Box<SiteTable>),
     /// This conductor paces returns, or does no longer.
     Pacing(bool),
     /// Outcomes at hosts of a site.
-    Measured {
+    Outcomes {
         /// The site.
         site: usize,
-        /// What came.
-        measured: Measured,
+        /// Counts since the last report.
+        counts: OutcomeCounts,
     },
 }
 
@@ -36,8 +36,8 @@
 pub enum Action {
     /// Propose it to the group.
     Propose(Command),
-    /// Act by these orders from now on.
-    Orders(Box<Orders>),
+    /// Act by these allocation from now on.
+    Allocation(Box<RouterAllocation>),
     /// Try a connection to a host of the site, without a request, and say whether it was reached.
     Probe {
         /// The site.
@@ -45,15 +45,15 @@
     },
     /// For the history: what this conductor takes a site for has changed.
     Changed(Change),
-    /// A line for the operators: no plan for what is missing; the orders stand, without what can't be reached.
+    /// A line for the operators: no plan for what is missing; the allocation stand, without what can't be reached.
     NoPlan(String),
 }
 
-/// What orders follow from.
+/// What allocation follow from.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Basis {
     epoch: u64,
-    in_touch: bool,
+    leader_known: bool,
     seen: Vec<(Status, Missing)>,
 }
 
@@ -64,27 +64,27 @@
     seed: u64,
     watch: Watch,
     ramp: Ramp,
-    table: Table,
-    in_touch: bool,
+    table: SiteTable,
+    leader_known: bool,
     pacing: bool,
     /// When the plans here were last proposed to be in force.
     installed: Option<Micros>,
-    orders: Orders,
+    allocation: RouterAllocation,
     /// For each site how its word in the table differs from what is seen here.
     differs: Vec<Differs>,
-    /// What the orders were made from.
+    /// What the allocation were made from.
     made_from: Option<Basis>,
     lost_after: Micros,
     hold_down: Micros,
     agree: Micros,
 }
 
-/// What is seen here of a site, against what this conductor's own site has said of it.
+/// What is seen here of a site, against what this conductor's own site has reported of it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Differs {
-    /// What is seen here, what was said, since when they are these two.
+    /// What is seen here, what was reported, since when they are these two.
     both: Option<(Missing, Missing, Micros)>,
-    /// When this conductor last said it.
+    /// When this conductor last reported it.
     last: Option<Micros>,
     /// This conductor has held the site down itself, and has not seen its site's word agree since.
     held_down: bool,
@@ -97,14 +97,14 @@
         Member {
             entry,
             seed,
-            watch: Watch::new(fleet.tables.watch.clone(), fleet.sites(), entry),
+            watch: Watch::new(fleet.tables.watch.clone(), fleet.site_count(), entry),
             ramp: Ramp::new(fleet),
-            table: Table::default(),
-            in_touch: true,
+            table: SiteTable::default(),
+            leader_known: true,
             pacing: false,
             installed: None,
-            orders: Orders::default(),
-            differs: vec![Differs::default(); fleet.sites()],
+            allocation: RouterAllocation::default(),
+            differs: vec![Differs::default(); fleet.site_count()],
             lost_after: fleet.tables.watch.lost_after_ms * 1_000,
             made_from: None,
             hold_down: fleet.tables.watch.hold_down_ms * 1_000,
@@ -112,9 +112,9 @@
         }
     }
 
-    /// The orders in force.
-    pub fn orders(&self) -> &Orders {
-        &self.orders
+    /// The allocation in force.
+    pub fn allocation(&self) -> &RouterAllocation {
+        &self.allocation
     }
 
     /// What this conductor takes a site for.
@@ -141,9 +141,9 @@
                 self.watch.handle(now, watch::Event::Tick, &mut seen);
                 self.ramp.handle(now, ramp::Event::Tick, &mut commands);
             }
-            Event::Seen(event) => {
-                if let watch::Event::Group { in_touch } = event {
-                    self.in_touch = in_touch;
+            Event::Observed(event) => {
+                if let watch::Event::Leader { known } = event {
+                    self.leader_known = known;
                 }
                 self.watch.handle(now, event, &mut seen);
             }
@@ -157,16 +157,16 @@
                 self.ramp
                     .handle(now, ramp::Event::Pacing(pacing), &mut commands);
             }
-            Event::Measured { site, measured } => {
+            Event::Outcomes { site, counts } => {
                 self.ramp
-                    .handle(now, ramp::Event::Measured { site, measured }, &mut commands);
+                    .handle(now, ramp::Event::Outcomes { site, counts }, &mut commands);
             }
         }
         if self.pacing && self.table.plans() != plans.fingerprint() {
             let again = self
                 .installed
                 .is_none_or(|at| now.saturating_sub(at) >= self.agree);
-            if again && let Ok(command) = Command::plans(plans) {
+            if again && let Ok(command) = Command::install_plans(plans) {
                 self.installed = Some(now);
                 commands.push(command);
             }
@@ -177,11 +177,11 @@
             }
         }
         for site in 0..self.differs.len() {
-            let back = self.table.standing(site) == Standing::Sound
-                && self.table.said(self.entry, site) == Missing::Nothing;
+            let back = self.table.state(site) == SiteState::Healthy
+                && self.table.reported(self.entry, site) == Missing::Nothing;
             if back && self.watch.status(site).0 == Status::Returning {
                 self.watch
-                    .handle(now, watch::Event::Whole { site }, &mut seen);
+                    .handle(now, watch::Event::FullyRestored { site }, &mut seen);
             }
             self.speak(now, site, plans.fingerprint(), &mut commands);
         }
@@ -195,29 +195,32 @@
 
     /// Says to the group what is seen here, if the table has something else of this site.
     fn speak(&mut self, now: Micros, site: usize, plans: u64, out: &mut Vec<Command>) {
-        let said = self.table.said(self.entry, site);
+        let reported = self.table.reported(self.entry, site);
         let (status, missing, _) = self.watch.status(site);
         let sees = match status {
             // Others of this site may have seen for long enough already that it is back.
-            Status::Lost if self.watch.recovering(site) && said != Missing::All => said,
+            Status::Lost if self.watch.recovering(site) && reported != Missing::All => reported,
             Status::Lost => missing,
-            Status::Doubted => said,
-            Status::Sound | Status::Returning => Missing::Nothing,
+            Status::Suspect => reported,
+            Status::Healthy | Status::Returning => Missing::Nothing,
         };
         let other_plans = self.table.plans() != plans;
         let differs = &mut self.differs[site];
-        if site == self.entry || sees == said || other_plans || self.watch.cut_off() {
+        if site == self.entry || sees == reported || other_plans || self.watch.isolated() {
             differs.both = None;
-            differs.held_down &= sees != said;
+            differs.held_down &= sees != reported;
             return;
         }
-        if differs.both.is_none_or(|(a, b, _)| (a, b) != (sees, said)) {
-            differs.both = Some((sees, said, now));
+        if differs
+            .both
+            .is_none_or(|(a, b, _)| (a, b) != (sees, reported))
+        {
+            differs.both = Some((sees, reported, now));
         }
         let since = differs.both.map_or(now, |(.., since)| since);
-        // A first loss is said at once, and the end of one that was held down here. What another conductor of this
+        // A first loss is reported at once, and the end of one that was held down here. What another conductor of this
         // site has seen otherwise is contradicted only after a while: it may see more, or earlier.
-        let patience = match (said, sees) {
+        let patience = match (reported, sees) {
             (Missing::Nothing, _) => 0,
             (_, Missing::Nothing) if differs.held_down => 0,
             (Missing::All, Missing::Hosts) if self.watch.recovering(site) => 0,
@@ -231,33 +234,33 @@
         if now >= since + patience + spread && again {
             differs.last = Some(now);
             let names = self.table.names();
-            let (by, of) = (names[self.entry].clone(), names[site].clone());
-            out.push(Command::Say {
-                by,
-                of,
+            let (observer, site) = (names[self.entry].clone(), names[site].clone());
+            out.push(Command::ReportMissing {
+                observer,
+                site,
                 missing: sees,
                 plans,
             });
         }
     }
 
-    /// Makes the orders anew where anything that they follow from has changed.
+    /// Makes the allocation anew where anything that they follow from has changed.
     fn order(&mut self, plans: &mut Plans, out: &mut Vec<Action>) {
         let sites = self.differs.len();
         let seen = |s| {
             let (status, missing, _) = self.watch.status(s);
-            let matters =
-                matches!(status, Status::Doubted | Status::Lost) && missing.hosts_left() <= 0.0;
+            let matters = matches!(status, Status::Suspect | Status::Lost)
+                && missing.remaining_hosts() <= 0.0;
             if matters {
                 (status, missing)
             } else {
-                (Status::Sound, Missing::Nothing)
+                (Status::Healthy, Missing::Nothing)
             }
         };
         let seen = (0..sites).map(seen).collect();
         let from = Basis {
             epoch: self.table.epoch(),
-            in_touch: self.in_touch,
+            leader_known: self.leader_known,
             seen,
         };
         if self.made_from.as_ref() == Some(&from) {
@@ -273,13 +276,19 @@
             self.made_from = Some(from);
             return;
         }
-        match self.course(plans, &from.seen) {
+        match self.effective_allocations(plans, &from.seen) {
             Ok((plan, most, unusual)) => {
-                let orders =
-                    Orders::of(plans, &plan, &most, self.entry, self.table.epoch(), unusual);
-                if orders != self.orders {
-                    self.orders = orders.clone();
-                    out.push(Action::Orders(Box::new(orders)));
+                let allocation = RouterAllocation::for_router(
+                    plans,
+                    &plan,
+                    &most,
+                    self.entry,
+                    self.table.epoch(),
+                    unusual,
+                );
+                if allocation != self.allocation {
+                    self.allocation = allocation.clone();
+                    out.push(Action::Allocation(Box::new(allocation)));
                 }
             }
             Err(error) => out.push(Action::NoPlan(error.to_string())),
@@ -288,12 +297,12 @@
     }
 
     /// What this conductor does: what is agreed, and on top of it what it sees alone.
-    fn course(
+    fn effective_allocations(
         &self,
         plans: &mut Plans,
         seen: &[(Status, Missing)],
-    ) -> Result<(Course, Course, bool), PlanError> {
-        let (mut plan, mut most) = self.table.courses(plans)?;
+    ) -> Result<(Allocation, Allocation, bool), PlanError> {
+        let (mut plan, mut most) = self.table.allocations(plans)?;
         let Some(stand) = self.table.chain().last() else {
             return Ok((plan, most, false));
         };
@@ -302,17 +311,17 @@
         let mut alone = false;
         for (site, (status, missing)) in seen.iter().enumerate() {
             if *missing == Missing::Nothing
-                || loss.0[site].hosts_left() <= 0.0 && stand.0[site].1 == 0
+                || loss.0[site].remaining_hosts() <= 0.0 && stand.0[site].1 == 0
             {
                 continue;
             }
             alone = true;
             // The group can't be asked: by the prepared plan, as far as it harms nobody who has not stepped.
-            if *status == Status::Lost && !self.in_touch && !self.watch.cut_off() {
+            if *status == Status::Lost && !self.leader_known && !self.watch.isolated() {
                 loss.0[site] = *missing;
-                let to = plans.get_or_make(&loss)?.course.clone();
-                let to_most = plans.most(&loss).unwrap_or_else(|| to.clone());
-                most = plans.between(&loss, &[&most], &to_most);
+                let to = plans.get_or_compute(&loss)?.allocation.clone();
+                let to_most = plans.upper_bound(&loss).unwrap_or_else(|| to.clone());
+                most = plans.intermediate(&loss, &[&most], &to_most);
                 plan = if most == to_most { to } else { most.clone() };
             } else {
                 // Send nothing new there.
--- a/src/fleet/sites/plan.rs
+++ b/src/fleet/sites/plan.rs
@@ -1,8 +1,8 @@
 //! Plans: who serves what where while sites are missing, made ahead for each loss by a linear program.
 //!
 //! A request comes in at a site's conductors (its *entry*), is read at one site and written at one site; if these two
-//! differ, its state crosses their link. A [`Course`] says how many requests a second of each class go which way and
-//! which part of each class and tenant is taken at all. A [`Plan`] is the course for one [`Loss`], with its figures.
+//! differ, its state crosses their link. A [`Allocation`] says how many requests a second of each class go which way and
+//! which part of each class and tenant is taken at all. A [`Plan`] is the allocation for one [`Loss`], with its figures.
 
 #![allow(
     clippy::needless_range_loop,
@@ -10,7 +10,7 @@
 )]
 
 use super::describe::Fleet;
-use super::epoch::Stand;
+use super::epoch::Condition;
 use super::lp::Program;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
@@ -19,7 +19,7 @@
 const GUARANTEED: f64 = 1_000.0;
 /// A site refuses more of a class than the others only where that keeps this much more worth: else all refuse alike.
 const LOCAL: f64 = 1.05;
-/// Chains of stands whose courses are kept.
+/// Chains of conditions whose allocations are kept.
 const MOST_KEPT: usize = 16;
 /// More requests than a plan's, as a multiple, that a conductor takes at most where its limits bear them.
 const MOST_STRETCH: f64 = 4.0;
@@ -35,25 +35,36 @@
     #[default]
     Nothing,
     /// Its conductors: its clients come in elsewhere, its hosts serve.
-    Entries,
+    Routers,
     /// Half of its hosts.
     HalfHosts,
     /// Its hosts: its conductors take its clients in and send them elsewhere.
     Hosts,
-    /// Conductors and hosts.
+    /// Routers and hosts.
     All,
 }
 
 impl Missing {
+    /// The value written to the structured log.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            Missing::Nothing => "nothing",
+            Missing::Routers => "entries",
+            Missing::HalfHosts => "halfhosts",
+            Missing::Hosts => "hosts",
+            Missing::All => "all",
+        }
+    }
+
     /// Whether its clients come in elsewhere.
-    pub fn entries(self) -> bool {
-        matches!(self, Missing::Entries | Missing::All)
+    pub fn routers_missing(self) -> bool {
+        matches!(self, Missing::Routers | Missing::All)
     }
 
     /// The part of its hosts that serves.
-    pub fn hosts_left(self) -> f64 {
+    pub fn remaining_hosts(self) -> f64 {
         match self {
-            Missing::Nothing | Missing::Entries => 1.0,
+            Missing::Nothing | Missing::Routers => 1.0,
             Missing::HalfHosts => 0.5,
             Missing::Hosts | Missing::All => 0.0,
         }
@@ -101,7 +112,7 @@
         let cover = |m: &Missing| match m {
             Missing::Nothing => Missing::Nothing,
             Missing::HalfHosts | Missing::Hosts => Missing::Hosts,
-            Missing::Entries | Missing::All => Missing::All,
+            Missing::Routers | Missing::All => Missing::All,
         };
         Loss(self.0.iter().map(cover).collect())
     }
@@ -111,13 +122,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Limit {
     /// Prompt tokens a second of a site's readers.
-    Read(usize),
+    PrefillRate(usize),
     /// Tokens that a site's readers keep.
-    ReadMemory(usize),
+    PrefillMemory(usize),
     /// Answer tokens a second of a site's writers: their slots.
-    Write(usize),
+    DecodeRate(usize),
     /// Tokens that a site's writers keep.
-    WriteMemory(usize),
+    DecodeMemory(usize),
     /// Tokens of state a second from one site to another.
     Link(usize, usize),
 }
@@ -127,10 +138,10 @@
     pub fn name(self, fleet: &Fleet) -> String {
         let site = |s: usize| fleet.site_name(s);
         match self {
-            Limit::Read(s) => format!("reading at {}", site(s)),
-            Limit::ReadMemory(s) => format!("readers' memory at {}", site(s)),
-            Limit::Write(s) => format!("writers' slots at {}", site(s)),
-            Limit::WriteMemory(s) => format!("writers' memory at {}", site(s)),
+            Limit::PrefillRate(s) => format!("reading at {}", site(s)),
+            Limit::PrefillMemory(s) => format!("readers' memory at {}", site(s)),
+            Limit::DecodeRate(s) => format!("writers' slots at {}", site(s)),
+            Limit::DecodeMemory(s) => format!("writers' memory at {}", site(s)),
             Limit::Link(a, b) => format!("link {}>{}", site(a), site(b)),
         }
     }
@@ -162,7 +173,7 @@
 
 /// What all conductors together do: requests a second by class, entry, reading site and writing site.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Course {
+pub struct Allocation {
     sites: usize,
     /// For each class, tenant and entry the part that is taken: a request whose hash, as a part of 1, is below it.
     pub levels: Vec<Vec<Vec<f64>>>,
@@ -173,7 +184,7 @@
     used: Vec<BTreeMap<Limit, f64>>,
 }
 
-impl Course {
+impl Allocation {
     fn at(&self, class: usize, entry: usize, reader: usize, writer: usize) -> usize {
         ((class * self.sites + entry) * self.sites + reader) * self.sites + writer
     }
@@ -214,8 +225,8 @@
             .map(move |(i, rate)| ([i / (n * n * n), i / (n * n) % n, i / n % n, i % n], *rate))
     }
 
-    /// Part `part` of the way from this course to another: every limit that both keep is kept.
-    pub fn toward(&self, other: &Course, part: f64) -> Course {
+    /// Part `part` of the way from this allocation to another: every limit that both keep is kept.
+    pub fn toward(&self, other: &Allocation, part: f64) -> Allocation {
         let mix = |a: &f64, b: &f64| if part >= 1.0 { *b } else { a + (b - a) * part };
         let all = |a: &[f64], b: &[f64]| -> Vec<f64> {
             a.iter().zip(b).map(|(a, b)| mix(a, b)).collect()
@@ -225,7 +236,7 @@
         let each = |a: &[Vec<Vec<f64>>], b: &[Vec<Vec<f64>>]| {
             a.iter().zip(b).map(|(a, b)| row(a, b)).collect()
         };
-        Course {
+        Allocation {
             sites: self.sites,
             levels: each(&self.levels, &other.levels),
             promised: each(&self.promised, &other.promised),
@@ -244,8 +255,8 @@
     }
 
     /// The smaller of both on every way: whoever acts by it harms neither.
-    fn meet(&self, other: &Course, usage: &Usage) -> Course {
-        let mut course = Course {
+    fn meet(&self, other: &Allocation, usage: &Usage) -> Allocation {
+        let mut allocation = Allocation {
             rates: self
                 .rates
                 .iter()
@@ -255,18 +266,18 @@
             used: Vec::new(),
             ..other.clone()
         };
-        course.used = usage.of(&course);
+        allocation.used = usage.of(&allocation);
         // What goes as it went before finds what it found before.
-        for (now, before) in course.used.iter_mut().zip(&self.used) {
+        for (now, before) in allocation.used.iter_mut().zip(&self.used) {
             for (limit, used) in now {
                 *used = used.min(before.get(limit).copied().unwrap_or(0.0));
             }
         }
-        course
+        allocation
     }
 
     /// The same with so many times the requests; what is refused by its hash stays refused.
-    fn stretched(mut self, by: f64) -> Course {
+    fn stretched(mut self, by: f64) -> Allocation {
         self.rates.iter_mut().for_each(|rate| *rate *= by);
         self.used
             .iter_mut()
@@ -276,7 +287,7 @@
     }
 
     /// The same without the ways over a site's hosts.
-    fn without(mut self, site: usize) -> Course {
+    fn without(mut self, site: usize) -> Allocation {
         for i in 0..self.rates.len() {
             let (reader, writer) = (i / self.sites % self.sites, i % self.sites);
             if reader == site || writer == site {
@@ -338,12 +349,12 @@
     /// What is missing.
     pub loss: Loss,
     /// What all conductors together do.
-    pub course: Course,
+    pub allocation: Allocation,
     /// Requests a second by class, tenant and entry that come in.
     pub asked: Vec<Vec<Vec<f64>>>,
     /// What is used of each limit.
     pub loads: Vec<Load>,
-    /// What is refused first stands first; all that could be refused is listed.
+    /// What is refused first conditions first; all that could be refused is listed.
     pub order: Vec<Refusal>,
     /// Guaranteed shares that can't be borne.
     pub shortfalls: Vec<Shortfall>,
@@ -373,21 +384,21 @@
                 let asked: f64 = fleet.demand[c].iter().map(|by_site| by_site[site]).sum();
                 all += asked * falls[site][entry];
                 // Those whose hosts are gone lose what these had kept, wherever they come in.
-                moved += asked * falls[site][entry] * (1.0 - missing.hosts_left());
+                moved += asked * falls[site][entry] * (1.0 - missing.remaining_hosts());
             }
             let part = if all > 0.0 { moved / all } else { 0.0 };
             class.kept * (1.0 - part) + moved_kept * part
         };
-        let kept = (0..fleet.classes())
-            .map(|c| (0..fleet.sites()).map(|e| kept(c, e)).collect())
+        let kept = (0..fleet.class_count())
+            .map(|c| (0..fleet.site_count()).map(|e| kept(c, e)).collect())
             .collect();
         Usage { fleet, kept }
     }
 
-    /// What a course takes of each limit for each entry.
-    fn of(&self, course: &Course) -> Vec<BTreeMap<Limit, f64>> {
-        let mut by_entry = vec![BTreeMap::new(); course.sites];
-        for ([class, entry, reader, writer], rate) in course.ways() {
+    /// What a allocation takes of each limit for each entry.
+    fn of(&self, allocation: &Allocation) -> Vec<BTreeMap<Limit, f64>> {
+        let mut by_entry = vec![BTreeMap::new(); allocation.sites];
+        for ([class, entry, reader, writer], rate) in allocation.ways() {
             for (limit, takes) in self.takes(class, entry, reader, writer) {
                 *by_entry[entry].entry(limit).or_insert(0.0) += takes * rate;
             }
@@ -404,14 +415,14 @@
         let crossing = link.map_or(0.0, |(rate, delay)| {
             c.prompt_tokens / rate.max(1e-9) + delay / 1e3
         });
-        let held = unread * reads.read_token_s + crossing + self.fleet.tables.hold_s;
-        let streams = c.answer_tokens * writes.token_s;
+        let held = unread * reads.prefill_slot_s_per_token + crossing + self.fleet.tables.hold_s;
+        let streams = c.answer_tokens * writes.stream_s_per_token;
         let mut takes = vec![
-            (Limit::Read(reader), unread),
-            (Limit::ReadMemory(reader), c.prompt_tokens * held),
-            (Limit::Write(writer), c.answer_tokens),
+            (Limit::PrefillRate(reader), unread),
+            (Limit::PrefillMemory(reader), c.prompt_tokens * held),
+            (Limit::DecodeRate(writer), c.answer_tokens),
             (
-                Limit::WriteMemory(writer),
+                Limit::DecodeMemory(writer),
                 (c.prompt_tokens + c.answer_tokens / 2.0) * streams,
             ),
         ];
@@ -452,15 +463,25 @@
     fn new(fleet: &Fleet, loss: &Loss) -> Self {
         let own = |s: usize| {
             let c = &fleet.capacity[s];
-            [c.read, c.read_memory, c.write, c.write_memory].map(|v| v * loss.0[s].hosts_left())
+            [
+                c.prefill_tokens_per_s,
+                c.prefill_memory_tokens,
+                c.decode_tokens_per_s,
+                c.decode_memory_tokens,
+            ]
+            .map(|v| v * loss.0[s].remaining_hosts())
         };
-        let n = fleet.sites();
+        let n = fleet.site_count();
         let link = |a: usize, b: usize| fleet.links[a][b].map_or(0.0, |(rate, _)| rate);
         Room {
             sites: n,
             own: (0..n).map(own).collect(),
             mixed: (0..n)
-                .map(|s| fleet.capacity[s].mixed.map(|v| v * loss.0[s].hosts_left()))
+                .map(|s| {
+                    fleet.capacity[s]
+                        .mixed
+                        .map(|v| v * loss.0[s].remaining_hosts())
+                })
                 .collect(),
             links: (0..n)
                 .map(|a| (0..n).map(|b| link(a, b)).collect())
@@ -470,10 +491,10 @@
 
     fn place(limit: Limit) -> Option<(usize, usize)> {
         match limit {
-            Limit::Read(s) => Some((s, 0)),
-            Limit::ReadMemory(s) => Some((s, 1)),
-            Limit::Write(s) => Some((s, 2)),
-            Limit::WriteMemory(s) => Some((s, 3)),
+            Limit::PrefillRate(s) => Some((s, 0)),
+            Limit::PrefillMemory(s) => Some((s, 1)),
+            Limit::DecodeRate(s) => Some((s, 2)),
+            Limit::DecodeMemory(s) => Some((s, 3)),
             Limit::Link(..) => None,
         }
     }
@@ -490,10 +511,10 @@
         let n = self.sites;
         let of_site = |s| {
             [
-                Limit::Read(s),
-                Limit::ReadMemory(s),
-                Limit::Write(s),
-                Limit::WriteMemory(s),
+                Limit::PrefillRate(s),
+                Limit::PrefillMemory(s),
+                Limit::DecodeRate(s),
+                Limit::DecodeMemory(s),
             ]
         };
         let links = (0..n).flat_map(|a| (0..n).map(move |b| Limit::Link(a, b)));
@@ -532,20 +553,20 @@
                     0.0
                 }
             };
-            let reading = part(Limit::Read(s), 0).max(part(Limit::ReadMemory(s), 1));
-            let writing = part(Limit::Write(s), 2).max(part(Limit::WriteMemory(s), 3));
-            note(Limit::Write(s), reading + writing - fill);
+            let reading = part(Limit::PrefillRate(s), 0).max(part(Limit::PrefillMemory(s), 1));
+            let writing = part(Limit::DecodeRate(s), 2).max(part(Limit::DecodeMemory(s), 3));
+            note(Limit::DecodeRate(s), reading + writing - fill);
         }
         worst
     }
 }
 
-/// The most that is used of each limit when every conductor acts by any one of the courses.
-fn worst_mix(courses: &[&Course]) -> BTreeMap<Limit, f64> {
+/// The most that is used of each limit when every conductor acts by any one of the allocations.
+fn worst_mix(allocations: &[&Allocation]) -> BTreeMap<Limit, f64> {
     let mut sum = BTreeMap::new();
-    for entry in 0..courses.first().map_or(0, |c| c.sites) {
+    for entry in 0..allocations.first().map_or(0, |c| c.sites) {
         let mut most: BTreeMap<Limit, f64> = BTreeMap::new();
-        for (limit, v) in courses.iter().flat_map(|c| &c.used[entry]) {
+        for (limit, v) in allocations.iter().flat_map(|c| &c.used[entry]) {
             let slot = most.entry(*limit).or_insert(0.0);
             *slot = slot.max(*v);
         }
@@ -556,14 +577,18 @@
     sum
 }
 
-/// The limit that some mix of conductors, each acting by any one of the courses, would break the most while `loss` is
+/// The limit that some mix of conductors, each acting by any one of the allocations, would break the most while `loss` is
 /// what is missing, and by which part of it. `None`: no mix breaks any. Sites of which hosts are missing don't count:
 /// who has not heard of it yet sends there as before.
-pub fn broken_by_mix(fleet: &Fleet, loss: &Loss, courses: &[&Course]) -> Option<(Limit, f64)> {
+pub fn broken_by_mix(
+    fleet: &Fleet,
+    loss: &Loss,
+    allocations: &[&Allocation],
+) -> Option<(Limit, f64)> {
     let room = Room::new(fleet, loss);
     let whole =
-        |limit: Limit| Room::place(limit).is_none_or(|(s, _)| loss.0[s].hosts_left() >= 1.0);
-    let there = worst_mix(courses)
+        |limit: Limit| Room::place(limit).is_none_or(|(s, _)| loss.0[s].remaining_hosts() >= 1.0);
+    let there = worst_mix(allocations)
         .into_iter()
         .filter(|(limit, _)| whole(*limit))
         .collect();
@@ -572,8 +597,8 @@
 
 /// For each site the parts of its clients that come in at each entry under a loss.
 fn falls(fleet: &Fleet, loss: &Loss) -> Vec<Vec<f64>> {
-    let n = fleet.sites();
-    let open: Vec<usize> = (0..n).filter(|s| !loss.0[*s].entries()).collect();
+    let n = fleet.site_count();
+    let open: Vec<usize> = (0..n).filter(|s| !loss.0[*s].routers_missing()).collect();
     let falls = |site: usize| -> Vec<f64> {
         let mut to = vec![0.0; n];
         if open.contains(&site) {
@@ -602,7 +627,7 @@
     let falls = falls(fleet, loss);
     let enter = |by_site: &Vec<f64>| -> Vec<f64> {
         let at = |e: usize| by_site.iter().zip(&falls).map(|(v, to)| v * to[e]).sum();
-        (0..fleet.sites()).map(at).collect()
+        (0..fleet.site_count()).map(at).collect()
     };
     fleet
         .demand
@@ -616,7 +641,7 @@
 /// # Errors
 /// [`PlanError::Solver`] if the linear program can't be solved, [`PlanError::Broken`] if what came back breaks a limit.
 pub fn make(fleet: &Fleet, loss: &Loss) -> Result<Plan, PlanError> {
-    let (n, classes, tenants) = (fleet.sites(), fleet.classes(), fleet.tenants.len());
+    let (n, classes, tenants) = (fleet.site_count(), fleet.class_count(), fleet.tenants.len());
     let fill = fleet.tables.fill;
     let (usage, room, asked) = (
         Usage::new(fleet, loss),
@@ -658,9 +683,9 @@
     let both: Vec<Option<usize>> = both.collect();
     let mut ways = Vec::new();
     for c in 0..classes {
-        for e in (0..n).filter(|e| !loss.0[*e].entries()) {
-            for r in (0..n).filter(|r| room.of(Limit::Read(*r)) > 0.0) {
-                for w in (0..n).filter(|w| room.of(Limit::Write(*w)) > 0.0) {
+        for e in (0..n).filter(|e| !loss.0[*e].routers_missing()) {
+            for r in (0..n).filter(|r| room.of(Limit::PrefillRate(*r)) > 0.0) {
+                for w in (0..n).filter(|w| room.of(Limit::DecodeRate(*w)) > 0.0) {
                     if let Some(price) = usage.price(c, e, r, w) {
                         ways.push(([c, e, r, w], program.variable(-price), price));
                     }
@@ -786,7 +811,7 @@
         }
     }
     let rates = vec![0.0; classes * n * n * n];
-    let mut course = Course {
+    let mut allocation = Allocation {
         sites: n,
         levels,
         promised: of_promise,
@@ -794,8 +819,8 @@
         used: Vec::new(),
     };
     for ([c, e, r, w], v, _) in &ways {
-        let at = course.at(*c, *e, *r, *w);
-        course.rates[at] = if values[*v] > SLIGHT * 1e-3 {
+        let at = allocation.at(*c, *e, *r, *w);
+        allocation.rates[at] = if values[*v] > SLIGHT * 1e-3 {
             values[*v]
         } else {
             0.0
@@ -805,9 +830,9 @@
     for c in 0..classes {
         for e in 0..n {
             let comes: f64 = (0..tenants)
-                .map(|t| asked[c][t][e] * course.levels[c][t][e])
+                .map(|t| asked[c][t][e] * allocation.levels[c][t][e])
                 .sum();
-            let goes = course.taken(c, e);
+            let goes = allocation.taken(c, e);
             if comes > goes * (1.0 + 10.0 * SLIGHT) + 10.0 * SLIGHT {
                 return Err(PlanError::Broken(format!(
                     "{} at {}: {comes:.6} a second are taken and {goes:.6} have a way",
@@ -815,15 +840,15 @@
                     fleet.site_name(e)
                 )));
             }
-            let from = course.at(c, e, 0, 0);
+            let from = allocation.at(c, e, 0, 0);
             let cut = if goes > comes { comes / goes } else { 1.0 };
-            course.rates[from..from + n * n]
+            allocation.rates[from..from + n * n]
                 .iter_mut()
                 .for_each(|rate| *rate *= cut);
         }
     }
-    course.used = usage.of(&course);
-    let sum = worst_mix(&[&course]);
+    allocation.used = usage.of(&allocation);
+    let sum = worst_mix(&[&allocation]);
     if let Some((limit, over)) = room.over(&sum, fill) {
         return Err(PlanError::Broken(format!(
             "{} by {:.4} of it",
@@ -849,7 +874,7 @@
             0.0
         }
     };
-    // Where nothing is scarce the fullest stage stands in: the next thing to be scarce.
+    // Where nothing is scarce the fullest stage conditions in: the next thing to be scarce.
     let fullest = loads.iter().max_by(|a, b| a.part().total_cmp(&b.part()));
     let next = |c: usize| -> f64 {
         let of_stage = |limit: Limit| fullest.is_some_and(|f| same_stage(f.limit, limit));
@@ -890,7 +915,7 @@
         };
         if rest(c) > 0.0 {
             let rest_of = |t: usize| {
-                let taken = |e: usize| course.levels[c][t][e] - course.promised[c][t][e];
+                let taken = |e: usize| allocation.levels[c][t][e] - allocation.promised[c][t][e];
                 refused(t, &taken, 1.0 - guaranteed[t])
             };
             let refused = (0..tenants).map(rest_of).sum();
@@ -905,7 +930,7 @@
         }
         let mut all = 0.0;
         for t in 0..tenants {
-            let short = refused(t, &|e| course.promised[c][t][e], guaranteed[t]);
+            let short = refused(t, &|e| allocation.promised[c][t][e], guaranteed[t]);
             all += short;
             if short > 0.0 {
                 let guaranteed = total(c, t) * guaranteed[t];
@@ -946,15 +971,15 @@
         };
         (0..classes).map(class).sum()
     };
-    let worth_kept = worth(&|c, t, e| course.levels[c][t][e]);
+    let worth_kept = worth(&|c, t, e| allocation.levels[c][t][e]);
     let crossings = ways
         .iter()
-        .map(|([c, e, r, w], _, price)| price * course.rate(*c, *e, *r, *w))
+        .map(|([c, e, r, w], _, price)| price * allocation.rate(*c, *e, *r, *w))
         .sum();
     let worth_asked = worth(&|_, _, _| 1.0);
     Ok(Plan {
         loss: loss.clone(),
-        course,
+        allocation,
         asked,
         loads,
         order,
@@ -1022,8 +1047,8 @@
     fleet: Fleet,
     plans: BTreeMap<Loss, Plan>,
     fingerprint: u64,
-    /// What was worked out last for chains of stands: all conductors of a process ask for the same.
-    worked_out: VecDeque<(Vec<Stand>, (Course, Course))>,
+    /// What was worked out last for chains of conditions: all conductors of a process ask for the same.
+    worked_out: VecDeque<(Vec<Condition>, (Allocation, Allocation))>,
 }
 
 impl Plans {
@@ -1032,11 +1057,11 @@
     /// # Errors
     /// The first loss for which there is no plan says why.
     pub fn new(fleet: Fleet) -> Result<Self, PlanError> {
-        let n = fleet.sites();
+        let n = fleet.site_count();
         let mut losses = vec![Loss::none(n)];
         for a in 0..n {
-            use Missing::{All, Entries, HalfHosts, Hosts};
-            losses.extend([Entries, HalfHosts, Hosts, All].map(|m| Loss::none(n).with(a, m)));
+            use Missing::{All, HalfHosts, Hosts, Routers};
+            losses.extend([Routers, HalfHosts, Hosts, All].map(|m| Loss::none(n).with(a, m)));
             for b in a + 1..n {
                 let pairs = [(Hosts, Hosts), (Hosts, All), (All, Hosts), (All, All)];
                 losses.extend(pairs.map(|(of_a, of_b)| Loss::none(n).with(a, of_a).with(b, of_b)));
@@ -1049,8 +1074,8 @@
         }
         let mut bytes = fleet.fingerprint.to_le_bytes().to_vec();
         for plan in plans.values() {
-            let levels = plan.course.levels.iter().flatten().flatten();
-            for v in plan.course.rates.iter().chain(levels) {
+            let levels = plan.allocation.levels.iter().flatten().flatten();
+            for v in plan.allocation.rates.iter().chain(levels) {
                 bytes.extend(((v * 1e3).round() as u64).to_le_bytes());
             }
         }
@@ -1082,7 +1107,7 @@
     ///
     /// # Errors
     /// As [`make`].
-    pub fn get_or_make(&mut self, loss: &Loss) -> Result<&Plan, PlanError> {
+    pub fn get_or_compute(&mut self, loss: &Loss) -> Result<&Plan, PlanError> {
         let loss = loss.covered();
         if !self.plans.contains_key(&loss) {
             let plan = make(&self.fleet, &loss)?;
@@ -1100,70 +1125,75 @@
 
     /// What may be sent at the most under the plan for a loss: the plan, with as many more requests as its limits bear.
     /// `None` if no plan is prepared for it.
-    pub fn most(&self, loss: &Loss) -> Option<Course> {
+    pub fn upper_bound(&self, loss: &Loss) -> Option<Allocation> {
         let plan = self.get(loss)?;
         let room = Room::new(&self.fleet, &plan.loss);
-        let used = worst_mix(&[&plan.course]);
+        let used = worst_mix(&[&plan.allocation]);
         let fits = |by: f64| {
             let more = used.iter().map(|(limit, v)| (*limit, v * by)).collect();
             room.over(&more, self.fleet.tables.fill).is_none()
         };
         Some(
-            plan.course
+            plan.allocation
                 .clone()
                 .stretched(widest(1.0, MOST_STRETCH, fits)),
         )
     }
 
-    /// The course on the way to another while `loss` is missing: with conductors at any of `from` and here in any
+    /// The allocation on the way to another while `loss` is missing: with conductors at any of `from` and here in any
     /// mix no limit is broken, nor with conductors here and at `to`. As far toward `to` as that allows.
-    pub fn between(&self, loss: &Loss, from: &[&Course], to: &Course) -> Course {
+    pub fn intermediate(&self, loss: &Loss, from: &[&Allocation], to: &Allocation) -> Allocation {
         let usage = Usage::new(&self.fleet, loss);
-        let meet = from
-            .iter()
-            .fold(to.clone(), |meet, course| course.meet(&meet, &usage));
+        let meet = from.iter().fold(to.clone(), |meet, allocation| {
+            allocation.meet(&meet, &usage)
+        });
         let fits = |part: f64| {
             let here = meet.toward(to, part);
-            let courses: Vec<&Course> = from.iter().copied().chain([&here]).collect();
-            broken_by_mix(&self.fleet, loss, &courses).is_none()
+            let allocations: Vec<&Allocation> = from.iter().copied().chain([&here]).collect();
+            broken_by_mix(&self.fleet, loss, &allocations).is_none()
         };
         let part = widest(0.0, 1.0, fits);
         if part >= 1.0 {
             return to.clone();
         }
-        let mut course = meet.toward(to, part);
-        self.keep(loss, &mut course);
-        course
+        let mut allocation = meet.toward(to, part);
+        self.keep(loss, &mut allocation);
+        allocation
     }
 
-    /// A course without the ways over the hosts of a site: what is done while that site is doubted.
-    pub fn without(&self, loss: &Loss, course: &Course, site: usize) -> Course {
-        let mut course = course.clone().without(site);
-        self.keep(loss, &mut course);
-        course
+    /// A allocation without the ways over the hosts of a site: what is done while that site is doubted.
+    pub fn without(&self, loss: &Loss, allocation: &Allocation, site: usize) -> Allocation {
+        let mut allocation = allocation.clone().without(site);
+        self.keep(loss, &mut allocation);
+        allocation
     }
 
-    /// What was kept by [`Plans::keep_courses`] for a chain of stands.
-    pub(crate) fn kept_courses(&self, chain: &[Stand]) -> Option<(Course, Course)> {
+    /// What was kept by [`Plans::keep_courses`] for a chain of conditions.
+    pub(crate) fn kept_courses(&self, chain: &[Condition]) -> Option<(Allocation, Allocation)> {
         self.worked_out
             .iter()
             .find(|(of, _)| of == chain)
-            .map(|(_, courses)| courses.clone())
+            .map(|(_, allocations)| allocations.clone())
     }
 
-    /// Keeps what was worked out for a chain of stands; the oldest goes.
-    pub(crate) fn keep_courses(&mut self, chain: &[Stand], courses: &(Course, Course)) {
+    /// Keeps what was worked out for a chain of conditions; the oldest goes.
+    pub(crate) fn keep_courses(
+        &mut self,
+        chain: &[Condition],
+        allocations: &(Allocation, Allocation),
+    ) {
         if self.worked_out.len() >= MOST_KEPT {
             self.worked_out.pop_front();
         }
-        self.worked_out.push_back((chain.to_vec(), courses.clone()));
+        self.worked_out
+            .push_back((chain.to_vec(), allocations.clone()));
     }
 
-    /// Worth a second that a course takes while `loss` is missing.
-    pub fn worth(&self, loss: &Loss, course: &Course) -> f64 {
+    /// Worth a second that a allocation takes while `loss` is missing.
+    pub fn worth(&self, loss: &Loss, allocation: &Allocation) -> f64 {
         let asked = asked(&self.fleet, loss);
         let mut worth = 0.0;
-        for (c, (asked, levels)) in asked.iter().zip(&course.levels).enumerate() {
+        for (c, (asked, levels)) in asked.iter().zip(&allocation.levels).enumerate() {
             for (asked, levels) in asked.iter().zip(levels) {
                 worth +=
                     asked.iter().zip(levels).map(|(a, l)| a * l).sum::<f64>() * self.fleet.worth[c];
@@ -1174,7 +1204,7 @@
 
     /// Cuts the levels at each entry to what its ways carry: what is guaranteed last, and no class less than one that
     /// is refused before it.
-    fn keep(&self, loss: &Loss, course: &mut Course) {
+    fn keep(&self, loss: &Loss, allocation: &mut Allocation) {
         let asked = asked(&self.fleet, loss);
         let order = self
             .get(loss)
@@ -1187,20 +1217,20 @@
             .map(|r| r.class)
             .collect();
         last_first.extend(
-            (0..self.fleet.classes())
+            (0..self.fleet.class_count())
                 .filter(|c| !order.iter().any(|r| !r.guaranteed && r.class == *c)),
         );
         // The parts kept at each entry of what is guaranteed and of the rest, by the class before.
-        let mut kept = vec![(1.0_f64, 1.0_f64); self.fleet.sites()];
+        let mut kept = vec![(1.0_f64, 1.0_f64); self.fleet.site_count()];
         for c in last_first {
-            for e in 0..self.fleet.sites() {
+            for e in 0..self.fleet.site_count() {
                 let sum = |of: &Vec<Vec<f64>>| -> f64 {
                     asked[c].iter().zip(of).map(|(by, p)| by[e] * p[e]).sum()
                 };
                 let (carries, promised, level) = (
-                    course.taken(c, e),
-                    sum(&course.promised[c]),
-                    sum(&course.levels[c]),
+                    allocation.taken(c, e),
+                    sum(&allocation.promised[c]),
+                    sum(&allocation.levels[c]),
                 );
                 let part = |of: f64, all: f64| {
                     if all > 0.0 {
@@ -1212,7 +1242,10 @@
                 let of_promised = part(carries, promised).min(kept[e].0);
                 let of_rest = part((carries - promised).max(0.0), level - promised).min(kept[e].1);
                 kept[e] = (of_promised, of_rest);
-                for (level, promised) in course.levels[c].iter_mut().zip(&mut course.promised[c]) {
+                for (level, promised) in allocation.levels[c]
+                    .iter_mut()
+                    .zip(&mut allocation.promised[c])
+                {
                     let rest = (level[e] - promised[e]).max(0.0) * of_rest;
                     promised[e] *= of_promised;
                     level[e] = promised[e] + rest;
--- a/src/fleet/sites/ramp.rs
+++ b/src/fleet/sites/ramp.rs
@@ -4,7 +4,7 @@
 //! propose steps back only, from what they see of the returning site themselves.
 
 use super::describe::{Fleet, RampSettings};
-use super::epoch::{Command, Standing, Table};
+use super::epoch::{Command, SiteState, SiteTable};
 use crate::routing::types::Micros;
 
 /// A part of outcomes that chance alone rarely explains lies this many standard deviations over the allowed one.
@@ -16,26 +16,26 @@
     /// The part of its usual load that the returning site's hosts get.
     pub share: f64,
     /// Seconds after the return has begun before which it is not tried.
-    pub at_s: f64,
+    pub earliest_s: f64,
 }
 
 /// The steps of a site's return: each at most what its hosts, all of them just started when the return begins, bear
 /// then. The last one is the whole.
-pub fn steps(fleet: &Fleet, site: usize) -> Vec<Step> {
+pub fn return_steps(fleet: &Fleet, site: usize) -> Vec<Step> {
     let ramp = &fleet.tables.ramp;
     let every = ramp.step_ms as f64 / 1e3;
     let mut steps = Vec::new();
     // Bounded: the parts end after `ramp.steps` and the cold hosts' bound when they are warm.
     for k in 1.. {
-        let at_s = f64::from(k - 1) * every;
-        let bears = fleet.bears(site, at_s);
+        let earliest_s = f64::from(k - 1) * every;
+        let bears = fleet.warm_share(site, earliest_s);
         let part = (f64::from(k) / f64::from(ramp.steps)).min(1.0);
         let share = if bears < 1.0 {
             part.min(bears * ramp.cold_part)
         } else {
             part
         };
-        steps.push(Step { share, at_s });
+        steps.push(Step { share, earliest_s });
         if share >= 1.0 {
             break;
         }
@@ -43,11 +43,11 @@
     steps
 }
 
-/// What came back from the returning site's hosts, counted since the last time it was said.
+/// What came back from the returning site's hosts, counted since the last time it was reported.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Measured {
+pub struct OutcomeCounts {
     /// Requests that came to an end or to their first token there.
-    pub outcomes: u32,
+    pub total: u32,
     /// First tokens that were late.
     pub late: u32,
     /// Requests that hosts turned away, or that failed there.
@@ -60,15 +60,15 @@
     /// Time has passed.
     Tick,
     /// The table has changed.
-    Table(Table),
+    Table(SiteTable),
     /// This conductor paces, or does no longer.
     Pacing(bool),
     /// Outcomes at hosts of a site.
-    Measured {
+    Outcomes {
         /// The site.
         site: usize,
-        /// What came.
-        measured: Measured,
+        /// Counts since the last report.
+        counts: OutcomeCounts,
     },
 }
 
@@ -104,7 +104,7 @@
     names: Vec<crate::fleet::SiteName>,
     pacing: bool,
     seen: Seen,
-    measured: Measured,
+    measured: OutcomeCounts,
     proposed: Option<(u64, Micros)>,
 }
 
@@ -121,9 +121,9 @@
             ..
         } = fleet.tables.ramp;
         let at = |site| {
-            steps(fleet, site)
+            return_steps(fleet, site)
                 .iter()
-                .map(|s| (s.at_s * 1e6) as Micros)
+                .map(|s| (s.earliest_s * 1e6) as Micros)
                 .collect()
         };
         Ramp {
@@ -132,14 +132,14 @@
             most_doublings,
             few,
             most: [most_late, most_refused].map(|v| (v * 1e3) as u32),
-            at: (0..fleet.sites()).map(at).collect(),
+            at: (0..fleet.site_count()).map(at).collect(),
             names: Vec::new(),
             pacing: false,
             seen: Seen {
                 settled: true,
                 ..Seen::default()
             },
-            measured: Measured::default(),
+            measured: OutcomeCounts::default(),
             proposed: None,
         }
     }
@@ -163,26 +163,26 @@
                 }
                 self.pacing = pacing;
             }
-            Event::Measured { site, measured } => {
+            Event::Outcomes { site, counts } => {
                 if self.seen.returning.as_ref().is_some_and(|r| r.site == site) {
                     let m = &mut self.measured;
-                    m.outcomes = m.outcomes.saturating_add(measured.outcomes);
-                    m.late = m.late.saturating_add(measured.late);
-                    m.refused = m.refused.saturating_add(measured.refused);
+                    m.total = m.total.saturating_add(counts.total);
+                    m.late = m.late.saturating_add(counts.late);
+                    m.refused = m.refused.saturating_add(counts.refused);
                 }
             }
         }
         self.decide(now, out);
     }
 
-    fn table(&mut self, now: Micros, table: &Table) {
+    fn table(&mut self, now: Micros, table: &SiteTable) {
         if table.epoch() == self.seen.epoch {
             return;
         }
         self.names = table.names().to_vec();
         let old = self.seen.returning.take();
-        let returning = (0..table.names().len()).find_map(|site| match table.standing(site) {
-            Standing::Returning {
+        let returning = (0..table.names().len()).find_map(|site| match table.state(site) {
+            SiteState::Returning {
                 step, held, backs, ..
             } => {
                 let same = old
@@ -201,7 +201,7 @@
         });
         // A new step is judged by its own outcomes.
         if returning.as_ref().map(|r| (r.site, r.step)) != old.as_ref().map(|r| (r.site, r.step)) {
-            self.measured = Measured::default();
+            self.measured = OutcomeCounts::default();
         }
         self.seen = Seen {
             epoch: table.epoch(),
@@ -214,10 +214,10 @@
 
     fn bad(&self) -> bool {
         let m = self.measured;
-        if m.outcomes < self.few.max(1) {
+        if m.total < self.few.max(1) {
             return false;
         }
-        let n = f64::from(m.outcomes);
+        let n = f64::from(m.total);
         let over = |count: u32, most: u32| {
             let part = f64::from(most) / 1e3;
             f64::from(count) > n * part + DEVIATIONS * (n * part * (1.0 - part)).sqrt()
@@ -235,7 +235,7 @@
             return;
         }
         let command = match &self.seen.returning {
-            Some(r) if r.step > r.held && self.bad() => Some(Command::Back {
+            Some(r) if r.step > r.held && self.bad() => Some(Command::StepBack {
                 epoch,
                 site: self.names[r.site].clone(),
             }),
@@ -246,7 +246,7 @@
                 let site = self.names[r.site].clone();
                 let pause = self.step << r.backs.min(self.most_doublings).min(16);
                 if r.step > r.held {
-                    (waited >= self.step).then_some(Command::Hold { epoch, site })
+                    (waited >= self.step).then_some(Command::HoldStep { epoch, site })
                 } else {
                     let at = self.at[r.site]
                         .get(usize::from(r.step))
@@ -254,7 +254,7 @@
                         .unwrap_or(0);
                     let rested = r.backs == 0 || waited >= pause;
                     let due = now.saturating_sub(r.begun) >= at && rested;
-                    due.then_some(Command::Step { epoch, site })
+                    due.then_some(Command::TryStep { epoch, site })
                 }
             }
         };
--- a/src/fleet/sites/tests.rs
+++ b/src/fleet/sites/tests.rs
@@ -8,11 +8,11 @@
 use super::describe::{
     Class, Demand, Fleet, Hosts, Link, RampSettings, Site, Tables, Tenant, WatchSettings,
 };
-use super::epoch::{Command, Effect, Standing, Table};
+use super::epoch::{Command, Effect, SiteState, SiteTable};
 use super::member::{self, Member};
 use super::plan::*;
-use super::ramp::{self, Measured, Ramp};
-use super::refuse::{Door, Gate, Orders};
+use super::ramp::{self, OutcomeCounts, Ramp};
+use super::refuse::{Admission, AdmissionGate, RouterAllocation};
 use super::watch::{self, Cause, Status, Watch};
 use crate::fleet::SiteName;
 use crate::routing::types::Status::{Draining, Ready};
@@ -35,7 +35,7 @@
     let n = sites.len();
     let site = |i: usize| Site {
         name: format!("s{i}"),
-        conductors: 3,
+        routers: 3,
         falls_to: Default::default(),
     };
     let hosts = |(i, (count, role)): (usize, (u32, &str))| Hosts {
@@ -165,14 +165,14 @@
 fn losses(n: usize) -> Vec<Loss> {
     use Missing::*;
     let one =
-        (0..n).flat_map(|s| [Entries, HalfHosts, Hosts, All].map(|m| Loss::none(n).with(s, m)));
+        (0..n).flat_map(|s| [Routers, HalfHosts, Hosts, All].map(|m| Loss::none(n).with(s, m)));
     let two = (0..n).flat_map(|a| (a + 1..n).map(move |b| Loss::of(n, &[a, b])));
     one.chain(two).chain([Loss::none(n)]).collect()
 }
 
-/// What the courses of conductors use and what there is, counted here from the tables alone.
+/// What the allocations of conductors use and what there is, counted here from the tables alone.
 fn over(fleet: &Fleet, loss: &Loss, ways: &[([usize; 4], f64)], kept: f64) -> Option<String> {
-    let n = fleet.sites();
+    let n = fleet.site_count();
     let mut used = vec![[0.0; 4]; n];
     let mut links = vec![vec![0.0; n]; n];
     for ([c, _, r, w], rate) in ways {
@@ -202,7 +202,7 @@
                 .hosts
                 .iter()
                 .filter(|h| h.site == format!("s{s}") && h.kind == role);
-            rows.map(|h| f64::from(h.count)).sum::<f64>() * loss.0[s].hosts_left() * 0.9
+            rows.map(|h| f64::from(h.count)).sum::<f64>() * loss.0[s].remaining_hosts() * 0.9
         };
         let (readers, writers, both) = (count("read"), count("write"), count("mixed"));
         // Hosts of both kinds that each stage needs beyond its own.
@@ -230,29 +230,29 @@
     /// is not taken is listed as refused, and worth more is never refused before worth less of the same cost.
     #[test]
     fn every_plan_keeps_every_limit_and_the_order(fleet in fleets()) {
-        let n = fleet.sites();
+        let n = fleet.site_count();
         for loss in losses(n) {
             let plan = make(&fleet, &loss).unwrap();
-            let ways: Vec<_> = plan.course.ways().collect();
+            let ways: Vec<_> = plan.allocation.ways().collect();
             // With more kept than the plan counts on, what it uses can only be less.
             prop_assert_eq!(over(&fleet, &loss, &ways, 1.0), None, "{:?}", loss);
             let (mut taken, mut refused) = (0.0, plan.order.iter().map(|r| r.refused).sum::<f64>());
-            for c in 0..fleet.classes() {
+            for c in 0..fleet.class_count() {
                 for e in 0..n {
-                    let levels = &plan.course.levels[c];
+                    let levels = &plan.allocation.levels[c];
                     let comes: f64 = plan.asked[c].iter().zip(levels).map(|(a, l)| a[e] * l[e]).sum();
-                    prop_assert!((comes - plan.course.taken(c, e)).abs() < 1e-3 + comes * 1e-4);
-                    prop_assert!(!loss.0[e].entries() || comes == 0.0);
+                    prop_assert!((comes - plan.allocation.taken(c, e)).abs() < 1e-3 + comes * 1e-4);
+                    prop_assert!(!loss.0[e].routers_missing() || comes == 0.0);
                     taken += comes;
                     for (t, level) in levels.iter().enumerate() {
-                        let (more, less) = (plan.course.levels[0][t][e], plan.course.levels[1][t][e]);
+                        let (more, less) = (plan.allocation.levels[0][t][e], plan.allocation.levels[1][t][e]);
                         prop_assert!(more >= less - 1e-6, "{:?}: {more} of the dearer twin, {less}", loss);
                         prop_assert!((0.0..=1.0).contains(&level[e]));
                     }
                 }
             }
             let usual: f64 = fleet.demand.iter().flatten().flatten().sum();
-            let open = loss.0.iter().any(|m| !m.entries());
+            let open = loss.0.iter().any(|m| !m.routers_missing());
             refused += if open { 0.0 } else { usual };
             prop_assert!((taken + refused - usual).abs() < 1e-3 * usual.max(1.0), "{taken} {refused} {usual}");
             for s in &plan.shortfalls {
@@ -268,30 +268,30 @@
     /// some on the way, some there.
     #[test]
     fn no_mix_of_conductors_breaks_a_limit(fleet in fleets(), drawn in any::<u64>()) {
-        let n = fleet.sites();
+        let n = fleet.site_count();
         let mut plans = Plans::new(fleet.clone()).unwrap();
-        let from = plans.most(&Loss::none(n)).unwrap();
+        let from = plans.upper_bound(&Loss::none(n)).unwrap();
         for loss in losses(n) {
-            plans.get_or_make(&loss).unwrap();
-            let to = plans.most(&loss).unwrap();
-            let here = plans.between(&loss, &[&from], &to);
+            plans.get_or_compute(&loss).unwrap();
+            let to = plans.upper_bound(&loss).unwrap();
+            let here = plans.intermediate(&loss, &[&from], &to);
             for pair in [[&from, &here], [&here, &to]] {
                 prop_assert_eq!(broken_by_mix(&fleet, &loss, &pair), None);
                 // Three conductors at each entry, each by one of the two.
                 let mut ways = Vec::new();
                 for e in 0..n {
                     for i in 0..3 {
-                        let course = pair[(drawn >> (e * 3 + i) & 1) as usize];
-                        let of_entry = course.ways().filter(|(w, _)| w[1] == e);
+                        let allocation = pair[(drawn >> (e * 3 + i) & 1) as usize];
+                        let of_entry = allocation.ways().filter(|(w, _)| w[1] == e);
                         // What goes to missing hosts reaches nobody.
-                        let whole = |s: usize| loss.0[s].hosts_left() >= 1.0;
+                        let whole = |s: usize| loss.0[s].remaining_hosts() >= 1.0;
                         let there = of_entry.filter(|(w, _)| whole(w[2]) && whole(w[3]));
                         ways.extend(there.map(|(w, rate)| (w, rate / 3.0)));
                     }
                 }
                 prop_assert_eq!(over(&fleet, &loss, &ways, 1.0), None, "{:?}", loss);
             }
-            for (c, e) in (0..fleet.classes()).flat_map(|c| (0..n).map(move |e| (c, e))) {
+            for (c, e) in (0..fleet.class_count()).flat_map(|c| (0..n).map(move |e| (c, e))) {
                 let comes: f64 = (0..fleet.tenants.len())
                     .map(|t| plans.get(&loss).unwrap().asked[c][t][e] * here.levels[c][t][e])
                     .sum();
@@ -304,23 +304,23 @@
     /// the survivors carry only falls.
     #[test]
     fn a_return_keeps_the_cold_bound(fleet in fleets(), site in 0..2usize) {
-        let n = fleet.sites();
+        let n = fleet.site_count();
         let plans = Plans::new(fleet.clone()).unwrap();
         let loss = Loss::none(n).with(site, Missing::Hosts);
-        let mut last: Option<Course> = None;
-        let from = plans.most(&loss).unwrap();
-        let to = plans.most(&Loss::none(n)).unwrap();
-        for step in ramp::steps(&fleet, site) {
+        let mut last: Option<Allocation> = None;
+        let from = plans.upper_bound(&loss).unwrap();
+        let to = plans.upper_bound(&Loss::none(n)).unwrap();
+        for step in ramp::return_steps(&fleet, site) {
             let here = from.toward(&to, step.share);
-            let bears = if step.at_s >= 9.0 { 1.0 } else { 0.8 * (0.3 + 0.7 * step.at_s / 9.0) };
+            let bears = if step.earliest_s >= 9.0 { 1.0 } else { 0.8 * (0.3 + 0.7 * step.earliest_s / 9.0) };
             let c = &fleet.capacity[site];
-            let of = [c.read + c.mixed[0], c.read_memory + c.mixed[1], c.write + c.mixed[2]];
-            let limits = [Limit::Read(site), Limit::ReadMemory(site), Limit::Write(site)];
+            let of = [c.prefill_tokens_per_s + c.mixed[0], c.prefill_memory_tokens + c.mixed[1], c.decode_tokens_per_s + c.mixed[2]];
+            let limits = [Limit::PrefillRate(site), Limit::PrefillMemory(site), Limit::DecodeRate(site)];
             for (limit, of) in limits.into_iter().zip(of) {
                 prop_assert!(here.used(limit) <= of * bears * (1.0 + 1e-6) + 1e-6, "{limit:?} at {step:?}");
             }
             if let Some(last) = &last {
-                let way = plans.between(&Loss::none(n), &[last], &here);
+                let way = plans.intermediate(&Loss::none(n), &[last], &here);
                 prop_assert_eq!(broken_by_mix(&fleet, &Loss::none(n), &[last, &way]), None);
                 prop_assert_eq!(broken_by_mix(&fleet, &Loss::none(n), &[&way, &here]), None);
             }
@@ -333,7 +333,7 @@
     #[test]
     fn the_table_keeps_the_order_of_steps(drawn in prop::collection::vec((0..5u8, 0..4u8, 0..4u8, 0..3u64), 1..120)) {
         let plans = Plans::new(three()).unwrap();
-        let mut table = Table::new(&plans).unwrap();
+        let mut table = SiteTable::new(&plans).unwrap();
         let name = |i: u8| SiteName::try_from(format!("s{i}").as_str()).unwrap();
         let mut twin = table.clone();
         for (kind, a, b, c) in drawn {
@@ -342,11 +342,11 @@
             let site = name(a);
             let missing = if c == 0 { Missing::Nothing } else { Missing::All };
             let command = match kind {
-                0 => Command::Say { by: name(b), of: site, missing, plans: plans.fingerprint() },
+                0 => Command::ReportMissing { observer: name(b), site, missing, plans: plans.fingerprint() },
                 1 => Command::Settle { epoch },
-                2 => Command::Step { epoch, site },
-                3 => Command::Hold { epoch, site },
-                _ => Command::Back { epoch, site },
+                2 => Command::TryStep { epoch, site },
+                3 => Command::HoldStep { epoch, site },
+                _ => Command::StepBack { epoch, site },
             };
             let before = table.clone();
             let mut out = Vec::new();
@@ -355,8 +355,8 @@
             prop_assert!(!refused || table == before);
             prop_assert!(table.epoch() >= before.epoch() && table.chain().len() <= 4);
             for s in 0..3 {
-                let (was, is) = (before.standing(s), table.standing(s));
-                if let (Standing::Returning { step: k, held: h, .. }, Standing::Returning { step, held, .. }) = (was, is) {
+                let (was, is) = (before.state(s), table.state(s));
+                if let (SiteState::Returning { step: k, held: h, .. }, SiteState::Returning { step, held, .. }) = (was, is) {
                     prop_assert!(step <= k + 1 && held >= h && step >= held && (step != k + 1 || k == h));
                 }
                 prop_assert!(was == is || table.epoch() > before.epoch());
@@ -364,7 +364,7 @@
             twin.apply(command, &mut Vec::new());
         }
         let bytes = postcard::to_stdvec(&table).unwrap();
-        prop_assert_eq!(&postcard::from_bytes::<Table>(&bytes).unwrap(), &twin);
+        prop_assert_eq!(&postcard::from_bytes::<SiteTable>(&bytes).unwrap(), &twin);
     }
 }
 
@@ -480,13 +480,13 @@
 /// of ten; whether the group is heard; and of site 2 the conductors. Then what follows.
 #[rstest]
 #[case::lost((0, false, 0, true, 3), (Status::Lost, Missing::All, Cause::Site))]
-#[case::conductors_only((0, true, 10, true, 3), (Status::Lost, Missing::Entries, Cause::Conductors))]
+#[case::conductors_only((0, true, 10, true, 3), (Status::Lost, Missing::Routers, Cause::Routers))]
 #[case::hosts_only((3, false, 10, true, 3), (Status::Lost, Missing::Hosts, Cause::Hosts))]
 #[case::half((3, true, 5, true, 3), (Status::Lost, Missing::HalfHosts, Cause::Half))]
-#[case::discovery_only((3, true, 0, true, 3), (Status::Sound, Missing::Nothing, Cause::Discovery))]
-#[case::cut_off((0, false, 0, false, 0), (Status::Lost, Missing::Hosts, Cause::CutOff))]
+#[case::discovery_only((3, true, 0, true, 3), (Status::Healthy, Missing::Nothing, Cause::Discovery))]
+#[case::isolated((0, false, 0, false, 0), (Status::Lost, Missing::Hosts, Cause::Isolated))]
 #[case::group_gone((0, false, 0, false, 3), (Status::Lost, Missing::All, Cause::Site))]
-#[case::sound((3, true, 10, true, 3), (Status::Sound, Missing::Nothing, Cause::None))]
+#[case::sound((3, true, 10, true, 3), (Status::Healthy, Missing::Nothing, Cause::None))]
 fn what_is_seen_is_told_apart(
     #[case] (alive, reached, ready, in_touch, elsewhere): (u32, bool, u32, bool, u32),
     #[case] taken_for: (Status, Missing, Cause),
@@ -497,20 +497,20 @@
     let mut now = S;
     watch.handle(
         now,
-        Conductors {
+        Routers {
             site: 0,
             alive: 2,
-            of: 3,
+            total: 3,
         },
         &mut out,
     );
     for site in 1..3 {
         watch.handle(
             now,
-            Conductors {
+            Routers {
                 site,
                 alive: 3,
-                of: 3,
+                total: 3,
             },
             &mut out,
         );
@@ -526,22 +526,22 @@
     now += 2 * S;
     for _ in 0..30 {
         now += S / 5;
-        watch.handle(now, Group { in_touch }, &mut out);
+        watch.handle(now, Leader { known: in_touch }, &mut out);
         watch.handle(
             now,
-            Conductors {
+            Routers {
                 site: 2,
                 alive: elsewhere,
-                of: 3,
+                total: 3,
             },
             &mut out,
         );
         watch.handle(
             now,
-            Conductors {
+            Routers {
                 site: 1,
                 alive,
-                of: 3,
+                total: 3,
             },
             &mut out,
         );
@@ -550,7 +550,7 @@
             Listed {
                 site: 1,
                 ready,
-                of: 10,
+                total: 10,
             },
             &mut out,
         );
@@ -600,7 +600,7 @@
     }
     assert_eq!(waits, [5, 10, 20, 20, 20]);
     // Back for long: forgotten.
-    watch.handle(now, Whole { site: 1 }, &mut out);
+    watch.handle(now, FullyRestored { site: 1 }, &mut out);
     watch.handle(now + 700 * S, Tick, &mut out);
     now += 700 * S;
     while watch.status(1).0 != Status::Lost {
@@ -634,16 +634,16 @@
 fn a_bad_step_goes_back_to_the_one_that_held_and_no_further() {
     let fleet = three();
     let plans = Plans::new(fleet.clone()).unwrap();
-    let mut table = Table::new(&plans).unwrap();
+    let mut table = SiteTable::new(&plans).unwrap();
     let mut ramp = Ramp::new(&fleet);
     let names = table.names().to_vec();
-    let say = |table: &mut Table, missing| {
+    let say = |table: &mut SiteTable, missing| {
         for by in [0, 1] {
-            let (by, of) = (names[by].clone(), names[2].clone());
+            let (observer, site) = (names[by].clone(), names[2].clone());
             table.apply(
-                Command::Say {
-                    by,
-                    of,
+                Command::ReportMissing {
+                    observer,
+                    site,
                     missing,
                     plans: plans.fingerprint(),
                 },
@@ -656,26 +656,26 @@
     let mut out = Vec::new();
     ramp.handle(0, ramp::Event::Pacing(true), &mut out);
     let (mut now, mut tried, mut bad) = (0, Vec::new(), 1);
-    while table.standing(2) != Standing::Sound {
+    while table.state(2) != SiteState::Healthy {
         now += S / 10;
-        assert!(now < 300 * S, "{:?}", table.standing(2));
+        assert!(now < 300 * S, "{:?}", table.state(2));
         ramp.handle(now, ramp::Event::Table(table.clone()), &mut out);
-        if matches!(table.standing(2), Standing::Returning { step: 4, .. })
+        if matches!(table.state(2), SiteState::Returning { step: 4, .. })
             && bad > 0
             && table.settled()
         {
             bad -= 1;
-            let measured = Measured {
-                outcomes: 100,
+            let counts = OutcomeCounts {
+                total: 100,
                 late: 60,
                 refused: 0,
             };
-            ramp.handle(now, ramp::Event::Measured { site: 2, measured }, &mut out);
+            ramp.handle(now, ramp::Event::Outcomes { site: 2, counts }, &mut out);
         }
         ramp.handle(now, ramp::Event::Tick, &mut out);
         for command in out.drain(..) {
             table.apply(command, &mut Vec::new());
-            let Standing::Returning { step, held, .. } = table.standing(2) else {
+            let SiteState::Returning { step, held, .. } = table.state(2) else {
                 continue;
             };
             if tried.last().is_none_or(|(_, last)| *last != (step, held)) {
@@ -720,22 +720,24 @@
     let plans = Plans::new(fleet).unwrap();
     let loss = Loss::of(3, &[0]);
     let (plan, most) = (
-        &plans.get(&loss).unwrap().course,
-        plans.most(&loss).unwrap(),
+        &plans.get(&loss).unwrap().allocation,
+        plans.upper_bound(&loss).unwrap(),
     );
-    let orders = Orders::of(&plans, plan, &most, 1, 1, true);
-    let partly = |c: &usize| (1..1_000_000).contains(&orders.levels[*c][0]);
+    let allocation = RouterAllocation::for_router(&plans, plan, &most, 1, 1, true);
+    let partly = |c: &usize| (1..1_000_000).contains(&allocation.levels[*c][0]);
     let class = (0..2).find(partly).expect("a class that is taken in part");
-    let level = orders.levels[class][0];
-    let mut gates = [Gate::new(S, 3 * S), Gate::new(S, 3 * S)];
-    gates.iter_mut().for_each(|g| g.set(0, orders.clone()));
+    let level = allocation.levels[class][0];
+    let mut gates = [AdmissionGate::new(S, 3 * S), AdmissionGate::new(S, 3 * S)];
+    gates
+        .iter_mut()
+        .for_each(|g| g.set_allocation(0, allocation.clone()));
     let (mut taken, mut now) = (0, 0);
     for i in 0..2_000u32 {
         now += S / 2;
         let key = format!("request-{i}");
-        let door = gates[0].ask(now, class, 0, key.as_bytes(), false);
-        taken += u32::from(door == Door::Take);
-        if let Door::Refuse {
+        let door = gates[0].check(now, class, 0, key.as_bytes(), false);
+        taken += u32::from(door == Admission::Accept);
+        if let Admission::Refuse {
             retry_after,
             by_level,
         } = door
@@ -743,16 +745,16 @@
             assert!(by_level && (S..=3 * S).contains(&retry_after));
             // At the same door, at another, and with work in hand.
             assert_ne!(
-                gates[0].ask(now + 1, class, 0, key.as_bytes(), false),
-                Door::Take
+                gates[0].check(now + 1, class, 0, key.as_bytes(), false),
+                Admission::Accept
             );
             assert_ne!(
-                gates[1].ask(now, class, 0, key.as_bytes(), false),
-                Door::Take
+                gates[1].check(now, class, 0, key.as_bytes(), false),
+                Admission::Accept
             );
             assert_eq!(
-                gates[1].ask(now, class, 0, key.as_bytes(), true),
-                Door::Take
+                gates[1].check(now, class, 0, key.as_bytes(), true),
+                Admission::Accept
             );
         }
     }
@@ -762,12 +764,12 @@
         "{part} of {level}"
     );
     // A class that the file doesn't expect is not limited.
-    assert_eq!(gates[0].ask(now, 9, 0, b"new", false), Door::Take);
+    assert_eq!(gates[0].check(now, 9, 0, b"new", false), Admission::Accept);
     let mut list = vec![host("s0"), host("s1"), host("elsewhere")];
-    orders.weigh(
+    allocation.apply_weights(
         &mut list,
         |_| Some(Role::Prefill),
-        |zone| plans.fleet().site(zone),
+        |zone| plans.fleet().site_index(zone),
     );
     assert_eq!(
         list.iter().map(|e| e.status).collect::<Vec<_>>(),
@@ -776,13 +778,13 @@
     assert!(list[1].weight > 0.0 && list[1].weight <= 2.0 && list[2].weight == 2.0);
     // A flood of new requests: no more than this conductor's part, which a third of the site's is.
     let flood = (0..20_000u32).filter(|i| {
-        gates[1].ask(
+        gates[1].check(
             now + u64::from(*i) * 1_000,
             class,
             0,
             &i.to_le_bytes(),
             false,
-        ) == Door::Take
+        ) == Admission::Accept
     });
     let bears = most.taken(class, 1) / 3.0 * 22.0;
     assert!(flood.count() as f64 <= bears + 5.0);
@@ -792,16 +794,16 @@
 /// that is cut off and sends to what it can't reach.
 #[rstest]
 #[case::no_leader(3, true)]
-#[case::cut_off(0, false)]
+#[case::isolated(0, false)]
 fn without_a_group_a_conductor_harms_nobody(#[case] elsewhere: u32, #[case] takes_over: bool) {
     use watch::Event::*;
     let mut plans = Plans::new(three()).unwrap();
     let mut member = Member::new(&plans, 1, 5);
-    let table = Table::new(&plans).unwrap();
+    let table = SiteTable::new(&plans).unwrap();
     let mut out = Vec::new();
     let mut see = |member: &mut Member, plans: &mut Plans, now, event| {
         out.clear();
-        member.handle(plans, now, member::Event::Seen(event), &mut out);
+        member.handle(plans, now, member::Event::Observed(event), &mut out);
         out.iter().any(|a| matches!(a, member::Action::Propose(_)))
     };
     member.handle(
@@ -810,41 +812,41 @@
         member::Event::Table(Box::new(table)),
         &mut Vec::new(),
     );
-    let usual = member.orders().clone();
-    assert!(!usual.unusual && usual.weights[1] == [1_000_000; 2]);
+    let usual = member.allocation().clone();
+    assert!(!usual.degraded && usual.weights[1] == [1_000_000; 2]);
     let mut now = S;
     for site in 0..3 {
         see(
             &mut member,
             &mut plans,
             now,
-            Conductors {
+            Routers {
                 site,
                 alive: 3,
-                of: 3,
+                total: 3,
             },
         );
     }
     now += 2 * S;
-    see(&mut member, &mut plans, now, Group { in_touch: false });
+    see(&mut member, &mut plans, now, Leader { known: false });
     see(
         &mut member,
         &mut plans,
         now,
-        Conductors {
+        Routers {
             site: 0,
             alive: 0,
-            of: 3,
+            total: 3,
         },
     );
     see(
         &mut member,
         &mut plans,
         now,
-        Conductors {
+        Routers {
             site: 2,
             alive: elsewhere,
-            of: 3,
+            total: 3,
         },
     );
     let mut proposed = false;
@@ -860,24 +862,24 @@
             },
         );
     }
-    let orders = member.orders();
-    assert!(orders.unusual && orders.weights[0] == [0; 2]);
+    let allocation = member.allocation();
+    assert!(allocation.degraded && allocation.weights[0] == [0; 2]);
     assert_eq!(proposed, takes_over);
-    // Its part of the survivors' limits is what the course on the way gives it, not the whole plan's.
+    // Its part of the survivors' limits is what the allocation on the way gives it, not the whole plan's.
     let loss = Loss::of(3, &[0]);
     let (from, to) = (
-        plans.most(&Loss::none(3)).unwrap(),
-        plans.most(&loss).unwrap(),
+        plans.upper_bound(&Loss::none(3)).unwrap(),
+        plans.upper_bound(&loss).unwrap(),
     );
-    let here = plans.between(&loss, &[&from], &to);
+    let here = plans.intermediate(&loss, &[&from], &to);
     for c in 0..2 {
         let most = here.taken(c, 1) / 3.0 * 1e3 + 1.0;
         assert!(
-            orders.most[c].unwrap() as f64
+            allocation.max_per_1000_s[c].unwrap() as f64
                 <= if takes_over {
                     most
                 } else {
-                    usual.most[c].unwrap() as f64
+                    usual.max_per_1000_s[c].unwrap() as f64
                 }
         );
     }
--- a/src/fleet/sites/watch.rs
+++ b/src/fleet/sites/watch.rs
@@ -22,18 +22,18 @@
     /// Time has passed.
     Tick,
     /// The view: conductors of a site that are not dead, of all that it has.
-    Conductors {
+    Routers {
         /// The site.
         site: usize,
         /// Alive or suspect.
         alive: u32,
-        /// Of so many.
-        of: u32,
+        /// Configured number of routers.
+        total: u32,
     },
     /// Whether the group's leader is heard.
-    Group {
-        /// It is.
-        in_touch: bool,
+    Leader {
+        /// Whether this router knows the current leader.
+        known: bool,
     },
     /// A host of the site was reached, by a request, an answer or a connection; or could not be.
     Host {
@@ -48,11 +48,11 @@
         site: usize,
         /// In service.
         ready: u32,
-        /// Of so many.
-        of: u32,
+        /// Configured number of routers.
+        total: u32,
     },
     /// The group says that the site has its whole load again.
-    Whole {
+    FullyRestored {
         /// The site.
         site: usize,
     },
@@ -63,33 +63,60 @@
 pub enum Status {
     /// All of it serves.
     #[default]
-    Sound,
+    Healthy,
     /// Something is missing, not for long yet: nothing new is sent to it.
-    Doubted,
+    Suspect,
     /// What is missing is planned for.
     Lost,
     /// All of it is seen again; its load comes back by steps.
     Returning,
 }
 
+impl Status {
+    /// The value written to the structured log.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            Status::Healthy => "sound",
+            Status::Suspect => "doubted",
+            Status::Lost => "lost",
+            Status::Returning => "returning",
+        }
+    }
+}
+
 /// Why.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum Cause {
     /// Nothing is wrong.
     #[default]
     None,
-    /// Conductors and hosts are gone.
+    /// Routers and hosts are gone.
     Site,
     /// The hosts are.
     Hosts,
     /// Half of the hosts is.
     Half,
     /// The conductors are.
-    Conductors,
+    Routers,
     /// Only discovery says so.
     Discovery,
     /// I am cut off from most conductors and from the group, and don't reach the hosts.
-    CutOff,
+    Isolated,
+}
+
+impl Cause {
+    /// The value written to the structured log.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            Cause::None => "none",
+            Cause::Site => "site",
+            Cause::Hosts => "hosts",
+            Cause::Half => "half",
+            Cause::Routers => "conductors",
+            Cause::Discovery => "discovery",
+            Cause::Isolated => "cutoff",
+        }
+    }
 }
 
 /// A change of what a site is taken for.
@@ -142,7 +169,7 @@
 pub struct Watch {
     set: WatchSettings,
     own: usize,
-    in_touch: bool,
+    leader_known: bool,
     sites: Vec<Site>,
 }
 
@@ -152,7 +179,7 @@
         Watch {
             set,
             own,
-            in_touch: true,
+            leader_known: true,
             sites: vec![Site::default(); sites],
         }
     }
@@ -173,15 +200,15 @@
     }
 
     /// Whether this conductor is cut off: it sees half of all conductors at most, and not the group.
-    pub fn cut_off(&self) -> bool {
+    pub fn isolated(&self) -> bool {
         let seen = self.sites.iter().filter_map(|s| s.conductors);
         let (alive, of) = seen.fold((0, 0), |(a, b), (alive, of)| (a + alive, b + of));
-        !self.in_touch && of > 0 && alive * 2 <= of
+        !self.leader_known && of > 0 && alive * 2 <= of
     }
 
     /// When to tick next.
     pub fn timeout(&self, now: Micros) -> Option<Micros> {
-        let busy = |s: &Site| s.status != Status::Sound || s.other.is_some() || s.failures > 0;
+        let busy = |s: &Site| s.status != Status::Healthy || s.other.is_some() || s.failures > 0;
         self.sites
             .iter()
             .any(busy)
@@ -192,12 +219,12 @@
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::Tick => {}
-            Event::Conductors { site, alive, of } => {
+            Event::Routers { site, alive, total } => {
                 if let Some(s) = self.sites.get_mut(site) {
-                    s.conductors = Some((alive, of));
+                    s.conductors = Some((alive, total));
                 }
             }
-            Event::Group { in_touch } => self.in_touch = in_touch,
+            Event::Leader { known } => self.leader_known = known,
             Event::Host { site, reached } => {
                 if let Some(s) = self.sites.get_mut(site) {
                     if reached {
@@ -207,12 +234,12 @@
                     }
                 }
             }
-            Event::Listed { site, ready, of } => {
+            Event::Listed { site, ready, total } => {
                 if let Some(s) = self.sites.get_mut(site) {
-                    s.listed = Some((ready, of));
+                    s.listed = Some((ready, total));
                 }
             }
-            Event::Whole { site } => {
+            Event::FullyRestored { site } => {
                 if let Some(s) = self
                     .sites
                     .get_mut(site)
@@ -221,7 +248,7 @@
                     s.move_to(
                         site,
                         now,
-                        Status::Sound,
+                        Status::Healthy,
                         (Missing::Nothing, Cause::None),
                         out,
                     );
@@ -240,9 +267,9 @@
             .reached
             .is_some_and(|at| now.saturating_sub(at) < self.set.reached_ms * 1_000);
         let unreached = s.failures >= self.set.failures && !lately;
-        if self.cut_off() {
+        if self.isolated() {
             return if unreached {
-                (Missing::Hosts, Cause::CutOff)
+                (Missing::Hosts, Cause::Isolated)
             } else {
                 (Missing::Nothing, Cause::None)
             };
@@ -254,7 +281,7 @@
             .is_some_and(|(ready, of)| ready > 0 && ready * 2 <= of);
         match (gone, unreached) {
             (true, true) => (Missing::All, Cause::Site),
-            (true, false) => (Missing::Entries, Cause::Conductors),
+            (true, false) => (Missing::Routers, Cause::Routers),
             (false, true) => (Missing::Hosts, Cause::Hosts),
             (false, false) if half_listed => (Missing::HalfHosts, Cause::Half),
             (false, false) if none_listed && lately => (Missing::Nothing, Cause::Discovery),
@@ -270,7 +297,7 @@
         let s = &mut self.sites[site];
         let every = set.reached_ms * 1_000 / 2;
         // Nothing new is sent there, so that nothing would be reached: connections are tried instead.
-        if (s.status != Status::Sound || missing != Missing::Nothing) && now >= s.probed + every {
+        if (s.status != Status::Healthy || missing != Missing::Nothing) && now >= s.probed + every {
             s.probed = now;
             out.push(Action::Probe { site });
         }
@@ -282,26 +309,26 @@
         let differs_for = s.other.map(|(_, since)| now - since);
         let lost_after = set.lost_after_ms * 1_000;
         match s.status {
-            Status::Sound => {
+            Status::Healthy => {
                 if missing != Missing::Nothing {
-                    s.move_to(site, now, Status::Doubted, (missing, cause), out);
+                    s.move_to(site, now, Status::Suspect, (missing, cause), out);
                 } else if s.cause != cause {
-                    s.move_to(site, now, Status::Sound, (missing, cause), out);
+                    s.move_to(site, now, Status::Healthy, (missing, cause), out);
                 } else if now - s.since >= set.forget_ms * 1_000 {
                     (s.doublings, s.was_lost) = (0, false);
                 }
             }
-            Status::Doubted => {
+            Status::Suspect => {
                 if missing == Missing::Nothing {
                     if differs_for.is_some_and(|d| d >= set.reached_ms * 1_000) {
-                        s.move_to(site, now, Status::Sound, (missing, cause), out);
+                        s.move_to(site, now, Status::Healthy, (missing, cause), out);
                     }
                 } else if now - s.since >= lost_after {
                     s.move_to(site, now, Status::Lost, (missing, cause), out);
                 } else if missing != s.missing {
                     // Still doubted, and as long as before; only what is missing is seen better.
                     let since = s.since;
-                    s.move_to(site, now, Status::Doubted, (missing, cause), out);
+                    s.move_to(site, now, Status::Suspect, (missing, cause), out);
                     s.since = since;
                 }
             }
@@ -344,7 +371,7 @@
     ) {
         let from = self.status;
         // A loss soon after a return: what was seen before it is not forgotten yet.
-        if from == Status::Doubted && to == Status::Lost && self.was_lost {
+        if from == Status::Suspect && to == Status::Lost && self.was_lost {
             self.doublings = self.doublings.saturating_add(1);
         }
         if to == Status::Lost {
--- a/src/fleet/state/fleet_state.rs
+++ b/src/fleet/state/fleet_state.rs
@@ -58,7 +58,7 @@
     work: work::Table,
     policy: policy_epoch::Table,
     applied: Index,
-    sites: sites::epoch::Table,
+    sites: sites::epoch::SiteTable,
 }
 
 impl FleetState {
@@ -93,7 +93,7 @@
     }
 
     /// The agreed state of the sites.
-    pub fn sites(&self) -> &sites::epoch::Table {
+    pub fn sites(&self) -> &sites::epoch::SiteTable {
         &self.sites
     }
 
--- a/src/fleet/transport/drive.rs
+++ b/src/fleet/transport/drive.rs
@@ -14,7 +14,7 @@
 use crate::fleet::message::Message;
 use crate::fleet::node::{Action, Event, Node, NodeStart, ProposalError};
 use crate::fleet::raft::{MAX_VOTERS, Role};
-use crate::fleet::sites::epoch::Table;
+use crate::fleet::sites::epoch::SiteTable;
 use crate::fleet::state::{Command, FleetState, ProposalResult, StateChange};
 use crate::fleet::{Index, LeaseName, MemberInstance, MemberName, membership, policy_epoch, raft};
 use crate::routing::types::Micros;
@@ -69,7 +69,7 @@
     /// Another leader is known, or none.
     Leading(Option<&'a MemberName>),
     /// What is agreed of the sites has changed: this is it, or a later one.
-    Sites(&'a Table),
+    Sites(&'a SiteTable),
     /// The state was replaced by a snapshot: this is it, or a later one.
     Restored(&'a FleetState),
 }
--- a/src/fleet/transport/history.rs
+++ b/src/fleet/transport/history.rs
@@ -4,7 +4,7 @@
 //! `docs/fleet.md`.
 
 use crate::fleet::lease::{LeaseStatus, LeaseStatusChange, StatusChangeCause};
-use crate::fleet::sites::{epoch::Standing as Agreed, watch};
+use crate::fleet::sites::{epoch::SiteState as Agreed, watch};
 use crate::fleet::{Index, LeaseName, MemberInstance, MemberName, Term, Token, membership};
 use crate::routing::types::Micros;
 use std::net::SocketAddr;
@@ -237,22 +237,17 @@
 
     /// This member takes a site for something else.
     pub fn site(&self, site: &str, change: &watch::Change) {
-        let [from, to] =
-            [change.from, change.to].map(|status| format!("{status:?}").to_lowercase());
-        let (missing, cause) = (
-            format!("{:?}", change.missing),
-            format!("{:?}", change.cause),
-        );
-        let (missing, cause) = (missing.to_lowercase(), cause.to_lowercase());
+        let (from, to) = (change.from.as_str(), change.to.as_str());
+        let (missing, cause) = (change.missing.as_str(), change.cause.as_str());
         event!(self, info, TARGET, "site.state", at unix_us(),
-            { site = site, from = from.as_str(), to = to.as_str(), missing = missing.as_str(), cause = cause.as_str() },
+            { site = site, from = from, to = to, missing = missing, cause = cause },
             "sites: {site} from {from} to {to}, missing {missing} ({cause})");
     }
 
     /// The group has agreed on something about a site.
     pub fn site_epoch(&self, epoch: u64, site: &str, from: Agreed, to: Agreed) {
         let [(from, _), (to, step)] = [from, to].map(|standing| match standing {
-            Agreed::Sound => ("sound", None),
+            Agreed::Healthy => ("sound", None),
             Agreed::Lost(_) => ("lost", None),
             Agreed::Returning { step, .. } => ("returning", Some(step)),
         });
--- a/src/fleet/transport/sites.rs
+++ b/src/fleet/transport/sites.rs
@@ -11,7 +11,7 @@
 use crate::fleet::MemberName;
 use crate::fleet::membership;
 use crate::fleet::sites::describe;
-use crate::fleet::sites::epoch::{self, Table};
+use crate::fleet::sites::epoch::{self, SiteTable};
 use crate::fleet::sites::member::{Action, Event, Member};
 use crate::fleet::sites::plan::{PlanError, Plans};
 use crate::fleet::sites::watch;
@@ -93,7 +93,7 @@
             list: RefCell::default(),
             names: tables.site.iter().map(|s| s.name.clone()).collect(),
             own,
-            of: tables.site.iter().map(|s| s.conductors).collect(),
+            of: tables.site.iter().map(|s| s.routers).collect(),
             member: RefCell::new(Member::new(&plans, own, seed)),
             conductors: RefCell::new([(fleet.who().name, (own, true))].into()),
             had: RefCell::new(vec![0; tables.site.len()]),
@@ -139,7 +139,10 @@
                 .map(|k| k.role)
         };
         let site = |zone: &str| self.names.iter().position(|name| name == zone);
-        self.member.borrow().orders().weigh(entries, role, site);
+        self.member
+            .borrow()
+            .allocation()
+            .apply_weights(entries, role, site);
     }
 
     /// New orders: the module is told of all hosts anew.
@@ -164,7 +167,11 @@
                 had[site] = had[site].max(hosts.len() as u32);
                 had[site]
             };
-            self.handle(Event::Seen(watch::Event::Listed { site, ready, of }));
+            self.handle(Event::Observed(watch::Event::Listed {
+                site,
+                ready,
+                total: of,
+            }));
         }
     }
 
@@ -178,13 +185,13 @@
             Told::View(change) => self.seen(change),
             Told::Leading(leader) => {
                 let me = self.fleet.who().name;
-                self.handle(Event::Seen(watch::Event::Group {
-                    in_touch: leader.is_some(),
+                self.handle(Event::Observed(watch::Event::Leader {
+                    known: leader.is_some(),
                 }));
                 self.handle(Event::Pacing(*leader == Some(&me)));
             }
             Told::Effect(_, StateChange::Sites(effect)) => match effect {
-                epoch::Effect::Standing {
+                epoch::Effect::SiteChanged {
                     epoch,
                     site,
                     from,
@@ -201,7 +208,7 @@
         }
     }
 
-    fn agreed(self: &Rc<Self>, table: &Table) {
+    fn agreed(self: &Rc<Self>, table: &SiteTable) {
         self.handle(Event::Table(Box::new(table.clone())));
     }
 
@@ -227,7 +234,11 @@
                 .count() as u32
         };
         let of = self.of[site].max(alive);
-        self.handle(Event::Seen(watch::Event::Conductors { site, alive, of }));
+        self.handle(Event::Observed(watch::Event::Routers {
+            site,
+            alive,
+            total: of,
+        }));
     }
 
     fn handle(self: &Rc<Self>, event: Event) {
@@ -247,7 +258,7 @@
                 }
                 Action::Probe { site } => self.try_host(site),
                 Action::Changed(change) => self.history().site(&self.names[change.site], &change),
-                Action::Orders(_) => self.obey(),
+                Action::Allocation(_) => self.obey(),
                 Action::NoPlan(why) => self.history().note(&format!("sites: {why}")),
             }
         }
@@ -292,7 +303,7 @@
         tokio::task::spawn_local(async move {
             let tried = tokio::time::timeout(patience, answers(address)).await;
             let reached = tried.is_ok_and(|answered| answered.is_ok());
-            sites.handle(Event::Seen(watch::Event::Host { site, reached }));
+            sites.handle(Event::Observed(watch::Event::Host { site, reached }));
         });
     }
 }
--- a/src/run.rs
+++ b/src/run.rs
@@ -219,7 +219,7 @@
     let own = config
         .fleet
         .as_ref()
-        .and_then(|f| config.sites.as_ref()?.site(f.site.as_str()));
+        .and_then(|f| config.sites.as_ref()?.site_index(f.site.as_str()));
     let plans = match (own, config.sites.clone()) {
         (Some(own), Some(tables)) => {
             let plans = Sites::plan(tables)
--- a/tests/golden/commands.rs
+++ b/tests/golden/commands.rs
@@ -197,7 +197,7 @@
     vec![
         ("sites-plans", plans()),
         ("sites-say-nothing", say("east", Missing::Nothing)),
-        ("sites-say-entries", say("east", Missing::Entries)),
+        ("sites-say-entries", say("east", Missing::Routers)),
         ("sites-say-half-hosts", say("east", Missing::HalfHosts)),
         ("sites-say-hosts", say("east", Missing::Hosts)),
         ("sites-say-all", say("east", Missing::All)),
@@ -211,7 +211,7 @@
 const PLANS: u64 = 0xfeed_0000_0000_0001;
 
 fn plans() -> Command {
-    Command::Sites(sites::Command::Plans {
+    Command::Sites(sites::Command::InstallPlans {
         plans: PLANS,
         sites: vec![
             (site("north"), vec![100_000, 500_000, 1_000_000]),
@@ -222,9 +222,9 @@
 }
 
 fn say(by: &str, missing: Missing) -> Command {
-    Command::Sites(sites::Command::Say {
-        by: site(by),
-        of: site("north"),
+    Command::Sites(sites::Command::ReportMissing {
+        observer: site(by),
+        site: site("north"),
         missing,
         plans: PLANS,
     })
@@ -236,17 +236,17 @@
 
 fn step(epoch: u64) -> Command {
     let site = site("north");
-    Command::Sites(sites::Command::Step { epoch, site })
+    Command::Sites(sites::Command::TryStep { epoch, site })
 }
 
 fn hold(epoch: u64) -> Command {
     let site = site("north");
-    Command::Sites(sites::Command::Hold { epoch, site })
+    Command::Sites(sites::Command::HoldStep { epoch, site })
 }
 
 fn back(epoch: u64) -> Command {
     let site = site("north");
-    Command::Sites(sites::Command::Back { epoch, site })
+    Command::Sites(sites::Command::StepBack { epoch, site })
 }
 
 fn policy_examples() -> Vec<Example<Command>> {
--- a/tests/golden_config.rs
+++ b/tests/golden_config.rs
@@ -171,25 +171,25 @@
 #[test]
 fn sites_file_gives_sites_links_and_capacity() {
     let fleet = sites();
-    let names: Vec<&str> = (0..fleet.sites())
+    let names: Vec<&str> = (0..fleet.site_count())
         .map(|site| fleet.site_name(site))
         .collect();
     assert_eq!(names, ["west", "east", "north"]);
-    assert_eq!(fleet.tables.site[0].conductors, 3);
+    assert_eq!(fleet.tables.site[0].routers, 3);
     assert_eq!(fleet.tables.site[0].falls_to["east"], 0.6);
     assert_eq!(fleet.links[0][1], Some((120_000.0, 1.2)));
     assert_eq!(fleet.links[1][0], Some((120_000.0, 1.2)));
     assert_eq!(fleet.links[0][2], Some((60_000.0, 2.1)));
-    assert_eq!(fleet.capacity[0].read, 72_000.0);
-    assert_eq!(fleet.capacity[0].read_memory, 800_000.0);
-    assert_eq!(fleet.capacity[0].write, 9_600.0);
-    assert_eq!(fleet.capacity[2].write_memory, 1_500_000.0);
+    assert_eq!(fleet.capacity[0].prefill_tokens_per_s, 72_000.0);
+    assert_eq!(fleet.capacity[0].prefill_memory_tokens, 800_000.0);
+    assert_eq!(fleet.capacity[0].decode_tokens_per_s, 9_600.0);
+    assert_eq!(fleet.capacity[2].decode_memory_tokens, 1_500_000.0);
 }
 
 #[test]
 fn sites_file_gives_demand_shares_and_pace() {
     let fleet = sites();
-    assert_eq!(fleet.classes(), 2);
+    assert_eq!(fleet.class_count(), 2);
     assert_eq!(fleet.worth, [3.0, 2.0]);
     assert_eq!(fleet.tenants, ["", "abacus", "brass"]);
     assert_eq!(fleet.guaranteed, [0.0, 20.0, 12.0]);
