--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -1,9 +1,9 @@
 //! The server side: accepts clients, takes requests in, passes answers on.
 
-use super::Local;
+use super::LocalBoxFuture;
 use super::client_connection::{Answerer, Answering, serve};
 use super::connections::Connections;
-use super::fault::pause_after_accept;
+use super::fault::accept_retry_delay;
 use super::framing::Watch;
 use super::upgrade::socket::turn_away_new;
 use crate::admin::metrics::RequestMetrics;
@@ -237,7 +237,7 @@
 impl Service<Arrival> for Edge {
     type Response = Response<AnswerBody>;
     type Error = Infallible;
-    type Future = Local<Result<Self::Response, Infallible>>;
+    type Future = LocalBoxFuture<Result<Self::Response, Infallible>>;
 
     fn poll_ready(&mut self, _: &mut Context<'_>) -> Poll<Result<(), Infallible>> {
         Poll::Ready(Ok(()))
@@ -375,7 +375,7 @@
     /// Counts a failed accept, and waits where another one at once would fail as well.
     async fn accept_failed(&self, error: &std::io::Error) {
         let counters = &self.edge.shared.counters;
-        let Some(pause) = pause_after_accept(error) else {
+        let Some(pause) = accept_retry_delay(error) else {
             counters.accepts_of_one_failed.up();
             return log::debug!("accept: {error}");
         };
