--- a/src/net/client.rs
+++ b/src/net/client.rs
@@ -370,7 +370,7 @@
             StreamSender {
                 frames,
                 mut replies,
-                paused,
+                is_paused: paused,
             },
             feed,
         ) = stream_channel(content_type);
