--- a/src/fleet/sites/command.rs
+++ b/src/fleet/sites/command.rs
@@ -49,7 +49,8 @@
     Hosts,
     /// Half of its hosts.
     Half,
-    /// Its conductors.
+    /// Its routers.
+    #[value(name = "conductors")]
     Routers,
 }
 
--- a/src/fleet/sites/plan.rs
+++ b/src/fleet/sites/plan.rs
@@ -1,12 +1,14 @@
-//! Plans: who serves what where while sites are missing, made ahead for each loss by a linear program.
+//! Plans for losses: which site serves which requests while sites are missing, computed ahead for each loss by a
+//! linear program.
 //!
-//! A request comes in at a site's conductors (its *entry*), is read at one site and written at one site; if these two
-//! differ, its state crosses their link. A [`Allocation`] says how many requests a second of each class go which way and
-//! which part of each class and tenant is taken at all. A [`Plan`] is the allocation for one [`Loss`], with its figures.
+//! A request arrives at the routers of a site (its *entry*), is prefilled at one site and decoded at one site. If
+//! these two differ, its KV state crosses the link between them. An [`Allocation`] says how many requests per second
+//! of each class take which route, and which share of each class and tenant is admitted at all. A [`Plan`] is the
+//! allocation for one [`Loss`], with its figures.
 
 #![allow(
     clippy::needless_range_loop,
-    reason = "sites and classes are numbers that index several tables at once"
+    reason = "sites and classes are indexes into several tables at once"
 )]
 
 use super::describe::Fleet;
@@ -15,32 +17,34 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// What a guaranteed request is worth more than any other: it is given up only when no other is left to give up.
-const GUARANTEED: f64 = 1_000.0;
-/// A site refuses more of a class than the others only where that keeps this much more worth: else all refuse alike.
-const LOCAL: f64 = 1.05;
-/// Chains of conditions whose allocations are kept.
-const MOST_KEPT: usize = 16;
-/// More requests than a plan's, as a multiple, that a conductor takes at most where its limits bear them.
-const MOST_STRETCH: f64 = 4.0;
-/// Less than this of a limit, or of a request a second, is rounding.
+/// Factor by which a guaranteed request is worth more than any other, so that guaranteed requests are refused only
+/// when there are no others left to refuse.
+const GUARANTEED_WORTH_FACTOR: f64 = 1_000.0;
+/// Refusing a request at one site, below the level of its class, costs its worth times this factor. So a site refuses
+/// more of a class than the others only where that keeps this much more worth; otherwise all refuse alike.
+const LOCAL_REFUSAL_FACTOR: f64 = 1.05;
+/// Maximum number of transitions whose allocations are cached.
+const MAX_CACHED_TRANSITIONS: usize = 16;
+/// Maximum factor on a plan's rates up to which a router may admit requests, as far as the limits allow it.
+const MAX_RATE_FACTOR: f64 = 4.0;
+/// Smaller shares of a limit, or smaller rates in requests per second, are rounding errors.
 pub(crate) const EPSILON: f64 = 1e-6;
 
-/// What is missing of a site.
+/// The part of a site that is missing.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub enum Missing {
-    /// Nothing.
+    /// Nothing is missing.
     #[default]
     Nothing,
-    /// Its conductors: its clients come in elsewhere, its hosts serve.
+    /// The routers: clients connect to other sites, the model hosts still serve.
     Routers,
-    /// Half of its hosts.
+    /// Half of the model hosts.
     HalfHosts,
-    /// Its hosts: its conductors take its clients in and send them elsewhere.
+    /// All model hosts: the routers accept clients and send their requests to other sites.
     Hosts,
-    /// Routers and hosts.
+    /// Routers and model hosts.
     All,
 }
 
@@ -56,12 +60,12 @@
         }
     }
 
-    /// Whether its clients come in elsewhere.
+    /// Whether the routers are missing, so that clients connect to other sites.
     pub fn routers_missing(self) -> bool {
         matches!(self, Missing::Routers | Missing::All)
     }
 
-    /// The part of its hosts that serves.
+    /// Share of the model hosts that serve.
     pub fn remaining_hosts(self) -> f64 {
         match self {
             Missing::Nothing | Missing::Routers => 1.0,
@@ -71,7 +75,7 @@
     }
 }
 
-/// What is missing, for each site in the order of the file.
+/// The missing part of each site, in the order of the configuration file.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Loss(pub Vec<Missing>);
 
@@ -81,7 +85,7 @@
         Loss(vec![Missing::Nothing; sites])
     }
 
-    /// These sites are missing whole.
+    /// The listed sites are missing as a whole.
     pub fn of_whole_sites(sites: usize, lost: &[usize]) -> Self {
         Loss(
             (0..sites)
@@ -96,15 +100,15 @@
         )
     }
 
-    /// The same with another value for one site.
+    /// This loss with another value for one site.
     pub fn with(&self, site: usize, missing: Missing) -> Self {
         let mut loss = self.clone();
         loss.0[site] = missing;
         loss
     }
 
-    /// The loss that plans are made for: where more than one site is touched, half of the hosts counts as all of them
-    /// and the conductors as the whole site.
+    /// The loss that a plan is prepared for and that covers this one. Where more than one site is affected, half of
+    /// the hosts counts as all hosts, and missing routers count as the loss of the whole site.
     pub fn rounded_up(&self) -> Self {
         if self.0.iter().filter(|m| **m != Missing::Nothing).count() < 2 {
             return self.clone();
@@ -118,50 +122,51 @@
     }
 }
 
-/// Something that can be full.
+/// A resource that can be used up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Limit {
-    /// Prompt tokens a second of a site's readers.
+    /// Prompt tokens per second of a site's prefill workers.
     PrefillRate(usize),
-    /// Tokens that a site's readers keep.
+    /// Memory of a site's prefill workers, in tokens of KV state.
     PrefillMemory(usize),
-    /// Answer tokens a second of a site's writers: their slots.
+    /// Answer tokens per second of a site's decode workers, as limited by their slots.
     DecodeRate(usize),
-    /// Tokens that a site's writers keep.
+    /// Memory of a site's decode workers, in tokens of KV state.
     DecodeMemory(usize),
-    /// Tokens of state a second from one site to another.
+    /// Tokens of KV state per second on the link from one site to another.
     Link(usize, usize),
 }
 
 impl Limit {
-    /// Its name for the operators.
+    /// The name that operators read.
     pub fn name(self, fleet: &Fleet) -> String {
         let site = |s: usize| fleet.site_name(s);
         match self {
-            Limit::PrefillRate(s) => format!("reading at {}", site(s)),
-            Limit::PrefillMemory(s) => format!("readers' memory at {}", site(s)),
-            Limit::DecodeRate(s) => format!("writers' slots at {}", site(s)),
-            Limit::DecodeMemory(s) => format!("writers' memory at {}", site(s)),
+            Limit::PrefillRate(s) => format!("prefill rate at {}", site(s)),
+            Limit::PrefillMemory(s) => format!("prefill memory at {}", site(s)),
+            Limit::DecodeRate(s) => format!("decode slots at {}", site(s)),
+            Limit::DecodeMemory(s) => format!("decode memory at {}", site(s)),
             Limit::Link(a, b) => format!("link {}>{}", site(a), site(b)),
         }
     }
 }
 
-/// How much of a limit is used.
+/// Use of one limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Load {
-    /// Which.
+    /// The limit.
     pub limit: Limit,
-    /// What there is of it under the loss, hosts that do both included.
+    /// The available amount under the loss, including hosts that do both stages.
     pub available: f64,
-    /// What is used.
+    /// The amount in use.
     pub used: f64,
-    /// Worth a second that the whole of it once more would keep, at the margin; 0 where it is not scarce.
+    /// Shadow price: the worth per second that doubling the limit would keep, at the margin; 0 where the limit is not
+    /// scarce.
     pub price: f64,
 }
 
 impl Load {
-    /// The part that is used.
+    /// Share of the available amount in use; 0 if nothing is available.
     pub fn utilization(&self) -> f64 {
         if self.available > 0.0 {
             self.used / self.available
@@ -171,51 +176,58 @@
     }
 }
 
-/// What all conductors together do: requests a second by class, entry, reading site and writing site.
+/// Traffic of all routers together: requests per second by class, entry, prefill site and decode site.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Allocation {
     sites: usize,
-    /// For each class, tenant and entry the part that is taken: a request whose hash, as a part of 1, is below it.
+    /// For each class, tenant and entry the admission level: a request is admitted if its hash, as a fraction of 1, is
+    /// below it.
     pub levels: Vec<Vec<Vec<f64>>>,
-    /// The part of it that is guaranteed to the tenant.
-    promised: Vec<Vec<Vec<f64>>>,
+    /// The part of each level that is guaranteed to the tenant.
+    guaranteed_levels: Vec<Vec<Vec<f64>>>,
     rates: Vec<f64>,
-    /// For each entry what its requests take of each limit.
+    /// For each entry the use of each limit by its requests.
     used: Vec<BTreeMap<Limit, f64>>,
 }
 
 impl Allocation {
-    fn at(&self, class: usize, entry: usize, reader: usize, writer: usize) -> usize {
-        ((class * self.sites + entry) * self.sites + reader) * self.sites + writer
+    fn rate_index(
+        &self,
+        class: usize,
+        entry: usize,
+        prefill_site: usize,
+        decode_site: usize,
+    ) -> usize {
+        ((class * self.sites + entry) * self.sites + prefill_site) * self.sites + decode_site
     }
 
-    /// Requests a second of a class from an entry that are read and written at these sites.
-    pub fn rate(&self, class: usize, entry: usize, reader: usize, writer: usize) -> f64 {
-        self.rates[self.at(class, entry, reader, writer)]
+    /// Requests per second of a class from an entry that take this route.
+    pub fn rate(&self, class: usize, entry: usize, prefill_site: usize, decode_site: usize) -> f64 {
+        self.rates[self.rate_index(class, entry, prefill_site, decode_site)]
     }
 
-    /// Requests a second of a class that are taken at an entry.
+    /// Requests per second of a class that are admitted at an entry.
     pub fn admitted_rate(&self, class: usize, entry: usize) -> f64 {
-        let from = self.at(class, entry, 0, 0);
+        let from = self.rate_index(class, entry, 0, 0);
         self.rates[from..from + self.sites * self.sites]
             .iter()
             .sum()
     }
 
-    /// Requests a second of a class from an entry that are read at each site.
-    pub fn prefill_rate(&self, class: usize, entry: usize, reader: usize) -> f64 {
-        let from = self.at(class, entry, reader, 0);
+    /// Requests per second of a class from an entry that are prefilled at a site.
+    pub fn prefill_rate(&self, class: usize, entry: usize, prefill_site: usize) -> f64 {
+        let from = self.rate_index(class, entry, prefill_site, 0);
         self.rates[from..from + self.sites].iter().sum()
     }
 
-    /// Requests a second of a class from an entry that are written at each site.
-    pub fn decode_rate(&self, class: usize, entry: usize, writer: usize) -> f64 {
+    /// Requests per second of a class from an entry that are decoded at a site.
+    pub fn decode_rate(&self, class: usize, entry: usize, decode_site: usize) -> f64 {
         (0..self.sites)
-            .map(|reader| self.rate(class, entry, reader, writer))
+            .map(|prefill_site| self.rate(class, entry, prefill_site, decode_site))
             .sum()
     }
 
-    /// Every way in use with its rate: class, entry, reading site, writing site, requests a second.
+    /// Every route in use, as class, entry, prefill site and decode site, with its rate in requests per second.
     pub fn routes(&self) -> impl Iterator<Item = ([usize; 4], f64)> + '_ {
         let n = self.sites;
         self.rates
@@ -225,37 +237,46 @@
             .map(move |(i, rate)| ([i / (n * n * n), i / (n * n) % n, i / n % n, i % n], *rate))
     }
 
-    /// Part `part` of the way from this allocation to another: every limit that both keep is kept.
-    pub fn interpolate(&self, other: &Allocation, part: f64) -> Allocation {
-        let mix = |a: &f64, b: &f64| if part >= 1.0 { *b } else { a + (b - a) * part };
-        let all = |a: &[f64], b: &[f64]| -> Vec<f64> {
+    /// Interpolates between this allocation (`fraction` 0) and another (1). The result keeps every limit that both
+    /// keep.
+    pub fn interpolate(&self, other: &Allocation, fraction: f64) -> Allocation {
+        let mix = |a: &f64, b: &f64| {
+            if fraction >= 1.0 {
+                *b
+            } else {
+                a + (b - a) * fraction
+            }
+        };
+        let mix_row = |a: &[f64], b: &[f64]| -> Vec<f64> {
             a.iter().zip(b).map(|(a, b)| mix(a, b)).collect()
         };
-        let row =
-            |a: &[Vec<f64>], b: &[Vec<f64>]| a.iter().zip(b).map(|(a, b)| all(a, b)).collect();
-        let each = |a: &[Vec<Vec<f64>>], b: &[Vec<Vec<f64>>]| {
-            a.iter().zip(b).map(|(a, b)| row(a, b)).collect()
+        let mix_rows =
+            |a: &[Vec<f64>], b: &[Vec<f64>]| a.iter().zip(b).map(|(a, b)| mix_row(a, b)).collect();
+        let mix_levels = |a: &[Vec<Vec<f64>>], b: &[Vec<Vec<f64>>]| {
+            a.iter().zip(b).map(|(a, b)| mix_rows(a, b)).collect()
         };
         Allocation {
             sites: self.sites,
-            levels: each(&self.levels, &other.levels),
-            promised: each(&self.promised, &other.promised),
-            rates: all(&self.rates, &other.rates),
+            levels: mix_levels(&self.levels, &other.levels),
+            guaranteed_levels: mix_levels(&self.guaranteed_levels, &other.guaranteed_levels),
+            rates: mix_row(&self.rates, &other.rates),
             used: (self.used.iter().zip(&other.used))
                 .map(|(a, b)| {
-                    let value =
-                        |of: &BTreeMap<Limit, f64>, l: &Limit| of.get(l).copied().unwrap_or(0.0);
+                    let usage_of = |usage: &BTreeMap<Limit, f64>, limit: &Limit| {
+                        usage.get(limit).copied().unwrap_or(0.0)
+                    };
                     let limits = a.keys().chain(b.keys());
                     limits
-                        .map(|l| (*l, mix(&value(a, l), &value(b, l))))
+                        .map(|l| (*l, mix(&usage_of(a, l), &usage_of(b, l))))
                         .collect()
                 })
                 .collect(),
         }
     }
 
-    /// The smaller of both on every way: whoever acts by it harms neither.
-    fn meet(&self, other: &Allocation, usage: &Usage) -> Allocation {
+    /// The smaller rate of both allocations on every route, so that acting by it exceeds no limit in a mix with
+    /// either.
+    fn pointwise_min(&self, other: &Allocation, request_usage: &RequestUsage) -> Allocation {
         let mut allocation = Allocation {
             rates: self
                 .rates
@@ -266,8 +287,8 @@
             used: Vec::new(),
             ..other.clone()
         };
-        allocation.used = usage.of(&allocation);
-        // What goes as it went before finds what it found before.
+        allocation.used = request_usage.by_entry(&allocation);
+        // Traffic that keeps its route uses no more than before.
         for (now, before) in allocation.used.iter_mut().zip(&self.used) {
             for (limit, used) in now {
                 *used = used.min(before.get(limit).copied().unwrap_or(0.0));
@@ -276,164 +297,190 @@
         allocation
     }
 
-    /// The same with so many times the requests; what is refused by its hash stays refused.
-    fn stretched(mut self, by: f64) -> Allocation {
-        self.rates.iter_mut().for_each(|rate| *rate *= by);
+    /// This allocation with its rates multiplied by `factor`. The admission levels stay, so what is refused by its
+    /// hash stays refused.
+    fn scaled_by(mut self, factor: f64) -> Allocation {
+        self.rates.iter_mut().for_each(|rate| *rate *= factor);
         self.used
             .iter_mut()
-            .flat_map(|of| of.values_mut())
-            .for_each(|used| *used *= by);
+            .flat_map(|usage| usage.values_mut())
+            .for_each(|used| *used *= factor);
         self
     }
 
-    /// The same without the ways over a site's hosts.
-    fn without(mut self, site: usize) -> Allocation {
+    /// This allocation without the routes that use a site's hosts.
+    fn without_site(mut self, site: usize) -> Allocation {
         for i in 0..self.rates.len() {
-            let (reader, writer) = (i / self.sites % self.sites, i % self.sites);
-            if reader == site || writer == site {
+            let (prefill_site, decode_site) = (i / self.sites % self.sites, i % self.sites);
+            if prefill_site == site || decode_site == site {
                 self.rates[i] = 0.0;
             }
         }
-        // What is used elsewhere by these ways only entry_shares; it is counted on, which keeps every limit.
+        // The use of other limits by the removed routes can only fall. It is still counted, which keeps every limit.
         self
     }
 
-    /// What is used of a limit in all.
+    /// The use of a limit by all entries together.
     pub fn usage(&self, limit: Limit) -> f64 {
-        self.used.iter().filter_map(|of| of.get(&limit)).sum()
+        self.used.iter().filter_map(|usage| usage.get(&limit)).sum()
     }
 }
 
-/// Requests that a plan refuses, in the order of refusal.
+/// A group of requests that a plan refuses, listed in the order of refusal.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Refusal {
     /// The class.
     pub class: usize,
-    /// Whether these are the ones guaranteed to tenants; else those beyond.
+    /// Whether these requests are guaranteed to tenants; otherwise they are beyond the guarantees.
     pub guaranteed: bool,
-    /// Requests a second that are asked.
+    /// Requests per second that arrive.
     pub offered: f64,
-    /// Requests a second of them that are refused.
+    /// Requests per second of them that are refused.
     pub refused: f64,
-    /// Worth of a request over the price of what it takes of all that is scarce: below 1 it is refused, above taken.
+    /// Worth of a request divided by the price of its use of scarce limits. Below 1 it is refused, above 1 admitted.
     pub worth_to_cost: f64,
 }
 
-/// A tenant's guaranteed share that the survivors can't bear.
+/// Guaranteed requests that the remaining capacity can't serve.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Shortfall {
     /// The tenant.
     pub tenant: usize,
     /// The class.
     pub class: usize,
-    /// Requests a second that are guaranteed.
+    /// Guaranteed requests per second.
     pub guaranteed: f64,
-    /// Requests a second of them that are refused.
+    /// Requests per second of them that are refused.
     pub refused: f64,
 }
 
-/// Why there is no plan.
+/// Why no plan could be computed.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum PlanError {
-    /// The solver gave up, with its words.
-    #[error("no plan could be solved: {0}")]
+    /// The linear program could not be solved; the text is the solver's error.
+    #[error("the linear program of a plan could not be solved: {0}")]
     Solver(String),
-    /// What the solver gave back breaks a limit: name and part over.
-    #[error("the solved plan breaks a limit: {0}")]
+    /// The solution exceeds a limit; the text names the limit and by how much.
+    #[error("the solution of a plan exceeds a limit: {0}")]
     LimitExceeded(String),
 }
 
-/// What is done while something is missing.
+/// The allocation for one loss, with its figures.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    /// What is missing.
+    /// The loss that the plan is for.
     pub loss: Loss,
-    /// What all conductors together do.
+    /// Traffic of all routers together.
     pub allocation: Allocation,
-    /// Requests a second by class, tenant and entry that come in.
+    /// Arriving requests per second by class, tenant and entry.
     pub offered: Vec<Vec<Vec<f64>>>,
-    /// What is used of each limit.
+    /// Use of each limit.
     pub loads: Vec<Load>,
-    /// What is refused first conditions first; all that could be refused is listed.
+    /// All groups of requests that could be refused; the first is refused first.
     pub refusal_order: Vec<Refusal>,
-    /// Guaranteed shares that can't be borne.
+    /// Guaranteed requests that can't be served.
     pub shortfalls: Vec<Shortfall>,
-    /// Worth a second that is asked for.
+    /// Worth per second of all arriving requests.
     pub worth_offered: f64,
-    /// Worth a second that is taken.
+    /// Worth per second of the admitted requests.
     pub worth_kept: f64,
-    /// Worth a second that the route_cost cost.
+    /// Worth per second that is lost to network delay and KV state transfers between sites.
     pub route_cost: f64,
 }
 
-/// What one request of a class takes on its way.
-struct Usage<'a> {
+/// Use of limits by one request of each class.
+struct RequestUsage<'a> {
     fleet: &'a Fleet,
-    /// For each class and entry the part of the prompt that is kept, those of moved clients counted in.
-    kept: Vec<Vec<f64>>,
+    /// For each class and entry the share of the prompt that is cached, averaged over clients that stay and clients
+    /// whose cached prefixes are lost.
+    cached_share: Vec<Vec<f64>>,
 }
 
-impl<'a> Usage<'a> {
+impl<'a> RequestUsage<'a> {
     fn new(fleet: &'a Fleet, loss: &Loss) -> Self {
         let entry_shares = entry_shares(fleet, loss);
-        let kept = |c: usize, entry: usize| {
+        let cached = |c: usize, entry: usize| {
             let class = &fleet.tables.classes[c];
-            let moved_kept = class.kept_moved.unwrap_or(class.kept / 2.0);
-            let (mut all, mut moved) = (0.0, 0.0);
+            let cached_if_moved = class.kept_moved.unwrap_or(class.kept / 2.0);
+            let (mut total, mut moved) = (0.0, 0.0);
             for (site, missing) in loss.0.iter().enumerate() {
-                let asked: f64 = fleet.demand[c].iter().map(|by_site| by_site[site]).sum();
-                all += asked * entry_shares[site][entry];
-                // Those whose hosts are gone lose what these had kept, wherever they come in.
-                moved += asked * entry_shares[site][entry] * (1.0 - missing.remaining_hosts());
+                let demand: f64 = fleet.demand[c].iter().map(|by_site| by_site[site]).sum();
+                total += demand * entry_shares[site][entry];
+                // Clients whose hosts are gone lose the prefixes cached there, wherever they connect now.
+                moved += demand * entry_shares[site][entry] * (1.0 - missing.remaining_hosts());
             }
-            let part = if all > 0.0 { moved / all } else { 0.0 };
-            class.kept * (1.0 - part) + moved_kept * part
+            let moved_share = if total > 0.0 { moved / total } else { 0.0 };
+            class.kept * (1.0 - moved_share) + cached_if_moved * moved_share
         };
-        let kept = (0..fleet.class_count())
-            .map(|c| (0..fleet.site_count()).map(|e| kept(c, e)).collect())
+        let cached_share = (0..fleet.class_count())
+            .map(|c| (0..fleet.site_count()).map(|e| cached(c, e)).collect())
             .collect();
-        Usage { fleet, kept }
+        RequestUsage {
+            fleet,
+            cached_share,
+        }
     }
 
-    /// What a allocation takes of each limit for each entry.
-    fn of(&self, allocation: &Allocation) -> Vec<BTreeMap<Limit, f64>> {
+    /// Use of each limit by the requests of each entry.
+    fn by_entry(&self, allocation: &Allocation) -> Vec<BTreeMap<Limit, f64>> {
         let mut by_entry = vec![BTreeMap::new(); allocation.sites];
-        for ([class, entry, reader, writer], rate) in allocation.routes() {
-            for (limit, takes) in self.takes(class, entry, reader, writer) {
-                *by_entry[entry].entry(limit).or_insert(0.0) += takes * rate;
+        for ([class, entry, prefill_site, decode_site], rate) in allocation.routes() {
+            for (limit, amount) in self.per_request(class, entry, prefill_site, decode_site) {
+                *by_entry[entry].entry(limit).or_insert(0.0) += amount * rate;
             }
         }
         by_entry
     }
 
-    /// What a request of the class from the entry takes of each limit, read and written at these sites.
-    fn takes(&self, class: usize, entry: usize, reader: usize, writer: usize) -> Vec<(Limit, f64)> {
+    /// Use of each limit by one request of the class from the entry, prefilled and decoded at these sites.
+    fn per_request(
+        &self,
+        class: usize,
+        entry: usize,
+        prefill_site: usize,
+        decode_site: usize,
+    ) -> Vec<(Limit, f64)> {
         let c = &self.fleet.tables.classes[class];
-        let (reads, writes) = (&self.fleet.capacity[reader], &self.fleet.capacity[writer]);
-        let unread = c.prompt_tokens * (1.0 - self.kept[class][entry]);
-        let link = self.fleet.links[reader][writer].filter(|_| reader != writer);
-        let crossing = link.map_or(0.0, |(rate, delay)| {
+        let (prefill, decode) = (
+            &self.fleet.capacity[prefill_site],
+            &self.fleet.capacity[decode_site],
+        );
+        let uncached_tokens = c.prompt_tokens * (1.0 - self.cached_share[class][entry]);
+        let link =
+            self.fleet.links[prefill_site][decode_site].filter(|_| prefill_site != decode_site);
+        let transfer_s = link.map_or(0.0, |(rate, delay)| {
             c.prompt_tokens / rate.max(1e-9) + delay / 1e3
         });
-        let held = unread * reads.prefill_slot_s_per_token + crossing + self.fleet.tables.hold_s;
-        let streams = c.answer_tokens * writes.stream_s_per_token;
-        let mut takes = vec![
-            (Limit::PrefillRate(reader), unread),
-            (Limit::PrefillMemory(reader), c.prompt_tokens * held),
-            (Limit::DecodeRate(writer), c.answer_tokens),
+        let memory_s = uncached_tokens * prefill.prefill_slot_s_per_token
+            + transfer_s
+            + self.fleet.tables.hold_s;
+        let stream_s = c.answer_tokens * decode.stream_s_per_token;
+        let mut usage = vec![
+            (Limit::PrefillRate(prefill_site), uncached_tokens),
+            (
+                Limit::PrefillMemory(prefill_site),
+                c.prompt_tokens * memory_s,
+            ),
+            (Limit::DecodeRate(decode_site), c.answer_tokens),
             (
-                Limit::DecodeMemory(writer),
-                (c.prompt_tokens + c.answer_tokens / 2.0) * streams,
+                Limit::DecodeMemory(decode_site),
+                (c.prompt_tokens + c.answer_tokens / 2.0) * stream_s,
             ),
         ];
         if link.is_some() {
-            takes.push((Limit::Link(reader, writer), c.prompt_tokens));
+            usage.push((Limit::Link(prefill_site, decode_site), c.prompt_tokens));
         }
-        takes
+        usage
     }
 
-    /// What the way costs in worth; `None` where a link is missing.
-    fn price(&self, class: usize, entry: usize, reader: usize, writer: usize) -> Option<f64> {
+    /// Worth that a request loses on this route; `None` if a link is missing.
+    fn route_price(
+        &self,
+        class: usize,
+        entry: usize,
+        prefill_site: usize,
+        decode_site: usize,
+    ) -> Option<f64> {
         let delay = |a: usize, b: usize| {
             if a == b {
                 Some(0.0)
@@ -441,27 +488,33 @@
                 self.fleet.links[a][b].map(|(_, delay)| delay)
             }
         };
-        let ms = delay(entry, reader)? + delay(reader, writer)? + delay(writer, entry)?;
-        let state = if reader == writer {
+        let delay_ms = delay(entry, prefill_site)?
+            + delay(prefill_site, decode_site)?
+            + delay(decode_site, entry)?;
+        let state_k_tokens = if prefill_site == decode_site {
             0.0
         } else {
             self.fleet.tables.classes[class].prompt_tokens / 1e3
         };
-        Some(ms * self.fleet.tables.price_per_ms + state * self.fleet.tables.price_per_1000_tokens)
+        Some(
+            delay_ms * self.fleet.tables.price_per_ms
+                + state_k_tokens * self.fleet.tables.price_per_1000_tokens,
+        )
     }
 }
 
-/// What there is of each limit under a loss: for each site hosts of one stage and hosts of both.
-struct Room {
+/// The available amount of each limit under a loss. Hosts of one stage and hosts that do both are counted separately
+/// for each site.
+struct AvailableCapacity {
     sites: usize,
-    own: Vec<[f64; 4]>,
+    single_stage: Vec<[f64; 4]>,
     mixed: Vec<[f64; 4]>,
     links: Vec<Vec<f64>>,
 }
 
-impl Room {
+impl AvailableCapacity {
     fn new(fleet: &Fleet, loss: &Loss) -> Self {
-        let own = |s: usize| {
+        let single_stage = |s: usize| {
             let c = &fleet.capacity[s];
             [
                 c.prefill_tokens_per_s,
@@ -473,9 +526,9 @@
         };
         let n = fleet.site_count();
         let link = |a: usize, b: usize| fleet.links[a][b].map_or(0.0, |(rate, _)| rate);
-        Room {
+        AvailableCapacity {
             sites: n,
-            own: (0..n).map(own).collect(),
+            single_stage: (0..n).map(single_stage).collect(),
             mixed: (0..n)
                 .map(|s| {
                     fleet.capacity[s]
@@ -489,7 +542,7 @@
         }
     }
 
-    fn place(limit: Limit) -> Option<(usize, usize)> {
+    fn site_and_resource(limit: Limit) -> Option<(usize, usize)> {
         match limit {
             Limit::PrefillRate(s) => Some((s, 0)),
             Limit::PrefillMemory(s) => Some((s, 1)),
@@ -499,9 +552,9 @@
         }
     }
 
-    fn of(&self, limit: Limit) -> f64 {
-        match (limit, Self::place(limit)) {
-            (_, Some((s, k))) => self.own[s][k] + self.mixed[s][k],
+    fn total(&self, limit: Limit) -> f64 {
+        match (limit, Self::site_and_resource(limit)) {
+            (_, Some((s, k))) => self.single_stage[s][k] + self.mixed[s][k],
             (Limit::Link(a, b), _) => self.links[a][b],
             _ => 0.0,
         }
@@ -509,7 +562,7 @@
 
     fn limits(&self) -> Vec<Limit> {
         let n = self.sites;
-        let of_site = |s| {
+        let site_limits = |s| {
             [
                 Limit::PrefillRate(s),
                 Limit::PrefillMemory(s),
@@ -518,250 +571,300 @@
             ]
         };
         let links = (0..n).flat_map(|a| (0..n).map(move |b| Limit::Link(a, b)));
-        let all = (0..n).flat_map(of_site).chain(links);
-        all.filter(|l| self.of(*l) > 0.0).collect()
+        let all = (0..n).flat_map(site_limits).chain(links);
+        all.filter(|l| self.total(*l) > 0.0).collect()
     }
 
-    /// The part by which loads go over what there is, each limit filled up to `fill` at most: name and part.
-    fn over(&self, used: &BTreeMap<Limit, f64>, fill: f64) -> Option<(Limit, f64)> {
+    /// The limit that is exceeded most and by which share of it, if each limit may be filled up to `fill`.
+    fn worst_excess(&self, used: &BTreeMap<Limit, f64>, fill: f64) -> Option<(Limit, f64)> {
         let mut worst: Option<(Limit, f64)> = None;
-        let mut note = |limit: Limit, over: f64| {
-            if over > EPSILON && worst.is_none_or(|(_, w)| over > w) {
-                worst = Some((limit, over));
+        let mut record = |limit: Limit, excess: f64| {
+            if excess > EPSILON && worst.is_none_or(|(_, w)| excess > w) {
+                worst = Some((limit, excess));
             }
         };
         for (limit, used) in used {
-            let of = self.of(*limit);
+            let total = self.total(*limit);
             if *used > 0.0 {
-                note(
+                record(
                     *limit,
-                    if of > 0.0 {
-                        used / of - fill
+                    if total > 0.0 {
+                        used / total - fill
                     } else {
                         f64::INFINITY
                     },
                 );
             }
         }
-        // Hosts of both stages read for a part of the time and write for the rest.
+        // Hosts that do both stages prefill for a share of the time and decode for the rest.
         for s in 0..self.sites {
-            let part = |limit: Limit, k: usize| {
-                let beyond = used.get(&limit).copied().unwrap_or(0.0) - self.own[s][k] * fill;
+            let mixed_share = |limit: Limit, k: usize| {
+                let beyond =
+                    used.get(&limit).copied().unwrap_or(0.0) - self.single_stage[s][k] * fill;
                 if self.mixed[s][k] > 0.0 {
                     (beyond / self.mixed[s][k]).max(0.0)
                 } else {
                     0.0
                 }
             };
-            let reading = part(Limit::PrefillRate(s), 0).max(part(Limit::PrefillMemory(s), 1));
-            let writing = part(Limit::DecodeRate(s), 2).max(part(Limit::DecodeMemory(s), 3));
-            note(Limit::DecodeRate(s), reading + writing - fill);
+            let prefill =
+                mixed_share(Limit::PrefillRate(s), 0).max(mixed_share(Limit::PrefillMemory(s), 1));
+            let decode =
+                mixed_share(Limit::DecodeRate(s), 2).max(mixed_share(Limit::DecodeMemory(s), 3));
+            record(Limit::DecodeRate(s), prefill + decode - fill);
         }
         worst
     }
 }
 
-/// The most that is used of each limit when every conductor acts by any one of the allocations.
-fn worst_mix(allocations: &[&Allocation]) -> BTreeMap<Limit, f64> {
+/// Worst-case use of each limit if every router may act by any one of the allocations.
+fn worst_case_usage(allocations: &[&Allocation]) -> BTreeMap<Limit, f64> {
     let mut sum = BTreeMap::new();
     for entry in 0..allocations.first().map_or(0, |c| c.sites) {
-        let mut most: BTreeMap<Limit, f64> = BTreeMap::new();
+        let mut max: BTreeMap<Limit, f64> = BTreeMap::new();
         for (limit, v) in allocations.iter().flat_map(|c| &c.used[entry]) {
-            let slot = most.entry(*limit).or_insert(0.0);
+            let slot = max.entry(*limit).or_insert(0.0);
             *slot = slot.max(*v);
         }
-        for (limit, v) in most {
+        for (limit, v) in max {
             *sum.entry(limit).or_insert(0.0) += v;
         }
     }
     sum
 }
 
-/// The limit that some mix of conductors, each acting by any one of the allocations, would break the most while `loss` is
-/// what is missing, and by which part of it. `None`: no mix breaks any. Sites of which hosts are missing don't count:
-/// who has not heard of it yet sends there as before.
+/// The limit that some mix of routers, each acting by any one of the allocations, would exceed the most while `loss`
+/// is missing, and by which share of it. `None`: no mix exceeds any limit. Sites with missing hosts don't count,
+/// because routers that don't know of the loss yet still send there.
 pub fn limit_exceeded_by_mix(
     fleet: &Fleet,
     loss: &Loss,
     allocations: &[&Allocation],
 ) -> Option<(Limit, f64)> {
-    let room = Room::new(fleet, loss);
-    let whole =
-        |limit: Limit| Room::place(limit).is_none_or(|(s, _)| loss.0[s].remaining_hosts() >= 1.0);
-    let there = worst_mix(allocations)
+    let available = AvailableCapacity::new(fleet, loss);
+    let hosts_complete = |limit: Limit| {
+        AvailableCapacity::site_and_resource(limit)
+            .is_none_or(|(s, _)| loss.0[s].remaining_hosts() >= 1.0)
+    };
+    let usage = worst_case_usage(allocations)
         .into_iter()
-        .filter(|(limit, _)| whole(*limit))
+        .filter(|(limit, _)| hosts_complete(*limit))
         .collect();
-    room.over(&there, fleet.tables.fill)
+    available.worst_excess(&usage, fleet.tables.fill)
 }
 
-/// For each site the parts of its clients that come in at each entry under a loss.
+/// For each site the shares of its clients that connect to each entry under a loss.
 fn entry_shares(fleet: &Fleet, loss: &Loss) -> Vec<Vec<f64>> {
     let n = fleet.site_count();
-    let open: Vec<usize> = (0..n).filter(|s| !loss.0[*s].routers_missing()).collect();
+    let entries: Vec<usize> = (0..n).filter(|s| !loss.0[*s].routers_missing()).collect();
     let shares_of = |site: usize| -> Vec<f64> {
-        let mut to = vec![0.0; n];
-        if open.contains(&site) {
-            to[site] = 1.0;
-            return to;
+        let mut shares = vec![0.0; n];
+        if entries.contains(&site) {
+            shares[site] = 1.0;
+            return shares;
         }
-        let named = &fleet.tables.site[site].failover_weights;
-        for s in &open {
-            to[*s] = named.get(fleet.site_name(*s)).copied().unwrap_or(0.0);
+        let weights = &fleet.tables.site[site].failover_weights;
+        for s in &entries {
+            shares[*s] = weights.get(fleet.site_name(*s)).copied().unwrap_or(0.0);
         }
-        if to.iter().sum::<f64>() <= 0.0 {
-            open.iter().for_each(|s| to[*s] = 1.0);
+        if shares.iter().sum::<f64>() <= 0.0 {
+            entries.iter().for_each(|s| shares[*s] = 1.0);
         }
-        let sum: f64 = to.iter().sum();
+        let sum: f64 = shares.iter().sum();
         if sum > 0.0 {
-            to.iter().map(|v| v / sum).collect()
+            shares.iter().map(|v| v / sum).collect()
         } else {
-            to
+            shares
         }
     };
     (0..n).map(shares_of).collect()
 }
 
-/// Where the clients come in under a loss: requests a second by class, tenant and entry.
-fn asked(fleet: &Fleet, loss: &Loss) -> Vec<Vec<Vec<f64>>> {
+/// Arriving requests per second under a loss, by class, tenant and entry.
+fn offered_load(fleet: &Fleet, loss: &Loss) -> Vec<Vec<Vec<f64>>> {
     let entry_shares = entry_shares(fleet, loss);
-    let enter = |by_site: &Vec<f64>| -> Vec<f64> {
-        let at = |e: usize| {
+    let by_entry = |by_site: &Vec<f64>| -> Vec<f64> {
+        let arriving = |e: usize| {
             by_site
                 .iter()
                 .zip(&entry_shares)
-                .map(|(v, to)| v * to[e])
+                .map(|(v, shares)| v * shares[e])
                 .sum()
         };
-        (0..fleet.site_count()).map(at).collect()
+        (0..fleet.site_count()).map(arriving).collect()
     };
     fleet
         .demand
         .iter()
-        .map(|tenants| tenants.iter().map(enter).collect())
+        .map(|tenants| tenants.iter().map(by_entry).collect())
         .collect()
 }
 
-/// Makes the plan for a loss.
+/// Computes the plan for a loss.
 ///
 /// # Errors
-/// [`PlanError::Solver`] if the linear program can't be solved, [`PlanError::LimitExceeded`] if what came back breaks a limit.
+/// [`PlanError::Solver`] if the linear program can't be solved, [`PlanError::LimitExceeded`] if its solution exceeds a
+/// limit.
 pub fn compute_plan(fleet: &Fleet, loss: &Loss) -> Result<Plan, PlanError> {
-    let (n, classes, tenants) = (fleet.site_count(), fleet.class_count(), fleet.tenants.len());
+    let (sites, classes, tenants) = (fleet.site_count(), fleet.class_count(), fleet.tenants.len());
     let fill = fleet.tables.fill;
-    let (usage, room, asked) = (
-        Usage::new(fleet, loss),
-        Room::new(fleet, loss),
-        asked(fleet, loss),
+    let (usage, available, offered) = (
+        RequestUsage::new(fleet, loss),
+        AvailableCapacity::new(fleet, loss),
+        offered_load(fleet, loss),
     );
-    let total = |c: usize, t: usize| asked[c][t].iter().sum::<f64>();
-    // The guaranteed part of each tenant's requests, the same for all its classes.
+    let offered_rate = |class: usize, tenant: usize| offered[class][tenant].iter().sum::<f64>();
+    // The guaranteed share of each tenant's requests, the same for all its classes.
     let guaranteed: Vec<f64> = (0..tenants)
-        .map(|t| {
-            let all: f64 = (0..classes).map(|c| total(c, t)).sum();
-            if all > 0.0 {
-                (fleet.guaranteed[t] / all).min(1.0)
+        .map(|tenant| {
+            let tenant_total: f64 = (0..classes).map(|class| offered_rate(class, tenant)).sum();
+            if tenant_total > 0.0 {
+                (fleet.guaranteed[tenant] / tenant_total).min(1.0)
             } else {
                 0.0
             }
         })
         .collect();
-    let most_worth = fleet.worth.iter().copied().fold(1.0, f64::max);
+    let max_worth = fleet.worth.iter().copied().fold(1.0, f64::max);
     let mut program = Program::default();
-    // The part taken of each class beyond guarantees, the same for all tenants, and of what each is guaranteed.
-    let rest = |c: usize| {
+    // The admitted share of each class beyond guarantees, the same for all tenants, and the admitted share of what is
+    // guaranteed.
+    let unguaranteed_rate = |class: usize| {
         (0..tenants)
-            .map(|t| total(c, t) * (1.0 - guaranteed[t]))
+            .map(|tenant| offered_rate(class, tenant) * (1.0 - guaranteed[tenant]))
             .sum::<f64>()
     };
-    let open: Vec<usize> = (0..classes)
-        .map(|c| program.variable(fleet.worth[c] * rest(c)))
+    let unguaranteed_shares: Vec<usize> = (0..classes)
+        .map(|class| program.variable(fleet.worth[class] * unguaranteed_rate(class)))
         .collect();
-    let promise = |c: usize| {
+    let guaranteed_rate = |class: usize| {
         (0..tenants)
-            .map(|t| total(c, t) * guaranteed[t])
+            .map(|tenant| offered_rate(class, tenant) * guaranteed[tenant])
             .sum::<f64>()
     };
-    let promised: Vec<usize> = (0..classes)
-        .map(|c| program.variable((most_worth * GUARANTEED + fleet.worth[c]) * promise(c)))
+    let guaranteed_shares: Vec<usize> = (0..classes)
+        .map(|class| {
+            program.variable(
+                (max_worth * GUARANTEED_WORTH_FACTOR + fleet.worth[class]) * guaranteed_rate(class),
+            )
+        })
         .collect();
-    let both = (0..n).map(|s| (room.mixed[s][0] > 0.0).then(|| program.variable(0.0)));
-    let both: Vec<Option<usize>> = both.collect();
-    let mut ways = Vec::new();
-    for c in 0..classes {
-        for e in (0..n).filter(|e| !loss.0[*e].routers_missing()) {
-            for r in (0..n).filter(|r| room.of(Limit::PrefillRate(*r)) > 0.0) {
-                for w in (0..n).filter(|w| room.of(Limit::DecodeRate(*w)) > 0.0) {
-                    if let Some(price) = usage.price(c, e, r, w) {
-                        ways.push(([c, e, r, w], program.variable(-price), price));
+    let mixed_shares =
+        (0..sites).map(|s| (available.mixed[s][0] > 0.0).then(|| program.variable(0.0)));
+    let mixed_shares: Vec<Option<usize>> = mixed_shares.collect();
+    let mut routes = Vec::new();
+    for class in 0..classes {
+        for entry in (0..sites).filter(|entry| !loss.0[*entry].routers_missing()) {
+            for prefill_site in (0..sites)
+                .filter(|prefill_site| available.total(Limit::PrefillRate(*prefill_site)) > 0.0)
+            {
+                for decode_site in (0..sites)
+                    .filter(|decode_site| available.total(Limit::DecodeRate(*decode_site)) > 0.0)
+                {
+                    if let Some(price) = usage.route_price(class, entry, prefill_site, decode_site)
+                    {
+                        routes.push((
+                            [class, entry, prefill_site, decode_site],
+                            program.variable(-price),
+                            price,
+                        ));
                     }
                 }
             }
         }
     }
-    // What is taken at an entry goes some way, or is refused there though the class's level would take it.
-    let mut balance = vec![vec![None; n]; classes];
-    let mut local = vec![vec![None; n]; classes];
-    for c in 0..classes {
-        for e in 0..n {
-            let coming: f64 = (0..tenants).map(|t| asked[c][t][e]).sum();
-            if coming <= 0.0 {
+    // What is admitted at an entry takes some route, or is refused there although the level of the class would admit
+    // it.
+    let mut balance_rows = vec![vec![None; sites]; classes];
+    let mut local_cuts = vec![vec![None; sites]; classes];
+    for class in 0..classes {
+        for entry in 0..sites {
+            let arriving: f64 = (0..tenants)
+                .map(|tenant| offered[class][tenant][entry])
+                .sum();
+            if arriving <= 0.0 {
                 continue;
             }
-            let rest: f64 = (0..tenants)
-                .map(|t| asked[c][t][e] * (1.0 - guaranteed[t]))
+            let local_rest: f64 = (0..tenants)
+                .map(|tenant| offered[class][tenant][entry] * (1.0 - guaranteed[tenant]))
+                .sum();
+            let local_guaranteed: f64 = (0..tenants)
+                .map(|tenant| offered[class][tenant][entry] * guaranteed[tenant])
                 .sum();
-            let promise: f64 = (0..tenants).map(|t| asked[c][t][e] * guaranteed[t]).sum();
-            let cut = [
-                program.variable(-fleet.worth[c] * LOCAL),
-                program.variable(-(most_worth * GUARANTEED + fleet.worth[c]) * LOCAL),
+            let cuts = [
+                program.variable(-fleet.worth[class] * LOCAL_REFUSAL_FACTOR),
+                program.variable(
+                    -(max_worth * GUARANTEED_WORTH_FACTOR + fleet.worth[class])
+                        * LOCAL_REFUSAL_FACTOR,
+                ),
             ];
-            local[c][e] = Some(cut);
-            program.limit(vec![(cut[0], 1.0), (open[c], -rest)], 0.0);
-            program.limit(vec![(cut[1], 1.0), (promised[c], -promise)], 0.0);
+            local_cuts[class][entry] = Some(cuts);
+            program.limit(
+                vec![(cuts[0], 1.0), (unguaranteed_shares[class], -local_rest)],
+                0.0,
+            );
+            program.limit(
+                vec![
+                    (cuts[1], 1.0),
+                    (guaranteed_shares[class], -local_guaranteed),
+                ],
+                0.0,
+            );
             let mut terms = vec![
-                (open[c], rest),
-                (promised[c], promise),
-                (cut[0], -1.0),
-                (cut[1], -1.0),
+                (unguaranteed_shares[class], local_rest),
+                (guaranteed_shares[class], local_guaranteed),
+                (cuts[0], -1.0),
+                (cuts[1], -1.0),
             ];
             terms.extend(
-                ways.iter()
-                    .filter(|(w, ..)| w[0] == c && w[1] == e)
-                    .map(|(_, v, _)| (*v, -1.0)),
+                routes
+                    .iter()
+                    .filter(|(route, ..)| route[0] == class && route[1] == entry)
+                    .map(|(_, variable, _)| (*variable, -1.0)),
             );
-            balance[c][e] = Some(program.limit(terms, 0.0));
+            balance_rows[class][entry] = Some(program.limit(terms, 0.0));
         }
     }
-    for v in open.iter().chain(&promised).copied() {
-        program.limit(vec![(v, 1.0)], 1.0);
+    for share in unguaranteed_shares
+        .iter()
+        .chain(&guaranteed_shares)
+        .copied()
+    {
+        program.limit(vec![(share, 1.0)], 1.0);
     }
-    let limits = room.limits();
+    let limits = available.limits();
     let mut terms: BTreeMap<Limit, Vec<(usize, f64)>> = BTreeMap::new();
-    for ([c, e, r, w], v, _) in &ways {
-        for (limit, takes) in usage.takes(*c, *e, *r, *w) {
+    for ([class, entry, prefill_site, decode_site], variable, _) in &routes {
+        for (limit, amount) in usage.per_request(*class, *entry, *prefill_site, *decode_site) {
             terms
                 .entry(limit)
                 .or_default()
-                .push((*v, takes / room.of(limit).max(1e-12)));
+                .push((*variable, amount / available.total(limit).max(1e-12)));
         }
     }
     let mut price_rows = BTreeMap::new();
     for limit in &limits {
         let mut row = terms.remove(limit).unwrap_or_default();
-        let mut most = fill;
-        if let Some((s, k)) = Room::place(*limit) {
-            let share = room.mixed[s][k] / room.of(*limit);
-            if let Some(m) = both[s].filter(|_| share > 0.0) {
-                // `m` is the part of their time for which hosts of both stages read.
-                row.push((m, if k < 2 { -share * fill } else { share * fill }));
-                most -= if k < 2 { share * fill } else { 0.0 };
+        let mut max_use = fill;
+        if let Some((site, resource)) = AvailableCapacity::site_and_resource(*limit) {
+            let share = available.mixed[site][resource] / available.total(*limit);
+            if let Some(prefill_time) = mixed_shares[site].filter(|_| share > 0.0) {
+                // `prefill_time` is the share of the time for which hosts that do both stages prefill.
+                row.push((
+                    prefill_time,
+                    if resource < 2 {
+                        -share * fill
+                    } else {
+                        share * fill
+                    },
+                ));
+                max_use -= if resource < 2 { share * fill } else { 0.0 };
             }
         }
-        price_rows.insert(*limit, program.limit(row, most));
+        price_rows.insert(*limit, program.limit(row, max_use));
     }
-    for m in both.iter().flatten() {
-        program.limit(vec![(*m, 1.0)], 1.0);
+    for share in mixed_shares.iter().flatten() {
+        program.limit(vec![(*share, 1.0)], 1.0);
     }
     let values = program.solve().map_err(PlanError::Solver)?;
     let prices = program.dual().solve().map_err(PlanError::Solver)?;
@@ -773,224 +876,263 @@
             .map(|(worth, v)| worth * v)
             .sum()
     };
-    // The prices prove the plan: no other is worth more than they say.
-    let (kept, proof) = (value(&program, &values), -value(&program.dual(), &prices));
-    if (kept - proof).abs() > 1e-4 * kept.abs().max(1.0) {
+    // The dual solution proves that the plan is optimal: no other is worth more than its prices say.
+    let (primal_worth, dual_worth) = (value(&program, &values), -value(&program.dual(), &prices));
+    if (primal_worth - dual_worth).abs() > 1e-4 * primal_worth.abs().max(1.0) {
         return Err(PlanError::Solver(format!(
-            "worth {kept} and its proof {proof} differ"
+            "the worth of the solution, {primal_worth}, differs from that of its dual, {dual_worth}"
         )));
     }
 
-    let part = |v: usize| round(values[v].clamp(0.0, 1.0));
-    let share = |cut: f64, of: f64| {
-        if of > 0.0 {
-            round((1.0 - cut / of).clamp(0.0, 1.0))
+    let share_value = |variable: usize| round(values[variable].clamp(0.0, 1.0));
+    let kept_share = |cut: f64, total: f64| {
+        if total > 0.0 {
+            round((1.0 - cut / total).clamp(0.0, 1.0))
         } else {
             1.0
         }
     };
-    // What each entry keeps of the class's level, beyond guarantees and of them.
-    let keeps = |c: usize, e: usize| -> [f64; 2] {
-        let Some(cut) = local[c][e] else {
+    // The share of the class's level that each entry keeps, beyond guarantees and of them.
+    let kept_shares = |class: usize, entry: usize| -> [f64; 2] {
+        let Some(cuts) = local_cuts[class][entry] else {
             return [1.0; 2];
         };
-        let rest: f64 = (0..tenants)
-            .map(|t| asked[c][t][e] * (1.0 - guaranteed[t]))
+        let local_rest: f64 = (0..tenants)
+            .map(|tenant| offered[class][tenant][entry] * (1.0 - guaranteed[tenant]))
+            .sum();
+        let local_guaranteed: f64 = (0..tenants)
+            .map(|tenant| offered[class][tenant][entry] * guaranteed[tenant])
             .sum();
-        let promise: f64 = (0..tenants).map(|t| asked[c][t][e] * guaranteed[t]).sum();
         [
-            share(values[cut[0]], rest * part(open[c])),
-            share(values[cut[1]], promise * part(promised[c])),
+            kept_share(
+                values[cuts[0]],
+                local_rest * share_value(unguaranteed_shares[class]),
+            ),
+            kept_share(
+                values[cuts[1]],
+                local_guaranteed * share_value(guaranteed_shares[class]),
+            ),
         ]
     };
-    let mut levels = vec![vec![vec![0.0; n]; tenants]; classes];
-    let mut of_promise = levels.clone();
-    for c in 0..classes {
-        for e in 0..n {
-            let [of_rest, of_promised] = keeps(c, e);
-            for t in 0..tenants {
-                let promise = part(promised[c]) * guaranteed[t] * of_promised;
-                of_promise[c][t][e] = promise;
-                let rest = if rest(c) > 0.0 { part(open[c]) } else { 1.0 };
-                levels[c][t][e] = round(promise + rest * of_rest * (1.0 - guaranteed[t]));
+    let mut levels = vec![vec![vec![0.0; sites]; tenants]; classes];
+    let mut guaranteed_levels = levels.clone();
+    for class in 0..classes {
+        for entry in 0..sites {
+            let [kept_unguaranteed, kept_guaranteed] = kept_shares(class, entry);
+            for tenant in 0..tenants {
+                let guaranteed_level =
+                    share_value(guaranteed_shares[class]) * guaranteed[tenant] * kept_guaranteed;
+                guaranteed_levels[class][tenant][entry] = guaranteed_level;
+                let unguaranteed_level = if unguaranteed_rate(class) > 0.0 {
+                    share_value(unguaranteed_shares[class])
+                } else {
+                    1.0
+                };
+                levels[class][tenant][entry] = round(
+                    guaranteed_level
+                        + unguaranteed_level * kept_unguaranteed * (1.0 - guaranteed[tenant]),
+                );
             }
         }
     }
-    let rates = vec![0.0; classes * n * n * n];
+    let rates = vec![0.0; classes * sites * sites * sites];
     let mut allocation = Allocation {
-        sites: n,
+        sites,
         levels,
-        promised: of_promise,
+        guaranteed_levels,
         rates,
         used: Vec::new(),
     };
-    for ([c, e, r, w], v, _) in &ways {
-        let at = allocation.at(*c, *e, *r, *w);
-        allocation.rates[at] = if values[*v] > EPSILON * 1e-3 {
-            values[*v]
+    for ([class, entry, prefill_site, decode_site], variable, _) in &routes {
+        let index = allocation.rate_index(*class, *entry, *prefill_site, *decode_site);
+        allocation.rates[index] = if values[*variable] > EPSILON * 1e-3 {
+            values[*variable]
         } else {
             0.0
         };
     }
-    // The solver may leave more way than is taken: every way is cut to what comes.
-    for c in 0..classes {
-        for e in 0..n {
-            let comes: f64 = (0..tenants)
-                .map(|t| asked[c][t][e] * allocation.levels[c][t][e])
+    // The solver may give routes more than is admitted: rates are cut down to the admitted requests.
+    for class in 0..classes {
+        for entry in 0..sites {
+            let admitted: f64 = (0..tenants)
+                .map(|tenant| {
+                    offered[class][tenant][entry] * allocation.levels[class][tenant][entry]
+                })
                 .sum();
-            let goes = allocation.admitted_rate(c, e);
-            if comes > goes * (1.0 + 10.0 * EPSILON) + 10.0 * EPSILON {
+            let routed = allocation.admitted_rate(class, entry);
+            if admitted > routed * (1.0 + 10.0 * EPSILON) + 10.0 * EPSILON {
                 return Err(PlanError::LimitExceeded(format!(
-                    "{} at {}: {comes:.6} a second are taken and {goes:.6} have a way",
-                    fleet.tables.classes[c].name,
-                    fleet.site_name(e)
+                    "{} at {}: {admitted:.6} requests per second are admitted, but the routes carry {routed:.6}",
+                    fleet.tables.classes[class].name,
+                    fleet.site_name(entry)
                 )));
             }
-            let from = allocation.at(c, e, 0, 0);
-            let cut = if goes > comes { comes / goes } else { 1.0 };
-            allocation.rates[from..from + n * n]
+            let start = allocation.rate_index(class, entry, 0, 0);
+            let cut = if routed > admitted {
+                admitted / routed
+            } else {
+                1.0
+            };
+            allocation.rates[start..start + sites * sites]
                 .iter_mut()
                 .for_each(|rate| *rate *= cut);
         }
     }
-    allocation.used = usage.of(&allocation);
-    let sum = worst_mix(&[&allocation]);
-    if let Some((limit, over)) = room.over(&sum, fill) {
+    allocation.used = usage.by_entry(&allocation);
+    let used = worst_case_usage(&[&allocation]);
+    if let Some((limit, excess)) = available.worst_excess(&used, fill) {
         return Err(PlanError::LimitExceeded(format!(
-            "{} by {:.4} of it",
+            "{} by {:.4} of its capacity",
             limit.name(fleet),
-            over
+            excess
         )));
     }
     let loads: Vec<Load> = (limits.iter())
         .map(|limit| Load {
             limit: *limit,
-            available: room.of(*limit),
-            used: sum.get(limit).copied().unwrap_or(0.0),
+            available: available.total(*limit),
+            used: used.get(limit).copied().unwrap_or(0.0),
             price: prices[price_rows[limit]],
         })
         .collect();
-    // What one request of a class, coming in as these do, takes of all that is scarce, in worth.
-    let cost = |c: usize, coming: &dyn Fn(usize) -> f64| {
-        let all: f64 = (0..n).map(coming).sum();
-        let priced = |e: usize| balance[c][e].map_or(0.0, |row| prices[row]) * coming(e);
-        if all > 0.0 {
-            (0..n).map(priced).sum::<f64>() / all
+    // Price of the use of scarce limits by one request of a class, averaged over entries by their arriving requests.
+    let cost = |class: usize, arriving: &dyn Fn(usize) -> f64| {
+        let total: f64 = (0..sites).map(arriving).sum();
+        let priced = |entry: usize| {
+            balance_rows[class][entry].map_or(0.0, |row| prices[row]) * arriving(entry)
+        };
+        if total > 0.0 {
+            (0..sites).map(priced).sum::<f64>() / total
         } else {
             0.0
         }
     };
-    // Where nothing is scarce the fullest stage conditions in: the next thing to be scarce.
+    // Where nothing is scarce, the fullest stage counts instead, since it would become scarce next.
     let fullest = loads
         .iter()
         .max_by(|a, b| a.utilization().total_cmp(&b.utilization()));
-    let next = |c: usize| -> f64 {
-        let of_stage = |limit: Limit| fullest.is_some_and(|f| same_stage(f.limit, limit));
-        let takes = (0..n).map(|s| {
+    let share_of_fullest = |class: usize| -> f64 {
+        let is_fullest = |limit: Limit| fullest.is_some_and(|f| same_resource(f.limit, limit));
+        let amounts = (0..sites).map(|s| {
             usage
-                .takes(c, s, s, s)
+                .per_request(class, s, s, s)
                 .into_iter()
-                .find(|(l, _)| of_stage(*l))
+                .find(|(l, _)| is_fullest(*l))
         });
-        takes
+        amounts
             .flatten()
-            .map(|(limit, takes)| takes / room.of(limit).max(1.0))
+            .map(|(limit, amount)| amount / available.total(limit).max(1.0))
             .fold(0.0, f64::max)
     };
     let scarce = prices
         .iter()
         .zip(&program.rows)
         .any(|(p, (_, limit))| *p > EPSILON && *limit == fill);
-    let ratio = |c: usize, cost: f64| {
-        let worth = fleet.worth[c];
+    let worth_to_cost = |class: usize, cost: f64| {
+        let worth = fleet.worth[class];
         if scarce {
             worth / cost.max(1e-9)
         } else {
-            2.0 + worth / next(c).max(1e-9)
+            2.0 + worth / share_of_fullest(class).max(1e-9)
         }
     };
-    let mut order = Vec::new();
+    let mut refusal_order = Vec::new();
     let mut shortfalls = Vec::new();
-    for c in 0..classes {
-        let coming = |e: usize| {
+    for class in 0..classes {
+        let arriving = |entry: usize| {
             (0..tenants)
-                .map(|t| asked[c][t][e] * (1.0 - guaranteed[t]))
+                .map(|tenant| offered[class][tenant][entry] * (1.0 - guaranteed[tenant]))
                 .sum::<f64>()
         };
-        let refused = |t: usize, taken: &dyn Fn(usize) -> f64, part: f64| -> f64 {
-            let refused: f64 = (0..n).map(|e| asked[c][t][e] * (part - taken(e))).sum();
+        let refused_rate = |tenant: usize, level: &dyn Fn(usize) -> f64, full_level: f64| -> f64 {
+            let refused: f64 = (0..sites)
+                .map(|entry| offered[class][tenant][entry] * (full_level - level(entry)))
+                .sum();
             if refused < EPSILON { 0.0 } else { refused }
         };
-        if rest(c) > 0.0 {
-            let rest_of = |t: usize| {
-                let taken = |e: usize| allocation.levels[c][t][e] - allocation.promised[c][t][e];
-                refused(t, &taken, 1.0 - guaranteed[t])
+        if unguaranteed_rate(class) > 0.0 {
+            let unguaranteed_refused = |tenant: usize| {
+                let level = |entry: usize| {
+                    allocation.levels[class][tenant][entry]
+                        - allocation.guaranteed_levels[class][tenant][entry]
+                };
+                refused_rate(tenant, &level, 1.0 - guaranteed[tenant])
             };
-            let refused = (0..tenants).map(rest_of).sum();
-            let ratio = ratio(c, cost(c, &coming));
-            order.push(Refusal {
-                class: c,
+            let refused = (0..tenants).map(unguaranteed_refused).sum();
+            let worth_to_cost = worth_to_cost(class, cost(class, &arriving));
+            refusal_order.push(Refusal {
+                class,
                 guaranteed: false,
-                offered: rest(c),
+                offered: unguaranteed_rate(class),
                 refused,
-                worth_to_cost: ratio,
+                worth_to_cost,
             });
         }
-        let mut all = 0.0;
-        for t in 0..tenants {
-            let short = refused(t, &|e| allocation.promised[c][t][e], guaranteed[t]);
-            all += short;
-            if short > 0.0 {
-                let guaranteed = total(c, t) * guaranteed[t];
+        let mut guaranteed_refused = 0.0;
+        for tenant in 0..tenants {
+            let refused = refused_rate(
+                tenant,
+                &|entry| allocation.guaranteed_levels[class][tenant][entry],
+                guaranteed[tenant],
+            );
+            guaranteed_refused += refused;
+            if refused > 0.0 {
+                let guaranteed = offered_rate(class, tenant) * guaranteed[tenant];
                 shortfalls.push(Shortfall {
-                    tenant: t,
-                    class: c,
+                    tenant,
+                    class,
                     guaranteed,
-                    refused: short,
+                    refused,
                 });
             }
         }
-        if promise(c) > 0.0 {
-            let coming = |e: usize| {
+        if guaranteed_rate(class) > 0.0 {
+            let arriving = |entry: usize| {
                 (0..tenants)
-                    .map(|t| asked[c][t][e] * guaranteed[t])
+                    .map(|tenant| offered[class][tenant][entry] * guaranteed[tenant])
                     .sum::<f64>()
             };
-            let ratio = ratio(c, cost(c, &coming));
-            order.push(Refusal {
-                class: c,
+            let worth_to_cost = worth_to_cost(class, cost(class, &arriving));
+            refusal_order.push(Refusal {
+                class,
                 guaranteed: true,
-                offered: promise(c),
-                refused: all,
-                worth_to_cost: ratio,
+                offered: guaranteed_rate(class),
+                refused: guaranteed_refused,
+                worth_to_cost,
             });
         }
     }
-    order.sort_by(|a, b| {
+    refusal_order.sort_by(|a, b| {
         (a.guaranteed.cmp(&b.guaranteed))
             .then(a.worth_to_cost.total_cmp(&b.worth_to_cost))
             .then(fleet.worth[a.class].total_cmp(&fleet.worth[b.class]))
             .then(a.class.cmp(&b.class))
     });
-    let worth = |of: &dyn Fn(usize, usize, usize) -> f64| -> f64 {
-        let class = |c: usize| {
-            let all = (0..tenants).flat_map(|t| (0..n).map(move |e| (t, e)));
-            all.map(|(t, e)| asked[c][t][e] * of(c, t, e)).sum::<f64>() * fleet.worth[c]
+    let total_worth = |level: &dyn Fn(usize, usize, usize) -> f64| -> f64 {
+        let class_worth = |class: usize| {
+            let pairs =
+                (0..tenants).flat_map(|tenant| (0..sites).map(move |entry| (tenant, entry)));
+            pairs
+                .map(|(tenant, entry)| offered[class][tenant][entry] * level(class, tenant, entry))
+                .sum::<f64>()
+                * fleet.worth[class]
         };
-        (0..classes).map(class).sum()
+        (0..classes).map(class_worth).sum()
     };
-    let worth_kept = worth(&|c, t, e| allocation.levels[c][t][e]);
-    let route_cost = ways
+    let worth_kept = total_worth(&|class, tenant, entry| allocation.levels[class][tenant][entry]);
+    let route_cost = routes
         .iter()
-        .map(|([c, e, r, w], _, price)| price * allocation.rate(*c, *e, *r, *w))
+        .map(|([class, entry, prefill_site, decode_site], _, price)| {
+            price * allocation.rate(*class, *entry, *prefill_site, *decode_site)
+        })
         .sum();
-    let worth_offered = worth(&|_, _, _| 1.0);
+    let worth_offered = total_worth(&|_, _, _| 1.0);
     Ok(Plan {
         loss: loss.clone(),
         allocation,
-        offered: asked,
+        offered,
         loads,
-        refusal_order: order,
+        refusal_order,
         shortfalls,
         worth_offered,
         worth_kept,
@@ -998,15 +1140,16 @@
     })
 }
 
-/// The largest value from `low` to `high` that fits, `low` if none does; what fits has to lie below what doesn't.
-fn widest(low: f64, high: f64, fits: impl Fn(f64) -> bool) -> f64 {
-    if fits(high) {
+/// The largest value from `low` to `high` that is valid, or `low` if none is. Valid values must lie below invalid
+/// ones.
+fn largest_valid(low: f64, high: f64, is_valid: impl Fn(f64) -> bool) -> f64 {
+    if is_valid(high) {
         return high;
     }
     let (mut low, mut high) = (low, high);
     for _ in 0..16 {
         let middle = (low + high) / 2.0;
-        if fits(middle) {
+        if is_valid(middle) {
             low = middle;
         } else {
             high = middle;
@@ -1015,55 +1158,55 @@
     low
 }
 
-/// A part of 1 without the solver's rounding.
-fn round(part: f64) -> f64 {
-    if part > 1.0 - EPSILON {
+/// Snaps a share within the solver's rounding error of 0 or 1 to that value.
+fn round(share: f64) -> f64 {
+    if share > 1.0 - EPSILON {
         1.0
-    } else if part < EPSILON {
+    } else if share < EPSILON {
         0.0
     } else {
-        part
+        share
     }
 }
 
-fn same_stage(a: Limit, b: Limit) -> bool {
+fn same_resource(a: Limit, b: Limit) -> bool {
     std::mem::discriminant(&a) == std::mem::discriminant(&b)
 }
 
 impl Plan {
-    /// The parts of a missing site's clients that come in at each entry.
+    /// Shares of a site's clients that connect to each entry under this plan's loss.
     pub fn entry_shares(&self, fleet: &Fleet, site: usize) -> Vec<f64> {
         entry_shares(fleet, &self.loss).swap_remove(site)
     }
 
-    /// The limits that are full and hold worth back, dearest first.
+    /// The limits that are full and cost worth, the highest price first.
     pub fn binding_limits(&self) -> Vec<&Load> {
-        let mut scarce: Vec<&Load> = self.loads.iter().filter(|l| l.price > EPSILON).collect();
-        scarce.sort_by(|a, b| b.price.total_cmp(&a.price));
-        scarce
+        let mut binding: Vec<&Load> = self.loads.iter().filter(|l| l.price > EPSILON).collect();
+        binding.sort_by(|a, b| b.price.total_cmp(&a.price));
+        binding
     }
 
-    /// What is used of one limit.
+    /// The use of one limit; `None` if nothing of it is available under the loss.
     pub fn load(&self, limit: Limit) -> Option<&Load> {
         self.loads.iter().find(|l| l.limit == limit)
     }
 }
 
-/// The plans for all losses that are prepared for: none, each site by each part of it, each pair of sites.
+/// The plans for all losses that are prepared for: no loss, each part of each site, and each pair of sites.
 #[derive(Clone, Debug)]
 pub struct Plans {
     fleet: Fleet,
     plans: BTreeMap<Loss, Plan>,
     fingerprint: u64,
-    /// What was worked out last for chains of conditions: all conductors of a process ask for the same.
-    worked_out: VecDeque<(Vec<Condition>, (Allocation, Allocation))>,
+    /// The allocations that were computed last, by transition, because all routers of a process ask for the same ones.
+    allocation_cache: VecDeque<(Vec<Condition>, (Allocation, Allocation))>,
 }
 
 impl Plans {
-    /// Makes all plans.
+    /// Computes the plans for all prepared losses.
     ///
     /// # Errors
-    /// The first loss for which there is no plan says why.
+    /// The error of the first loss for which no plan could be computed.
     pub fn new(fleet: Fleet) -> Result<Self, PlanError> {
         let n = fleet.site_count();
         let mut losses = vec![Loss::none(n)];
@@ -1072,7 +1215,9 @@
             losses.extend([Routers, HalfHosts, Hosts, All].map(|m| Loss::none(n).with(a, m)));
             for b in a + 1..n {
                 let pairs = [(Hosts, Hosts), (Hosts, All), (All, Hosts), (All, All)];
-                losses.extend(pairs.map(|(of_a, of_b)| Loss::none(n).with(a, of_a).with(b, of_b)));
+                losses.extend(pairs.map(|(missing_a, missing_b)| {
+                    Loss::none(n).with(a, missing_a).with(b, missing_b)
+                }));
             }
         }
         let mut plans = BTreeMap::new();
@@ -1092,174 +1237,185 @@
             fleet,
             plans,
             fingerprint,
-            worked_out: VecDeque::new(),
+            allocation_cache: VecDeque::new(),
         })
     }
 
-    /// The fleet that they are made for.
+    /// The fleet that the plans are computed for.
     pub fn fleet(&self) -> &Fleet {
         &self.fleet
     }
 
-    /// A hash of all plans: conductors act together only if theirs are the same.
+    /// Hash of all plans. Routers act together only if their plans are the same.
     pub fn fingerprint(&self) -> u64 {
         self.fingerprint
     }
 
-    /// The plan for a loss, if it is prepared; see [`Loss::rounded_up`].
+    /// The plan for a loss if it was prepared; see [`Loss::rounded_up`].
     pub fn get(&self, loss: &Loss) -> Option<&Plan> {
         self.plans.get(&loss.rounded_up())
     }
 
-    /// The plan for a loss, made now if it was not prepared.
+    /// The plan for a loss, which is computed now if it was not prepared.
     ///
     /// # Errors
-    /// As [`compute_plan`].
+    /// As for [`compute_plan`].
     pub fn get_or_compute(&mut self, loss: &Loss) -> Result<&Plan, PlanError> {
         let loss = loss.rounded_up();
         if !self.plans.contains_key(&loss) {
             let plan = compute_plan(&self.fleet, &loss)?;
             self.plans.insert(loss.clone(), plan);
         }
-        self.plans
-            .get(&loss)
-            .ok_or_else(|| PlanError::Solver("no plan".into()))
+        self.plans.get(&loss).ok_or_else(|| {
+            PlanError::Solver("no plan is stored for the loss after it was computed".into())
+        })
     }
 
-    /// All plans.
+    /// All prepared plans.
     pub fn iter(&self) -> impl Iterator<Item = &Plan> {
         self.plans.values()
     }
 
-    /// What may be sent at the most under the plan for a loss: the plan, with as many more requests as its limits bear.
-    /// `None` if no plan is prepared for it.
+    /// Upper bound of what routers may admit under the plan for a loss: the plan with its rates raised as far as its
+    /// limits allow. `None` if no plan is prepared for the loss.
     pub fn upper_bound(&self, loss: &Loss) -> Option<Allocation> {
         let plan = self.get(loss)?;
-        let room = Room::new(&self.fleet, &plan.loss);
-        let used = worst_mix(&[&plan.allocation]);
-        let fits = |by: f64| {
-            let more = used.iter().map(|(limit, v)| (*limit, v * by)).collect();
-            room.over(&more, self.fleet.tables.fill).is_none()
+        let available = AvailableCapacity::new(&self.fleet, &plan.loss);
+        let used = worst_case_usage(&[&plan.allocation]);
+        let fits = |factor: f64| {
+            let scaled = used.iter().map(|(limit, v)| (*limit, v * factor)).collect();
+            available
+                .worst_excess(&scaled, self.fleet.tables.fill)
+                .is_none()
         };
         Some(
             plan.allocation
                 .clone()
-                .stretched(widest(1.0, MOST_STRETCH, fits)),
+                .scaled_by(largest_valid(1.0, MAX_RATE_FACTOR, fits)),
         )
     }
 
-    /// The allocation on the way to another while `loss` is missing: with conductors at any of `from` and here in any
-    /// mix no limit is broken, nor with conductors here and at `to`. As far toward `to` as that allows.
+    /// An allocation on the way to another while `loss` is missing, as close to `to` as possible: no limit is exceeded
+    /// by any mix of routers at any of `from` and at the result, nor by any mix of routers at the result and at `to`.
     pub fn intermediate(&self, loss: &Loss, from: &[&Allocation], to: &Allocation) -> Allocation {
-        let usage = Usage::new(&self.fleet, loss);
-        let meet = from.iter().fold(to.clone(), |meet, allocation| {
-            allocation.meet(&meet, &usage)
+        let usage = RequestUsage::new(&self.fleet, loss);
+        let lower = from.iter().fold(to.clone(), |lower, allocation| {
+            allocation.pointwise_min(&lower, &usage)
         });
-        let fits = |part: f64| {
-            let here = meet.interpolate(to, part);
-            let allocations: Vec<&Allocation> = from.iter().copied().chain([&here]).collect();
+        let fits = |fraction: f64| {
+            let candidate = lower.interpolate(to, fraction);
+            let allocations: Vec<&Allocation> = from.iter().copied().chain([&candidate]).collect();
             limit_exceeded_by_mix(&self.fleet, loss, &allocations).is_none()
         };
-        let part = widest(0.0, 1.0, fits);
-        if part >= 1.0 {
+        let fraction = largest_valid(0.0, 1.0, fits);
+        if fraction >= 1.0 {
             return to.clone();
         }
-        let mut allocation = meet.interpolate(to, part);
-        self.keep(loss, &mut allocation);
+        let mut allocation = lower.interpolate(to, fraction);
+        self.lower_levels(loss, &mut allocation);
         allocation
     }
 
-    /// A allocation without the ways over the hosts of a site: what is done while that site is doubted.
+    /// An allocation without the routes over the hosts of a site, used while that site is suspect.
     pub fn avoiding_site(&self, loss: &Loss, allocation: &Allocation, site: usize) -> Allocation {
-        let mut allocation = allocation.clone().without(site);
-        self.keep(loss, &mut allocation);
+        let mut allocation = allocation.clone().without_site(site);
+        self.lower_levels(loss, &mut allocation);
         allocation
     }
 
-    /// What was kept by [`Plans::cache_allocations`] for a chain of conditions.
+    /// The allocations that [`Plans::cache_allocations`] kept for a transition.
     pub(crate) fn cached_allocations(
         &self,
-        chain: &[Condition],
+        transition: &[Condition],
     ) -> Option<(Allocation, Allocation)> {
-        self.worked_out
+        self.allocation_cache
             .iter()
-            .find(|(of, _)| of == chain)
+            .find(|(cached, _)| cached == transition)
             .map(|(_, allocations)| allocations.clone())
     }
 
-    /// Keeps what was worked out for a chain of conditions; the oldest goes.
+    /// Caches the allocations of a transition, evicting the oldest entry if the cache is full.
     pub(crate) fn cache_allocations(
         &mut self,
-        chain: &[Condition],
+        transition: &[Condition],
         allocations: &(Allocation, Allocation),
     ) {
-        if self.worked_out.len() >= MOST_KEPT {
-            self.worked_out.pop_front();
+        if self.allocation_cache.len() >= MAX_CACHED_TRANSITIONS {
+            self.allocation_cache.pop_front();
         }
-        self.worked_out
-            .push_back((chain.to_vec(), allocations.clone()));
+        self.allocation_cache
+            .push_back((transition.to_vec(), allocations.clone()));
     }
 
-    /// Worth a second that a allocation takes while `loss` is missing.
+    /// Worth per second of the requests that an allocation admits while `loss` is missing.
     pub fn admitted_worth(&self, loss: &Loss, allocation: &Allocation) -> f64 {
-        let asked = asked(&self.fleet, loss);
+        let offered = offered_load(&self.fleet, loss);
         let mut worth = 0.0;
-        for (c, (asked, levels)) in asked.iter().zip(&allocation.levels).enumerate() {
-            for (asked, levels) in asked.iter().zip(levels) {
-                worth +=
-                    asked.iter().zip(levels).map(|(a, l)| a * l).sum::<f64>() * self.fleet.worth[c];
+        for (class, (offered, levels)) in offered.iter().zip(&allocation.levels).enumerate() {
+            for (offered, levels) in offered.iter().zip(levels) {
+                worth += offered
+                    .iter()
+                    .zip(levels)
+                    .map(|(rate, level)| rate * level)
+                    .sum::<f64>()
+                    * self.fleet.worth[class];
             }
         }
         worth
     }
 
-    /// Cuts the levels at each entry to what its ways carry: what is guaranteed last, and no class less than one that
-    /// is refused before it.
-    fn keep(&self, loss: &Loss, allocation: &mut Allocation) {
-        let asked = asked(&self.fleet, loss);
-        let order = self
+    /// Lowers the levels at each entry to what its routes carry. Guaranteed requests are cut last, and no class is cut
+    /// more than one that is refused before it.
+    fn lower_levels(&self, loss: &Loss, allocation: &mut Allocation) {
+        let offered = offered_load(&self.fleet, loss);
+        let refusal_order = self
             .get(loss)
             .map(|p| p.refusal_order.as_slice())
             .unwrap_or_default();
-        let mut last_first: Vec<usize> = order
+        let mut last_refused_first: Vec<usize> = refusal_order
             .iter()
             .rev()
             .filter(|r| !r.guaranteed)
             .map(|r| r.class)
             .collect();
-        last_first.extend(
+        last_refused_first.extend(
             (0..self.fleet.class_count())
-                .filter(|c| !order.iter().any(|r| !r.guaranteed && r.class == *c)),
+                .filter(|c| !refusal_order.iter().any(|r| !r.guaranteed && r.class == *c)),
         );
-        // The parts kept at each entry of what is guaranteed and of the rest, by the class before.
+        // The shares kept at each entry of guaranteed and of other requests, by the class before.
         let mut kept = vec![(1.0_f64, 1.0_f64); self.fleet.site_count()];
-        for c in last_first {
-            for e in 0..self.fleet.site_count() {
-                let sum = |of: &Vec<Vec<f64>>| -> f64 {
-                    asked[c].iter().zip(of).map(|(by, p)| by[e] * p[e]).sum()
+        for class in last_refused_first {
+            for entry in 0..self.fleet.site_count() {
+                let rate_at = |levels: &Vec<Vec<f64>>| -> f64 {
+                    offered[class]
+                        .iter()
+                        .zip(levels)
+                        .map(|(rates, levels)| rates[entry] * levels[entry])
+                        .sum()
                 };
-                let (carries, promised, level) = (
-                    allocation.admitted_rate(c, e),
-                    sum(&allocation.promised[c]),
-                    sum(&allocation.levels[c]),
+                let (carried, guaranteed, admitted) = (
+                    allocation.admitted_rate(class, entry),
+                    rate_at(&allocation.guaranteed_levels[class]),
+                    rate_at(&allocation.levels[class]),
                 );
-                let part = |of: f64, all: f64| {
-                    if all > 0.0 {
-                        (of / all).clamp(0.0, 1.0)
+                let ratio = |part: f64, total: f64| {
+                    if total > 0.0 {
+                        (part / total).clamp(0.0, 1.0)
                     } else {
                         1.0
                     }
                 };
-                let of_promised = part(carries, promised).min(kept[e].0);
-                let of_rest = part((carries - promised).max(0.0), level - promised).min(kept[e].1);
-                kept[e] = (of_promised, of_rest);
-                for (level, promised) in allocation.levels[c]
+                let kept_guaranteed = ratio(carried, guaranteed).min(kept[entry].0);
+                let kept_rest = ratio((carried - guaranteed).max(0.0), admitted - guaranteed)
+                    .min(kept[entry].1);
+                kept[entry] = (kept_guaranteed, kept_rest);
+                for (level, guaranteed) in allocation.levels[class]
                     .iter_mut()
-                    .zip(&mut allocation.promised[c])
+                    .zip(&mut allocation.guaranteed_levels[class])
                 {
-                    let rest = (level[e] - promised[e]).max(0.0) * of_rest;
-                    promised[e] *= of_promised;
-                    level[e] = promised[e] + rest;
+                    let rest = (level[entry] - guaranteed[entry]).max(0.0) * kept_rest;
+                    guaranteed[entry] *= kept_guaranteed;
+                    level[entry] = guaranteed[entry] + rest;
                 }
             }
         }
--- a/src/fleet/sites/tests.rs
+++ b/src/fleet/sites/tests.rs
@@ -884,3 +884,14 @@
         );
     }
 }
+
+/// Guards against a renamed variant that changes what operators write after `--part`.
+#[test]
+fn values_of_the_part_option_stay_as_documented() {
+    use clap::ValueEnum;
+    let names: Vec<_> = super::command::Part::value_variants()
+        .iter()
+        .map(|part| part.to_possible_value().unwrap().get_name().to_owned())
+        .collect();
+    assert_eq!(names, ["all", "hosts", "half", "conductors"]);
+}
