--- a/src/net/reachability.rs
+++ b/src/net/reachability.rs
@@ -1,165 +1,196 @@
-//! Which model hosts were last seen reachable: decides, without I/O, whom a call that any host may take goes to
-//! first.
+//! Reachability of model hosts. Decides, without I/O, in which order hosts are tried for a call that any of them can
+//! handle.
 //!
 //! A release (`DELETE /internal/reservations/ID`) may go to any model host, and it has to reach a running one within
-//! the release limit. When a zone is cut off, or hosts fall silent, a connection to one of those never comes up and
-//! costs the whole connect time-out. Asking hosts in the list's order then spends the limit on silent hosts. This
-//! table keeps, per host, when a connection to it last came up (or an answer came whole) and when one last failed
-//! to, so that hosts just heard from are asked first and those that just failed last.
+//! the release limit. When a zone is partitioned off or hosts stop responding, connecting to one of those costs the
+//! whole connect time-out, and trying hosts in the order of the list can use up the release limit on them. This table
+//! records for each host when it was last reached (a connection was opened or a complete response received) and when
+//! reaching it last failed, so that recently reached hosts are tried first and unreachable ones last.
 
 use crate::routing::types::WorkerId;
 use std::collections::HashMap;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Hosts reached within this time are as good as each other.
-const LATELY: Duration = Duration::from_millis(500);
-/// What is older than this says nothing of a host any more, and is forgotten.
-pub const REMEMBER: Duration = Duration::from_secs(30);
+/// Hosts reached within this time rank as equal.
+const RECENTLY_REACHED: Duration = Duration::from_millis(500);
+/// Observations older than this are ignored and removed.
+pub const ENTRY_TTL: Duration = Duration::from_secs(30);
 
-/// When a host was last reached, last answered and last found unreachable.
+/// The times of the latest observations of one host.
 #[derive(Clone, Copy, Debug, Default)]
-struct Seen {
-    reached: Option<Instant>,
-    unreached: Option<Instant>,
-    connect_failed: Option<Instant>,
-    heard: Option<Instant>,
+struct Observations {
+    /// A connection was opened or a complete response received.
+    reached_at: Option<Instant>,
+    /// A connect failed, or a call was not answered in time.
+    unreachable_at: Option<Instant>,
+    /// A connect failed.
+    connect_failed_at: Option<Instant>,
+    /// A complete response was received.
+    response_at: Option<Instant>,
 }
 
-/// The table of reachability, one entry a host heard of within [`REMEMBER`].
+/// The reachability table: one entry for each host observed within [`ENTRY_TTL`].
 ///
-/// Bounded: an entry is only made for a host that a connection was tried to, and entries older than [`REMEMBER`]
-/// are dropped by [`Reachability::forget_old`], so it holds at most the hosts tried within that time.
+/// Its size is bounded: only hosts that a connection was tried to get an entry, and [`Reachability::evict_old`] removes
+/// entries older than [`ENTRY_TTL`].
 #[derive(Debug, Default)]
 pub struct Reachability {
-    seen: HashMap<WorkerId, Seen>,
+    observations: HashMap<WorkerId, Observations>,
 }
 
-/// How a host ranks for a call that any host may take: lower first.
+/// The rank of a host for a call that any host can handle; the lowest is tried first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Rank {
-    /// Reached, and not failed since: the time since then breaks ties, newest first.
+    /// Reached, with no failure since. Holds the time since then: the most recently reached host ranks first.
     Reached(Duration),
-    /// Nothing known.
+    /// Without a recent observation.
     Unknown,
-    /// Failed to come up since it was last reached.
-    Unreached,
+    /// Not reached since the last failure.
+    Unreachable,
 }
 
 impl Reachability {
-    /// A connection to `worker` came up, at `now`. Its machine takes connections; whether its process runs is not said.
-    pub fn reached(&mut self, worker: &WorkerId, now: Instant) {
-        self.seen.entry(worker.clone()).or_default().reached = Some(now);
+    /// Records that a connection to `worker` was opened. This shows that the machine accepts connections, but not that
+    /// the process responds.
+    pub fn note_connected(&mut self, worker: &WorkerId, now: Instant) {
+        self.observations
+            .entry(worker.clone())
+            .or_default()
+            .reached_at = Some(now);
     }
 
-    /// An answer of `worker` came whole, at `now`.
-    pub fn heard(&mut self, worker: &WorkerId, now: Instant) {
-        self.reached(worker, now);
-        self.seen.entry(worker.clone()).or_default().heard = Some(now);
+    /// Records a complete response of `worker`.
+    pub fn note_response(&mut self, worker: &WorkerId, now: Instant) {
+        self.note_connected(worker, now);
+        self.observations
+            .entry(worker.clone())
+            .or_default()
+            .response_at = Some(now);
     }
 
-    /// Whether an answer of `worker` came since a moment.
+    /// Whether a complete response of `worker` was received after `since`.
     pub fn answered_since(&self, worker: &WorkerId, since: Instant) -> bool {
-        self.seen
-            .get(worker)
-            .is_some_and(|seen| seen.heard.is_some_and(|heard| heard > since))
+        self.observations.get(worker).is_some_and(|observations| {
+            observations
+                .response_at
+                .is_some_and(|response_at| response_at > since)
+        })
     }
 
-    /// Nothing was heard of `worker` where something should have been, at `now`.
-    pub fn unreached(&mut self, worker: &WorkerId, now: Instant) {
-        self.seen.entry(worker.clone()).or_default().unreached = Some(now);
+    /// Records that `worker` did not answer in time.
+    pub fn mark_unreachable(&mut self, worker: &WorkerId, now: Instant) {
+        self.observations
+            .entry(worker.clone())
+            .or_default()
+            .unreachable_at = Some(now);
     }
 
-    /// A connection to `worker` was refused or did not come up in time, at `now`: no call to it gets a kept connection
-    /// until it was reached again.
-    pub fn connect_failed(&mut self, worker: &WorkerId, now: Instant) {
-        self.unreached(worker, now);
-        self.seen.entry(worker.clone()).or_default().connect_failed = Some(now);
+    /// Records that a connect to `worker` was refused or timed out. Idle connections to it are not reused until it has
+    /// been reached again.
+    pub fn note_connect_failed(&mut self, worker: &WorkerId, now: Instant) {
+        self.mark_unreachable(worker, now);
+        self.observations
+            .entry(worker.clone())
+            .or_default()
+            .connect_failed_at = Some(now);
     }
 
-    /// Whether the last connection to `worker` failed and nothing has been heard of it since.
+    /// Whether a connect to `worker` failed and it has not been reached since.
     pub fn is_suspect(&self, worker: &WorkerId) -> bool {
-        let Some(seen) = self.seen.get(worker) else {
+        let Some(observations) = self.observations.get(worker) else {
             return false;
         };
-        seen.connect_failed
-            .is_some_and(|failed| seen.reached.is_none_or(|reached| reached < failed))
+        observations.connect_failed_at.is_some_and(|failed_at| {
+            observations
+                .reached_at
+                .is_none_or(|reached_at| reached_at < failed_at)
+        })
     }
 
-    /// Drops what is older than [`REMEMBER`] at `now`.
-    pub fn forget_old(&mut self, now: Instant) {
+    /// Removes observations that are older than [`ENTRY_TTL`] at `now`, and entries that have none left.
+    pub fn evict_old(&mut self, now: Instant) {
         let fresh =
-            |at: Option<Instant>| at.filter(|at| now.saturating_duration_since(*at) < REMEMBER);
-        self.seen.retain(|_, seen| {
-            *seen = Seen {
-                reached: fresh(seen.reached),
-                unreached: fresh(seen.unreached),
-                connect_failed: fresh(seen.connect_failed),
-                heard: fresh(seen.heard),
+            |at: Option<Instant>| at.filter(|at| now.saturating_duration_since(*at) < ENTRY_TTL);
+        self.observations.retain(|_, observations| {
+            *observations = Observations {
+                reached_at: fresh(observations.reached_at),
+                unreachable_at: fresh(observations.unreachable_at),
+                connect_failed_at: fresh(observations.connect_failed_at),
+                response_at: fresh(observations.response_at),
             };
-            seen.reached.is_some() || seen.unreached.is_some()
+            observations.reached_at.is_some() || observations.unreachable_at.is_some()
         });
     }
 
-    /// Hosts in the table, for bounds and tests.
+    /// The number of hosts in the table.
     pub fn len(&self) -> usize {
-        self.seen.len()
+        self.observations.len()
     }
 
     /// Whether the table is empty.
     pub fn is_empty(&self) -> bool {
-        self.seen.is_empty()
+        self.observations.is_empty()
     }
 
     fn rank(&self, worker: &WorkerId, now: Instant) -> Rank {
-        let Some(seen) = self.seen.get(worker) else {
+        let Some(observations) = self.observations.get(worker) else {
             return Rank::Unknown;
         };
         let fresh =
-            |at: Option<Instant>| at.filter(|at| now.saturating_duration_since(*at) < REMEMBER);
-        match (fresh(seen.reached), fresh(seen.unreached)) {
-            (Some(reached), Some(unreached)) if unreached > reached => Rank::Unreached,
-            (Some(reached), _) => Rank::Reached(now.saturating_duration_since(reached)),
-            (None, Some(_)) => Rank::Unreached,
+            |at: Option<Instant>| at.filter(|at| now.saturating_duration_since(*at) < ENTRY_TTL);
+        match (
+            fresh(observations.reached_at),
+            fresh(observations.unreachable_at),
+        ) {
+            (Some(reached_at), Some(unreachable_at)) if unreachable_at > reached_at => {
+                Rank::Unreachable
+            }
+            (Some(reached_at), _) => Rank::Reached(now.saturating_duration_since(reached_at)),
+            (None, Some(_)) => Rank::Unreachable,
             (None, None) => Rank::Unknown,
         }
     }
 
-    /// The same order, in which the hosts at its head that were reached just now are turned by `spread`: many calls at
-    /// the same moment must not all go to one of them.
+    /// Like [`Reachability::order`], but rotates the recently reached hosts at the front by `offset`, so that many
+    /// simultaneous calls do not all go to the same host.
     pub fn order_spread(
         &self,
         candidates: Vec<(WorkerId, String)>,
         now: Instant,
-        spread: u64,
+        offset: u64,
     ) -> Vec<WorkerId> {
         let mut order = self.order(candidates, now);
-        let is_recent =
-            |w: &&WorkerId| matches!(self.rank(w, now), Rank::Reached(ago) if ago < LATELY);
-        let recent = order.iter().take_while(is_recent).count();
-        if recent > 1 {
-            order[..recent].rotate_left((spread % recent as u64) as usize);
+        let is_recent = |worker: &&WorkerId| {
+            matches!(
+                self.rank(worker, now),
+                Rank::Reached(elapsed) if elapsed < RECENTLY_REACHED
+            )
+        };
+        let recent_hosts = order.iter().take_while(is_recent).count();
+        if recent_hosts > 1 {
+            order[..recent_hosts].rotate_left((offset % recent_hosts as u64) as usize);
         }
         order
     }
 
-    /// Puts `candidates` (as the list gives them, each with its zone) in the order in which a call that any host may
-    /// take should try them at `now`: hosts reached most lately first, then those of which nothing is known, in the
-    /// order given, then those that failed to come up since they were last reached. Within the hosts that did not
-    /// fail, zones take turns: all that was reached lately may be of a zone that has just been cut off.
+    /// Orders `candidates`, each given with its zone, for a call that any host can handle: the most recently reached
+    /// hosts first, then hosts without observations in the given order, then unreachable hosts. Among the hosts that
+    /// are not unreachable, zones alternate, because all recently reached hosts may be in a zone that has just been
+    /// partitioned off.
     pub fn order(&self, mut candidates: Vec<(WorkerId, String)>, now: Instant) -> Vec<WorkerId> {
-        // Stable: within a rank, the list's order stands.
-        candidates.sort_by_cached_key(|(w, _)| self.rank(w, now));
-        let mut turns = HashMap::<String, usize>::new();
+        // A stable sort, so that hosts of equal rank keep the given order.
+        candidates.sort_by_cached_key(|(worker, _)| self.rank(worker, now));
+        let mut next_turn_by_zone = HashMap::<String, usize>::new();
         let mut ranked: Vec<(bool, usize, WorkerId)> = candidates
             .into_iter()
             .map(|(worker, zone)| {
-                let turn = turns.entry(zone).or_default();
+                let turn = next_turn_by_zone.entry(zone).or_default();
                 *turn += 1;
-                (self.rank(&worker, now) == Rank::Unreached, *turn, worker)
+                (self.rank(&worker, now) == Rank::Unreachable, *turn, worker)
             })
             .collect();
-        ranked.sort_by_key(|(unreached, turn, _)| (*unreached, *turn));
+        ranked.sort_by_key(|(is_unreachable, turn, _)| (*is_unreachable, *turn));
         ranked.into_iter().map(|(_, _, worker)| worker).collect()
     }
 }
--- a/src/net/reachability/tests.rs
+++ b/src/net/reachability/tests.rs
@@ -1,90 +1,121 @@
 use super::*;
 
-fn w(name: &str) -> WorkerId {
+fn worker(name: &str) -> WorkerId {
     WorkerId(name.into())
 }
 
-fn here(name: &str) -> (WorkerId, String) {
-    (w(name), "here".into())
+fn host_in_one_zone(name: &str) -> (WorkerId, String) {
+    (worker(name), "here".into())
 }
 
-/// Guards against a release that asks only hosts of a zone that has just been cut off, since all that was heard
-/// lately came from there.
+/// Guards against a release that tries only hosts of a zone that has just been partitioned off, because all recently
+/// reached hosts are there.
 #[test]
-fn zones_take_turns_among_hosts_that_have_not_failed() {
+fn zones_alternate_among_hosts_that_are_not_unreachable() {
     let start = Instant::now();
-    let mut reach = Reachability::default();
+    let mut reachability = Reachability::default();
     for (i, name) in ["a1", "a2", "a3", "b1"].iter().enumerate() {
-        reach.reached(
-            &w(name),
+        reachability.note_connected(
+            &worker(name),
             start + Duration::from_millis(900 - 100 * i as u64),
         );
     }
-    reach.unreached(&w("c1"), start);
-    let given = ["c1", "a1", "a2", "a3", "b1", "b2", "d1"].map(|n| (w(n), n[..1].to_owned()));
-    let order = reach.order(given.to_vec(), start + Duration::from_secs(1));
-    assert_eq!(order, ["a1", "b1", "d1", "a2", "b2", "a3", "c1"].map(w));
+    reachability.mark_unreachable(&worker("c1"), start);
+    let candidates =
+        ["c1", "a1", "a2", "a3", "b1", "b2", "d1"].map(|name| (worker(name), name[..1].to_owned()));
+    let order = reachability.order(candidates.to_vec(), start + Duration::from_secs(1));
+    assert_eq!(
+        order,
+        ["a1", "b1", "d1", "a2", "b2", "a3", "c1"].map(worker)
+    );
 }
 
 #[test]
-fn hosts_just_heard_from_go_first_and_silent_ones_last() {
+fn recently_reached_hosts_come_first_and_unreachable_ones_last() {
     let start = Instant::now();
-    let mut reach = Reachability::default();
-    reach.unreached(&w("cut-1"), start);
-    reach.reached(&w("old"), start);
-    reach.reached(&w("holder"), start + Duration::from_millis(400));
-    reach.reached(&w("cut-2"), start);
-    reach.unreached(&w("cut-2"), start + Duration::from_millis(300));
+    let mut reachability = Reachability::default();
+    reachability.mark_unreachable(&worker("unreachable-1"), start);
+    reachability.note_connected(&worker("old"), start);
+    reachability.note_connected(&worker("recent"), start + Duration::from_millis(400));
+    reachability.note_connected(&worker("unreachable-2"), start);
+    reachability.mark_unreachable(&worker("unreachable-2"), start + Duration::from_millis(300));
     let now = start + Duration::from_millis(500);
-    let given = ["cut-1", "cut-2", "unknown-1", "old", "unknown-2", "holder"];
-    let order = reach.order(given.map(here).to_vec(), now);
+    let candidates = [
+        "unreachable-1",
+        "unreachable-2",
+        "unknown-1",
+        "old",
+        "unknown-2",
+        "recent",
+    ];
+    let order = reachability.order(candidates.map(host_in_one_zone).to_vec(), now);
     assert_eq!(
         order,
-        ["holder", "old", "unknown-1", "unknown-2", "cut-1", "cut-2"].map(w)
+        [
+            "recent",
+            "old",
+            "unknown-1",
+            "unknown-2",
+            "unreachable-1",
+            "unreachable-2"
+        ]
+        .map(worker)
     );
 }
 
 #[test]
-fn a_host_that_comes_up_again_is_trusted_again_and_old_news_is_forgotten() {
+fn a_host_reached_again_ranks_first_and_old_observations_are_removed() {
     let start = Instant::now();
-    let mut reach = Reachability::default();
-    reach.unreached(&w("a"), start);
-    reach.reached(&w("a"), start + Duration::from_secs(1));
+    let mut reachability = Reachability::default();
+    reachability.mark_unreachable(&worker("a"), start);
+    reachability.note_connected(&worker("a"), start + Duration::from_secs(1));
     assert_eq!(
-        reach.order(vec![here("b"), here("a")], start + Duration::from_secs(2)),
-        [w("a"), w("b")]
+        reachability.order(
+            vec![host_in_one_zone("b"), host_in_one_zone("a")],
+            start + Duration::from_secs(2)
+        ),
+        [worker("a"), worker("b")]
     );
-    reach.forget_old(start + REMEMBER + Duration::from_secs(2));
-    assert!(reach.is_empty());
+    reachability.evict_old(start + ENTRY_TTL + Duration::from_secs(2));
+    assert!(reachability.is_empty());
     assert_eq!(
-        reach.order(vec![here("b"), here("a")], start + REMEMBER * 2),
-        [w("b"), w("a")]
+        reachability.order(
+            vec![host_in_one_zone("b"), host_in_one_zone("a")],
+            start + ENTRY_TTL * 2
+        ),
+        [worker("b"), worker("a")]
     );
 }
 
-/// Guards against many releases of one moment that all ask the one host that answered last.
+/// Guards against many simultaneous releases that all go to the host that was reached last.
 #[test]
-fn calls_of_one_moment_spread_over_the_hosts_just_reached() {
+fn simultaneous_calls_spread_over_recently_reached_hosts() {
     let start = Instant::now();
-    let mut reach = Reachability::default();
-    reach.reached(&w("old"), start);
+    let mut reachability = Reachability::default();
+    reachability.note_connected(&worker("old"), start);
     let now = start + Duration::from_secs(2);
     for name in ["a", "b", "c"] {
-        reach.reached(&w(name), now);
+        reachability.note_connected(&worker(name), now);
     }
-    let given = ["a", "b", "c", "old", "unknown"].map(here).to_vec();
-    let firsts = (0..3).map(|spread| reach.order_spread(given.clone(), now, spread)[0].clone());
-    assert_eq!(firsts.collect::<std::collections::BTreeSet<_>>().len(), 3);
-    for spread in 0..3 {
+    let candidates = ["a", "b", "c", "old", "unknown"]
+        .map(host_in_one_zone)
+        .to_vec();
+    let first_hosts =
+        (0..3).map(|offset| reachability.order_spread(candidates.clone(), now, offset)[0].clone());
+    assert_eq!(
+        first_hosts.collect::<std::collections::BTreeSet<_>>().len(),
+        3
+    );
+    for offset in 0..3 {
         assert_eq!(
-            reach.order_spread(given.clone(), now, spread)[3..],
-            ["old", "unknown"].map(w)
+            reachability.order_spread(candidates.clone(), now, offset)[3..],
+            ["old", "unknown"].map(worker)
         );
     }
     assert!(
-        !reach.answered_since(&w("a"), start),
-        "a connection that came up is no answer"
+        !reachability.answered_since(&worker("a"), start),
+        "opening a connection is no response"
     );
-    reach.heard(&w("a"), now);
-    assert!(reach.answered_since(&w("a"), start));
+    reachability.note_response(&worker("a"), now);
+    assert!(reachability.answered_since(&worker("a"), start));
 }
--- a/src/net/release_calls.rs
+++ b/src/net/release_calls.rs
@@ -1,7 +1,7 @@
-//! Carries releases out: the calls that [`super::release_fanout`] and [`super::late_arrivals`] decide on.
+//! Makes the release calls that [`super::release_fanout`] and [`super::late_arrivals`] decide on.
 
-use super::client::{CallError, HostClient, SETTLE};
-use super::late_arrivals::{LATE_CALL_TIMEOUT, LateArrivals, Round};
+use super::client::{CLOSE_PROPAGATION_DELAY, CallError, HostClient};
+use super::late_arrivals::{LATE_CALL_TIMEOUT, LateArrivals, ReleaseRound};
 use super::pool::ConnectError;
 use super::release_fanout::{HEDGE_DELAY, ReleaseFanout};
 use crate::dispatch::{Attempt, ReleaseProgress};
@@ -18,63 +18,65 @@
 use tokio::time::Instant;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A call of a release that has had no answer by then is not waited for any longer: its host is asked again later.
-const RELEASE_CALL: Duration = Duration::from_secs(1);
-/// A release that no host has taken is given up then. Its limit is long past, but what is held must not fill a host's
-/// memory for good: the longest cut or hang that operators have recorded is over by then.
-const RELEASE_WITHIN: Duration = Duration::from_secs(30);
-/// Calls to one host at once for what it may have got late.
-const LATE_CALLS: usize = 16;
+/// Time-out of one release call. Its host may be called again in a later round.
+const RELEASE_CALL_TIMEOUT: Duration = Duration::from_secs(1);
+/// A release that no host has accepted is retried for this long, far beyond the release limit, because KV state that is
+/// never released would occupy a worker's memory for good. The longest partition or hang on record ended within it.
+const RELEASE_DEADLINE: Duration = Duration::from_secs(30);
+/// Maximum number of parallel calls to one host to release requests that may have arrived late.
+const MAX_PARALLEL_LATE_CALLS: usize = 16;
 
-/// How a host met a call of a release.
+/// The result of one release call for a request that may have arrived late.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CallResult {
-    /// It answered.
+    /// The host answered, with any status.
     Answered,
-    /// It did not, in time.
-    Silent,
-    /// Its process is gone: connections are refused.
+    /// The call failed or timed out.
+    NoResponse,
+    /// The host refuses connections or is no longer listed: its process has ended.
     Gone,
 }
 
-/// Attempts that may arrive late, and the task that follows them.
+/// Abandoned attempts whose request may still reach its host, and the state of the task that releases them.
 #[derive(Default)]
 pub struct LateArrivalTracker {
     arrivals: RefCell<LateArrivals>,
-    /// Tells the task that something is due at another moment.
-    changed: Notify,
-    is_followed: Cell<bool>,
+    /// Notified when the time of the next round may have changed.
+    schedule_changed: Notify,
+    /// Whether the task is running; it ends when no attempt is left.
+    is_task_running: Cell<bool>,
 }
 
 impl LateArrivalTracker {
-    fn change(&self, change: impl FnOnce(&mut LateArrivals)) {
-        change(&mut self.arrivals.borrow_mut());
-        self.changed.notify_one();
+    fn update(&self, update: impl FnOnce(&mut LateArrivals)) {
+        update(&mut self.arrivals.borrow_mut());
+        self.schedule_changed.notify_one();
     }
 }
 
 impl HostClient {
-    /// Releases what is held for a request, at whichever hosts take it, until one has.
-    pub(super) async fn release_now(
+    /// Releases a request's KV state: calls hosts as the fan-out decides until one accepts, `releasing` is stopped, or
+    /// [`RELEASE_DEADLINE`] has passed.
+    pub(super) async fn run_release(
         &self,
         call: &Call,
         permit: ReleasePermit,
         releasing: Rc<ReleaseProgress>,
     ) {
-        tokio::time::sleep(SETTLE).await;
-        // The calls end with this: one that arrives later would take what the next read leaves.
+        tokio::time::sleep(CLOSE_PROPAGATION_DELAY).await;
+        // Dropping the set aborts the calls. One that arrived later would release the KV state of the next prefill.
         let mut calls = tokio::task::JoinSet::new();
-        let begun = Instant::now();
-        let mut fanout = ReleaseFanout::new(begun);
-        let spread = xxh3_64(call.id.as_bytes());
-        while releasing.is_going() && begun.elapsed() < RELEASE_WITHIN {
-            // Which hosts were just heard from may change meanwhile, and so may the list.
+        let started_at = Instant::now();
+        let mut fanout = ReleaseFanout::new(started_at);
+        let offset = xxh3_64(call.id.as_bytes());
+        while releasing.is_going() && started_at.elapsed() < RELEASE_DEADLINE {
+            // Recomputed for each wave, since reachability and the list of hosts may have changed.
             let hosts = self
                 .pool
-                .order_by_reachability(self.directory.release_targets(), spread);
+                .order_by_reachability(self.directory.release_targets(), offset);
             let answered_since = |worker: &WorkerId, since| self.pool.answered_since(worker, since);
-            for worker in fanout.wave(Instant::now(), &hosts, answered_since) {
-                calls.spawn_local(self.clone().ask_release(
+            for worker in fanout.next_wave(Instant::now(), &hosts, answered_since) {
+                calls.spawn_local(self.clone().call_release(
                     worker,
                     call.id.clone(),
                     releasing.clone(),
@@ -83,29 +85,35 @@
             tokio::select! {
                 biased;
                 () = releasing.over() => return,
-                Some(asked) = calls.join_next() => match asked {
+                Some(call_result) = calls.join_next() => match call_result {
                     Ok(true) => {
                         self.counters.releases_taken.up();
-                        log::debug!("request {}: {:?} released after {:?}", call.id, permit.reason(), begun.elapsed());
+                        log::debug!(
+                            "request {}: {:?} released after {:?}",
+                            call.id,
+                            permit.reason(),
+                            started_at.elapsed()
+                        );
                         return releasing.set_done();
                     }
-                    _ => fanout.failed(Instant::now()),
+                    _ => fanout.note_failure(Instant::now()),
                 },
-                () = tokio::time::sleep_until(fanout.due()) => {}
+                () = tokio::time::sleep_until(fanout.next_wave_at()) => {}
             }
         }
         if releasing.is_going() {
             releasing.stop();
             self.counters.releases_failed.up();
             log::warn!(
-                "request {}: no model host took the release of its state",
-                call.id
+                "request {}: no model host accepted the release of its KV state within {} s; giving up",
+                call.id,
+                RELEASE_DEADLINE.as_secs()
             );
         }
     }
 
-    /// One call of a release; whether the host took it.
-    async fn ask_release(
+    /// Calls one host to release a request; returns whether it accepted.
+    async fn call_release(
         self,
         worker: WorkerId,
         id: String,
@@ -122,29 +130,31 @@
         let state = || CallState::Release {
             is_going: releasing.is_going(),
         };
-        let calling = self.small_call(Some(&target), request, 0, state);
-        tokio::pin!(calling);
-        let answer = if let Ok(answer) = tokio::time::timeout(HEDGE_DELAY, &mut calling).await {
+        let pending_call = self.unary_call(Some(&target), request, 0, state);
+        tokio::pin!(pending_call);
+        let answer = if let Ok(answer) = tokio::time::timeout(HEDGE_DELAY, &mut pending_call).await
+        {
             Ok(answer)
         } else {
             self.pool.mark_unreachable(&worker);
-            tokio::time::timeout(RELEASE_CALL, calling).await
+            tokio::time::timeout(RELEASE_CALL_TIMEOUT, pending_call).await
         };
         match answer {
-            // One that is turned away has let go of nothing.
+            // A host that rejects the call has released nothing.
             Ok(Ok(status)) => status.is_success(),
             Ok(Err(error)) => {
-                log::debug!("request {id}: release at {}: {error}", worker.0);
+                log::debug!("request {id}: release call to {} failed: {error}", worker.0);
                 false
             }
             Err(_) => false,
         }
     }
 
-    /// Remembers an attempt that has ended with nothing heard of it. That its host has answered other calls meanwhile
-    /// says nothing: its connection, or the way there alone, may have been silent.
-    pub(super) fn note_if_it_may_arrive_late(&self, attempt: &Attempt, outcome: AttemptOutcome) {
-        // A connection that its other end has broken carries nothing any more.
+    /// Tracks an attempt that ended without a response, since its request may still reach the host. This is done even
+    /// if the host has answered other calls meanwhile: only this connection, or only the path to the host, may have
+    /// stalled.
+    pub(super) fn track_late_arrival(&self, attempt: &Attempt, outcome: AttemptOutcome) {
+        // After any other outcome nothing can arrive: the response has come, or the peer has closed the connection.
         if !matches!(
             outcome,
             AttemptOutcome::TimedOut | AttemptOutcome::Cancelled
@@ -153,56 +163,62 @@
         }
         let (id, now) = (attempt.call.id.clone(), Instant::now());
         self.late_arrivals
-            .change(|late| late.abandoned(&attempt.worker, id, now));
-        if !self.late_arrivals.is_followed.replace(true) {
-            tokio::task::spawn_local(self.clone().follow_late_arrivals());
+            .update(|late_arrivals| late_arrivals.note_abandoned(&attempt.worker, id, now));
+        if !self.late_arrivals.is_task_running.replace(true) {
+            tokio::task::spawn_local(self.clone().run_late_arrivals());
         }
     }
 
-    /// Asks hosts about attempts that may arrive late, for as long as there are any.
-    async fn follow_late_arrivals(self) {
-        let late = &self.late_arrivals;
-        while !late.arrivals.borrow().is_empty() {
-            let due = late.arrivals.borrow().due();
+    /// The task that runs the rounds of the late arrivals; ends when none is left.
+    async fn run_late_arrivals(self) {
+        let late_arrivals = &self.late_arrivals;
+        while !late_arrivals.arrivals.borrow().is_empty() {
+            let next_call_at = late_arrivals.arrivals.borrow().next_call_at();
             tokio::select! {
                 biased;
-                () = late.changed.notified() => continue,
-                () = async { tokio::time::sleep_until(due.unwrap_or_else(Instant::now)).await }, if due.is_some() => {}
+                () = late_arrivals.schedule_changed.notified() => continue,
+                () = async { tokio::time::sleep_until(next_call_at.unwrap_or_else(Instant::now)).await }, if next_call_at.is_some() => {}
             }
-            let next = late.arrivals.borrow_mut().next(Instant::now());
-            if let Some(round) = next {
-                tokio::task::spawn_local(self.clone().release_late(round));
+            let next_round = late_arrivals
+                .arrivals
+                .borrow_mut()
+                .next_round(Instant::now());
+            if let Some(round) = next_round {
+                tokio::task::spawn_local(self.clone().run_round(round));
             }
         }
-        late.is_followed.set(false);
+        late_arrivals.is_task_running.set(false);
     }
 
-    /// Releases at one host what it may have got late.
-    async fn release_late(self, round: Round) {
-        let mut met = CallResult::Answered;
-        for requests in round.requests.chunks(LATE_CALLS) {
-            let calls = requests.iter().map(|id| self.release_at(&round.worker, id));
+    /// Releases the requests of one round at its host. The first failure ends the round.
+    async fn run_round(self, round: ReleaseRound) {
+        let mut round_result = CallResult::Answered;
+        for requests in round.requests.chunks(MAX_PARALLEL_LATE_CALLS) {
+            let calls = requests
+                .iter()
+                .map(|id| self.call_late_release(&round.worker, id));
             for call in futures_util::future::join_all(calls).await {
-                met = if met == CallResult::Answered {
+                round_result = if round_result == CallResult::Answered {
                     call
                 } else {
-                    met
+                    round_result
                 };
             }
-            if met != CallResult::Answered {
+            if round_result != CallResult::Answered {
                 break;
             }
         }
         let (worker, now) = (&round.worker, Instant::now());
-        self.late_arrivals.change(|late| match met {
-            CallResult::Answered => late.answered(worker, now),
-            CallResult::Silent => late.unanswered(worker, now),
-            CallResult::Gone => late.gone(worker),
-        });
+        self.late_arrivals
+            .update(|late_arrivals| match round_result {
+                CallResult::Answered => late_arrivals.note_answered(worker, now),
+                CallResult::NoResponse => late_arrivals.note_unanswered(worker, now),
+                CallResult::Gone => late_arrivals.note_gone(worker),
+            });
     }
 
-    /// Asks one host to release a request.
-    async fn release_at(&self, worker: &WorkerId, id: &str) -> CallResult {
+    /// Calls one host to release a request that it may have received late.
+    async fn call_late_release(&self, worker: &WorkerId, id: &str) -> CallResult {
         let request =
             Request::delete(format!("/internal/reservations/{id}")).header("host", "model-host");
         let (Some(mut target), Ok(request)) =
@@ -214,19 +230,19 @@
         self.counters.late_releases.up();
         match tokio::time::timeout(
             LATE_CALL_TIMEOUT,
-            self.small_call(Some(&target), request, 0, || CallState::LateRelease),
+            self.unary_call(Some(&target), request, 0, || CallState::LateRelease),
         )
         .await
         {
             Ok(Ok(_)) => CallResult::Answered,
-            Ok(Err(error)) if is_refusal(&error) => CallResult::Gone,
-            Ok(Err(_)) | Err(_) => CallResult::Silent,
+            Ok(Err(error)) if is_connection_refused(&error) => CallResult::Gone,
+            Ok(Err(_)) | Err(_) => CallResult::NoResponse,
         }
     }
 }
 
-/// Whether a call failed since nobody listens.
-fn is_refusal(error: &CallError) -> bool {
+/// Whether a call failed because the connection was refused.
+fn is_connection_refused(error: &CallError) -> bool {
     match error {
         CallError::Connect(ConnectError::Io(error)) => {
             error.kind() == io::ErrorKind::ConnectionRefused
--- a/src/net/release_fanout.rs
+++ b/src/net/release_fanout.rs
@@ -1,114 +1,122 @@
-//! Whom a release asks, and when: a fan-out without I/O.
+//! Fan-out of a release: decides, without I/O, which model hosts a release is sent to, and when.
 //!
 //! `DELETE /internal/reservations/ID` may go to any model host, and the last byte of one such call has to reach a
 //! running host within the release limit. Which hosts run is known only as of the last connection to them: a zone may
-//! have been cut off, or a fifth of the hosts fallen silent, in this very moment. One further host after each pause
-//! would meet only as many hosts as pauses fit into the limit, all of which may be silent. So each wave asks twice as
-//! many as the one before, over zones in turn ([`super::reachability::Reachability::order`]), and within four waves some fifteen
-//! hosts of all zones have been asked. On an ordinary day the first host takes it and no second one hears of it.
+//! just have been partitioned off, or a fifth of the hosts may have stopped responding. With one further host after
+//! each delay, only as many hosts would be tried as delays fit into the limit, and none of those may respond. So each
+//! wave of calls is twice as wide as the one before and alternates between zones
+//! ([`super::reachability::Reachability::order`]): four waves reach about fifteen hosts over all zones. Normally the
+//! first host accepts the release and no other is called.
 //!
-//! A call without an answer has two explanations: a host that is silent, or a process that is held up and has not looked
-//! yet. Where a wave comes late, the second one holds: more hosts at once would only add to the work of a process that has
-//! too much already. And where some host has answered another call since the last wave, that one is asked alone: it runs.
+//! A missing response has two explanations: the host does not respond, or this process has stalled and has not read the
+//! response yet. If a wave is late, the process has stalled, and calling more hosts would only add to its load; so the
+//! wave is deferred once. If a host has answered any call since the last wave, it is known to run, and the next wave
+//! consists of that host only.
 
 use crate::routing::types::WorkerId;
 use std::collections::BTreeSet;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Before the next wave: far longer than a call takes at a host that runs, and a fifth of the platform's slack.
+/// Delay between two waves: far longer than a call to a running host takes, and a fifth of the slack that the platform
+/// allows.
 pub const HEDGE_DELAY: Duration = Duration::from_millis(60);
-/// Before the next wave where all of one have failed already: a host that refuses is worth no waiting.
-const AFTER_FAILURE: Duration = Duration::from_millis(10);
-/// A wave that comes later than this past its time shows that the process was held up.
-const HELD_UP: Duration = Duration::from_millis(20);
-/// Hosts of a wave at the most: they have sockets and the rest of the fleet sends releases as well.
-const WIDEST: usize = 8;
-/// Between two rounds over all hosts at the most: a host that runs again takes it soon after.
-const LONGEST_PAUSE: Duration = Duration::from_millis(250);
+/// Delay before the next wave if all open calls have failed: there is no response left to wait for.
+const DELAY_AFTER_FAILURE: Duration = Duration::from_millis(10);
+/// A wave that is later than this shows that the process has stalled.
+const STALL_THRESHOLD: Duration = Duration::from_millis(20);
+/// Maximum number of hosts in a wave. It limits the sockets used, and other routers send releases to the same hosts.
+const MAX_WAVE_WIDTH: usize = 8;
+/// Maximum pause between two rounds over all hosts: short enough that a host that recovers gets the release soon.
+const MAX_ROUND_PAUSE: Duration = Duration::from_millis(250);
 
-/// One release, from its order until some host has taken it.
+/// The fan-out of one release.
 #[derive(Debug)]
 pub struct ReleaseFanout {
-    asked: BTreeSet<WorkerId>,
-    /// Calls of the wave that have neither failed nor been taken.
-    open: usize,
+    /// Hosts called in the current round.
+    tried: BTreeSet<WorkerId>,
+    /// Calls that have neither failed nor succeeded.
+    open_calls: usize,
+    /// Number of hosts in the next wave.
     width: usize,
-    due: Instant,
-    pause: Duration,
-    /// When the last wave was asked.
-    last_wave: Option<Instant>,
-    /// The next wave has been put off once, for the process was held up.
-    is_put_off: bool,
+    next_wave_at: Instant,
+    /// Pause before the next round.
+    round_pause: Duration,
+    last_wave_at: Option<Instant>,
+    /// Whether the next wave has been deferred because the process had stalled.
+    is_deferred: bool,
 }
 
 impl ReleaseFanout {
-    /// A release whose first call is due now.
+    /// Starts the fan-out of a release. The first wave is due at `now`.
     pub fn new(now: Instant) -> Self {
         ReleaseFanout {
-            asked: BTreeSet::new(),
-            open: 0,
+            tried: BTreeSet::new(),
+            open_calls: 0,
             width: 1,
-            due: now,
-            pause: AFTER_FAILURE,
-            last_wave: None,
-            is_put_off: false,
+            next_wave_at: now,
+            round_pause: DELAY_AFTER_FAILURE,
+            last_wave_at: None,
+            is_deferred: false,
         }
     }
 
-    /// When [`ReleaseFanout::wave`] has something to do next.
-    pub fn due(&self) -> Instant {
-        self.due
+    /// When [`ReleaseFanout::next_wave`] has to be called next.
+    pub fn next_wave_at(&self) -> Instant {
+        self.next_wave_at
     }
 
-    /// The hosts to ask now, out of all that there are, best first; `answered_since` tells whether a host has answered
-    /// any call since a moment. Once all have been asked in vain, the next round begins after a pause, which grows up to
-    /// a quarter of a second.
-    pub fn wave(
+    /// Returns the hosts to call now; empty if the next wave is not due or is deferred. `hosts` are all candidates,
+    /// best first; `answered_since` returns whether a host has answered any call after the given time. When all hosts
+    /// have been tried, the next round begins after a pause that doubles up to a quarter of a second.
+    pub fn next_wave(
         &mut self,
         now: Instant,
         hosts: &[WorkerId],
         answered_since: impl Fn(&WorkerId, Instant) -> bool,
     ) -> Vec<WorkerId> {
-        if now < self.due {
+        if now < self.next_wave_at {
             return Vec::new();
         }
-        if self.open > 0
-            && now > self.due + HELD_UP
-            && !std::mem::replace(&mut self.is_put_off, true)
+        if self.open_calls > 0
+            && now > self.next_wave_at + STALL_THRESHOLD
+            && !std::mem::replace(&mut self.is_deferred, true)
         {
-            self.due = now + HEDGE_DELAY / 2;
+            self.next_wave_at = now + HEDGE_DELAY / 2;
             return Vec::new();
         }
-        self.is_put_off = false;
-        let fresh = || hosts.iter().filter(|h| !self.asked.contains(h));
-        let answers = |h: &&WorkerId| self.last_wave.is_some_and(|wave| answered_since(h, wave));
-        let running = fresh().find(answers).cloned();
-        let wave: Vec<WorkerId> = match &running {
+        self.is_deferred = false;
+        let untried = || hosts.iter().filter(|host| !self.tried.contains(host));
+        let has_answered = |host: &&WorkerId| {
+            self.last_wave_at
+                .is_some_and(|last_wave_at| answered_since(host, last_wave_at))
+        };
+        let responsive = untried().find(has_answered).cloned();
+        let next_wave: Vec<WorkerId> = match &responsive {
             Some(worker) => vec![worker.clone()],
-            None => fresh().take(self.width).cloned().collect(),
+            None => untried().take(self.width).cloned().collect(),
         };
-        if wave.is_empty() {
-            (self.asked, self.width, self.open) = (BTreeSet::new(), 1, 0);
-            self.due = now + self.pause;
-            self.pause = (self.pause * 2).min(LONGEST_PAUSE);
-            return wave;
+        if next_wave.is_empty() {
+            (self.tried, self.width, self.open_calls) = (BTreeSet::new(), 1, 0);
+            self.next_wave_at = now + self.round_pause;
+            self.round_pause = (self.round_pause * 2).min(MAX_ROUND_PAUSE);
+            return next_wave;
         }
-        self.asked.extend(wave.iter().cloned());
-        self.open += wave.len();
-        if running.is_none() {
-            self.width = (self.width * 2).min(WIDEST);
+        self.tried.extend(next_wave.iter().cloned());
+        self.open_calls += next_wave.len();
+        if responsive.is_none() {
+            self.width = (self.width * 2).min(MAX_WAVE_WIDTH);
         }
-        self.last_wave = Some(now);
-        self.due = now + HEDGE_DELAY;
-        wave
+        self.last_wave_at = Some(now);
+        self.next_wave_at = now + HEDGE_DELAY;
+        next_wave
     }
 
-    /// A call has failed: once all have, the next wave need not wait.
-    pub fn failed(&mut self, now: Instant) {
-        self.open = self.open.saturating_sub(1);
-        if self.open == 0 {
-            self.due = self.due.min(now + AFTER_FAILURE);
+    /// Records that a call has failed. When no call is open any more, the next wave is brought forward.
+    pub fn note_failure(&mut self, now: Instant) {
+        self.open_calls = self.open_calls.saturating_sub(1);
+        if self.open_calls == 0 {
+            self.next_wave_at = self.next_wave_at.min(now + DELAY_AFTER_FAILURE);
         }
     }
 }
--- a/src/net/release_fanout/tests.rs
+++ b/src/net/release_fanout/tests.rs
@@ -3,205 +3,236 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// What the platform allows beyond the settings' time: the module orders a release before those have passed.
+/// Time that the platform allows beyond the configured release time, at the end of which the release is ordered.
 const SLACK: Duration = Duration::from_millis(300);
-/// A call that is written to a host that runs, its connection's handshake included.
-const REACHES: Duration = Duration::from_millis(5);
-/// A connection to a host that is silent fails after the platform's time-out.
-const CONNECT: Duration = Duration::from_millis(250);
+/// Time until a call to a running host is written, connection handshake included.
+const CALL_TIME: Duration = Duration::from_millis(5);
+/// The platform's connect time-out, after which connecting to a silent host fails.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// How a host meets a call.
+/// How a host reacts to a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Host {
-    Runs,
-    /// New connections are refused: its process has died.
-    Refuses,
-    /// New connections never come up.
+enum HostBehaviour {
+    Responsive,
+    /// The process has died: new connections are refused.
+    Refusing,
+    /// New connections time out.
     Silent,
-    /// A kept connection looks alive, and nothing comes of what is written to it.
-    SilentKept,
+    /// The call is written to an idle connection that looks open, and is never answered.
+    SilentWithIdleConnection,
 }
 
-/// When the first call reaches a host that runs, in a simulation of the calls' ends.
-fn reached(
-    hosts: &[(WorkerId, String, Host)],
-    reach: &Reachability,
+/// Simulates the calls of a release; returns the time until the first one reaches a running host.
+fn time_to_running_host(
+    hosts: &[(WorkerId, String, HostBehaviour)],
+    reachability: &Reachability,
     start: Instant,
 ) -> Option<Duration> {
-    let kind = |w: &WorkerId| hosts.iter().find(|(h, ..)| h == w).map(|(.., kind)| *kind);
+    let behaviour = |worker: &WorkerId| {
+        hosts
+            .iter()
+            .find(|(host, ..)| host == worker)
+            .map(|(.., behaviour)| *behaviour)
+    };
     let listed: Vec<_> = hosts
         .iter()
-        .map(|(w, zone, _)| (w.clone(), zone.clone()))
+        .map(|(worker, zone, _)| (worker.clone(), zone.clone()))
         .collect();
     let mut fanout = ReleaseFanout::new(start);
-    let mut failing: Vec<Instant> = Vec::new();
+    let mut failure_times: Vec<Instant> = Vec::new();
     let mut now = start;
     while now < start + Duration::from_secs(5) {
-        for worker in fanout.wave(now, &reach.order(listed.clone(), now), |_, _| false) {
-            match kind(&worker)? {
-                Host::Runs => return Some(now + REACHES - start),
-                Host::Refuses => failing.push(now + Duration::from_millis(1)),
-                Host::Silent => failing.push(now + CONNECT),
-                Host::SilentKept => {}
+        for worker in fanout.next_wave(now, &reachability.order(listed.clone(), now), |_, _| false)
+        {
+            match behaviour(&worker)? {
+                HostBehaviour::Responsive => return Some(now + CALL_TIME - start),
+                HostBehaviour::Refusing => failure_times.push(now + Duration::from_millis(1)),
+                HostBehaviour::Silent => failure_times.push(now + CONNECT_TIMEOUT),
+                HostBehaviour::SilentWithIdleConnection => {}
             }
         }
-        failing.sort();
-        let failed = failing.first().copied().filter(|at| *at <= fanout.due());
-        now = failed.unwrap_or(fanout.due());
-        if failed.is_some() {
-            failing.remove(0);
-            fanout.failed(now);
+        failure_times.sort();
+        let failed_at = failure_times
+            .first()
+            .copied()
+            .filter(|at| *at <= fanout.next_wave_at());
+        now = failed_at.unwrap_or(fanout.next_wave_at());
+        if failed_at.is_some() {
+            failure_times.remove(0);
+            fanout.note_failure(now);
         }
     }
     None
 }
 
-/// Three zones of hosts, of which one is cut off and a fifth of the others are silent or dead; what was heard of each
-/// before says nothing of it.
-fn fleets() -> impl Strategy<Value = Vec<(WorkerId, String, Host, Option<u64>)>> {
+/// Hosts in three zones, one of which is partitioned off; a fifth of the others are silent or dead. When a host was
+/// last reached is independent of its state.
+fn host_lists() -> impl Strategy<Value = Vec<(WorkerId, String, HostBehaviour, Option<u64>)>> {
     let host = (0..10u8, any::<bool>(), prop::option::of(0..5_000u64));
-    (proptest::collection::vec(host, 6..100), 0..3usize).prop_map(|(all, cut)| {
-        let host = |(i, (draw, kept, heard)): (usize, (u8, bool, Option<u64>))| {
-            let kind = match draw {
-                _ if i % 3 == cut => {
-                    if kept {
-                        Host::SilentKept
+    (proptest::collection::vec(host, 6..100), 0..3usize).prop_map(|(hosts, cut_off_zone)| {
+        let host = |(i, (state_draw, has_idle_connection, reached_ago_ms)): (
+            usize,
+            (u8, bool, Option<u64>),
+        )| {
+            let behaviour = match state_draw {
+                _ if i % 3 == cut_off_zone => {
+                    if has_idle_connection {
+                        HostBehaviour::SilentWithIdleConnection
                     } else {
-                        Host::Silent
+                        HostBehaviour::Silent
                     }
                 }
-                0 => Host::SilentKept,
-                1 => Host::Refuses,
-                _ => Host::Runs,
+                0 => HostBehaviour::SilentWithIdleConnection,
+                1 => HostBehaviour::Refusing,
+                _ => HostBehaviour::Responsive,
             };
             (
                 WorkerId(format!("host-{i}").into()),
                 format!("zone-{}", i % 3),
-                kind,
-                heard,
+                behaviour,
+                reached_ago_ms,
             )
         };
-        all.into_iter().enumerate().map(host).collect()
+        hosts.into_iter().enumerate().map(host).collect()
     })
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 500, rng_seed: RngSeed::Fixed(29), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Guards against a state held past its time since the hosts that were asked one after the other were all silent.
+    /// Guards against KV state that is held past its limit because all hosts that were called in turn were silent.
     #[test]
-    fn a_call_reaches_a_host_that_runs_within_the_slack(fleet in fleets()) {
+    fn a_call_reaches_a_running_host_within_the_slack(hosts_with_history in host_lists()) {
         let start = Instant::now() + Duration::from_secs(60);
-        let mut reach = Reachability::default();
-        for (worker, _, _, heard) in &fleet {
-            if let Some(ago) = heard {
-                reach.reached(worker, start - Duration::from_millis(*ago));
+        let mut reachability = Reachability::default();
+        for (worker, _, _, reached_ago_ms) in &hosts_with_history {
+            if let Some(ago) = reached_ago_ms {
+                reachability.note_connected(worker, start - Duration::from_millis(*ago));
             }
         }
-        let hosts: Vec<_> = fleet.into_iter().map(|(w, zone, kind, _)| (w, zone, kind)).collect();
-        if hosts.iter().any(|(.., kind)| *kind == Host::Runs) {
-            let after = reached(&hosts, &reach, start);
-            prop_assert!(after.is_some_and(|t| t < SLACK), "{after:?}");
+        let hosts: Vec<_> = hosts_with_history
+            .into_iter()
+            .map(|(worker, zone, behaviour, _)| (worker, zone, behaviour))
+            .collect();
+        if hosts.iter().any(|(.., behaviour)| *behaviour == HostBehaviour::Responsive) {
+            let elapsed = time_to_running_host(&hosts, &reachability, start);
+            prop_assert!(elapsed.is_some_and(|duration| duration < SLACK), "{elapsed:?}");
         }
     }
 }
 
-/// No host has answered.
-fn nobody(_: &WorkerId, _: Instant) -> bool {
+fn never_answered(_: &WorkerId, _: Instant) -> bool {
     false
 }
 
-fn names(n: usize) -> Vec<WorkerId> {
-    (0..n).map(|i| WorkerId(i.to_string().into())).collect()
+fn worker_ids(count: usize) -> Vec<WorkerId> {
+    (0..count).map(|i| WorkerId(i.to_string().into())).collect()
 }
 
-/// Guards against a release that every host of a large fleet hears of on an ordinary day.
+/// Guards against normal releases that are sent to every host of a large installation.
 #[test]
-fn the_first_wave_is_one_host_and_the_next_ones_come_after_a_pause_and_grow() {
-    let (start, hosts) = (Instant::now(), names(40));
+fn first_wave_is_one_host_and_later_waves_are_delayed_and_grow() {
+    let (start, hosts) = (Instant::now(), worker_ids(40));
     let mut fanout = ReleaseFanout::new(start);
     let mut widths = Vec::new();
     for _ in 0..6 {
-        let now = fanout.due();
-        widths.push(fanout.wave(now, &hosts, nobody).len());
+        let now = fanout.next_wave_at();
+        widths.push(fanout.next_wave(now, &hosts, never_answered).len());
         assert!(
-            fanout.wave(now, &hosts, nobody).is_empty(),
-            "nobody further before the pause is over"
+            fanout.next_wave(now, &hosts, never_answered).is_empty(),
+            "no further host before the delay has passed"
         );
-        assert_eq!(fanout.due(), now + HEDGE_DELAY);
+        assert_eq!(fanout.next_wave_at(), now + HEDGE_DELAY);
     }
     assert_eq!(widths, [1, 2, 4, 8, 8, 8]);
 }
 
-/// Guards against a busy loop over hosts that all refuse, and against a round that never comes again.
+/// Guards against a busy loop over hosts that all refuse connections, and against rounds that stop.
 #[test]
-fn rounds_over_hosts_that_all_refuse_come_more_seldom_and_do_not_end() {
-    let (start, hosts) = (Instant::now(), names(3));
+fn rounds_over_refusing_hosts_slow_down_and_do_not_stop() {
+    let (start, hosts) = (Instant::now(), worker_ids(3));
     let mut fanout = ReleaseFanout::new(start);
-    let (mut asked, mut calls) = (Vec::new(), 0);
-    while fanout.due() < start + Duration::from_secs(10) {
-        let now = fanout.due();
-        let wave = fanout.wave(now, &hosts, nobody);
-        calls += wave.len();
-        wave.iter().for_each(|_| fanout.failed(now));
-        asked.extend(wave.contains(&hosts[0]).then_some(now));
+    let (mut first_host_calls, mut calls) = (Vec::new(), 0);
+    while fanout.next_wave_at() < start + Duration::from_secs(10) {
+        let now = fanout.next_wave_at();
+        let next_wave = fanout.next_wave(now, &hosts, never_answered);
+        calls += next_wave.len();
+        next_wave.iter().for_each(|_| fanout.note_failure(now));
+        first_host_calls.extend(next_wave.contains(&hosts[0]).then_some(now));
     }
     assert!(
-        asked
+        first_host_calls
             .last()
             .is_some_and(|at| *at > start + Duration::from_secs(9))
     );
     assert!((60..200).contains(&calls), "{calls}");
 }
 
-/// Guards against a wave that waits though nobody of it can answer any more.
+/// Guards against a full delay after a wave of which every call has failed.
 #[test]
-fn a_wave_that_has_failed_whole_is_followed_at_once() {
-    let (start, hosts) = (Instant::now(), names(9));
+fn next_wave_is_brought_forward_when_all_calls_have_failed() {
+    let (start, hosts) = (Instant::now(), worker_ids(9));
     let mut fanout = ReleaseFanout::new(start);
-    fanout.wave(start, &hosts, nobody);
-    fanout.failed(start);
-    assert_eq!(fanout.due(), start + AFTER_FAILURE);
-    assert_eq!(fanout.wave(fanout.due(), &hosts, nobody).len(), 2);
-    let due = fanout.due();
-    fanout.failed(start);
-    assert_eq!(fanout.due(), due, "one of two is still open");
+    fanout.next_wave(start, &hosts, never_answered);
+    fanout.note_failure(start);
+    assert_eq!(fanout.next_wave_at(), start + DELAY_AFTER_FAILURE);
+    assert_eq!(
+        fanout
+            .next_wave(fanout.next_wave_at(), &hosts, never_answered)
+            .len(),
+        2
+    );
+    let next_wave_at = fanout.next_wave_at();
+    fanout.note_failure(start);
+    assert_eq!(
+        fanout.next_wave_at(),
+        next_wave_at,
+        "one of two calls is still open"
+    );
 }
 
-/// Guards against a storm of calls where many releases are under way and hosts answer, and against a wave of hosts that
-/// are silent where one is known to run.
+/// Guards against a flood of calls when many releases are in progress and hosts respond, and against a wave to silent
+/// hosts while another host is known to run.
 #[test]
-fn a_host_that_has_answered_since_the_last_wave_is_asked_alone() {
-    let (start, hosts) = (Instant::now(), names(40));
+fn a_host_that_answered_since_the_last_wave_is_the_only_one_called() {
+    let (start, hosts) = (Instant::now(), worker_ids(40));
     let mut fanout = ReleaseFanout::new(start);
-    fanout.wave(start, &hosts, nobody);
-    let second = fanout.due();
+    fanout.next_wave(start, &hosts, never_answered);
+    let second = fanout.next_wave_at();
     assert_eq!(
-        fanout.wave(second, &hosts, |h, since| since == start && *h == hosts[30]),
+        fanout.next_wave(second, &hosts, |host, since| since == start
+            && *host == hosts[30]),
         [hosts[30].clone()]
     );
-    let third = fanout.due();
+    let third = fanout.next_wave_at();
     assert_eq!(
         fanout
-            .wave(third, &hosts, |h, since| since < second && *h == hosts[31])
+            .next_wave(third, &hosts, |host, since| since < second
+                && *host == hosts[31])
             .len(),
         2,
-        "not since"
+        "an answer before the last wave does not count"
     );
 }
 
-/// The same for a process that comes late to its own waves.
+/// Guards against a flood of calls by a process that has stalled and takes its own delay for silence of the hosts.
 #[test]
-fn a_wave_that_comes_late_is_put_off_once() {
-    let (start, hosts) = (Instant::now(), names(40));
+fn a_late_wave_is_deferred_once() {
+    let (start, hosts) = (Instant::now(), worker_ids(40));
     let mut fanout = ReleaseFanout::new(start);
-    fanout.wave(start, &hosts, nobody);
-    let late = fanout.due() + Duration::from_millis(100);
-    assert!(fanout.wave(late, &hosts, nobody).is_empty());
-    let later = fanout.due() + Duration::from_millis(100);
+    fanout.next_wave(start, &hosts, never_answered);
+    let late_now = fanout.next_wave_at() + Duration::from_millis(100);
+    assert!(
+        fanout
+            .next_wave(late_now, &hosts, never_answered)
+            .is_empty()
+    );
+    let second_late_now = fanout.next_wave_at() + Duration::from_millis(100);
     assert_eq!(
-        fanout.wave(later, &hosts, nobody).len(),
+        fanout
+            .next_wave(second_late_now, &hosts, never_answered)
+            .len(),
         2,
-        "put off once only"
+        "the wave is deferred only once"
     );
 }
--- a/src/net/stream.rs
+++ b/src/net/stream.rs
@@ -1,8 +1,8 @@
-//! Reads and writes on connections, by what the system says and nothing else.
+//! Socket reads and writes that tolerate interrupted calls and short reads.
 //!
-//! Calls may be interrupted (EINTR), which says nothing of the connection, and reads and writes may be short. The runtime's
-//! own streams hand the first on as an error, and take a read that did not fill its buffer for the last that there is: they
-//! wait for more, though bytes are there. Here a call is made anew until it would block.
+//! System calls may be interrupted (EINTR), which is no failure of the connection, and reads and writes may be short.
+//! Tokio's streams return EINTR as an error, and after a read that did not fill the buffer they assume that the socket
+//! is drained and wait for more, although bytes may be pending. The functions here repeat a call until it would block.
 
 use std::io::{self, IoSlice};
 use std::net::Shutdown;
@@ -11,17 +11,17 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Makes a call anew for as long as it is interrupted.
-pub fn retry_interrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+/// Repeats a system call while it returns EINTR.
+pub fn retry_interrupted<T>(mut syscall: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     loop {
-        match call() {
+        match syscall() {
             Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-            done => return done,
+            result => return result,
         }
     }
 }
 
-/// Reads what there is, or waits.
+/// Reads available bytes into `buf`; pending while there are none.
 pub fn poll_read(
     stream: &TcpStream,
     cx: &mut Context<'_>,
@@ -31,12 +31,12 @@
         ready!(stream.poll_read_ready(cx))?;
         match retry_interrupted(|| stream.try_read_buf(buf)) {
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
-            done => return Poll::Ready(done.map(drop)),
+            result => return Poll::Ready(result.map(drop)),
         }
     }
 }
 
-/// Writes as much as the system takes, or waits.
+/// Writes as many bytes as the socket accepts and returns their number; pending while it accepts none.
 pub fn poll_write(
     stream: &TcpStream,
     cx: &mut Context<'_>,
@@ -46,17 +46,17 @@
         ready!(stream.poll_write_ready(cx))?;
         match retry_interrupted(|| stream.try_write_vectored(bufs)) {
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
-            done => return Poll::Ready(done),
+            result => return Poll::Ready(result),
         }
     }
 }
 
-/// Ends the sending of a connection.
+/// Shuts down the write half of a connection.
 pub fn shutdown_write(stream: &TcpStream) -> io::Result<()> {
     socket2::SockRef::from(stream).shutdown(Shutdown::Write)
 }
 
-/// A connection that reads and writes so.
+/// A TCP connection that reads and writes by [`poll_read`] and [`poll_write`].
 #[derive(Debug)]
 pub struct RetryingStream(pub TcpStream);
 
