--- a/src/net/client/tests.rs
+++ b/src/net/client/tests.rs
@@ -161,13 +161,13 @@
             let (listener, address) = listen().await;
             let mut fixture = Fixture::new(address);
             let events = Rc::new(RefCell::new(Vec::new()));
-            let seen = events.clone();
+            let host_events = events.clone();
             let host = tokio::task::spawn_local(async move {
                 let (mut stream, _) = listener.accept().await.unwrap();
                 read_head(&mut stream).await;
                 stream.write_all(answer.as_bytes()).await.unwrap();
                 read_to_end(&mut stream).await;
-                seen.borrow_mut().push("closed");
+                host_events.borrow_mut().push("closed");
             });
             let _cancel = fixture.send(Bytes::new(), Duration::from_millis(700), None);
             assert_eq!(fixture.next_outcome().await, outcome);
@@ -309,14 +309,17 @@
             let (listener, address) = listen().await;
             let mut fixture = Fixture::new(address);
             let _first = fixture.send(Bytes::new(), Duration::from_secs(60), None);
-            let (mut kept, _) = listener.accept().await.unwrap();
-            read_head(&mut kept).await;
-            kept.write_all(PREFILL_RESPONSE.as_bytes()).await.unwrap();
+            let (mut first_connection, _) = listener.accept().await.unwrap();
+            read_head(&mut first_connection).await;
+            first_connection
+                .write_all(PREFILL_RESPONSE.as_bytes())
+                .await
+                .unwrap();
             assert_eq!(fixture.next_outcome().await, AttemptOutcome::Prefilled);
             let _second = fixture.send(Bytes::new(), Duration::from_secs(60), send_by);
             let opened_new = tokio::select! {
                 _ = listener.accept() => true,
-                _ = read_head(&mut kept) => false,
+                _ = read_head(&mut first_connection) => false,
             };
             assert_eq!(opened_new, is_new);
         })
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -48,8 +48,9 @@
 /// waiting.
 const LOCAL_CALL_TIMEOUT: Duration = Duration::from_secs(1);
 /// Time-out of a call to a discovery service that all routers share and that queues calls. A call abandoned early is
-/// wasted, and the next one queues behind it. But a lost call is never answered, and after this time-out the routing
-/// module's wait before the next call (at most a third of the update deadline) and that call's answer have to fit in.
+/// wasted, and the next one queues behind it. But a lost call is never answered, and after its time-out the routing
+/// module's wait before the next call (at most a third of the update deadline) and that call's answer still have to fit
+/// into the update deadline.
 const SHARED_CALL_TIMEOUT: Duration = UPDATE_DEADLINE
     .checked_div(2)
     .expect("the divisor is a non-zero constant");
@@ -365,9 +366,9 @@
 
 impl DiscoveryWatcher {
     /// Applies a listing to the directory and passes it on to the dispatcher.
-    pub fn apply(&self, listing: Listing, kind: EndpointUpdate) {
+    pub fn apply(&self, listing: Listing, update: EndpointUpdate) {
         for (entry, _) in &listing.entries {
-            let level = if kind == EndpointUpdate::Incremental {
+            let level = if update == EndpointUpdate::Incremental {
                 log::Level::Info
             } else {
                 log::Level::Debug
@@ -394,18 +395,18 @@
             .into_iter()
             .map(|(entry, _)| entry)
             .collect();
-        self.convert_starts(&mut entries, kind);
+        self.convert_starts(&mut entries, update);
         if let Some(adjust) = &self.adjust_endpoints {
-            adjust(kind, &mut entries);
+            adjust(update, &mut entries);
         }
         self.dispatcher.tell(DispatcherEvent::EndpointsUpdated {
-            update: kind,
+            update,
             endpoints: entries,
         });
     }
 
     /// Converts the start times of hosts from Unix time to the dispatcher's clock.
-    fn convert_starts(&self, entries: &mut [Endpoint], kind: EndpointUpdate) {
+    fn convert_starts(&self, entries: &mut [Endpoint], update: EndpointUpdate) {
         let reading = ClockReading::at(self.dispatcher.clock.now());
         let mut starts = self.host_starts.borrow_mut();
         for Endpoint {
@@ -417,7 +418,7 @@
                     worker,
                     listed_start,
                     reading,
-                    kind == EndpointUpdate::Incremental,
+                    update == EndpointUpdate::Incremental,
                 )
             });
         }
@@ -612,12 +613,12 @@
         if listing.is_full && listing.entries.is_empty() {
             return Err("the full list is empty".into());
         }
-        let kind = if listing.is_full {
+        let update = if listing.is_full {
             EndpointUpdate::Full
         } else {
             EndpointUpdate::Incremental
         };
-        self.apply(listing, kind);
+        self.apply(listing, update);
         Ok(())
     }
 
--- a/src/net/discovery/tests.rs
+++ b/src/net/discovery/tests.rs
@@ -51,7 +51,7 @@
     r#"[{"host":"a","dial":"127.0.0.1:1","health":"ready"},{"host":"}{\"[\\","health":"gone"}]"#;
 
 /// Guards against changes that are lost because messages are decoded line by line: the lines of an indented message are
-/// no valid JSON by themselves.
+/// not valid JSON by themselves.
 #[rstest]
 #[case::on_one_line(|text: String| text)]
 #[case::indented(|text: String| text)]
--- a/src/net/fault.rs
+++ b/src/net/fault.rs
@@ -27,7 +27,7 @@
     /// A single connection; the next call can be made at once.
     Connection,
     /// The peer, or the network path to it.
-    Host,
+    Peer,
     /// The socket or the address: the call can never succeed on it.
     Fatal,
 }
@@ -54,7 +54,7 @@
             ErrorScope::Fatal
         }
         // ECONNREFUSED, ECONNRESET, ETIMEDOUT, EHOSTUNREACH, EHOSTDOWN.
-        (SystemCall::Connect, _) => ErrorScope::Host,
+        (SystemCall::Connect, _) => ErrorScope::Peer,
     }
 }
 
@@ -69,7 +69,7 @@
 fn scope_by_kind(error: &io::Error) -> ErrorScope {
     match error.kind() {
         io::ErrorKind::Interrupted | io::ErrorKind::WouldBlock => ErrorScope::Connection,
-        _ => ErrorScope::Host,
+        _ => ErrorScope::Peer,
     }
 }
 
--- a/src/net/fault/tests.rs
+++ b/src/net/fault/tests.rs
@@ -29,11 +29,11 @@
 }
 
 #[rstest]
-#[case::refused(libc::ECONNREFUSED, ErrorScope::Host)]
-#[case::reset(libc::ECONNRESET, ErrorScope::Host)]
-#[case::timed_out(libc::ETIMEDOUT, ErrorScope::Host)]
-#[case::host_unreachable(libc::EHOSTUNREACH, ErrorScope::Host)]
-#[case::host_down(libc::EHOSTDOWN, ErrorScope::Host)]
+#[case::refused(libc::ECONNREFUSED, ErrorScope::Peer)]
+#[case::reset(libc::ECONNRESET, ErrorScope::Peer)]
+#[case::timed_out(libc::ETIMEDOUT, ErrorScope::Peer)]
+#[case::host_unreachable(libc::EHOSTUNREACH, ErrorScope::Peer)]
+#[case::host_down(libc::EHOSTDOWN, ErrorScope::Peer)]
 #[case::no_port(libc::EADDRNOTAVAIL, ErrorScope::Local)]
 #[case::port_in_use(libc::EADDRINUSE, ErrorScope::Local)]
 #[case::no_routing_cache_entries(libc::EAGAIN, ErrorScope::Local)]
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -415,10 +415,10 @@
     }
 
     /// Takes note of a connection that broke before its response. A reused connection that is reset as soon as a
-    /// request is written had been closed silently by its peer (or by a middlebox), and other idle connections probably
-    /// were, too. A request written to one of those may have run, so a request that must not run twice would be lost.
-    /// For that reason no connection is reused for a while; a new one costs a few round trips. A malformed response
-    /// does not count: its connection was open.
+    /// request is written had been closed silently by its peer, and other idle connections probably were, too. A
+    /// request written to one of those may have run, so a request that must not run twice would be lost. For that
+    /// reason no connection is reused for a while; a new one costs a few round trips. A malformed response does not
+    /// count: its connection was open.
     pub fn note_broken(&self, connection: &Connection) {
         if !connection.is_reused
             || connection.meter.response_seen.get()
@@ -547,7 +547,7 @@
                 Err(error) => error,
             };
             match classify_error(SystemCall::Connect, &error) {
-                ErrorScope::Host | ErrorScope::Fatal => return Err(error.into()),
+                ErrorScope::Peer | ErrorScope::Fatal => return Err(error.into()),
                 ErrorScope::Local | ErrorScope::Connection
                     if Instant::now() + backoff >= deadline =>
                 {
--- a/src/net/reachability/tests.rs
+++ b/src/net/reachability/tests.rs
@@ -114,7 +114,7 @@
     }
     assert!(
         !reachability.answered_since(&worker("a"), start),
-        "opening a connection is no response"
+        "opening a connection does not count as a response"
     );
     reachability.note_response(&worker("a"), now);
     assert!(reachability.answered_since(&worker("a"), start));
--- a/src/net/stream.rs
+++ b/src/net/stream.rs
@@ -1,6 +1,6 @@
 //! Socket reads and writes that tolerate interrupted calls and short reads.
 //!
-//! System calls may be interrupted (EINTR), which is no failure of the connection, and reads and writes may be short.
+//! System calls may be interrupted (EINTR), which is not a failure of the connection, and reads and writes may be short.
 //! Tokio's streams return EINTR as an error, and after a read that did not fill the buffer they assume that the socket
 //! is drained and wait for more, although bytes may be pending. The functions here repeat a call until it would block.
 
