--- a/src/net/client.rs
+++ b/src/net/client.rs
@@ -194,17 +194,18 @@
         let mut target = self
             .target(&attempt.worker)
             .ok_or(AttemptOutcome::NotSent)?;
-        if let Some(releasing) = &attempt.after {
+        if let Some(progress) = &attempt.after {
             // A release that arrives during the prefill would drop the KV state that this prefill creates, and the
             // decode worker would find none.
             tokio::select! {
                 biased;
                 _ = &mut attempt.cancelled => return Err(AttemptOutcome::Cancelled),
-                () = releasing.over() => {}
+                () = progress.over() => {}
                 () = tokio::time::sleep(PRIOR_RELEASE_TIMEOUT) => {}
             }
         }
-        // A repeat must arrive within its window. On a reused connection that has gone silent it could arrive later.
+        // A repeat (an attempt of a request that may already have run) is dropped by the host as a duplicate only
+        // within a window. Written to a reused connection that has gone silent, it could arrive after that.
         target.requires_new = attempt.permit.send_by().is_some();
         target.connect_timeout = attempt
             .permit
@@ -278,7 +279,8 @@
             HostResponse::read(response).await
         };
         let send_by = attempt.permit.send_by();
-        // A repeat that a stalled host has not read completely by `send_by` must not be written any further.
+        // A repeat that a stalled host has not read completely by `send_by` must not be written any further, since it
+        // would arrive after its window.
         let not_written_in_time = async {
             clock.reach(send_by).await;
             if meter.is_written() {
@@ -530,11 +532,11 @@
         tokio::task::spawn_local(self.clone().run_attempt(attempt));
     }
 
-    fn release(&self, call: Rc<Call>, permit: ReleasePermit, releasing: Rc<ReleaseProgress>) {
+    fn release(&self, call: Rc<Call>, permit: ReleasePermit, progress: Rc<ReleaseProgress>) {
         let (client, release_guard) = (self.clone(), self.pending_releases.guard());
         tokio::task::spawn_local(async move {
             let _release_guard = release_guard;
-            client.run_release(&call, permit, releasing).await;
+            client.run_release(&call, permit, progress).await;
         });
     }
 
--- a/src/net/client/tests.rs
+++ b/src/net/client/tests.rs
@@ -141,19 +141,19 @@
 /// Guards against a request that runs twice, or is refused while it runs. The dispatcher reacts to an outcome on other
 /// connections, and without a pause its reaction arrives while the abandoned attempt is still open at its host.
 #[rstest]
-#[case::silent("", AttemptOutcome::TimedOut)]
-#[case::no_stream(
+#[case::no_response("", AttemptOutcome::TimedOut)]
+#[case::not_an_event_stream(
     "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\ncontent-length: 5\r\n\r\nnoise",
     AttemptOutcome::ConnectionLost
 )]
-#[case::no_http("noise\r\n\r\n", AttemptOutcome::ConnectionLost)]
+#[case::not_http("noise\r\n\r\n", AttemptOutcome::ConnectionLost)]
 #[case::truncated_error(
     "HTTP/1.1 500 Oops\r\ncontent-length: 9\r\n\r\nhalf",
     AttemptOutcome::Error
 )]
 #[tokio::test]
 async fn outcome_of_an_abandoned_attempt_is_reported_after_the_host_has_seen_the_close(
-    #[case] answer: &'static str,
+    #[case] response: &'static str,
     #[case] outcome: AttemptOutcome,
 ) {
     LocalSet::new()
@@ -165,7 +165,7 @@
             let host = tokio::task::spawn_local(async move {
                 let (mut stream, _) = listener.accept().await.unwrap();
                 read_head(&mut stream).await;
-                stream.write_all(answer.as_bytes()).await.unwrap();
+                stream.write_all(response.as_bytes()).await.unwrap();
                 read_to_end(&mut stream).await;
                 host_events.borrow_mut().push("closed");
             });
@@ -219,20 +219,20 @@
 /// written (a release that goes first, connecting) is not subtracted.
 #[tokio::test(start_paused = true)]
 async fn forwarded_deadline_is_the_time_left_when_the_head_is_written() {
-    const TIME: Duration = Duration::from_secs(60);
-    const RELEASE: Duration = Duration::from_millis(80);
+    const TIME_LIMIT: Duration = Duration::from_secs(60);
+    const RELEASE_DURATION: Duration = Duration::from_millis(80);
     LocalSet::new()
         .run_until(async {
             let (listener, address) = listen().await;
             let fixture = Fixture::new(address);
-            let (mut attempt, _cancel) = fixture.attempt(Bytes::new(), TIME, None);
-            let releasing = Rc::<ReleaseProgress>::default();
-            attempt.after = Some(releasing.clone());
+            let (mut attempt, _cancel) = fixture.attempt(Bytes::new(), TIME_LIMIT, None);
+            let progress = Rc::<ReleaseProgress>::default();
+            attempt.after = Some(progress.clone());
             fixture.client.send(attempt);
-            tokio::time::advance(RELEASE).await;
+            tokio::time::advance(RELEASE_DURATION).await;
             // Real sockets are awaited from here on.
             tokio::time::resume();
-            releasing.set_done();
+            progress.set_done();
             let (mut stream, _) = listener.accept().await.unwrap();
             let head = read_head(&mut stream).await;
             let deadline = head
@@ -240,7 +240,7 @@
                 .find_map(|line| line.strip_prefix("x-deadline: ")?.strip_suffix('u'));
             let deadline =
                 Duration::from_micros(deadline.expect("the head has x-deadline").parse().unwrap());
-            assert!(deadline <= TIME - RELEASE, "{deadline:?}");
+            assert!(deadline <= TIME_LIMIT - RELEASE_DURATION, "{deadline:?}");
         })
         .await;
 }
@@ -282,7 +282,7 @@
 #[case::absent("", AttemptOutcome::Error)]
 #[tokio::test]
 async fn only_x_not_run_1_counts_as_not_run(#[case] header: &str, #[case] outcome: AttemptOutcome) {
-    let answer = format!("HTTP/1.1 503 Busy\r\n{header}content-length: 0\r\n\r\n");
+    let response = format!("HTTP/1.1 503 Busy\r\n{header}content-length: 0\r\n\r\n");
     LocalSet::new()
         .run_until(async {
             let (listener, address) = listen().await;
@@ -290,7 +290,7 @@
             let _cancel = fixture.send(Bytes::new(), Duration::from_secs(60), None);
             let (mut stream, _) = listener.accept().await.unwrap();
             read_head(&mut stream).await;
-            stream.write_all(answer.as_bytes()).await.unwrap();
+            stream.write_all(response.as_bytes()).await.unwrap();
             assert_eq!(fixture.next_outcome().await, outcome);
         })
         .await;
@@ -299,10 +299,13 @@
 /// Guards against a repeat that is written to an idle connection which has gone silent, and so arrives after its
 /// window.
 #[rstest]
-#[case::a_first_send_reuses_the_idle_connection(None, false)]
-#[case::a_repeat_opens_a_new_connection(Some(Duration::from_secs(30)), true)]
+#[case::first_send(None, false)]
+#[case::repeat(Some(Duration::from_secs(30)), true)]
 #[tokio::test]
-async fn connection_choice(#[case] send_by: Option<Duration>, #[case] is_new: bool) {
+async fn idle_connections_are_reused_except_for_repeats(
+    #[case] send_by: Option<Duration>,
+    #[case] expects_new: bool,
+) {
     const PREFILL_RESPONSE: &str = "HTTP/1.1 202 Accepted\r\ncontent-length: 2\r\n\r\n{}";
     LocalSet::new()
         .run_until(async {
@@ -321,7 +324,7 @@
                 _ = listener.accept() => true,
                 _ = read_head(&mut first_connection) => false,
             };
-            assert_eq!(opened_new, is_new);
+            assert_eq!(opened_new, expects_new);
         })
         .await;
 }
--- a/src/net/discovery/tests.rs
+++ b/src/net/discovery/tests.rs
@@ -31,7 +31,7 @@
     assert!(directory.hosts.borrow().is_empty());
 }
 
-// ---------------------------------------------------------------- messages
+// ---------------------------------------------------------------- the message decoder
 
 /// Decodes a text that arrives in pieces of `piece_size` bytes; returns the version of each message, `None` for an
 /// error.
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -58,6 +58,7 @@
     matched: Cell<u8>,
     /// Bytes of the request body still to be written.
     remaining: Cell<usize>,
+    /// Number of bytes written on the connection so far.
     written: Cell<u64>,
     /// Whether any byte of the response was received.
     response_seen: Cell<bool>,
--- a/src/net/release_calls.rs
+++ b/src/net/release_calls.rs
@@ -55,13 +55,13 @@
 }
 
 impl HostClient {
-    /// Releases a request's KV state: calls hosts as the fan-out decides until one accepts, `releasing` is stopped, or
+    /// Releases a request's KV state: calls hosts as the fan-out decides until one accepts, `progress` is stopped, or
     /// [`RELEASE_DEADLINE`] has passed.
     pub(super) async fn run_release(
         &self,
         call: &Call,
         permit: ReleasePermit,
-        releasing: Rc<ReleaseProgress>,
+        progress: Rc<ReleaseProgress>,
     ) {
         tokio::time::sleep(CLOSE_PROPAGATION_DELAY).await;
         // Dropping the set aborts the calls. One that arrived later would release the KV state of the next prefill.
@@ -69,7 +69,7 @@
         let started_at = Instant::now();
         let mut fanout = ReleaseFanout::new(started_at);
         let offset = xxh3_64(call.id.as_bytes());
-        while releasing.is_going() && started_at.elapsed() < RELEASE_DEADLINE {
+        while progress.is_going() && started_at.elapsed() < RELEASE_DEADLINE {
             // Recomputed for each wave, since reachability and the list of hosts may have changed.
             let hosts = self
                 .pool
@@ -79,12 +79,12 @@
                 calls.spawn_local(self.clone().call_release(
                     worker,
                     call.id.clone(),
-                    releasing.clone(),
+                    progress.clone(),
                 ));
             }
             tokio::select! {
                 biased;
-                () = releasing.over() => return,
+                () = progress.over() => return,
                 Some(call_result) = calls.join_next() => match call_result {
                     Ok(true) => {
                         self.counters.releases_taken.up();
@@ -94,15 +94,15 @@
                             permit.reason(),
                             started_at.elapsed()
                         );
-                        return releasing.set_done();
+                        return progress.set_done();
                     }
                     _ => fanout.note_failure(Instant::now()),
                 },
                 () = tokio::time::sleep_until(fanout.next_wave_at()) => {}
             }
         }
-        if releasing.is_going() {
-            releasing.stop();
+        if progress.is_going() {
+            progress.stop();
             self.counters.releases_failed.up();
             log::warn!(
                 "request {}: no model host accepted the release of its KV state within {} s; giving up",
@@ -117,7 +117,7 @@
         self,
         worker: WorkerId,
         id: String,
-        releasing: Rc<ReleaseProgress>,
+        progress: Rc<ReleaseProgress>,
     ) -> bool {
         let request =
             Request::delete(format!("/internal/reservations/{id}")).header("host", "model-host");
@@ -128,7 +128,7 @@
         };
         target.may_use_reserve = true;
         let state = || CallState::Release {
-            is_going: releasing.is_going(),
+            is_going: progress.is_going(),
         };
         let pending_call = self.unary_call(Some(&target), request, 0, state);
         tokio::pin!(pending_call);
