--- a/lab/tests/model_policy.rs
+++ b/lab/tests/model_policy.rs
@@ -142,7 +142,7 @@
                     world.say(m, Command::Closed { proposal });
                 }
             }
-            Notice::Nowhere { .. } => member.staged = None,
+            Notice::Rejected { .. } => member.staged = None,
             Notice::InForce { epoch, .. } => {
                 member.staged = None;
                 member.epoch = epoch;
@@ -318,7 +318,7 @@
                 w.begun == 2
             }),
             Property::sometimes("a proposal is in force nowhere", |_, w: &World| {
-                w.table.epoch() == 1 && w.table.past().count() == 2
+                w.table.epoch() == 1 && w.table.finished().count() == 2
             }),
         ]
     }
@@ -327,7 +327,7 @@
 fn propose(mark: u64, base: u64) -> Command {
     let content = format!("content {mark}");
     Command::Propose {
-        mark,
+        nonce: mark,
         content,
         base,
         only_check: false,
--- a/src/config.rs
+++ b/src/config.rs
@@ -289,8 +289,8 @@
             &raw.limits,
         )?;
         if fleet.as_ref().is_some_and(|f| f.policy.is_some()) {
-            let read = policy_content::take(&raw.settings)
-                .and_then(|(content, _)| policy_content::read(&content, &raw.settings));
+            let read = policy_content::extract_policy(&raw.settings)
+                .and_then(|(content, _)| policy_content::parse(&content, &raw.settings));
             read.map_err(|e| ConfigError(format!("settings: {e}")))?;
         }
         let recorded = fleet.as_ref().is_some_and(|f| f.takeover.is_some());
--- a/src/fleet/config.rs
+++ b/src/fleet/config.rs
@@ -1,6 +1,6 @@
 //! The `[fleet]`, `[store]`, `[takeover]` and `[policy]` tables of an operator's file.
 
-use super::policy_epoch::MOST_CONTENT;
+use super::policy_epoch::MAX_CONTENT_BYTES;
 use super::transport::admin::ADMINISTRATOR;
 use super::{MAX_NAME_LENGTH, MemberName, SiteName, lease, node};
 use crate::config::{ConfigError, Limits};
@@ -264,10 +264,10 @@
             ));
         }
         let group_payload = group.max_payload_bytes;
-        if self.policy.is_some() && group_payload < MOST_CONTENT + AROUND {
+        if self.policy.is_some() && group_payload < MAX_CONTENT_BYTES + AROUND {
             let what = format!(
                 "{group_payload} are too few for a [policy]: {} are needed",
-                MOST_CONTENT + AROUND
+                MAX_CONTENT_BYTES + AROUND
             );
             return Err(("fleet.group.most_payload_bytes", what));
         }
--- a/src/fleet/node/leadership.rs
+++ b/src/fleet/node/leadership.rs
@@ -75,7 +75,10 @@
         let Some((proposal, _)) = self.settings_deadline.filter(|(_, at)| *at <= now) else {
             return;
         };
-        let missing = self.state.policy().missing(&self.state.live_members());
+        let missing = self
+            .state
+            .policy()
+            .awaited_members(&self.state.live_members());
         let names: Vec<&str> = missing.iter().map(|member| member.name.as_str()).collect();
         let cause = format!("not decided in time: no word of {}", names.join(", "));
         // Proposals are sent again by themselves; this one is repeated only if it was lost altogether.
--- a/src/fleet/policy_content.rs
+++ b/src/fleet/policy_content.rs
@@ -112,7 +112,7 @@
 ///
 /// # Errors
 /// It is no table.
-pub fn take(settings: &Value) -> Result<(String, Vec<String>), String> {
+pub fn extract_policy(settings: &Value) -> Result<(String, Vec<String>), String> {
     let Value::Object(fields) = settings else {
         return Err("settings: not a table".to_owned());
     };
@@ -165,7 +165,7 @@
 ///
 /// # Errors
 /// One line that names the field at fault.
-pub fn read(content: &str, own: &Value) -> Result<RoutingConfig, String> {
+pub fn parse(content: &str, own: &Value) -> Result<RoutingConfig, String> {
     let value: Value =
         serde_json::from_str(content).map_err(|e| format!("policy: cut short: {e}"))?;
     let Value::Object(policy) = &value else {
--- a/src/fleet/policy_content/tests.rs
+++ b/src/fleet/policy_content/tests.rs
@@ -8,12 +8,12 @@
 
 #[test]
 fn a_file_s_policy_is_read_back_on_another_conductor_s_own_settings() {
-    let (content, left) = take(&own()).unwrap();
+    let (content, left) = extract_policy(&own()).unwrap();
     assert!(left.contains(&"my_zone".to_owned()) && !content.contains("north"));
     let mut other = own();
     other["my_zone"] = "south".into();
     other["classes"][0]["value"] = 99.0.into();
-    let settings = read(&content, &other).unwrap();
+    let settings = parse(&content, &other).unwrap();
     assert_eq!(
         (settings.zone.as_str(), settings.classes[0].priority_weight),
         ("south", 3.0)
@@ -34,29 +34,29 @@
 ) {
     let mut settings = own();
     settings[table][field] = value;
-    let (content, _) = take(&settings).unwrap();
-    let fault = read(&content, &own()).unwrap_err();
+    let (content, _) = extract_policy(&settings).unwrap();
+    let fault = parse(&content, &own()).unwrap_err();
     assert!(fault.starts_with(wanted), "{fault}");
 }
 
 #[test]
 fn what_is_cut_short_missing_or_there_twice_is_refused() {
-    let (content, _) = take(&own()).unwrap();
+    let (content, _) = extract_policy(&own()).unwrap();
     assert!(
-        read(&content[..content.len() / 2], &own())
+        parse(&content[..content.len() / 2], &own())
             .unwrap_err()
             .starts_with("policy: cut short")
     );
-    assert_eq!(read("{}", &own()).unwrap_err(), "classes: there is none");
+    assert_eq!(parse("{}", &own()).unwrap_err(), "classes: there is none");
     let twice = content.replace("\"send\"", "\"explain\"");
     assert_eq!(
-        read(&twice, &own()).unwrap_err(),
+        parse(&twice, &own()).unwrap_err(),
         "classes[1].name: \"explain\" is there twice"
     );
     let less = content.replace("\"max_attempts\":6,", "");
     assert_ne!(less, content);
     assert!(
-        read(&less, &own())
+        parse(&less, &own())
             .unwrap_err()
             .contains("permissions.max_attempts")
     );
@@ -64,7 +64,7 @@
 
 #[test]
 fn differences_are_told_field_by_field() {
-    let (content, _) = take(&own()).unwrap();
+    let (content, _) = extract_policy(&own()).unwrap();
     let other = content.replace("non_idempotent", "read_like");
     let wanted = ["classes[1].effect: \"non_idempotent\" -> \"read_like\""];
     assert_eq!(differences(&content, &other), wanted);
--- a/src/fleet/policy_epoch.rs
+++ b/src/fleet/policy_epoch.rs
@@ -1,8 +1,8 @@
 //! Policy epochs: a change of policy that takes hold everywhere or nowhere.
 //!
 //! [`Table`] is made by the log alone, so every member decides the same. One proposal is looked at at a time: every
-//! living member votes; when all have voted yes it is *closing*, and each member begins no request any more and says
-//! so; when all living members have said so, the entry that brings the last word is the switch. A member whose life the
+//! live_members member votes; when all have voted yes it is *closing*, and each member begins no request any more and says
+//! so; when all live_members members have said so, the entry that brings the last word is the switch. A member whose life the
 //! log has ended is waited for no longer: it had stopped acting before. So none begins a request under the old epoch
 //! after any other has begun one under the new.
 
@@ -12,11 +12,11 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// The longest content: it has to fit into an entry of the log.
-pub const MOST_CONTENT: usize = 64 * 1024;
+pub const MAX_CONTENT_BYTES: usize = 64 * 1024;
 /// The longest text that says why, or what differs.
-pub const MOST_TEXT: usize = 2 * 1024;
+pub const MAX_TEXT_BYTES: usize = 2 * 1024;
 /// Proposals that are remembered.
-const MOST_PAST: usize = 32;
+const MAX_FINISHED_PROPOSALS: usize = 32;
 
 /// What a member may ask of the table.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -24,7 +24,7 @@
     /// Put this content in force. Over no epoch at all it is in force at once.
     Propose {
         /// Drawn by whoever asks, to know the proposal again.
-        mark: u64,
+        nonce: u64,
         /// The content.
         content: String,
         /// The epoch over which it was made.
@@ -49,7 +49,7 @@
         proposal: u64,
     },
     /// This member has gone over.
-    Over {
+    Switched {
         /// To which epoch.
         epoch: u64,
     },
@@ -66,7 +66,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Reply {
     /// The proposal is looked at under this number.
-    Taken(u64),
+    Accepted(u64),
     /// Noted.
     Done,
     /// It changed nothing.
@@ -78,7 +78,7 @@
 pub enum Refusal {
     /// Only members that may act have a say.
     #[error("the asked conductor may not act")]
-    NoLife,
+    NoSession,
     /// One proposal at a time.
     #[error("proposal {proposal} of {by} is under way")]
     Busy {
@@ -89,21 +89,21 @@
     },
     /// It was made over another epoch.
     #[error("it was made over epoch {base}, and epoch {epoch} is in force")]
-    Stale {
+    StaleBase {
         /// The proposal's.
         base: u64,
         /// The one in force.
         epoch: u64,
     },
     /// It is empty, or a text is too long.
-    #[error("empty, or longer than {MOST_CONTENT} bytes")]
+    #[error("empty, or longer than {MAX_CONTENT_BYTES} bytes")]
     Size,
     /// It is in force as it is.
     #[error("nothing differs from epoch {0}")]
-    Same(u64),
+    Unchanged(u64),
     /// No such proposal is under way.
     #[error("it is not under way")]
-    NotOpen,
+    NotInProgress,
 }
 
 /// What all members hear of.
@@ -122,7 +122,7 @@
         proposal: u64,
     },
     /// It is over and changed nothing: refused, given up, or only checked.
-    Nowhere {
+    Rejected {
         /// Its number.
         proposal: u64,
         /// Why.
@@ -139,11 +139,11 @@
 
 /// The proposal that is looked at.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Open {
+pub struct OpenProposal {
     /// Its number.
     pub proposal: u64,
     /// Drawn by whoever asked.
-    pub mark: u64,
+    pub nonce: u64,
     /// Who proposed.
     pub by: MemberInstance,
     /// When, in microseconds since 1970 by the proposer's clock.
@@ -164,11 +164,11 @@
 
 /// A proposal that is over.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Past {
+pub struct FinishedProposal {
     /// Its number.
     pub proposal: u64,
     /// Drawn by whoever asked.
-    pub mark: u64,
+    pub nonce: u64,
     /// Who proposed.
     pub by: MemberInstance,
     /// When, in microseconds since 1970 by the proposer's clock.
@@ -185,11 +185,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Outcome {
     /// It is or was in force under this number.
-    Epoch(u64),
+    InForce(u64),
     /// All members could; nothing else was asked.
     Checked,
     /// It is in force nowhere, and why.
-    Nowhere(String),
+    Rejected(String),
 }
 
 /// What the log has made of policies.
@@ -198,10 +198,10 @@
     epoch: u64,
     content: String,
     /// Members that have said that they have gone over.
-    over: BTreeSet<MemberInstance>,
-    last: u64,
-    open: Option<Open>,
-    past: VecDeque<Past>,
+    switched_members: BTreeSet<MemberInstance>,
+    last_proposal: u64,
+    open: Option<OpenProposal>,
+    finished: VecDeque<FinishedProposal>,
 }
 
 /// The number by which contents are told apart.
@@ -221,26 +221,26 @@
     }
 
     /// Who has said that it has gone over to the epoch in force.
-    pub fn over(&self) -> &BTreeSet<MemberInstance> {
-        &self.over
+    pub fn switched_members(&self) -> &BTreeSet<MemberInstance> {
+        &self.switched_members
     }
 
     /// The proposal that is looked at.
-    pub fn open(&self) -> Option<&Open> {
+    pub fn open(&self) -> Option<&OpenProposal> {
         self.open.as_ref()
     }
 
     /// Proposals that are over, the latest last.
-    pub fn past(&self) -> impl DoubleEndedIterator<Item = &Past> {
-        self.past.iter()
+    pub fn finished(&self) -> impl DoubleEndedIterator<Item = &FinishedProposal> {
+        self.finished.iter()
     }
 
     /// Living members whose word is waited for.
-    pub fn missing(&self, living: &BTreeSet<MemberInstance>) -> Vec<MemberInstance> {
+    pub fn awaited_members(&self, live_members: &BTreeSet<MemberInstance>) -> Vec<MemberInstance> {
         let Some(open) = &self.open else {
             return Vec::new();
         };
-        living
+        live_members
             .difference(if open.closing {
                 &open.closed
             } else {
@@ -250,11 +250,11 @@
             .collect()
     }
 
-    /// Applies a command of `who`; `living` are the members whose life leases are in force.
+    /// Applies a command of `who`; `live_members` are the members whose life leases are in force.
     pub fn apply(
         &mut self,
-        who: &MemberInstance,
-        living: &BTreeSet<MemberInstance>,
+        member: &MemberInstance,
+        live_members: &BTreeSet<MemberInstance>,
         command: Command,
         out: &mut Vec<Notice>,
     ) -> Reply {
@@ -263,25 +263,25 @@
             Command::Abort { proposal, cause } => {
                 match self.open.take_if(|o| o.proposal == proposal) {
                     Some(open) => {
-                        self.nowhere(open, cut(cause), out);
+                        self.reject(open, cut(cause), out);
                         Ok(Reply::Done)
                     }
-                    None => Err(Refusal::NotOpen),
+                    None => Err(Refusal::NotInProgress),
                 }
             }
-            _ if !living.contains(who) => Err(Refusal::NoLife),
+            _ if !live_members.contains(member) => Err(Refusal::NoSession),
             Command::Propose {
-                mark,
+                nonce,
                 content,
                 base,
                 only_check,
                 at_us,
                 difference,
             } => {
-                let open = Open {
+                let open = OpenProposal {
                     proposal: 0,
-                    mark,
-                    by: who.clone(),
+                    nonce,
+                    by: member.clone(),
                     at_us,
                     content,
                     difference: cut(difference),
@@ -295,16 +295,17 @@
             Command::Vote { proposal, refusal } => {
                 match self.open.take_if(|o| o.proposal == proposal) {
                     Some(open) if refusal.is_some() && !open.closing => {
-                        let why = format!("{} refuses: {}", who.name, refusal.unwrap_or_default());
-                        self.nowhere(open, cut(why), out);
+                        let why =
+                            format!("{} refuses: {}", member.name, refusal.unwrap_or_default());
+                        self.reject(open, cut(why), out);
                         Ok(Reply::Done)
                     }
                     Some(mut open) => {
-                        open.votes.insert(who.clone());
+                        open.votes.insert(member.clone());
                         self.open = Some(open);
                         Ok(Reply::Done)
                     }
-                    None => Err(Refusal::NotOpen),
+                    None => Err(Refusal::NotInProgress),
                 }
             }
             Command::Closed { proposal } => {
@@ -314,82 +315,82 @@
                     .filter(|o| o.proposal == proposal && o.closing)
                 {
                     Some(open) => {
-                        open.closed.insert(who.clone());
+                        open.closed.insert(member.clone());
                         Ok(Reply::Done)
                     }
-                    None => Err(Refusal::NotOpen),
+                    None => Err(Refusal::NotInProgress),
                 }
             }
-            Command::Over { epoch } if epoch == self.epoch => {
-                self.over.retain(|w| living.contains(w));
-                self.over.insert(who.clone());
+            Command::Switched { epoch } if epoch == self.epoch => {
+                self.switched_members.retain(|w| live_members.contains(w));
+                self.switched_members.insert(member.clone());
                 Ok(Reply::Done)
             }
-            Command::Over { .. } => Err(Refusal::NotOpen),
+            Command::Switched { .. } => Err(Refusal::NotInProgress),
         };
-        self.settle(living, out);
+        self.settle(live_members, out);
         done.unwrap_or_else(Reply::Refused)
     }
 
     fn propose(
         &mut self,
         base: u64,
-        mut open: Open,
+        mut open: OpenProposal,
         out: &mut Vec<Notice>,
     ) -> Result<Reply, Refusal> {
         if let Some(under_way) = &self.open {
             // Asked once more, by way of another member: it is the same.
-            if under_way.mark == open.mark {
-                return Ok(Reply::Taken(under_way.proposal));
+            if under_way.nonce == open.nonce {
+                return Ok(Reply::Accepted(under_way.proposal));
             }
             return Err(Refusal::Busy {
                 proposal: under_way.proposal,
                 by: under_way.by.clone(),
             });
         }
-        if let Some(past) = self.past.iter().find(|p| p.mark == open.mark) {
-            return Ok(Reply::Taken(past.proposal));
+        if let Some(past) = self.finished.iter().find(|p| p.nonce == open.nonce) {
+            return Ok(Reply::Accepted(past.proposal));
         }
         if base != self.epoch {
-            return Err(Refusal::Stale {
+            return Err(Refusal::StaleBase {
                 base,
                 epoch: self.epoch,
             });
         }
-        if open.content.is_empty() || open.content.len() > MOST_CONTENT {
+        if open.content.is_empty() || open.content.len() > MAX_CONTENT_BYTES {
             return Err(Refusal::Size);
         }
         if open.content == self.content {
-            return Err(Refusal::Same(self.epoch));
+            return Err(Refusal::Unchanged(self.epoch));
         }
-        self.last += 1;
-        open.proposal = self.last;
+        self.last_proposal += 1;
+        open.proposal = self.last_proposal;
         // Nobody begins anything before the first epoch: there is nothing to wait for.
         if self.epoch == 0 {
             self.switch(open, out);
         } else {
             out.push(Notice::Staged {
-                proposal: self.last,
+                proposal: self.last_proposal,
                 content: open.content.clone(),
             });
             self.open = Some(open);
         }
-        Ok(Reply::Taken(self.last))
+        Ok(Reply::Accepted(self.last_proposal))
     }
 
-    /// Goes on as far as the living members' words allow; also to be called when a life has ended.
-    pub fn settle(&mut self, living: &BTreeSet<MemberInstance>, out: &mut Vec<Notice>) {
+    /// Goes on as far as the live_members members' words allow; also to be called when a life has ended.
+    pub fn settle(&mut self, live_members: &BTreeSet<MemberInstance>, out: &mut Vec<Notice>) {
         let Some(mut open) = self.open.take() else {
             return;
         };
-        if !living.contains(&open.by) {
+        if !live_members.contains(&open.by) {
             let why = format!("{}, who proposed it, is gone", open.by.name);
-            return self.nowhere(open, why, out);
+            return self.reject(open, why, out);
         }
-        if !open.closing && living.is_subset(&open.votes) {
+        if !open.closing && live_members.is_subset(&open.votes) {
             if open.only_check {
                 let why = "only checked: all could".to_owned();
-                out.push(Notice::Nowhere {
+                out.push(Notice::Rejected {
                     proposal: open.proposal,
                     why,
                 });
@@ -400,39 +401,39 @@
                 proposal: open.proposal,
             });
         }
-        if open.closing && living.is_subset(&open.closed) {
+        if open.closing && live_members.is_subset(&open.closed) {
             return self.switch(open, out);
         }
         self.open = Some(open);
     }
 
-    fn switch(&mut self, mut open: Open, out: &mut Vec<Notice>) {
+    fn switch(&mut self, mut open: OpenProposal, out: &mut Vec<Notice>) {
         self.epoch += 1;
         self.content = std::mem::take(&mut open.content);
-        self.over.clear();
+        self.switched_members.clear();
         out.push(Notice::InForce {
             epoch: self.epoch,
             content: self.content.clone(),
         });
         let (epoch, digest) = (self.epoch, digest(&self.content));
-        self.remember(open, Outcome::Epoch(epoch));
-        if let Some(past) = self.past.back_mut() {
+        self.remember(open, Outcome::InForce(epoch));
+        if let Some(past) = self.finished.back_mut() {
             past.digest = digest;
         }
     }
 
-    fn nowhere(&mut self, open: Open, why: String, out: &mut Vec<Notice>) {
-        out.push(Notice::Nowhere {
+    fn reject(&mut self, open: OpenProposal, why: String, out: &mut Vec<Notice>) {
+        out.push(Notice::Rejected {
             proposal: open.proposal,
             why: why.clone(),
         });
-        self.remember(open, Outcome::Nowhere(why));
+        self.remember(open, Outcome::Rejected(why));
     }
 
-    fn remember(&mut self, open: Open, outcome: Outcome) {
-        let Open {
+    fn remember(&mut self, open: OpenProposal, outcome: Outcome) {
+        let OpenProposal {
             proposal,
-            mark,
+            nonce,
             by,
             at_us,
             content,
@@ -440,24 +441,24 @@
             ..
         } = open;
         let digest = digest(&content);
-        self.past.push_back(Past {
+        self.finished.push_back(FinishedProposal {
             proposal,
-            mark,
+            nonce,
             by,
             at_us,
             digest,
             difference,
             outcome,
         });
-        while self.past.len() > MOST_PAST {
-            self.past.pop_front();
+        while self.finished.len() > MAX_FINISHED_PROPOSALS {
+            self.finished.pop_front();
         }
     }
 }
 
 /// A text within its bound.
 fn cut(mut text: String) -> String {
-    let mut at = text.len().min(MOST_TEXT);
+    let mut at = text.len().min(MAX_TEXT_BYTES);
     while !text.is_char_boundary(at) {
         at -= 1;
     }
--- a/src/fleet/policy_epoch/tests.rs
+++ b/src/fleet/policy_epoch/tests.rs
@@ -13,10 +13,10 @@
     names.iter().map(|n| who(n)).collect()
 }
 
-fn propose(mark: u64, content: &str, base: u64) -> Command {
+fn propose(nonce: u64, content: &str, base: u64) -> Command {
     let (content, difference) = (content.to_owned(), String::new());
     Command::Propose {
-        mark,
+        nonce,
         content,
         base,
         only_check: false,
@@ -36,9 +36,9 @@
 impl Side {
     fn start() -> Side {
         let mut side = Side(Table::default(), living(&["c1", "c2", "c3"]), Vec::new());
-        assert_eq!(side.tell("c1", propose(1, "one", 0)), Reply::Taken(1));
+        assert_eq!(side.tell("c1", propose(1, "one", 0)), Reply::Accepted(1));
         assert_eq!(side.0.epoch(), 1);
-        assert_eq!(side.tell("c1", propose(2, "two", 1)), Reply::Taken(2));
+        assert_eq!(side.tell("c1", propose(2, "two", 1)), Reply::Accepted(2));
         side.2.clear();
         side
     }
@@ -60,7 +60,7 @@
     // A word that comes before its time counts for nothing.
     assert_eq!(
         side.tell("c1", Command::Closed { proposal: 2 }),
-        Reply::Refused(Refusal::NotOpen)
+        Reply::Refused(Refusal::NotInProgress)
     );
     side.all(&YES);
     assert_eq!(side.2, [Notice::Closing { proposal: 2 }]);
@@ -73,7 +73,7 @@
         content: "two".into(),
     };
     assert_eq!((side.0.epoch(), side.2.last()), (2, Some(&switch)));
-    assert_eq!(side.0.past().last().unwrap().digest, digest("two"));
+    assert_eq!(side.0.finished().last().unwrap().digest, digest("two"));
 }
 
 #[rstest]
@@ -86,7 +86,7 @@
     side.all(&YES);
     assert_eq!(
         side.2,
-        [Notice::Nowhere {
+        [Notice::Rejected {
             proposal: 2,
             why: wanted.into()
         }]
@@ -116,7 +116,10 @@
     };
     side.1 = [who("c1"), again.clone()].into();
     side.0.settle(&side.1, &mut side.2);
-    assert_eq!(side.0.missing(&side.1), std::slice::from_ref(&again));
+    assert_eq!(
+        side.0.awaited_members(&side.1),
+        std::slice::from_ref(&again)
+    );
     side.0.apply(&again, &side.1, word, &mut side.2);
     assert_eq!(side.0.epoch(), if closing { 2 } else { 1 });
     assert!(closing || side.0.open().unwrap().closing);
@@ -130,14 +133,14 @@
     side.0.settle(&side.1, &mut side.2);
     assert!(matches!(
         side.2.last(),
-        Some(Notice::Nowhere { proposal: 2, .. })
+        Some(Notice::Rejected { proposal: 2, .. })
     ));
 }
 
 #[rstest]
 #[case::two_at_once("c2", propose(3, "three", 1), Refusal::Busy { proposal: 2, by: who("c1") })]
-#[case::no_life("c9", propose(3, "three", 1), Refusal::NoLife)]
-#[case::late_word("c2", Command::Vote { proposal: 1, refusal: None }, Refusal::NotOpen)]
+#[case::no_life("c9", propose(3, "three", 1), Refusal::NoSession)]
+#[case::late_word("c2", Command::Vote { proposal: 1, refusal: None }, Refusal::NotInProgress)]
 fn what_has_no_place_changes_nothing(
     #[case] by: &str,
     #[case] command: Command,
@@ -150,10 +153,10 @@
 }
 
 #[rstest]
-#[case::old_base(propose(3, "three", 0), Refusal::Stale { base: 0, epoch: 1 })]
+#[case::old_base(propose(3, "three", 0), Refusal::StaleBase { base: 0, epoch: 1 })]
 #[case::empty(propose(3, "", 1), Refusal::Size)]
-#[case::long(propose(3, &"x".repeat(MOST_CONTENT + 1), 1), Refusal::Size)]
-#[case::same(propose(3, "one", 1), Refusal::Same(1))]
+#[case::long(propose(3, &"x".repeat(MAX_CONTENT_BYTES + 1), 1), Refusal::Size)]
+#[case::same(propose(3, "one", 1), Refusal::Unchanged(1))]
 fn a_proposal_is_refused_whole(#[case] command: Command, #[case] wanted: Refusal) {
     let mut side = Side::start();
     side.tell(
--- a/src/fleet/transport/admin.rs
+++ b/src/fleet/transport/admin.rs
@@ -1,9 +1,9 @@
 //! What an administrator asks a conductor of its fleet, and how.
 
 use super::seal::{
-    Bounds, Inbound, Keys, Opener, Session, StreamSealer, frame_length, length_prefix,
+    ConnectionNonce, FrameLimits, Inbound, Keys, Opener, StreamSealer, frame_length, length_prefix,
 };
-use super::{ADMIN, bounds, draw, within};
+use super::{ADMIN_FRAME, draw, frame_limits, within};
 use crate::fleet::config::FleetConfig;
 use crate::fleet::node::NodeStatus;
 use crate::fleet::raft::VoterId;
@@ -33,38 +33,38 @@
     /// Something about the policy, put into the log.
     Policy(policy_epoch::Command),
     /// The policy's epochs and proposals.
-    Policies,
+    PolicyStatus,
 }
 
 /// What is answered. Variants are only ever added at the end.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reply {
     /// To [`Request::Status`].
-    Status(Box<Report>),
+    Status(Box<StatusReport>),
     /// It can't be done, and why.
     Refused(String),
     /// It was handed on; the status tells what comes of it.
-    Asked,
+    Accepted,
     /// To [`Request::Policy`].
     Policy(policy_epoch::Reply),
-    /// To [`Request::Policies`].
-    Policies(Box<Policies>),
+    /// To [`Request::PolicyStatus`].
+    PolicyStatus(Box<PolicyStatus>),
 }
 
 /// The policy as a member has it from the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Policies {
+pub struct PolicyStatus {
     /// Who tells.
-    pub me: MemberInstance,
+    pub member: MemberInstance,
     /// Epochs and proposals.
     pub table: policy_epoch::Table,
     /// Members that may act.
-    pub living: BTreeSet<MemberInstance>,
+    pub live_members: BTreeSet<MemberInstance>,
 }
 
 /// A member's status, and its place in the group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Report {
+pub struct StatusReport {
     /// What the member shows.
     pub status: NodeStatus,
     /// `leader`, `candidate`, `follower` or `learner`.
@@ -72,12 +72,12 @@
     /// The voters, with the numbers of their stores; none before the group has begun.
     pub voters: Vec<VoterId>,
     /// Who shall vote.
-    pub wanted: Vec<MemberName>,
+    pub target_voters: Vec<MemberName>,
 }
 
-impl Report {
+impl StatusReport {
     /// As one JSON object.
-    pub fn json(&self) -> serde_json::Value {
+    pub fn to_json(&self) -> serde_json::Value {
         let mut all = serde_json::to_value(&self.status).unwrap_or_default();
         if let Some(fields) = all.as_object_mut() {
             fields.insert("role".into(), self.role.as_str().into());
@@ -87,7 +87,7 @@
             );
             fields.insert(
                 "wanted".into(),
-                serde_json::to_value(&self.wanted).unwrap_or_default(),
+                serde_json::to_value(&self.target_voters).unwrap_or_default(),
             );
         }
         all
@@ -96,7 +96,7 @@
 
 /// A request with what the reply is sealed for.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(super) struct Asked {
+pub(super) struct RequestEnvelope {
     pub session: [u8; 16],
     pub request: Request,
 }
@@ -109,10 +109,10 @@
 ///
 /// # Errors
 /// Why nobody answered, each with its address.
-pub async fn ask(config: &FleetConfig, request: Request) -> Result<Reply, String> {
+pub async fn query(config: &FleetConfig, request: Request) -> Result<Reply, String> {
     let (keys, _) =
         Keys::read(&config.key_file).map_err(|e| format!("{}: {e}", config.key_file.display()))?;
-    let bounds = bounds(config);
+    let limits = frame_limits(config);
     let own = (&config.name, &config.peer);
     let peers = config
         .peers
@@ -120,7 +120,7 @@
         .filter(|(name, _)| **name != config.name);
     let mut failures = String::new();
     for (name, address) in std::iter::once(own).chain(peers) {
-        let asked = ask_one(name, *address, &keys, &bounds, request.clone());
+        let asked = query_one(name, *address, &keys, &limits, request.clone());
         match within(ANSWER, asked).await {
             Ok(reply) => return Ok(reply),
             Err(error) => {
@@ -132,11 +132,11 @@
     Err(format!("nobody answered: {failures}"))
 }
 
-async fn ask_one(
+async fn query_one(
     name: &MemberName,
     address: SocketAddr,
     keys: &Keys,
-    bounds: &Bounds,
+    limits: &FrameLimits,
     request: Request,
 ) -> io::Result<Reply> {
     let mut stream = SteadyStream(TcpStream::connect(address).await?);
@@ -147,12 +147,18 @@
         name: own.clone(),
         incarnation: Incarnation(1),
     };
-    let mut sealer = StreamSealer::new(me, name.clone(), keys.clone(), bounds, Session(session));
+    let mut sealer = StreamSealer::new(
+        me,
+        name.clone(),
+        keys.clone(),
+        limits,
+        ConnectionNonce(session),
+    );
     let answer = draw()?;
     let frame = sealer
         .seal(
-            ADMIN,
-            &encode(&Asked {
+            ADMIN_FRAME,
+            &encode(&RequestEnvelope {
                 session: answer,
                 request,
             }),
@@ -170,10 +176,10 @@
             }
             _ => error,
         })?;
-    let mut frame = vec![0; frame_length(prefix, bounds).map_err(io::Error::other)?];
+    let mut frame = vec![0; frame_length(prefix, limits).map_err(io::Error::other)?];
     stream.read_exact(&mut frame).await?;
-    let mut opener = Opener::new(own, keys.clone(), bounds.clone());
-    let mut inbound = Inbound::new(Session(answer));
+    let mut opener = Opener::new(own, keys.clone(), limits.clone());
+    let mut inbound = Inbound::new(ConnectionNonce(answer));
     let opened = opener
         .stream(0, &mut inbound, &frame)
         .map_err(io::Error::other)?;
@@ -184,12 +190,12 @@
 }
 
 /// A status as tables for people.
-pub fn table(report: &Report) -> String {
-    let Report {
+pub fn status_table(report: &StatusReport) -> String {
+    let StatusReport {
         status,
         role,
         voters,
-        wanted,
+        target_voters,
     } = report;
     let NodeStatus {
         local: me,
@@ -209,7 +215,7 @@
     );
     let group = |name: &MemberName| match (
         voters.iter().any(|v| v.name == *name),
-        wanted.contains(name),
+        target_voters.contains(name),
     ) {
         (true, true) => "voter",
         (true, false) => "to go",
--- a/src/fleet/transport/disk.rs
+++ b/src/fleet/transport/disk.rs
@@ -38,7 +38,7 @@
 
 impl DiskError {
     /// Whether the folder may be well again later.
-    pub fn may_pass(&self) -> bool {
+    pub fn is_transient(&self) -> bool {
         match self {
             DiskError::Store(error) => error.is_transient(),
             DiskError::Stalled(_) | DiskError::Gone => true,
@@ -58,7 +58,7 @@
 }
 
 /// What a start finds.
-pub struct Found {
+pub struct OpenedStore {
     /// The store.
     pub disk: Disk,
     /// The number that it drew when it was formatted.
@@ -74,7 +74,11 @@
 impl Disk {
     /// Opens the store for a new life, and makes that life durable: the one after the last, at `now` (microseconds
     /// since 1970) or later. Blocks.
-    pub fn open(path: &Path, settings: storage::StoreConfig, now: u64) -> Result<Found, DiskError> {
+    pub fn open(
+        path: &Path,
+        settings: storage::StoreConfig,
+        now: u64,
+    ) -> Result<OpenedStore, DiskError> {
         let (store, found) = Store::open(path, settings)?;
         let kept = match &found.hard_state {
             Some(bytes) => read::<Kept>(bytes, "the hard state")?,
@@ -110,7 +114,7 @@
             snapshot,
             entries,
         };
-        Ok(Found {
+        Ok(OpenedStore {
             disk,
             store_id: found.store_id,
             fresh: found.newly_formatted,
--- a/src/fleet/transport/drive.rs
+++ b/src/fleet/transport/drive.rs
@@ -3,12 +3,12 @@
 //! What the view sends goes out at once. All else waits in one queue, so that whatever follows a write happens after
 //! the write is on the disk.
 
-use super::disk::{Disk, DiskError, Found};
+use super::disk::{Disk, DiskError, OpenedStore};
 use super::history::{self, History};
-use super::links::{Links, Terms};
-use super::reception::{Came, Reception};
-use super::seal::{Bucket, Refused, Sealer, most_frame};
-use super::{Fleet, MESSAGE, admin, bounds, store_settings};
+use super::links::{LinkSettings, Links};
+use super::reception::{Incoming, Reception};
+use super::seal::{FrameError, Sealer, TokenBucket, max_frame_bytes};
+use super::{Fleet, MESSAGE_FRAME, admin, frame_limits, store_settings};
 use crate::fleet::config::FleetConfig;
 use crate::fleet::lease::{LeaseChangeKind, LeaseStatus, session_lease};
 use crate::fleet::message::Message;
@@ -43,9 +43,9 @@
 const LONGEST_PAUSE: Duration = Duration::from_secs(10);
 
 /// What the program asks of its member.
-pub enum Ask {
+pub enum LocalRequest {
     /// Hold this lease whenever it can be had.
-    Want(LeaseName),
+    AcquireLease(LeaseName),
     /// A planned stop.
     Leave(oneshot::Sender<()>),
     /// Put a command into the log.
@@ -57,21 +57,21 @@
 
 /// What parts of the program are told of the fleet, in the order in which it happens. What the log did is told when it
 /// is on this member's disk.
-pub enum Told<'a> {
+pub enum FleetEvent<'a> {
     /// A life begins: nothing that was told of the state before counts any more.
-    Life(&'a MemberInstance),
+    IncarnationStarted(&'a MemberInstance),
     /// A belief about a member changed.
-    View(&'a membership::StatusChange),
+    MembershipChanged(&'a membership::StatusChange),
     /// The conductor gained or lost its right to act as itself.
-    MayAct(bool),
+    SessionValid(bool),
     /// The log did something.
-    Effect(Index, &'a StateChange),
+    StateChanged(Index, &'a StateChange),
     /// Another leader is known, or none.
-    Leading(Option<&'a MemberName>),
+    LeaderChanged(Option<&'a MemberName>),
     /// What is agreed of the sites has changed: this is it, or a later one.
-    Sites(&'a Table),
+    SitesChanged(&'a Table),
     /// The state was replaced by a snapshot: this is it, or a later one.
-    Restored(&'a FleetState),
+    SnapshotRestored(&'a FleetState),
 }
 
 /// Drives one member for as long as the program runs.
@@ -85,9 +85,9 @@
     /// For datagrams.
     pub socket: UdpSocket,
     /// Messages and administrators' requests.
-    pub came: mpsc::Receiver<Came>,
+    pub came: mpsc::Receiver<Incoming>,
     /// The program's requests.
-    pub asked: mpsc::Receiver<Ask>,
+    pub asked: mpsc::Receiver<LocalRequest>,
     /// Of all that is drawn.
     pub seed: u64,
 }
@@ -140,16 +140,16 @@
 impl Driver {
     /// Runs until the program ends. Where the store fails, the member is silent until it can be opened again, for good where
     /// time alone can't mend it.
-    pub async fn run(mut self, mut found: Found) {
+    pub async fn run(mut self, mut found: OpenedStore) {
         let mut wants = vec![];
         let mut short = 0;
         loop {
             let begun = self.now();
             let over = self.live(found, &mut wants).await;
             // Whatever comes next, this life acts no more.
-            let acted = self.fleet.may_act(&self.fleet.0.life);
+            let acted = self.fleet.lease_token(&self.fleet.0.life);
             self.fleet.0.rights.take();
-            let history = History(self.fleet.who());
+            let history = History(self.fleet.instance());
             let least = match over {
                 Over::Dropped => return,
                 Over::Ended(least) => {
@@ -174,11 +174,12 @@
                 }
                 Over::Failed(error) => {
                     if let Some(token) = acted {
-                        history.life(Some(token), false);
-                        self.fleet.tell(&Told::MayAct(false));
+                        history.session_changed(Some(token), false);
+                        self.fleet
+                            .notify_listeners(&FleetEvent::SessionValid(false));
                     }
-                    history.failed(&error.to_string());
-                    if !error.may_pass() {
+                    history.store_failed(&error.to_string());
+                    if !error.is_transient() {
                         return self.give_up(&error, &mut wants).await;
                     }
                     0
@@ -192,16 +193,20 @@
     }
 
     /// Opens the store for another life, as soon as the folder lets it be; `None`: the program ends.
-    async fn reopen_in_time(&mut self, least: u64, wants: &mut Vec<LeaseName>) -> Option<Found> {
+    async fn reopen_in_time(
+        &mut self,
+        least: u64,
+        wants: &mut Vec<LeaseName>,
+    ) -> Option<OpenedStore> {
         let mut tries = 0;
         loop {
             let error = match self.reopen(least).await {
                 Ok(found) => return Some(found),
                 Err(error) => error,
             };
-            let history = History(self.fleet.who());
-            if !error.may_pass() {
-                history.failed(&error.to_string());
+            let history = History(self.fleet.instance());
+            if !error.is_transient() {
+                history.store_failed(&error.to_string());
                 self.give_up(&error, wants).await;
                 return None;
             }
@@ -233,7 +238,7 @@
         }
     }
 
-    async fn reopen(&self, least: u64) -> Result<Found, DiskError> {
+    async fn reopen(&self, least: u64) -> Result<OpenedStore, DiskError> {
         let (path, settings) = (self.config.store.path.clone(), store_settings(&self.config));
         let now = history::unix_us().max(least);
         let opening = tokio::task::spawn_blocking(move || Disk::open(&path, settings, now));
@@ -245,23 +250,23 @@
         loop {
             tokio::select! {
                 came = self.came.recv() => match came {
-                    Some(Came::Asked(_, answer)) => {
+                    Some(Incoming::AdminRequest(_, answer)) => {
                         let _ = answer.send(admin::Reply::Refused(why.to_owned()));
                     }
-                    Some(Came::Message(..)) => {}
+                    Some(Incoming::Message(..)) => {}
                     None => return,
                 },
                 asked = self.asked.recv() => match asked {
-                    Some(Ask::Want(name)) if !wants.contains(&name) => wants.push(name),
-                    Some(Ask::Want(_) | Ask::Propose(..)) => {}
-                    Some(Ask::Leave(_)) | None => return,
+                    Some(LocalRequest::AcquireLease(name)) if !wants.contains(&name) => wants.push(name),
+                    Some(LocalRequest::AcquireLease(_) | LocalRequest::Propose(..)) => {}
+                    Some(LocalRequest::Leave(_)) | None => return,
                 },
             }
         }
     }
 
-    async fn live(&mut self, found: Found, wants: &mut Vec<LeaseName>) -> Over {
-        let Found {
+    async fn live(&mut self, found: OpenedStore, wants: &mut Vec<LeaseName>) -> Over {
+        let OpenedStore {
             disk,
             store_id,
             fresh,
@@ -276,10 +281,11 @@
         if let Some(torn) = torn {
             history.note(&format!("store: {torn}"));
         }
-        history.start(self.config.site.as_str(), self.config.peer, store_id, fresh);
+        history.started(self.config.site.as_str(), self.config.peer, store_id, fresh);
         self.fleet.0.who.replace(who.clone());
         self.reception.me.replace(who.clone());
-        self.fleet.tell(&Told::Life(&who));
+        self.fleet
+            .notify_listeners(&FleetEvent::IncarnationStarted(&who));
         let key = [who.incarnation.0.to_le_bytes(), store_id.to_le_bytes()].concat();
         let seed = xxh3_64_with_seed(&key, self.seed);
         let me = membership::LocalMember {
@@ -297,18 +303,18 @@
             seed,
             relays,
         };
-        let (keys, bounds) = (self.reception.keys.clone(), bounds(&self.config));
-        let terms = Terms {
+        let (keys, limits) = (self.reception.keys.clone(), frame_limits(&self.config));
+        let terms = LinkSettings {
             me: who.clone(),
             keys: keys.clone(),
-            bounds: bounds.clone(),
+            limits: limits.clone(),
             most_queue_bytes: self.config.most_queue_bytes,
             most_links: self.config.most_members,
             seed: seed ^ 1,
         };
         let mut life = Life {
             node: Node::new(start, self.config.settings.clone(), self.now()),
-            sealer: Sealer::new(who.clone(), keys, &bounds),
+            sealer: Sealer::new(who.clone(), keys, &limits),
             links: Links::new(terms, self.fleet.0.counters.clone()),
             writing: Writing::Idle(Box::new(disk)),
             waiting: VecDeque::new(),
@@ -335,9 +341,9 @@
 
     async fn drive(&mut self, mut life: Life, wants: &mut Vec<LeaseName>) -> Over {
         let mut buffer =
-            vec![0; most_frame(self.config.settings.membership.max_datagram_bytes) + 1];
+            vec![0; max_frame_bytes(self.config.settings.membership.max_datagram_bytes) + 1];
         let looks = LOOKS.saturating_mul(self.config.most_members as u32);
-        let mut looks = Bucket::new(self.now(), looks, looks);
+        let mut looks = TokenBucket::new(self.now(), looks, looks);
         let mut seconds = tokio::time::interval(Duration::from_secs(1));
         seconds.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut tidy = tokio::time::interval(TIDY);
@@ -385,43 +391,43 @@
                 _ = tidy.tick() => self.tidy(&mut life),
                 came = async {
                     tokio::select! {
-                        asked = self.asked.recv() => Next::Asked(asked),
-                        came = self.came.recv(), if !full => Next::Came(came),
-                        came = self.socket.recv_from(&mut buffer) => Next::Datagram(came),
+                        asked = self.asked.recv() => Wakeup::LocalRequest(asked),
+                        came = self.came.recv(), if !full => Wakeup::Incoming(came),
+                        came = self.socket.recv_from(&mut buffer) => Wakeup::Datagram(came),
                     }
                 } => match came {
-                    Next::Asked(None) | Next::Came(None) => return Over::Dropped,
-                    Next::Asked(Some(Ask::Want(name))) => {
+                    Wakeup::LocalRequest(None) | Wakeup::Incoming(None) => return Over::Dropped,
+                    Wakeup::LocalRequest(Some(LocalRequest::AcquireLease(name))) => {
                         if !wants.contains(&name) {
                             wants.push(name.clone());
                         }
                         self.event(&mut life, Event::AcquireLease(name));
                     }
-                    Next::Asked(Some(Ask::Propose(command, answer))) => {
+                    Wakeup::LocalRequest(Some(LocalRequest::Propose(command, answer))) => {
                         life.tickets += 1;
                         life.proposals.insert(life.tickets, answer);
                         let ticket = life.tickets;
                         self.event(&mut life, Event::Propose { request_id: ticket, command });
                     }
-                    Next::Asked(Some(Ask::Leave(left))) => {
+                    Wakeup::LocalRequest(Some(LocalRequest::Leave(left))) => {
                         life.leaving = true;
                         life.left = Some(left);
                         self.event(&mut life, Event::Leave);
                     }
-                    Next::Came(Some(Came::Message(from, message))) => {
+                    Wakeup::Incoming(Some(Incoming::Message(from, message))) => {
                         self.event(&mut life, Event::Message { from, message });
                     }
-                    Next::Came(Some(Came::Asked(admin::Request::Policy(command), answer))) => {
+                    Wakeup::Incoming(Some(Incoming::AdminRequest(admin::Request::Policy(command), answer))) => {
                         self.ask_log(&mut life, command, answer);
                     }
-                    Next::Came(Some(Came::Asked(request, answer))) => {
+                    Wakeup::Incoming(Some(Incoming::AdminRequest(request, answer))) => {
                         let _ = answer.send(self.answer(&mut life, request));
                     }
-                    Next::Datagram(Ok((length, from))) => {
+                    Wakeup::Datagram(Ok((length, from))) => {
                         self.datagram(&mut life, &buffer[..length], from, &mut looks);
                     }
                     // Someone was not there to take a datagram.
-                    Next::Datagram(Err(error)) => log::debug!("fleet: {error}"),
+                    Wakeup::Datagram(Err(error)) => log::debug!("fleet: {error}"),
                 }
             }
         }
@@ -451,8 +457,9 @@
                 }
                 Action::MembershipChanged(change) => {
                     self.fleet.0.counters.view_changes.up();
-                    life.history.view(&change);
-                    self.fleet.tell(&Told::View(&change));
+                    life.history.membership_changed(&change);
+                    self.fleet
+                        .notify_listeners(&FleetEvent::MembershipChanged(&change));
                 }
                 other => life.waiting.push_back(other),
             }
@@ -465,10 +472,10 @@
         }
     }
 
-    fn datagram(&self, life: &mut Life, frame: &[u8], from: SocketAddr, looks: &mut Bucket) {
+    fn datagram(&self, life: &mut Life, frame: &[u8], from: SocketAddr, looks: &mut TokenBucket) {
         let now = self.now();
         if !looks.take(now) {
-            return self.reception.refused(from.ip(), Refused::Rate);
+            return self.reception.refused(from.ip(), FrameError::Rate);
         }
         let opened = match self.reception.opener.borrow_mut().datagram(now, frame) {
             Ok(opened) => Ok((
@@ -480,7 +487,7 @@
         };
         match opened {
             Err(reason) => self.reception.refused(from.ip(), reason),
-            Ok((from, MESSAGE, Some(message @ Message::Membership(_)))) => {
+            Ok((from, MESSAGE_FRAME, Some(message @ Message::Membership(_)))) => {
                 self.fleet.0.counters.datagrams_in.up();
                 self.event(life, Event::Message { from, message });
             }
@@ -503,7 +510,7 @@
         if reliable || payload.len() > self.config.settings.membership.max_datagram_bytes {
             return life.links.send(to, address, payload);
         }
-        let sent = life.sealer.seal(to, MESSAGE, &payload).ok();
+        let sent = life.sealer.seal(to, MESSAGE_FRAME, &payload).ok();
         let counters = &self.fleet.0.counters;
         match sent.and_then(|frame| self.socket.try_send_to(&frame, address).ok()) {
             Some(bytes) => {
@@ -562,22 +569,25 @@
                     (LeaseStatus::Held, _) => shared.counters.leases_lost.up(),
                     _ => {}
                 }
-                life.history.lease(&change, now);
+                life.history.lease_changed(&change, now);
             }
             Action::LeaderChanged { leader, term } => {
                 if leader.is_some() {
                     shared.counters.leaders.up();
                 }
-                life.history.leading(leader.as_ref(), term);
-                self.fleet.tell(&Told::Leading(leader.as_ref()));
+                life.history.leader_changed(leader.as_ref(), term);
+                self.fleet
+                    .notify_listeners(&FleetEvent::LeaderChanged(leader.as_ref()));
             }
             Action::SessionValid(gained) => {
                 let table = life.node.state().leases();
                 let token = table
                     .session(&life.who.name)
                     .filter(|grant| grant.holder == life.who);
-                life.history.life(token.map(|grant| grant.token), gained);
-                self.fleet.tell(&Told::MayAct(gained));
+                life.history
+                    .session_changed(token.map(|grant| grant.token), gained);
+                self.fleet
+                    .notify_listeners(&FleetEvent::SessionValid(gained));
             }
             Action::IncarnationEnded => life.ended = true,
             Action::Effect { index, effect } => {
@@ -591,12 +601,14 @@
                         )
                     {
                         shared.counters.deaths.up();
-                        life.history.death(&change.holder, index);
+                        life.history.incarnation_ended(&change.holder, index);
                     }
                 }
-                self.fleet.tell(&Told::Effect(index, &effect));
+                self.fleet
+                    .notify_listeners(&FleetEvent::StateChanged(index, &effect));
                 if matches!(effect, StateChange::Sites(_)) {
-                    self.fleet.tell(&Told::Sites(life.node.state().sites()));
+                    self.fleet
+                        .notify_listeners(&FleetEvent::SitesChanged(life.node.state().sites()));
                 }
             }
             Action::Rejected(raft::Rejection::InitialVotersDiffer) => {
@@ -612,7 +624,9 @@
                     let _ = answer.send(result);
                 }
             }
-            Action::SnapshotRestored { .. } => self.fleet.tell(&Told::Restored(life.node.state())),
+            Action::SnapshotRestored { .. } => self
+                .fleet
+                .notify_listeners(&FleetEvent::SnapshotRestored(life.node.state())),
             Action::Persist(_) | Action::MembershipChanged(_) => {}
         }
     }
@@ -628,7 +642,7 @@
             (None, _) => Some("the asked conductor has no [policy] table"),
             (_, policy_epoch::Command::Propose { base: 0, .. }) => Some("there is no epoch yet"),
             (_, policy_epoch::Command::Propose { content, .. })
-                if content.len() > policy_epoch::MOST_CONTENT =>
+                if content.len() > policy_epoch::MAX_CONTENT_BYTES =>
             {
                 Some("it is too long")
             }
@@ -668,7 +682,7 @@
             admin::Request::Status => {
                 let group = life.node.raft();
                 let voters = group.voter_config();
-                admin::Reply::Status(Box::new(admin::Report {
+                admin::Reply::Status(Box::new(admin::StatusReport {
                     status: life.node.status(self.now()),
                     role: match group.role() {
                         Role::Leader => "leader",
@@ -680,7 +694,7 @@
                     voters: voters
                         .map(|v| v.voters.iter().cloned().collect())
                         .unwrap_or_default(),
-                    wanted: voters
+                    target_voters: voters
                         .map(|v| v.target.iter().cloned().collect())
                         .unwrap_or_default(),
                 }))
@@ -689,18 +703,18 @@
                 admin::Reply::Refused(format!("1 to {MAX_VOTERS} voters are needed"))
             }
             admin::Request::Policy(_) => admin::Reply::Refused("not now".to_owned()),
-            admin::Request::Policies => {
+            admin::Request::PolicyStatus => {
                 let state = life.node.state();
                 let (table, living) = (state.policy().clone(), state.live_members());
-                admin::Reply::Policies(Box::new(admin::Policies {
-                    me: life.who.clone(),
+                admin::Reply::PolicyStatus(Box::new(admin::PolicyStatus {
+                    member: life.who.clone(),
                     table,
-                    living,
+                    live_members: living,
                 }))
             }
             admin::Request::Voters(names) => {
                 self.event(life, Event::ChangeVoters(names));
-                admin::Reply::Asked
+                admin::Reply::Accepted
             }
         }
     }
@@ -733,9 +747,9 @@
     }
 }
 
-enum Next {
-    Asked(Option<Ask>),
-    Came(Option<Came>),
+enum Wakeup {
+    LocalRequest(Option<LocalRequest>),
+    Incoming(Option<Incoming>),
     Datagram(std::io::Result<(usize, SocketAddr)>),
 }
 
--- a/src/fleet/transport/history.rs
+++ b/src/fleet/transport/history.rs
@@ -13,9 +13,9 @@
 /// Where all but renewals go.
 const TARGET: &str = "whinhaven::fleet";
 /// Steps of single requests, for the same reason.
-pub const WORK: &str = "whinhaven::fleet::work";
+pub const WORK_TARGET: &str = "whinhaven::fleet::work";
 /// Renewals come all the time, so they can be turned off by themselves.
-pub const RENEWALS: &str = "whinhaven::fleet::renewals";
+pub const RENEWALS_TARGET: &str = "whinhaven::fleet::renewals";
 
 /// Microseconds since 1970 by the system's clock. For the history only: all that is decided goes by the monotonic one.
 pub fn unix_us() -> u64 {
@@ -38,7 +38,7 @@
 
 impl History {
     /// A life begins.
-    pub fn start(&self, site: &str, peer: SocketAddr, store: u64, fresh: bool) {
+    pub fn started(&self, site: &str, peer: SocketAddr, store: u64, fresh: bool) {
         let (me, peer) = (&self.0, peer.to_string());
         let disk = if fresh { "an empty store" } else { "its store" };
         event!(self, info, TARGET, "fleet.start", at unix_us(),
@@ -47,49 +47,49 @@
     }
 
     /// The life is over for this process.
-    pub fn stop(&self, cause: &str) {
+    pub fn stopped(&self, cause: &str) {
         event!(self, info, TARGET, "fleet.stop", at unix_us(), { cause = cause }, "fleet: {} stops: {cause}", self.0);
     }
 
     /// The store failed: this life is over.
-    pub fn failed(&self, error: &str) {
+    pub fn store_failed(&self, error: &str) {
         event!(self, error, TARGET, "fleet.stop", at unix_us(), { cause = "store", error = error },
             "fleet: the store failed: {error}; this conductor acts no more, and takes part again when the folder can be written to, or, where what it holds is wrong, \
              after a restart");
     }
 
     /// Another conductor has taken a request over, asked by its client.
-    pub fn moved(&self, request: &str) {
+    pub fn request_moved(&self, request: &str) {
         event!(self, info, TARGET, "work.moved", at unix_us(), { request = request },
             "takeover: request {request} goes on at another conductor");
     }
 
     /// A named request is in hand here.
-    pub fn claimed(&self, request: &str, generation: u64) {
-        event!(self, info, WORK, "work.claimed", at unix_us(), { request = request, generation = generation },
+    pub fn request_claimed(&self, request: &str, generation: u64) {
+        event!(self, info, WORK_TARGET, "work.claimed", at unix_us(), { request = request, generation = generation },
             "takeover: request {request} is in hand, generation {generation}");
     }
 
     /// A tool call is on record and goes out now.
-    pub fn call_out(&self, request: &str, ordinal: u32) {
-        event!(self, info, WORK, "call.out", at unix_us(), { request = request, ordinal = ordinal },
+    pub fn tool_call_started(&self, request: &str, ordinal: u32) {
+        event!(self, info, WORK_TARGET, "call.out", at unix_us(), { request = request, ordinal = ordinal },
             "takeover: call {ordinal} of request {request} goes out");
     }
 
     /// A tool call's outcome is on record.
-    pub fn call_ended(&self, request: &str, ordinal: u32) {
-        event!(self, info, WORK, "call.ended", at unix_us(), { request = request, ordinal = ordinal },
+    pub fn tool_call_recorded(&self, request: &str, ordinal: u32) {
+        event!(self, info, WORK_TARGET, "call.ended", at unix_us(), { request = request, ordinal = ordinal },
             "takeover: call {ordinal} of request {request} has its outcome on record");
     }
 
     /// A request's final answer is on record.
-    pub fn answered(&self, request: &str) {
-        event!(self, info, WORK, "work.answered", at unix_us(), { request = request },
+    pub fn answer_recorded(&self, request: &str) {
+        event!(self, info, WORK_TARGET, "work.answered", at unix_us(), { request = request },
             "takeover: request {request} has its final answer on record");
     }
 
     /// This member releases what an ended life has left.
-    pub fn adopted(&self, dead: &MemberInstance, sends: usize) {
+    pub fn orphans_adopted(&self, dead: &MemberInstance, sends: usize) {
         let (peer, life) = (dead.name.as_str(), dead.incarnation.0);
         event!(self, info, TARGET, "work.adopted", at unix_us(),
             { peer = peer, peer_incarnation = life, sends = sends },
@@ -97,13 +97,13 @@
     }
 
     /// An adopted send was released, or no host took it.
-    pub fn released(&self, id: &str, worker: &str) {
+    pub fn send_released(&self, id: &str, worker: &str) {
         event!(self, info, TARGET, "work.released", at unix_us(), { id = id, worker = worker },
             "takeover: released {id}, last sent to {worker}");
     }
 
     /// A belief about a member changed.
-    pub fn view(&self, change: &membership::StatusChange) {
+    pub fn membership_changed(&self, change: &membership::StatusChange) {
         let (peer, life, to) = (
             change.member.as_str(),
             change.incarnation.0,
@@ -125,20 +125,20 @@
     }
 
     /// Another leader, or none.
-    pub fn leading(&self, leader: Option<&MemberName>, term: Term) {
+    pub fn leader_changed(&self, leader: Option<&MemberName>, term: Term) {
         let (leader, term) = (leader.map(MemberName::as_str), term.0);
         event!(self, info, TARGET, "group.leading", at unix_us(), { leader = leader, term = term },
             "group: {} leads in term {term}", leader.unwrap_or("nobody"));
     }
 
     /// This member's own standing to a lease changed. `until` is by the clock that reads `now`.
-    pub fn lease(&self, change: &LeaseStatusChange, now: Micros) {
+    pub fn lease_changed(&self, change: &LeaseStatusChange, now: Micros) {
         let (at, lease, token) = (unix_us(), change.name.as_str(), change.token.map(|t| t.0));
         let until = (change.until > now).then(|| at + (change.until - now));
         let text = token.map_or("none".to_owned(), |t| t.to_string());
         match (change.from, change.to, change.cause) {
             (LeaseStatus::Held, LeaseStatus::Held, _) => {
-                event!(self, info, RENEWALS, "lease.renewed", at at,
+                event!(self, info, RENEWALS_TARGET, "lease.renewed", at at,
                     { lease = lease, token = token, until_us = until }, "lease {lease}: renewed, token {text}");
             }
             (_, LeaseStatus::Held, _) => {
@@ -170,7 +170,7 @@
     }
 
     /// This member gained or lost its right to act.
-    pub fn life(&self, token: Option<Token>, gained: bool) {
+    pub fn session_changed(&self, token: Option<Token>, gained: bool) {
         let token = token.map(|t| t.0);
         if gained {
             event!(self, info, TARGET, "life.gained", at unix_us(), { token = token },
@@ -182,21 +182,21 @@
     }
 
     /// Something was done under a lease. `at` was read before the right was looked up.
-    pub fn act(&self, at: u64, lease: &LeaseName, token: Token) {
+    pub fn lease_acted(&self, at: u64, lease: &LeaseName, token: Token) {
         let (lease, token) = (lease.as_str(), token.0);
-        event!(self, info, ACTS, "lease.act", at at, { lease = lease, token = token },
+        event!(self, info, ACTS_TARGET, "lease.act", at at, { lease = lease, token = token },
             "lease {lease}: acted, token {token}");
     }
 
     /// The log has ended a life of a member.
-    pub fn death(&self, who: &MemberInstance, index: Index) {
+    pub fn incarnation_ended(&self, who: &MemberInstance, index: Index) {
         let (peer, life, index) = (who.name.as_str(), who.incarnation.0, index.0);
         event!(self, info, TARGET, "life.ended", at unix_us(),
             { peer = peer, peer_incarnation = life, index = index }, "life: {who} has ended, entry {index}");
     }
 
     /// Frames of a source were refused since the last such line.
-    pub fn refused(&self, peer: &str, reason: &str, times: u64) {
+    pub fn frames_refused(&self, peer: &str, reason: &str, times: u64) {
         event!(self, warn, TARGET, "fleet.refused", at unix_us(),
             { peer = peer, reason = reason, times = times },
             "fleet: {times} frames of {peer} refused, the last one for {reason}");
@@ -231,12 +231,12 @@
 
     /// A request begins. `at` was read before it was looked up whether it may.
     pub fn policy_begin(&self, at: u64, epoch: u64) {
-        event!(self, info, BEGINS, "policy.begin", at at, { epoch = epoch },
+        event!(self, info, BEGINS_TARGET, "policy.begin", at at, { epoch = epoch },
             "policy: a request begins under epoch {epoch}");
     }
 
     /// This member takes a site for something else.
-    pub fn site(&self, site: &str, change: &watch::Change) {
+    pub fn site_status_changed(&self, site: &str, change: &watch::Change) {
         let [from, to] =
             [change.from, change.to].map(|status| format!("{status:?}").to_lowercase());
         let (missing, cause) = (
@@ -250,7 +250,7 @@
     }
 
     /// The group has agreed on something about a site.
-    pub fn site_epoch(&self, epoch: u64, site: &str, from: Agreed, to: Agreed) {
+    pub fn site_standing_changed(&self, epoch: u64, site: &str, from: Agreed, to: Agreed) {
         let [(from, _), (to, step)] = [from, to].map(|standing| match standing {
             Agreed::Sound => ("sound", None),
             Agreed::Lost(_) => ("lost", None),
@@ -274,9 +274,9 @@
 }
 
 /// Beginnings of requests come all the time, so they can be turned off by themselves.
-pub const BEGINS: &str = "whinhaven::fleet::begins";
+pub const BEGINS_TARGET: &str = "whinhaven::fleet::begins";
 /// Acts come once a period, so they can be turned off by themselves.
-pub const ACTS: &str = "whinhaven::fleet::acts";
+pub const ACTS_TARGET: &str = "whinhaven::fleet::acts";
 
 fn word(cause: StatusChangeCause) -> &'static str {
     match cause {
--- a/src/fleet/transport/links.rs
+++ b/src/fleet/transport/links.rs
@@ -3,8 +3,8 @@
 //! What waits for a member is bounded in bytes; over the bound the oldest is dropped and counted. The machines send
 //! again what matters.
 
-use super::seal::{Bounds, Keys, Session, StreamSealer, length_prefix};
-use super::{MESSAGE, within};
+use super::seal::{ConnectionNonce, FrameLimits, Keys, StreamSealer, length_prefix};
+use super::{MESSAGE_FRAME, within};
 use crate::counters::FleetCounters;
 use crate::fleet::{MemberInstance, MemberName};
 use crate::net::stream::SteadyStream;
@@ -34,13 +34,13 @@
 
 /// How links are made.
 #[derive(Clone, Debug)]
-pub struct Terms {
+pub struct LinkSettings {
     /// This member, in this life.
     pub me: MemberInstance,
     /// The shared keys.
     pub keys: Keys,
     /// Of frames.
-    pub bounds: Bounds,
+    pub limits: FrameLimits,
     /// Bytes that may wait for one member.
     pub most_queue_bytes: usize,
     /// Members that there may be links to.
@@ -51,7 +51,7 @@
 
 /// All links of one life. Dropped, they close.
 pub struct Links {
-    terms: Rc<Terms>,
+    terms: Rc<LinkSettings>,
     counters: Rc<FleetCounters>,
     links: BTreeMap<MemberName, (Rc<Link>, JoinHandle<()>)>,
 }
@@ -66,7 +66,7 @@
 
 impl Links {
     /// None yet.
-    pub fn new(terms: Terms, counters: Rc<FleetCounters>) -> Self {
+    pub fn new(terms: LinkSettings, counters: Rc<FleetCounters>) -> Self {
         Links {
             terms: Rc::new(terms),
             counters,
@@ -142,7 +142,7 @@
     }
 }
 
-async fn run(link: Rc<Link>, terms: Rc<Terms>, counters: Rc<FleetCounters>) {
+async fn run(link: Rc<Link>, terms: Rc<LinkSettings>, counters: Rc<FleetCounters>) {
     let mut failures = 0u32;
     let mut draws = 0u64;
     loop {
@@ -157,7 +157,7 @@
                     terms.me.clone(),
                     link.to.clone(),
                     terms.keys.clone(),
-                    &terms.bounds,
+                    &terms.limits,
                     session,
                 );
                 carry(&link, stream, sealer, &counters).await
@@ -182,13 +182,13 @@
     }
 }
 
-async fn connect(link: &Link) -> io::Result<(SteadyStream, Session)> {
+async fn connect(link: &Link) -> io::Result<(SteadyStream, ConnectionNonce)> {
     let stream = within(CONNECT, TcpStream::connect(link.address.get())).await?;
     stream.set_nodelay(true)?;
     let mut stream = SteadyStream(stream);
     let mut session = [0; 16];
     within(CONNECT, stream.read_exact(&mut session)).await?;
-    Ok((stream, Session(session)))
+    Ok((stream, ConnectionNonce(session)))
 }
 
 /// Carries what comes until there is nothing for long. The receiver says nothing: whatever can be read is its end.
@@ -204,7 +204,7 @@
         let (mut bytes, mut frames) = (Vec::new(), 0);
         while bytes.len() < TOGETHER {
             let Some(payload) = link.next() else { break };
-            match sealer.seal(MESSAGE, &payload) {
+            match sealer.seal(MESSAGE_FRAME, &payload) {
                 Ok(frame) => {
                     bytes.extend_from_slice(&length_prefix(&frame));
                     bytes.extend_from_slice(&frame);
--- a/src/fleet/transport/mod.rs
+++ b/src/fleet/transport/mod.rs
@@ -25,11 +25,11 @@
 use crate::fleet::state::{Command, ProposalResult};
 use crate::fleet::{LeaseName, MemberInstance, Token};
 use crate::storage;
-pub use drive::Told;
-use drive::{Ask, Driver};
+pub use drive::FleetEvent;
+use drive::{Driver, LocalRequest};
 use history::History;
 use reception::Reception;
-use seal::{Bounds, Keys, Opener};
+use seal::{FrameLimits, Keys, Opener};
 use std::cell::{Cell, RefCell};
 use std::io::{self, Read};
 use std::rc::Rc;
@@ -38,13 +38,13 @@
 use tokio::sync::{mpsc, oneshot};
 
 /// The kind of a frame that carries a message between members.
-const MESSAGE: u8 = 1;
+const MESSAGE_FRAME: u8 = 1;
 /// The kind of a frame that carries a request of an administrator or its reply.
-const ADMIN: u8 = 2;
+const ADMIN_FRAME: u8 = 2;
 /// Messages that have come and wait for the member.
-const INBOX: usize = 256;
+const INBOX_CAPACITY: usize = 256;
 /// The program's own requests to the member that wait.
-const ASKS: usize = 64;
+const LOCAL_REQUEST_CAPACITY: usize = 64;
 
 /// What the rest of the program knows of its fleet.
 #[derive(Clone)]
@@ -56,18 +56,18 @@
     who: RefCell<MemberInstance>,
     life: LeaseName,
     rights: RefCell<LeaseView>,
-    asks: mpsc::Sender<Ask>,
+    asks: mpsc::Sender<LocalRequest>,
     counters: Rc<FleetCounters>,
     stopped: Cell<bool>,
-    listeners: RefCell<Vec<Listener>>,
+    listeners: RefCell<Vec<EventListener>>,
 }
 
 /// A part of the program that is told what happens in the fleet.
-pub type Listener = Box<dyn FnMut(&Told)>;
+pub type EventListener = Box<dyn FnMut(&FleetEvent)>;
 
 impl Fleet {
     /// The token to act under, if this conductor may act under a lease at this very moment: the clock is read anew.
-    pub fn may_act(&self, lease: &LeaseName) -> Option<Token> {
+    pub fn lease_token(&self, lease: &LeaseName) -> Option<Token> {
         let Shared {
             clock, who, rights, ..
         } = &*self.0;
@@ -78,35 +78,35 @@
 
     /// Whether new requests may be taken at this very moment.
     pub fn may_serve(&self) -> bool {
-        self.0.when_cut_off == WhenCutOff::Serve || self.may_act(&self.0.life).is_some()
+        self.0.when_cut_off == WhenCutOff::Serve || self.lease_token(&self.0.life).is_some()
     }
 
     /// Whether this conductor's life lease stands at this very moment: the clock is read anew.
-    pub fn lives(&self) -> bool {
-        self.may_act(&self.0.life).is_some()
+    pub fn session_valid(&self) -> bool {
+        self.lease_token(&self.0.life).is_some()
     }
 
     /// This conductor in its present life.
-    pub fn who(&self) -> MemberInstance {
+    pub fn instance(&self) -> MemberInstance {
         self.0.who.borrow().clone()
     }
 
     /// Holds a lease from here on whenever it can be had.
-    pub async fn want(&self, lease: LeaseName) {
-        let _ = self.0.asks.send(Ask::Want(lease)).await;
+    pub async fn acquire_lease(&self, lease: LeaseName) {
+        let _ = self.0.asks.send(LocalRequest::AcquireLease(lease)).await;
     }
 
     /// Has a part of the program told what happens from here on. It must not call back into the fleet at once.
-    pub fn listen(&self, listener: Listener) {
+    pub fn add_listener(&self, listener: EventListener) {
         self.0.listeners.borrow_mut().push(listener);
     }
 
-    fn tell(&self, told: &Told) {
+    fn notify_listeners(&self, event: &FleetEvent) {
         self.0
             .listeners
             .borrow_mut()
             .iter_mut()
-            .for_each(|listener| listener(told));
+            .for_each(|listener| listener(event));
     }
 
     /// Puts a command into the log, again and again until it is there, and gives the log's answer.
@@ -117,28 +117,28 @@
         let (answer, answered) = oneshot::channel();
         self.0
             .asks
-            .send(Ask::Propose(command, answer))
+            .send(LocalRequest::Propose(command, answer))
             .await
             .map_err(|_| ProposalError::TimedOut)?;
         answered.await.unwrap_or(Err(ProposalError::TimedOut))
     }
 
     /// Does something under a lease if this conductor may, and tells the history.
-    pub fn act(&self, lease: &LeaseName, act: impl FnOnce(Token)) {
+    pub fn act_under_lease(&self, lease: &LeaseName, act: impl FnOnce(Token)) {
         let at = history::unix_us();
-        let Some(token) = self.may_act(lease) else {
+        let Some(token) = self.lease_token(lease) else {
             return;
         };
         act(token);
         self.0.counters.lease_acts.up();
-        History(self.who()).act(at, lease, token);
+        History(self.instance()).lease_acted(at, lease, token);
     }
 
     /// A planned stop: gives all leases up and leaves the view. Resolves when the others know, or it can't be waited
     /// for any longer.
     pub async fn leave(&self, patience: Duration) {
         let (done, left) = oneshot::channel();
-        if self.0.asks.send(Ask::Leave(done)).await.is_ok() {
+        if self.0.asks.send(LocalRequest::Leave(done)).await.is_ok() {
             let _ = tokio::time::timeout(patience, left).await;
         }
         self.stopped("left");
@@ -146,7 +146,7 @@
 
     fn stopped(&self, cause: &str) {
         if !self.0.stopped.replace(true) {
-            History(self.who()).stop(cause);
+            History(self.instance()).stopped(cause);
         }
     }
 
@@ -181,10 +181,10 @@
         name: config.name.clone(),
         incarnation: found.disk.incarnation(),
     };
-    let bounds = bounds(config);
+    let limits = frame_limits(config);
     let counters = Rc::new(FleetCounters::default());
-    let (inbox, came) = mpsc::channel(INBOX);
-    let (asks, asked) = mpsc::channel(ASKS);
+    let (inbox, came) = mpsc::channel(INBOX_CAPACITY);
+    let (asks, asked) = mpsc::channel(LOCAL_REQUEST_CAPACITY);
     let fleet = Fleet(Rc::new(Shared {
         clock,
         when_cut_off: config.when_cut_off,
@@ -200,11 +200,11 @@
         opener: RefCell::new(Opener::new(
             config.name.clone(),
             keys.clone(),
-            bounds.clone(),
+            limits.clone(),
         )),
         me: RefCell::new(who),
         keys,
-        bounds,
+        limits,
         refusals: RefCell::default(),
         counters,
         clock,
@@ -227,13 +227,13 @@
     Ok(fleet)
 }
 
-/// The bounds of frames, by the fleet's configuration.
-fn bounds(config: &FleetConfig) -> Bounds {
-    Bounds {
-        most_datagram: config.settings.membership.max_datagram_bytes,
-        most_stream_frame: config.most_frame_bytes(),
-        most_senders: 2 * config.most_members,
-        per_second: config.most_frames_per_s,
+/// The limits of frames, by the fleet's configuration.
+fn frame_limits(config: &FleetConfig) -> FrameLimits {
+    FrameLimits {
+        max_datagram_bytes: config.settings.membership.max_datagram_bytes,
+        max_stream_payload_bytes: config.most_frame_bytes(),
+        max_senders: 2 * config.most_members,
+        frames_per_second: config.most_frames_per_s,
         burst: config.most_frames_per_s.saturating_mul(2),
     }
 }
@@ -253,7 +253,7 @@
     Ok(bytes)
 }
 
-/// Bounds a wait.
+/// FrameLimits a wait.
 async fn within<T>(patience: Duration, wait: impl Future<Output = io::Result<T>>) -> io::Result<T> {
     tokio::time::timeout(patience, wait)
         .await
--- a/src/fleet/transport/policy.rs
+++ b/src/fleet/transport/policy.rs
@@ -1,11 +1,11 @@
 //! The policy's epoch at this conductor: which requests may begin, votes, and going over.
 //!
-//! [`Gate`] follows the log. A request begins when [`Gate::begin`] lets it through, under the epoch that stands then.
+//! [`PolicyGate`] follows the log. A request begins when [`PolicyGate::begin`] lets it through, under the epoch that stands then.
 //! While a change is closing, new requests wait; this conductor's word that it begins none goes out once those let
 //! through have reached the dispatcher, so that the dispatcher takes them under the settings they began with.
 
 use super::history::{History, unix_us};
-use super::{Fleet, Told};
+use super::{Fleet, FleetEvent};
 use crate::dispatch::DispatcherHandle;
 use crate::fleet::MemberInstance;
 use crate::fleet::config::PolicyConfig;
@@ -34,7 +34,7 @@
 }
 
 /// What lets requests begin.
-pub struct Gate {
+pub struct PolicyGate {
     fleet: Fleet,
     dispatcher: DispatcherHandle,
     live: Rc<LiveSettings>,
@@ -57,11 +57,11 @@
 }
 
 /// A request let through. To be dropped once the dispatcher has the request.
-pub struct Pass(Rc<Gate>);
+pub struct PolicyPermit(Rc<PolicyGate>);
 
-impl Drop for Pass {
+impl Drop for PolicyPermit {
     fn drop(&mut self) {
-        let Pass(gate) = self;
+        let PolicyPermit(gate) = self;
         gate.passing.set(gate.passing.get() - 1);
         gate.go_on();
     }
@@ -69,14 +69,14 @@
 
 /// Why a request can't begin now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Shut {
+pub enum AdmissionError {
     /// This conductor may not act, or does not hold the epoch in force.
-    CutOff,
+    NotServing,
     /// A change of policy takes too long, or too many wait for it.
-    Waited,
+    TimedOut,
 }
 
-impl Gate {
+impl PolicyGate {
     /// Begins to follow the log. `own` is the table `[settings]` of this conductor's file; the settings of each epoch go
     /// to `live`.
     ///
@@ -89,8 +89,8 @@
         config: PolicyConfig,
         own: Value,
     ) -> Result<Rc<Self>, String> {
-        let (own_content, _) = content::take(&own)?;
-        let gate = Rc::new(Gate {
+        let (own_content, _) = content::extract_policy(&own)?;
+        let gate = Rc::new(PolicyGate {
             fleet: fleet.clone(),
             dispatcher,
             live,
@@ -108,9 +108,9 @@
             closed: RefCell::default(),
         });
         let listener = Rc::downgrade(&gate);
-        fleet.listen(Box::new(move |told| {
+        fleet.add_listener(Box::new(move |event| {
             if let Some(gate) = listener.upgrade() {
-                gate.told(told);
+                gate.on_fleet_event(event);
             }
         }));
         Ok(gate)
@@ -129,44 +129,47 @@
     ///
     /// # Errors
     /// It can't begin; trying again is harmless.
-    pub async fn begin(self: &Rc<Self>, deadline: Micros) -> Result<Pass, Shut> {
+    pub async fn admit(self: &Rc<Self>, deadline: Micros) -> Result<PolicyPermit, AdmissionError> {
         let until = self.dispatcher.clock.now() + self.config.hold_ms * 1_000;
         let until = self.dispatcher.clock.instant(until.min(deadline));
         loop {
             let at = unix_us();
             // Read at this moment, and nothing waits between this and the pass.
             if !self.fleet.may_serve() || !self.held.get() {
-                return Err(Shut::CutOff);
+                return Err(AdmissionError::NotServing);
             }
             if self.is_open() {
                 self.passing.set(self.passing.get() + 1);
-                History(self.fleet.who()).policy_begin(at, self.epoch.get());
-                return Ok(Pass(self.clone()));
+                History(self.fleet.instance()).policy_begin(at, self.epoch.get());
+                return Ok(PolicyPermit(self.clone()));
             }
             if self.waiting.get() >= self.config.most_held {
-                return Err(Shut::Waited);
+                return Err(AdmissionError::TimedOut);
             }
             let _place = Waiting::new(self);
             let changed = self.changed.notified();
             if tokio::time::timeout_at(until, changed).await.is_err() {
-                return Err(Shut::Waited);
+                return Err(AdmissionError::TimedOut);
             }
         }
     }
 
-    fn told(self: &Rc<Self>, told: &Told) {
-        match told {
-            Told::Life(_) => {
+    fn on_fleet_event(self: &Rc<Self>, event: &FleetEvent) {
+        match event {
+            FleetEvent::IncarnationStarted(_) => {
                 // The log is read anew from its beginning.
                 self.held.set(false);
                 self.epoch.set(0);
                 self.staged.take();
             }
-            Told::MayAct(true) => self.begin_life(),
-            Told::MayAct(false) => {}
-            Told::Effect(_, StateChange::Policy(notice)) => self.notice(notice),
-            Told::Restored(state) => self.restore(state.policy()),
-            Told::View(_) | Told::Leading(_) | Told::Sites(_) | Told::Effect(..) => return,
+            FleetEvent::SessionValid(true) => self.begin_life(),
+            FleetEvent::SessionValid(false) => {}
+            FleetEvent::StateChanged(_, StateChange::Policy(notice)) => self.notice(notice),
+            FleetEvent::SnapshotRestored(state) => self.restore(state.policy()),
+            FleetEvent::MembershipChanged(_)
+            | FleetEvent::LeaderChanged(_)
+            | FleetEvent::SitesChanged(_)
+            | FleetEvent::StateChanged(..) => return,
         }
         self.go_on();
         self.changed.notify_waiters();
@@ -177,8 +180,8 @@
             Notice::Staged { proposal, content } => {
                 let (proposal, content) = (*proposal, content.clone());
                 // What a new life reads anew in the log is told no second time.
-                if self.fleet.lives() {
-                    History(self.fleet.who()).policy_proposed(proposal, digest(&content));
+                if self.fleet.session_valid() {
+                    History(self.fleet.instance()).policy_proposed(proposal, digest(&content));
                 }
                 self.staged.replace(Some(Staged {
                     proposal,
@@ -194,14 +197,14 @@
                     .filter(|s| s.proposal == *proposal)
                 {
                     staged.closing = true;
-                    if self.fleet.lives() {
-                        History(self.fleet.who()).policy_closing(*proposal);
+                    if self.fleet.session_valid() {
+                        History(self.fleet.instance()).policy_closing(*proposal);
                     }
                 }
             }
-            Notice::Nowhere { proposal, why } => {
-                if self.fleet.lives() {
-                    History(self.fleet.who()).policy_refused(*proposal, why);
+            Notice::Rejected { proposal, why } => {
+                if self.fleet.session_valid() {
+                    History(self.fleet.instance()).policy_refused(*proposal, why);
                 }
                 self.staged.take();
             }
@@ -225,19 +228,19 @@
     }
 
     fn go_over(self: &Rc<Self>, epoch: u64, content: &str) {
-        let history = History(self.fleet.who());
+        let history = History(self.fleet.instance());
         self.epoch.set(epoch);
-        match content::read(content, &self.own) {
+        match content::parse(content, &self.own) {
             Ok(settings) => {
                 self.live.replace(settings);
                 self.held.set(true);
                 history.policy_epoch(epoch, digest(content));
                 self.differences
                     .replace(content::differences(content, &self.own_content));
-                if self.fleet.lives() {
+                if self.fleet.session_valid() {
                     self.say_differences();
                 }
-                self.tell(Command::Over { epoch });
+                self.tell(Command::Switched { epoch });
             }
             Err(fault) => {
                 self.held.set(false);
@@ -264,24 +267,24 @@
         if epoch > 0 {
             if self.held.get() {
                 self.say_differences();
-                self.tell(Command::Over { epoch });
+                self.tell(Command::Switched { epoch });
             }
             return;
         }
         let gate = self.clone();
         tokio::task::spawn_local(async move {
-            let me = gate.fleet.who();
+            let me = gate.fleet.instance();
             let mark = xxh3_64(me.to_string().as_bytes());
             tokio::time::sleep(Duration::from_micros(mark % FIRST_SPAN_US)).await;
             let command = Command::Propose {
-                mark,
+                nonce: mark,
                 content: gate.own_content.clone(),
                 base: 0,
                 only_check: false,
                 at_us: unix_us(),
                 difference: "the first".to_owned(),
             };
-            while gate.epoch.get() == 0 && gate.fleet.who() == me {
+            while gate.epoch.get() == 0 && gate.fleet.instance() == me {
                 if gate.say(command.clone()).await.is_none() {
                     tokio::time::sleep(AGAIN).await;
                 }
@@ -291,10 +294,10 @@
 
     /// Votes, and says that nothing begins any more, when it is time.
     fn go_on(self: &Rc<Self>) {
-        if !self.fleet.lives() {
+        if !self.fleet.session_valid() {
             return;
         }
-        let me = self.fleet.who();
+        let me = self.fleet.instance();
         let command = {
             let staged = self.staged.borrow();
             let Some(Staged {
@@ -319,7 +322,7 @@
                     return;
                 }
                 self.voted.replace(word);
-                let refusal = content::read(content, &self.own).err();
+                let refusal = content::parse(content, &self.own).err();
                 Command::Vote {
                     proposal: *proposal,
                     refusal,
@@ -331,20 +334,20 @@
 
     /// Says it until it is written down, for as long as it is of use.
     fn tell(self: &Rc<Self>, command: Command) {
-        let (gate, me) = (self.clone(), self.fleet.who());
+        let (gate, me) = (self.clone(), self.fleet.instance());
         tokio::task::spawn_local(async move {
-            let of_use = |gate: &Gate| match &command {
+            let of_use = |gate: &PolicyGate| match &command {
                 Command::Vote { proposal, .. } | Command::Closed { proposal } => gate
                     .staged
                     .borrow()
                     .as_ref()
                     .is_some_and(|s| s.proposal == *proposal),
-                Command::Over { epoch } => gate.epoch.get() == *epoch,
+                Command::Switched { epoch } => gate.epoch.get() == *epoch,
                 _ => true,
             };
-            while gate.fleet.who() == me && of_use(&gate) {
+            while gate.fleet.instance() == me && of_use(&gate) {
                 match gate.say(command.clone()).await {
-                    Some(Reply::Refused(Refusal::NoLife)) => return,
+                    Some(Reply::Refused(Refusal::NoSession)) => return,
                     Some(_) => return,
                     None => tokio::time::sleep(AGAIN).await,
                 }
@@ -361,10 +364,10 @@
 }
 
 /// A place among the requests that wait, given back when dropped.
-struct Waiting(Rc<Gate>);
+struct Waiting(Rc<PolicyGate>);
 
 impl Waiting {
-    fn new(gate: &Rc<Gate>) -> Self {
+    fn new(gate: &Rc<PolicyGate>) -> Self {
         gate.waiting.set(gate.waiting.get() + 1);
         Waiting(gate.clone())
     }
@@ -377,7 +380,7 @@
 }
 
 /// Names of the classes in which a request must not run twice.
-pub fn once(classes: &[RequestClass]) -> impl Iterator<Item = &RequestClass> {
+pub fn non_repeatable_classes(classes: &[RequestClass]) -> impl Iterator<Item = &RequestClass> {
     use crate::routing::types::{DeduplicationScope, Idempotency as Of};
     classes.iter().filter(|c| {
         !matches!(
--- a/src/fleet/transport/reception.rs
+++ b/src/fleet/transport/reception.rs
@@ -1,12 +1,13 @@
 //! Connections from other members and from administrators: accepted, proven, and read in order.
 
-use super::admin::{self, Asked, Reply, Request};
+use super::admin::{self, Reply, Request, RequestEnvelope};
 use super::history::History;
 use super::refusals::Refusals;
 use super::seal::{
-    Bounds, Inbound, Keys, Opener, Refused, Session, StreamSealer, frame_length, length_prefix,
+    ConnectionNonce, FrameError, FrameLimits, Inbound, Keys, Opener, StreamSealer, frame_length,
+    length_prefix,
 };
-use super::{ADMIN, MESSAGE, draw, within};
+use super::{ADMIN_FRAME, MESSAGE_FRAME, draw, within};
 use crate::counters::FleetCounters;
 use crate::dispatch::Clock;
 use crate::fleet::message::Message;
@@ -35,11 +36,11 @@
 const TOO_FAST: Duration = Duration::from_millis(10);
 
 /// What comes in.
-pub enum Came {
+pub enum Incoming {
     /// A message whose sender is proven.
     Message(MemberName, Message),
     /// An administrator asks.
-    Asked(Request, oneshot::Sender<Reply>),
+    AdminRequest(Request, oneshot::Sender<Reply>),
 }
 
 /// What all connections share.
@@ -49,7 +50,7 @@
     /// The shared keys.
     pub keys: Keys,
     /// Of frames.
-    pub bounds: Bounds,
+    pub limits: FrameLimits,
     /// Opens frames, datagrams too.
     pub opener: RefCell<Opener>,
     /// What was refused.
@@ -59,7 +60,7 @@
     /// The clock.
     pub clock: Clock,
     /// Where what comes goes.
-    pub inbox: mpsc::Sender<Came>,
+    pub inbox: mpsc::Sender<Incoming>,
     /// Proven connections that there may be.
     pub most_proven: usize,
     /// Proven connections, one for each member.
@@ -70,7 +71,7 @@
 
 impl Reception {
     /// Counts and tells a refusal.
-    pub fn refused(&self, from: IpAddr, reason: Refused) {
+    pub fn refused(&self, from: IpAddr, reason: FrameError) {
         let log = History(self.me.borrow().clone());
         self.refusals
             .borrow_mut()
@@ -123,7 +124,7 @@
     async fn serve(&self, stream: TcpStream, from: IpAddr, place: &Place) -> io::Result<()> {
         stream.set_nodelay(true)?;
         let mut stream = SteadyStream(stream);
-        let session = Session(draw()?);
+        let session = ConnectionNonce(draw()?);
         stream.write_all(&session.0).await?;
         let mut inbound = Inbound::new(session);
         let mut patience = PROVE;
@@ -135,7 +136,7 @@
                 }
             })?;
             // The kind is vouched for like all of the frame; here it only says by which opener.
-            if inbound.from().is_none() && frame.get(2) == Some(&ADMIN) {
+            if inbound.from().is_none() && frame.get(2) == Some(&ADMIN_FRAME) {
                 return self.administrator(&mut stream, from, inbound, &frame).await;
             }
             let (sender, message) = loop {
@@ -145,11 +146,11 @@
                     Err(reason) => Err(reason),
                 };
                 match opened {
-                    Ok((sender, message, MESSAGE)) => break (sender, message),
+                    Ok((sender, message, MESSAGE_FRAME)) => break (sender, message),
                     Ok((sender, ..)) => break (sender, None),
                     Err(reason) => {
                         self.refused(from, reason);
-                        if reason != Refused::Rate {
+                        if reason != FrameError::Rate {
                             return Err(io::Error::other(reason));
                         }
                     }
@@ -160,13 +161,13 @@
             if patience == PROVE {
                 patience = SILENCE;
                 if !place.proven(&sender.name) {
-                    self.refused(from, Refused::TooManySenders);
-                    return Err(io::Error::other(Refused::TooManySenders));
+                    self.refused(from, FrameError::TooManySenders);
+                    return Err(io::Error::other(FrameError::TooManySenders));
                 }
             }
             match message {
                 Some(message) => {
-                    let came = Came::Message(sender.name, message);
+                    let came = Incoming::Message(sender.name, message);
                     self.inbox.send(came).await.map_err(io::Error::other)?;
                 }
                 None => self.unreadable(&sender.name),
@@ -177,7 +178,7 @@
     async fn frame(&self, stream: &mut SteadyStream, from: IpAddr) -> io::Result<Vec<u8>> {
         let mut prefix = [0; 4];
         stream.read_exact(&mut prefix).await?;
-        let length = frame_length(prefix, &self.bounds).map_err(|reason| {
+        let length = frame_length(prefix, &self.limits).map_err(|reason| {
             self.refused(from, reason);
             io::Error::other(reason)
         })?;
@@ -199,21 +200,21 @@
         frame: &[u8],
     ) -> io::Result<()> {
         let me = self.me.borrow().clone();
-        let mut opener = Opener::new(me.name.clone(), self.keys.clone(), self.bounds.clone());
+        let mut opener = Opener::new(me.name.clone(), self.keys.clone(), self.limits.clone());
         let opened = opener
             .stream(self.clock.now(), &mut inbound, frame)
             .map_err(|reason| {
                 self.refused(from, reason);
                 io::Error::other(reason)
             })?;
-        let asked = postcard::from_bytes::<Asked>(opened.payload).ok();
-        let Some(Asked { session, request }) = asked else {
+        let asked = postcard::from_bytes::<RequestEnvelope>(opened.payload).ok();
+        let Some(RequestEnvelope { session, request }) = asked else {
             self.unreadable(&opened.from.name);
             return Err(io::Error::other("a request that can't be read"));
         };
         let (answer, answered) = oneshot::channel();
         self.inbox
-            .send(Came::Asked(request, answer))
+            .send(Incoming::AdminRequest(request, answer))
             .await
             .map_err(io::Error::other)?;
         let reply = within(PROVE, async { answered.await.map_err(io::Error::other) }).await?;
@@ -221,11 +222,13 @@
             me,
             opened.from.name,
             self.keys.clone(),
-            &self.bounds,
-            Session(session),
+            &self.limits,
+            ConnectionNonce(session),
         );
         let payload = admin::encode(&reply);
-        let reply = sealer.seal(ADMIN, &payload).map_err(io::Error::other)?;
+        let reply = sealer
+            .seal(ADMIN_FRAME, &payload)
+            .map_err(io::Error::other)?;
         stream.write_all(&length_prefix(&reply)).await?;
         stream.write_all(&reply).await?;
         self.counters.admin_requests.up();
--- a/src/fleet/transport/refusals.rs
+++ b/src/fleet/transport/refusals.rs
@@ -1,7 +1,7 @@
 //! What was refused: counted by reason, and one log line per source and minute.
 
 use super::history::History;
-use super::seal::Refused;
+use super::seal::FrameError;
 use crate::counters::{Count, FleetCounters};
 use crate::routing::types::Micros;
 use std::collections::BTreeMap;
@@ -30,7 +30,7 @@
         &mut self,
         now: Micros,
         from: IpAddr,
-        reason: Refused,
+        reason: FrameError,
         count: &FleetCounters,
         log: &History,
     ) {
@@ -59,26 +59,26 @@
         let source = self.sources.entry(from.clone()).or_insert(fresh);
         source.untold += 1;
         if now.saturating_sub(source.told) >= MINUTE {
-            log.refused(&from, reason, source.untold);
+            log.frames_refused(&from, reason, source.untold);
             (source.told, source.untold) = (now, 0);
         }
     }
 }
 
-fn counter(count: &FleetCounters, reason: Refused) -> &Count {
+fn counter(count: &FleetCounters, reason: FrameError) -> &Count {
     match reason {
-        Refused::Malformed => &count.refused_malformed,
-        Refused::TooLong => &count.refused_too_long,
-        Refused::Version => &count.refused_version,
-        Refused::Channel => &count.refused_channel,
-        Refused::Receiver => &count.refused_receiver,
-        Refused::OwnName => &count.refused_own_name,
-        Refused::Mac => &count.refused_mac,
-        Refused::OldIncarnation => &count.refused_old_incarnation,
-        Refused::Replay => &count.refused_replay,
-        Refused::Order => &count.refused_order,
-        Refused::OtherSender => &count.refused_other_sender,
-        Refused::TooManySenders => &count.refused_too_many_senders,
-        Refused::Rate => &count.refused_rate,
+        FrameError::Malformed => &count.refused_malformed,
+        FrameError::TooLong => &count.refused_too_long,
+        FrameError::Version => &count.refused_version,
+        FrameError::Channel => &count.refused_channel,
+        FrameError::Receiver => &count.refused_receiver,
+        FrameError::OwnName => &count.refused_own_name,
+        FrameError::Mac => &count.refused_mac,
+        FrameError::OldIncarnation => &count.refused_old_incarnation,
+        FrameError::Replay => &count.refused_replay,
+        FrameError::Order => &count.refused_order,
+        FrameError::OtherSender => &count.refused_other_sender,
+        FrameError::TooManySenders => &count.refused_too_many_senders,
+        FrameError::Rate => &count.refused_rate,
     }
 }
--- a/src/fleet/transport/seal.rs
+++ b/src/fleet/transport/seal.rs
@@ -11,7 +11,7 @@
 //!
 //! The MAC is HMAC-SHA256 over a label, the connection's session (nothing for a datagram) and all of the frame before
 //! it. On a connection a frame comes after its length ([`length_prefix`], [`frame_length`]). A connection carries
-//! frames one way, from who opened it: the acceptor begins with a [`Session`] drawn afresh, as plain bytes, so that
+//! frames one way, from who opened it: the acceptor begins with a [`ConnectionNonce`] drawn afresh, as plain bytes, so that
 //! nothing recorded from another connection opens on this one.
 //!
 //! What this does not do: payloads can be read on the way; whoever has the key can speak as any member; and a member
@@ -34,13 +34,13 @@
 /// Bytes of a frame's MAC.
 pub const MAC_BYTES: usize = 32;
 /// Bytes of a key at the least.
-pub const LEAST_KEY_BYTES: usize = 32;
+pub const MIN_KEY_BYTES: usize = 32;
 /// Keys at once at the most: during a rotation the new one and the old one.
-pub const MOST_KEYS: usize = 2;
+pub const MAX_KEYS: usize = 2;
 /// How many sequences below the highest one seen a datagram may still come.
-pub const WINDOW: u64 = 1024;
+pub const REPLAY_WINDOW: u64 = 1024;
 
-const MOST_KEY_FILE: u64 = 4096;
+const MAX_KEY_FILE_BYTES: u64 = 4096;
 const FIXED: usize = 21;
 const LABEL: &[u8] = b"whinhaven peer frame";
 const DATAGRAM: u8 = 1;
@@ -62,10 +62,10 @@
     /// A key is not hexadecimal; counted from 1.
     #[error("key {0} is not hexadecimal")]
     Hex(usize),
-    /// A key has fewer than [`LEAST_KEY_BYTES`] bytes; counted from 1.
+    /// A key has fewer than [`MIN_KEY_BYTES`] bytes; counted from 1.
     #[error("key {0} has {1} bytes, at least 32 are needed")]
     Short(usize, usize),
-    /// No key, or more than [`MOST_KEYS`].
+    /// No key, or more than [`MAX_KEYS`].
     #[error("{0} keys, 1 or 2 are needed")]
     Count(usize),
 }
@@ -88,13 +88,13 @@
                 .filter(|line| !line.is_empty())
                 .collect()
         };
-        if hex.is_empty() || hex.len() > MOST_KEYS {
+        if hex.is_empty() || hex.len() > MAX_KEYS {
             return Err(KeyError::Count(hex.len()));
         }
         let mut keys = Vec::new();
         for (i, hex) in hex.iter().enumerate() {
             let key = from_hex(hex).ok_or(KeyError::Hex(i + 1))?;
-            if key.len() < LEAST_KEY_BYTES {
+            if key.len() < MIN_KEY_BYTES {
                 return Err(KeyError::Short(i + 1, key.len()));
             }
             keys.push(key);
@@ -108,7 +108,7 @@
         let file = std::fs::File::open(path)?;
         let mode = file.metadata()?.permissions().mode();
         let mut text = String::new();
-        file.take(MOST_KEY_FILE).read_to_string(&mut text)?;
+        file.take(MAX_KEY_FILE_BYTES).read_to_string(&mut text)?;
         let warning =
             (mode & 0o004 != 0).then_some("every user of this machine can read the key file");
         Ok((Keys::parse(&text)?, warning))
@@ -160,26 +160,30 @@
 /// What is sealed or opened at the most.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Bounds {
+pub struct FrameLimits {
     /// Bytes of a datagram's payload.
-    pub most_datagram: usize,
+    #[serde(rename = "most_datagram")]
+    pub max_datagram_bytes: usize,
     /// Bytes of the payload of a frame on a connection.
-    pub most_stream_frame: usize,
+    #[serde(rename = "most_stream_frame")]
+    pub max_stream_payload_bytes: usize,
     /// Senders that are remembered; one more is refused.
-    pub most_senders: usize,
+    #[serde(rename = "most_senders")]
+    pub max_senders: usize,
     /// Frames a second that one sender may send on average.
-    pub per_second: u32,
+    #[serde(rename = "per_second")]
+    pub frames_per_second: u32,
     /// Frames that one sender may send at once.
     pub burst: u32,
 }
 
-impl Default for Bounds {
+impl Default for FrameLimits {
     fn default() -> Self {
-        Bounds {
-            most_datagram: 1200,
-            most_stream_frame: 1 << 20,
-            most_senders: 4096,
-            per_second: 2000,
+        FrameLimits {
+            max_datagram_bytes: 1200,
+            max_stream_payload_bytes: 1 << 20,
+            max_senders: 4096,
+            frames_per_second: 2000,
             burst: 4000,
         }
     }
@@ -187,11 +191,11 @@
 
 /// Why a frame is refused; nothing has changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, thiserror::Error)]
-pub enum Refused {
+pub enum FrameError {
     /// Cut off, or no frame at all.
     #[error("malformed")]
     Malformed,
-    /// Larger than [`Bounds`] allow.
+    /// Larger than [`FrameLimits`] allow.
     #[error("too_long")]
     TooLong,
     /// Of another version.
@@ -229,28 +233,28 @@
     Rate,
 }
 
-impl Refused {
+impl FrameError {
     /// Every reason, for counters.
-    pub const ALL: [Refused; 13] = [
-        Refused::Malformed,
-        Refused::TooLong,
-        Refused::Version,
-        Refused::Channel,
-        Refused::Receiver,
-        Refused::OwnName,
-        Refused::Mac,
-        Refused::OldIncarnation,
-        Refused::Replay,
-        Refused::Order,
-        Refused::OtherSender,
-        Refused::TooManySenders,
-        Refused::Rate,
+    pub const ALL: [FrameError; 13] = [
+        FrameError::Malformed,
+        FrameError::TooLong,
+        FrameError::Version,
+        FrameError::Channel,
+        FrameError::Receiver,
+        FrameError::OwnName,
+        FrameError::Mac,
+        FrameError::OldIncarnation,
+        FrameError::Replay,
+        FrameError::Order,
+        FrameError::OtherSender,
+        FrameError::TooManySenders,
+        FrameError::Rate,
     ];
 }
 
 /// What the acceptor of a connection draws and sends first; must never come twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Session(pub [u8; 16]);
+pub struct ConnectionNonce(pub [u8; 16]);
 
 /// An opened frame.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -299,19 +303,24 @@
 
 impl Sealer {
     /// Of this member in this life.
-    pub fn new(me: MemberInstance, keys: Keys, bounds: &Bounds) -> Self {
+    pub fn new(me: MemberInstance, keys: Keys, limits: &FrameLimits) -> Self {
         Sealer {
             me,
             keys,
-            most: bounds.most_datagram,
+            most: limits.max_datagram_bytes,
             next: 1,
         }
     }
 
-    /// A datagram for `to`. Refused is a payload over [`Bounds::most_datagram`] only.
-    pub fn seal(&mut self, to: &MemberName, kind: u8, payload: &[u8]) -> Result<Vec<u8>, Refused> {
+    /// A datagram for `to`. FrameError is a payload over [`FrameLimits::max_datagram_bytes`] only.
+    pub fn seal(
+        &mut self,
+        to: &MemberName,
+        kind: u8,
+        payload: &[u8],
+    ) -> Result<Vec<u8>, FrameError> {
         if payload.len() > self.most {
-            return Err(Refused::TooLong);
+            return Err(FrameError::TooLong);
         }
         let frame = seal(
             &self.keys,
@@ -335,7 +344,7 @@
     to: MemberName,
     keys: Keys,
     most: usize,
-    session: Session,
+    session: ConnectionNonce,
     next: u64,
 }
 
@@ -345,23 +354,23 @@
         me: MemberInstance,
         to: MemberName,
         keys: Keys,
-        bounds: &Bounds,
-        session: Session,
+        limits: &FrameLimits,
+        session: ConnectionNonce,
     ) -> Self {
         StreamSealer {
             me,
             to,
             keys,
-            most: bounds.most_stream_frame,
+            most: limits.max_stream_payload_bytes,
             session,
             next: 1,
         }
     }
 
-    /// The next frame, without its length. Refused is a payload over [`Bounds::most_stream_frame`] only.
-    pub fn seal(&mut self, kind: u8, payload: &[u8]) -> Result<Vec<u8>, Refused> {
+    /// The next frame, without its length. FrameError is a payload over [`FrameLimits::max_stream_payload_bytes`] only.
+    pub fn seal(&mut self, kind: u8, payload: &[u8]) -> Result<Vec<u8>, FrameError> {
         if payload.len() > self.most {
-            return Err(Refused::TooLong);
+            return Err(FrameError::TooLong);
         }
         let frame = seal(
             &self.keys,
@@ -383,33 +392,33 @@
     (frame.len() as u32).to_le_bytes()
 }
 
-/// The length of the frame to come. Refused before anything is read if no frame within `bounds` is that long.
-pub fn frame_length(prefix: [u8; 4], bounds: &Bounds) -> Result<usize, Refused> {
+/// The length of the frame to come. FrameError before anything is read if no frame within `limits` is that long.
+pub fn frame_length(prefix: [u8; 4], limits: &FrameLimits) -> Result<usize, FrameError> {
     let length = u32::from_le_bytes(prefix) as usize;
     match length {
-        _ if length > most_frame(bounds.most_stream_frame) => Err(Refused::TooLong),
-        _ if length < FIXED + 2 + MAC_BYTES => Err(Refused::Malformed),
+        _ if length > max_frame_bytes(limits.max_stream_payload_bytes) => Err(FrameError::TooLong),
+        _ if length < FIXED + 2 + MAC_BYTES => Err(FrameError::Malformed),
         _ => Ok(length),
     }
 }
 
 /// Bytes of the longest frame that carries a payload of `most` bytes; a buffer for datagrams needs one byte more to
 /// tell a longer one.
-pub const fn most_frame(most: usize) -> usize {
+pub const fn max_frame_bytes(most: usize) -> usize {
     FIXED + 2 * MAX_NAME_LENGTH + most + MAC_BYTES
 }
 
 /// The acceptor's side of a connection: who sends on it, and what comes next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Inbound {
-    session: Session,
+    session: ConnectionNonce,
     from: Option<MemberInstance>,
     next: u64,
 }
 
 impl Inbound {
     /// A connection just accepted, on which `session` was sent.
-    pub fn new(session: Session) -> Self {
+    pub fn new(session: ConnectionNonce) -> Self {
         Inbound {
             session,
             from: None,
@@ -425,18 +434,18 @@
 
 /// Lets through so many a second on average, and so many at once.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Bucket {
-    per_second: u32,
+pub struct TokenBucket {
+    frames_per_second: u32,
     burst: u32,
     millionths: u64,
     at: Micros,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// A full one.
-    pub fn new(now: Micros, per_second: u32, burst: u32) -> Self {
-        Bucket {
-            per_second,
+    pub fn new(now: Micros, frames_per_second: u32, burst: u32) -> Self {
+        TokenBucket {
+            frames_per_second,
             burst,
             millionths: u64::from(burst) * 1_000_000,
             at: now,
@@ -447,7 +456,7 @@
     pub fn take(&mut self, now: Micros) -> bool {
         let came = now
             .saturating_sub(self.at)
-            .saturating_mul(u64::from(self.per_second));
+            .saturating_mul(u64::from(self.frames_per_second));
         let held = self
             .millionths
             .saturating_add(came)
@@ -465,19 +474,19 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Window {
     highest: u64,
-    taken: [u64; (WINDOW / 64) as usize],
+    taken: [u64; (REPLAY_WINDOW / 64) as usize],
 }
 
 impl Window {
     fn new() -> Self {
         Window {
             highest: 0,
-            taken: [0; (WINDOW / 64) as usize],
+            taken: [0; (REPLAY_WINDOW / 64) as usize],
         }
     }
 
     fn place(sequence: u64) -> (usize, u64) {
-        let at = sequence % WINDOW;
+        let at = sequence % REPLAY_WINDOW;
         ((at / 64) as usize, 1 << (at % 64))
     }
 
@@ -485,12 +494,17 @@
     fn is_fresh(&self, sequence: u64) -> bool {
         let (word, bit) = Self::place(sequence);
         sequence > self.highest
-            || (sequence > 0 && self.highest - sequence < WINDOW && self.taken[word] & bit == 0)
+            || (sequence > 0
+                && self.highest - sequence < REPLAY_WINDOW
+                && self.taken[word] & bit == 0)
     }
 
     fn take(&mut self, sequence: u64) {
         if sequence > self.highest {
-            for skipped in (self.highest + 1..=sequence).rev().take(WINDOW as usize) {
+            for skipped in (self.highest + 1..=sequence)
+                .rev()
+                .take(REPLAY_WINDOW as usize)
+            {
                 let (word, bit) = Self::place(skipped);
                 self.taken[word] &= !bit;
             }
@@ -505,7 +519,7 @@
 struct Sender {
     incarnation: Incarnation,
     window: Window,
-    bucket: Bucket,
+    bucket: TokenBucket,
 }
 
 /// A frame whose MAC has been checked.
@@ -521,62 +535,62 @@
 pub struct Opener {
     me: MemberName,
     keys: Keys,
-    bounds: Bounds,
+    limits: FrameLimits,
     senders: BTreeMap<MemberName, Sender>,
 }
 
 impl Opener {
     /// Of this member.
-    pub fn new(me: MemberName, keys: Keys, bounds: Bounds) -> Self {
+    pub fn new(me: MemberName, keys: Keys, limits: FrameLimits) -> Self {
         Opener {
             me,
             keys,
-            bounds,
+            limits,
             senders: BTreeMap::new(),
         }
     }
 
     /// Opens a datagram.
-    pub fn datagram<'a>(&mut self, now: Micros, frame: &'a [u8]) -> Result<Opened<'a>, Refused> {
-        let vouched = self.vouch(frame, DATAGRAM, &[], self.bounds.most_datagram)?;
+    pub fn datagram<'a>(&mut self, now: Micros, frame: &'a [u8]) -> Result<Opened<'a>, FrameError> {
+        let vouched = self.vouch(frame, DATAGRAM, &[], self.limits.max_datagram_bytes)?;
         let mut sender = self.sender(now, &vouched.from)?;
         if !sender.window.is_fresh(vouched.sequence) {
-            return Err(Refused::Replay);
+            return Err(FrameError::Replay);
         }
         if !sender.bucket.take(now) {
-            return Err(Refused::Rate);
+            return Err(FrameError::Rate);
         }
         sender.window.take(vouched.sequence);
         Ok(self.opened(sender, vouched))
     }
 
-    /// Opens a frame of a connection. After [`Refused::Rate`] the same frame may be tried again later; after any other
+    /// Opens a frame of a connection. After [`FrameError::Rate`] the same frame may be tried again later; after any other
     /// refusal nothing of that connection can be trusted, and it is to be closed.
     pub fn stream<'a>(
         &mut self,
         now: Micros,
         inbound: &mut Inbound,
         frame: &'a [u8],
-    ) -> Result<Opened<'a>, Refused> {
+    ) -> Result<Opened<'a>, FrameError> {
         let vouched = self.vouch(
             frame,
             STREAM,
             &inbound.session.0,
-            self.bounds.most_stream_frame,
+            self.limits.max_stream_payload_bytes,
         )?;
         if inbound
             .from
             .as_ref()
             .is_some_and(|from| *from != vouched.from)
         {
-            return Err(Refused::OtherSender);
+            return Err(FrameError::OtherSender);
         }
         if vouched.sequence != inbound.next {
-            return Err(Refused::Order);
+            return Err(FrameError::Order);
         }
         let mut sender = self.sender(now, &vouched.from)?;
         if !sender.bucket.take(now) {
-            return Err(Refused::Rate);
+            return Err(FrameError::Rate);
         }
         inbound.next += 1;
         inbound.from.get_or_insert_with(|| vouched.from.clone());
@@ -594,7 +608,7 @@
         self.senders.keys()
     }
 
-    /// How many senders are remembered; at most [`Bounds::most_senders`].
+    /// How many senders are remembered; at most [`FrameLimits::max_senders`].
     pub fn senders(&self) -> usize {
         self.senders.len()
     }
@@ -605,44 +619,44 @@
         channel: u8,
         session: &[u8],
         most: usize,
-    ) -> Result<Vouched<'a>, Refused> {
-        let (&version, _) = frame.split_first().ok_or(Refused::Malformed)?;
+    ) -> Result<Vouched<'a>, FrameError> {
+        let (&version, _) = frame.split_first().ok_or(FrameError::Malformed)?;
         if version != VERSION {
-            return Err(Refused::Version);
+            return Err(FrameError::Version);
         }
-        if frame.len() > most_frame(most) {
-            return Err(Refused::TooLong);
+        if frame.len() > max_frame_bytes(most) {
+            return Err(FrameError::TooLong);
         }
         let body_length = frame
             .len()
             .checked_sub(MAC_BYTES)
-            .ok_or(Refused::Malformed)?;
+            .ok_or(FrameError::Malformed)?;
         let (body, mac) = frame.split_at(body_length);
-        let (head, rest) = body.split_at_checked(FIXED).ok_or(Refused::Malformed)?;
+        let (head, rest) = body.split_at_checked(FIXED).ok_or(FrameError::Malformed)?;
         let (from, rest) = rest
             .split_at_checked(head[3].into())
-            .ok_or(Refused::Malformed)?;
+            .ok_or(FrameError::Malformed)?;
         let (to, payload) = rest
             .split_at_checked(head[4].into())
-            .ok_or(Refused::Malformed)?;
+            .ok_or(FrameError::Malformed)?;
         if head[1] != channel {
-            return Err(Refused::Channel);
+            return Err(FrameError::Channel);
         }
         if payload.len() > most {
-            return Err(Refused::TooLong);
+            return Err(FrameError::TooLong);
         }
         if to != self.me.as_str().as_bytes() {
-            return Err(Refused::Receiver);
+            return Err(FrameError::Receiver);
         }
         if !self.keys.vouch(session, body, mac) {
-            return Err(Refused::Mac);
+            return Err(FrameError::Mac);
         }
         let name = std::str::from_utf8(from)
             .ok()
             .and_then(|name| MemberName::try_from(name).ok());
-        let name = name.ok_or(Refused::Malformed)?;
+        let name = name.ok_or(FrameError::Malformed)?;
         if name == self.me {
-            return Err(Refused::OwnName);
+            return Err(FrameError::OwnName);
         }
         let integer = |at: usize| u64::from_le_bytes(head[at..at + 8].try_into().expect("8 bytes"));
         let from = MemberInstance {
@@ -658,9 +672,9 @@
     }
 
     /// What is known of the sender, as a copy that [`Self::opened`] puts in place once all else is settled.
-    fn sender(&self, now: Micros, from: &MemberInstance) -> Result<Sender, Refused> {
+    fn sender(&self, now: Micros, from: &MemberInstance) -> Result<Sender, FrameError> {
         match self.senders.get(&from.name) {
-            Some(known) if from.incarnation < known.incarnation => Err(Refused::OldIncarnation),
+            Some(known) if from.incarnation < known.incarnation => Err(FrameError::OldIncarnation),
             Some(known) if from.incarnation == known.incarnation => Ok(known.clone()),
             // The bucket stays, so that a new life is no way around the rate.
             Some(known) => Ok(Sender {
@@ -668,11 +682,13 @@
                 window: Window::new(),
                 bucket: known.bucket.clone(),
             }),
-            None if self.senders.len() >= self.bounds.most_senders => Err(Refused::TooManySenders),
+            None if self.senders.len() >= self.limits.max_senders => {
+                Err(FrameError::TooManySenders)
+            }
             None => Ok(Sender {
                 incarnation: from.incarnation,
                 window: Window::new(),
-                bucket: Bucket::new(now, self.bounds.per_second, self.bounds.burst),
+                bucket: TokenBucket::new(now, self.limits.frames_per_second, self.limits.burst),
             }),
         }
     }
--- a/src/fleet/transport/seal/tests.rs
+++ b/src/fleet/transport/seal/tests.rs
@@ -16,25 +16,25 @@
 }
 
 fn keys(bytes: &[u8]) -> Keys {
-    Keys(bytes.iter().map(|b| vec![*b; LEAST_KEY_BYTES]).collect())
+    Keys(bytes.iter().map(|b| vec![*b; MIN_KEY_BYTES]).collect())
 }
 
-fn c1(life: u64, bounds: &Bounds) -> Sealer {
-    Sealer::new(who("c1", life), keys(&[1]), bounds)
+fn c1(life: u64, limits: &FrameLimits) -> Sealer {
+    Sealer::new(who("c1", life), keys(&[1]), limits)
 }
 
-fn small() -> Bounds {
-    Bounds {
-        most_datagram: 40,
-        most_stream_frame: 60,
-        most_senders: 2,
-        per_second: 1000,
+fn small() -> FrameLimits {
+    FrameLimits {
+        max_datagram_bytes: 40,
+        max_stream_payload_bytes: 60,
+        max_senders: 2,
+        frames_per_second: 1000,
         burst: 3000,
     }
 }
 
 /// Whatever `opener` says of the frame, it must refuse it and stay as it is.
-fn refuses(opener: &mut Opener, frame: &[u8], what: &str) -> Refused {
+fn refuses(opener: &mut Opener, frame: &[u8], what: &str) -> FrameError {
     let before = opener.clone();
     let refused = opener.datagram(5, frame).expect_err(what);
     assert_eq!(*opener, before, "{what}: {refused}");
@@ -43,9 +43,9 @@
 
 #[test]
 fn only_the_very_bytes_that_a_member_sealed_for_this_one_open_and_only_once() {
-    let bounds = small();
-    let mut opener = Opener::new(name("c2"), keys(&[1]), bounds.clone());
-    let mut sealer = c1(7, &bounds);
+    let limits = small();
+    let mut opener = Opener::new(name("c2"), keys(&[1]), limits.clone());
+    let mut sealer = c1(7, &limits);
     let frame = sealer.seal(&name("c2"), 9, b"news").unwrap();
     // Before the sender is known, and after: forged frames reach no table in either case.
     for round in ["new sender", "known sender"] {
@@ -73,18 +73,21 @@
                 "longer",
             );
         }
-        let mut other_key = Sealer::new(who("c1", 7), keys(&[3]), &bounds);
+        let mut other_key = Sealer::new(who("c1", 7), keys(&[3]), &limits);
         let forged = other_key.seal(&name("c2"), 9, b"news").unwrap();
-        assert_eq!(refuses(&mut opener, &forged, "another key"), Refused::Mac);
+        assert_eq!(
+            refuses(&mut opener, &forged, "another key"),
+            FrameError::Mac
+        );
         let elsewhere = sealer.seal(&name("c3"), 9, b"news").unwrap();
         assert_eq!(
             refuses(&mut opener, &elsewhere, "another receiver"),
-            Refused::Receiver
+            FrameError::Receiver
         );
-        let own = Sealer::new(who("c2", 1), keys(&[1]), &bounds)
+        let own = Sealer::new(who("c2", 1), keys(&[1]), &limits)
             .seal(&name("c2"), 9, b"news")
             .unwrap();
-        assert_eq!(refuses(&mut opener, &own, "own name"), Refused::OwnName);
+        assert_eq!(refuses(&mut opener, &own, "own name"), FrameError::OwnName);
         if round == "new sender" {
             assert_eq!(opener.senders(), 0);
             let opened = opener.datagram(5, &frame).unwrap();
@@ -94,23 +97,26 @@
             );
         }
         if round == "known sender" {
-            assert_eq!(refuses(&mut opener, &frame, "replay"), Refused::Replay);
+            assert_eq!(refuses(&mut opener, &frame, "replay"), FrameError::Replay);
         }
     }
-    assert_eq!(sealer.seal(&name("c2"), 9, &[0; 41]), Err(Refused::TooLong));
-    let roomy = Bounds {
-        most_datagram: 41,
+    assert_eq!(
+        sealer.seal(&name("c2"), 9, &[0; 41]),
+        Err(FrameError::TooLong)
+    );
+    let roomy = FrameLimits {
+        max_datagram_bytes: 41,
         ..small()
     };
     let long = c1(7, &roomy).seal(&name("c2"), 9, &[0; 41]).unwrap();
-    assert_eq!(refuses(&mut opener, &long, "too long"), Refused::TooLong);
+    assert_eq!(refuses(&mut opener, &long, "too long"), FrameError::TooLong);
 }
 
 #[test]
 fn a_life_before_the_last_one_heard_is_refused_and_a_full_table_takes_no_new_sender() {
-    let bounds = small();
-    let mut opener = Opener::new(name("c2"), keys(&[1]), bounds.clone());
-    let (mut old, mut new) = (c1(7, &bounds), c1(8, &bounds));
+    let limits = small();
+    let mut opener = Opener::new(name("c2"), keys(&[1]), limits.clone());
+    let (mut old, mut new) = (c1(7, &limits), c1(8, &limits));
     let to = name("c2");
     let (first, late) = (
         old.seal(&to, 0, b"a").unwrap(),
@@ -122,17 +128,17 @@
         .unwrap();
     assert_eq!(
         refuses(&mut opener, &late, "old life"),
-        Refused::OldIncarnation
+        FrameError::OldIncarnation
     );
     for (sender, taken) in [("c3", true), ("c4", false), ("c5", false), ("c3", true)] {
-        let mut sealer = Sealer::new(who(sender, 2), keys(&[1]), &bounds);
+        let mut sealer = Sealer::new(who(sender, 2), keys(&[1]), &limits);
         sealer.next = 1 + opener.senders() as u64;
         let frame = sealer.seal(&to, 0, b"").unwrap();
         assert_eq!(opener.datagram(0, &frame).is_ok(), taken, "{sender}");
         assert!(opener.senders() <= 2);
     }
     opener.forget(&name("c3"));
-    let c4 = Sealer::new(who("c4", 2), keys(&[1]), &bounds)
+    let c4 = Sealer::new(who("c4", 2), keys(&[1]), &limits)
         .seal(&to, 0, b"")
         .unwrap();
     opener.datagram(0, &c4).unwrap();
@@ -140,53 +146,56 @@
 
 #[test]
 fn both_keys_open_during_a_rotation_and_the_old_one_no_more_after_it() {
-    let bounds = small();
+    let limits = small();
     let to = name("c2");
     // c1's and c2's key files are changed one after the other; at each step they understand each other.
     let steps: [&[u8]; 5] = [&[1], &[1, 2], &[2, 1], &[2], &[2]];
     for (step, both) in steps.windows(2).enumerate() {
         for (from, at) in [(both[0], both[1]), (both[1], both[0])] {
-            let frame = Sealer::new(who("c1", 1), keys(from), &bounds)
+            let frame = Sealer::new(who("c1", 1), keys(from), &limits)
                 .seal(&to, 0, b"x")
                 .unwrap();
-            let mut opener = Opener::new(to.clone(), keys(at), bounds.clone());
+            let mut opener = Opener::new(to.clone(), keys(at), limits.clone());
             assert!(
                 opener.datagram(0, &frame).is_ok(),
                 "step {step}: {from:?} to {at:?}"
             );
         }
     }
-    let frame = Sealer::new(who("c1", 1), keys(&[1, 2]), &bounds)
+    let frame = Sealer::new(who("c1", 1), keys(&[1, 2]), &limits)
         .seal(&to, 0, b"x")
         .unwrap();
-    let refused = Opener::new(to.clone(), keys(&[2]), bounds)
+    let refused = Opener::new(to.clone(), keys(&[2]), limits)
         .datagram(0, &frame)
         .unwrap_err();
-    assert_eq!(refused, Refused::Mac);
+    assert_eq!(refused, FrameError::Mac);
 }
 
 #[test]
 fn a_connection_takes_its_frames_in_order_from_one_life_and_none_of_another_connection() {
-    let bounds = small();
+    let limits = small();
     let to = name("c2");
-    let mut opener = Opener::new(to.clone(), keys(&[1]), bounds.clone());
-    let (here, there) = (Session([1; 16]), Session([2; 16]));
-    let sealer = |from, session| StreamSealer::new(from, to.clone(), keys(&[1]), &bounds, session);
+    let mut opener = Opener::new(to.clone(), keys(&[1]), limits.clone());
+    let (here, there) = (ConnectionNonce([1; 16]), ConnectionNonce([2; 16]));
+    let sealer = |from, session| StreamSealer::new(from, to.clone(), keys(&[1]), &limits, session);
     let mut c1s = sealer(who("c1", 7), here);
     let frames: Vec<_> = (0..4)
         .map(|kind| c1s.seal(kind, &[kind; 60]).unwrap())
         .collect();
-    assert_eq!(c1s.seal(0, &[0; 61]), Err(Refused::TooLong));
+    assert_eq!(c1s.seal(0, &[0; 61]), Err(FrameError::TooLong));
     let mut inbound = Inbound::new(here);
     let elsewhere = sealer(who("c1", 7), there).seal(0, b"x").unwrap();
     let mut other_life = sealer(who("c1", 8), here);
     other_life.next = 2;
     let wrong = [
-        (elsewhere, Refused::Mac),
-        (c1(7, &bounds).seal(&to, 0, b"x").unwrap(), Refused::Channel),
-        (frames[2].clone(), Refused::Order),
-        (frames[0].clone(), Refused::Order),
-        (other_life.seal(0, b"x").unwrap(), Refused::OtherSender),
+        (elsewhere, FrameError::Mac),
+        (
+            c1(7, &limits).seal(&to, 0, b"x").unwrap(),
+            FrameError::Channel,
+        ),
+        (frames[2].clone(), FrameError::Order),
+        (frames[0].clone(), FrameError::Order),
+        (other_life.seal(0, b"x").unwrap(), FrameError::OtherSender),
     ];
     opener.stream(0, &mut inbound, &frames[0]).unwrap();
     for (frame, why) in wrong {
@@ -195,7 +204,7 @@
         assert_eq!((opener.clone(), inbound.clone()), before);
     }
     for (kind, frame) in frames.iter().enumerate().skip(1) {
-        assert_eq!(frame_length(length_prefix(frame), &bounds), Ok(frame.len()));
+        assert_eq!(frame_length(length_prefix(frame), &limits), Ok(frame.len()));
         let opened = opener.stream(0, &mut inbound, frame).unwrap();
         assert_eq!(
             (opened.kind, opened.payload),
@@ -204,27 +213,30 @@
     }
     // A new life heard anywhere ends the old one's connections.
     opener
-        .datagram(0, &c1(8, &bounds).seal(&to, 0, b"x").unwrap())
+        .datagram(0, &c1(8, &limits).seal(&to, 0, b"x").unwrap())
         .unwrap();
     let late = c1s.seal(0, b"x").unwrap();
     assert_eq!(
         opener.stream(0, &mut inbound, &late).unwrap_err(),
-        Refused::OldIncarnation
+        FrameError::OldIncarnation
+    );
+    assert_eq!(frame_length([255; 4], &limits), Err(FrameError::TooLong));
+    assert_eq!(
+        frame_length([1, 0, 0, 0], &limits),
+        Err(FrameError::Malformed)
     );
-    assert_eq!(frame_length([255; 4], &bounds), Err(Refused::TooLong));
-    assert_eq!(frame_length([1, 0, 0, 0], &bounds), Err(Refused::Malformed));
 }
 
 #[test]
 fn a_sender_gets_its_burst_and_then_its_rate_and_takes_nothing_from_others() {
-    let bounds = Bounds {
-        per_second: 10,
+    let limits = FrameLimits {
+        frames_per_second: 10,
         burst: 5,
         ..small()
     };
     let to = name("c2");
-    let mut opener = Opener::new(to.clone(), keys(&[1]), bounds.clone());
-    let mut sealer = c1(1, &bounds);
+    let mut opener = Opener::new(to.clone(), keys(&[1]), limits.clone());
+    let mut sealer = c1(1, &limits);
     let mut flood = |opener: &mut Opener, now| {
         (0..100)
             .filter(|_| {
@@ -241,12 +253,12 @@
     assert_eq!(flood(&mut opener, 400_000), 3);
     assert_eq!(flood(&mut opener, u64::MAX), 5);
     // Neither does a new life help, nor does it cost another sender anything.
-    let again = c1(2, &bounds).seal(&to, 0, b"").unwrap();
+    let again = c1(2, &limits).seal(&to, 0, b"").unwrap();
     assert_eq!(
         opener.datagram(u64::MAX, &again).unwrap_err(),
-        Refused::Rate
+        FrameError::Rate
     );
-    let c3 = Sealer::new(who("c3", 1), keys(&[1]), &bounds)
+    let c3 = Sealer::new(who("c3", 1), keys(&[1]), &limits)
         .seal(&to, 0, b"")
         .unwrap();
     opener.datagram(u64::MAX, &c3).unwrap();
@@ -296,7 +308,7 @@
                 1 => highest.saturating_sub(by),
                 _ => highest + by,
             };
-            let wanted = sequence > 0 && sequence + WINDOW > highest && !taken.contains(&sequence);
+            let wanted = sequence > 0 && sequence + REPLAY_WINDOW > highest && !taken.contains(&sequence);
             prop_assert_eq!(window.is_fresh(sequence), wanted, "{} below {}", sequence, highest);
             if wanted {
                 window.take(sequence);
@@ -313,8 +325,8 @@
         refuses(&mut opener, &bytes, "noise");
         refuses(&mut opener, &framed, "noise behind a head");
         framed[1] = STREAM;
-        let mut inbound = Inbound::new(Session([0; 16]));
+        let mut inbound = Inbound::new(ConnectionNonce([0; 16]));
         prop_assert!(opener.stream(0, &mut inbound, &framed).is_err());
-        prop_assert_eq!(inbound, Inbound::new(Session([0; 16])));
+        prop_assert_eq!(inbound, Inbound::new(ConnectionNonce([0; 16])));
     }
 }
--- a/src/fleet/transport/sites.rs
+++ b/src/fleet/transport/sites.rs
@@ -6,7 +6,7 @@
 //! since a connection alone may be taken by something in between.
 
 use super::history::History;
-use super::{Fleet, Told};
+use super::{Fleet, FleetEvent};
 use crate::dispatch::{Clock, DispatcherEvent, DispatcherHandle};
 use crate::fleet::MemberName;
 use crate::fleet::membership;
@@ -33,7 +33,7 @@
 const TRY: &[u8] = b"HEAD / HTTP/1.1\r\nhost: whinhaven\r\nconnection: close\r\n\r\n";
 
 /// What the conductor has of its hosts.
-pub struct Seen {
+pub struct ModelHosts {
     /// Where they are.
     pub directory: Rc<Directory>,
     /// Who chooses among them.
@@ -46,7 +46,7 @@
 pub struct Sites {
     fleet: Fleet,
     clock: Clock,
-    hosts: Seen,
+    hosts: ModelHosts,
     /// The list as it came, without weights of a plan.
     list: RefCell<BTreeMap<WorkerId, Endpoint>>,
     names: Vec<String>,
@@ -70,7 +70,7 @@
     ///
     /// # Errors
     /// A loss for which there is no plan.
-    pub async fn plan(tables: describe::Fleet) -> Result<Plans, PlanError> {
+    pub async fn build_plans(tables: describe::Fleet) -> Result<Plans, PlanError> {
         match tokio::task::spawn_blocking(move || Plans::new(tables)).await {
             Ok(plans) => plans,
             Err(failed) => std::panic::resume_unwind(failed.into_panic()),
@@ -81,7 +81,7 @@
     pub fn start(
         fleet: Fleet,
         clock: Clock,
-        hosts: Seen,
+        hosts: ModelHosts,
         plans: Plans,
         own: usize,
         seed: u64,
@@ -95,7 +95,7 @@
             own,
             of: tables.site.iter().map(|s| s.conductors).collect(),
             member: RefCell::new(Member::new(&plans, own, seed)),
-            conductors: RefCell::new([(fleet.who().name, (own, true))].into()),
+            conductors: RefCell::new([(fleet.instance().name, (own, true))].into()),
             had: RefCell::new(vec![0; tables.site.len()]),
             tries: Cell::new(0),
             every: Duration::from_millis(tables.watch.reached_ms.max(1)),
@@ -104,9 +104,9 @@
             fleet: fleet.clone(),
         });
         let listener = Rc::downgrade(&sites);
-        fleet.listen(Box::new(move |told| {
+        fleet.add_listener(Box::new(move |event| {
             if let Some(sites) = listener.upgrade() {
-                sites.told(told);
+                sites.on_fleet_event(event);
             }
         }));
         tokio::task::spawn_local(sites.clone().keep_time());
@@ -115,7 +115,7 @@
     }
 
     /// Looks at a list that has come, and writes into it what the orders change.
-    pub fn weigh(self: &Rc<Self>, kind: EndpointUpdate, entries: &mut [Endpoint]) {
+    pub fn apply_weights(self: &Rc<Self>, kind: EndpointUpdate, entries: &mut [Endpoint]) {
         {
             let mut list = self.list.borrow_mut();
             if matches!(kind, EndpointUpdate::Full | EndpointUpdate::Restored) {
@@ -169,35 +169,36 @@
     }
 
     fn history(&self) -> History {
-        History(self.fleet.who())
+        History(self.fleet.instance())
     }
 
-    fn told(self: &Rc<Self>, told: &Told) {
-        match told {
-            Told::Life(_) => self.handle(Event::Pacing(false)),
-            Told::View(change) => self.seen(change),
-            Told::Leading(leader) => {
-                let me = self.fleet.who().name;
+    fn on_fleet_event(self: &Rc<Self>, event: &FleetEvent) {
+        match event {
+            FleetEvent::IncarnationStarted(_) => self.handle(Event::Pacing(false)),
+            FleetEvent::MembershipChanged(change) => self.seen(change),
+            FleetEvent::LeaderChanged(leader) => {
+                let me = self.fleet.instance().name;
                 self.handle(Event::Seen(watch::Event::Group {
                     in_touch: leader.is_some(),
                 }));
                 self.handle(Event::Pacing(*leader == Some(&me)));
             }
-            Told::Effect(_, StateChange::Sites(effect)) => match effect {
+            FleetEvent::StateChanged(_, StateChange::Sites(effect)) => match effect {
                 epoch::Effect::Standing {
                     epoch,
                     site,
                     from,
                     to,
                 } => {
-                    self.history().site_epoch(*epoch, site.as_str(), *from, *to);
+                    self.history()
+                        .site_standing_changed(*epoch, site.as_str(), *from, *to);
                 }
                 epoch::Effect::Settled { epoch } => self.history().site_settled(*epoch),
                 epoch::Effect::Refused(command) => log::debug!("sites: refused: {command:?}"),
             },
-            Told::Sites(table) => self.agreed(table),
-            Told::Restored(state) => self.agreed(state.sites()),
-            Told::MayAct(_) | Told::Effect(..) => {}
+            FleetEvent::SitesChanged(table) => self.agreed(table),
+            FleetEvent::SnapshotRestored(state) => self.agreed(state.sites()),
+            FleetEvent::SessionValid(_) | FleetEvent::StateChanged(..) => {}
         }
     }
 
@@ -246,7 +247,9 @@
                     });
                 }
                 Action::Probe { site } => self.try_host(site),
-                Action::Changed(change) => self.history().site(&self.names[change.site], &change),
+                Action::Changed(change) => self
+                    .history()
+                    .site_status_changed(&self.names[change.site], &change),
                 Action::Orders(_) => self.obey(),
                 Action::NoPlan(why) => self.history().note(&format!("sites: {why}")),
             }
--- a/src/fleet/transport/work.rs
+++ b/src/fleet/transport/work.rs
@@ -1,11 +1,11 @@
-//! Work in hand, carried out: asks the fleet before something goes out, and releases what ended lives have left.
+//! TakeoverClient in hand, carried out: asks the fleet before something goes out, and releases what ended lives have left.
 //!
-//! [`Work`] drives [`WorkRecorder`] with the program's clock and proposals. [`Recording`] stands
+//! [`TakeoverClient`] drives [`WorkRecorder`] with the program's clock and proposals. [`RecordingOutbound`] stands
 //! between the dispatcher and the client side: what goes to a model host is written down first, and taken off the record when
 //! nothing of its request is left.
 
 use super::history::History;
-use super::{Fleet, Told};
+use super::{Fleet, FleetEvent};
 use crate::dispatch::{
     Attempt, Clock, DispatcherEvent, DispatcherHandle, Outbound, ReleaseProgress,
 };
@@ -36,11 +36,11 @@
 /// Releases of adopted sends that are out at once.
 const MOST_RELEASES: usize = 32;
 
-/// Told the name of a request that another conductor has taken over.
+/// FleetEvent the name of a request that another conductor has taken over.
 type Moved = Box<dyn Fn(&str)>;
 
 /// The fleet's records of work in hand, as the rest of the program asks them.
-pub struct Work {
+pub struct TakeoverClient {
     fleet: Fleet,
     clock: Clock,
     settings: TakeoverConfig,
@@ -55,11 +55,11 @@
     orphans: Notify,
 }
 
-impl Work {
+impl TakeoverClient {
     /// Begins to listen to the fleet.
     pub fn start(fleet: Fleet, clock: Clock, settings: TakeoverConfig) -> Rc<Self> {
-        let hands = WorkRecorder::new(fleet.who(), settings.most_waiting);
-        let work = Rc::new(Work {
+        let hands = WorkRecorder::new(fleet.instance(), settings.most_waiting);
+        let work = Rc::new(TakeoverClient {
             fleet: fleet.clone(),
             clock,
             settings,
@@ -73,11 +73,11 @@
             orphans: Notify::new(),
         });
         // What happened before this could listen.
-        work.handle(Event::LeaseValid(fleet.lives()));
+        work.handle(Event::LeaseValid(fleet.session_valid()));
         let listener = Rc::downgrade(&work);
-        fleet.listen(Box::new(move |told| {
+        fleet.add_listener(Box::new(move |event| {
             if let Some(work) = listener.upgrade() {
-                work.told(told);
+                work.on_fleet_event(event);
             }
         }));
         tokio::task::spawn_local(work.clone().keep_time());
@@ -85,7 +85,7 @@
     }
 
     /// Room, as this conductor's settings allow it.
-    pub fn bounds(&self) -> Capacity {
+    pub fn capacity(&self) -> Capacity {
         Capacity {
             records: self.settings.most_records,
             bytes: self.settings.most_bytes,
@@ -98,22 +98,22 @@
     }
 
     /// Whether this conductor may act at this very moment.
-    pub fn may_act(&self) -> bool {
-        self.fleet.lives()
+    pub fn session_valid(&self) -> bool {
+        self.fleet.session_valid()
     }
 
     /// This conductor's history.
     pub fn history(&self) -> History {
-        History(self.fleet.who())
+        History(self.fleet.instance())
     }
 
     /// Has a function called with the name of each request that another conductor has taken over.
-    pub fn on_moved(&self, moved: impl Fn(&str) + 'static) {
+    pub fn on_request_moved(&self, moved: impl Fn(&str) + 'static) {
         self.moved.borrow_mut().push(Box::new(moved));
     }
 
     /// Asks whether something may go out, and waits for the answer until `until` at the latest.
-    pub async fn ask(self: &Rc<Self>, command: work::Command, until: Micros) -> Decision {
+    pub async fn request_until(self: &Rc<Self>, command: work::Command, until: Micros) -> Decision {
         let ticket = self.ticket();
         let (answer, answered) = oneshot::channel();
         self.verdicts.borrow_mut().insert(ticket, answer);
@@ -124,7 +124,7 @@
         });
         let verdict = answered.await.unwrap_or(Decision::LeaseLost);
         // The machine's word may be as old as the last event: the clock is read anew before anything is let out.
-        if verdict == Decision::Proceed && !self.may_act() {
+        if verdict == Decision::Proceed && !self.session_valid() {
             Decision::LeaseLost
         } else {
             verdict
@@ -132,30 +132,34 @@
     }
 
     /// Asks, with the time that the settings give a record to be written.
-    pub async fn ask_soon(self: &Rc<Self>, command: work::Command) -> Decision {
+    pub async fn request_record(self: &Rc<Self>, command: work::Command) -> Decision {
         let until = self.clock.now() + self.settings.record_within_ms * 1_000;
-        self.ask(command, until).await
+        self.request_until(command, until).await
     }
 
     /// Asks, with the time that a client may wait for a conductor that may be dying, and not past its deadline.
-    pub async fn ask_for(self: &Rc<Self>, command: work::Command, deadline: Micros) -> Decision {
+    pub async fn request_claim(
+        self: &Rc<Self>,
+        command: work::Command,
+        deadline: Micros,
+    ) -> Decision {
         let within = self.clock.now() + self.settings.claim_within_ms * 1_000;
-        self.ask(command, within.min(deadline)).await
+        self.request_until(command, within.min(deadline)).await
     }
 
     /// Asks, with a wait of the asker's beside the time that a record takes.
-    pub async fn ask_within(
+    pub async fn request_with_extra_wait(
         self: &Rc<Self>,
         command: work::Command,
         patience: Duration,
     ) -> Decision {
         let record = Duration::from_millis(self.settings.record_within_ms);
         let until = self.clock.now() + (record + patience).as_micros() as Micros;
-        self.ask(command, until).await
+        self.request_until(command, until).await
     }
 
     /// Tells the group until it is written, and waits for that no longer than a record may take.
-    pub async fn told_soon(self: &Rc<Self>, command: work::Command) {
+    pub async fn report_and_wait(self: &Rc<Self>, command: work::Command) {
         let (written, told) = oneshot::channel();
         let ticket = self.ticket();
         self.written.borrow_mut().insert(ticket, written);
@@ -169,7 +173,7 @@
     }
 
     /// Tells the group; nobody waits.
-    pub fn tell(self: &Rc<Self>, command: work::Command) {
+    pub fn report(self: &Rc<Self>, command: work::Command) {
         let ticket = self.ticket();
         self.handle(Event::Report {
             operation: ticket,
@@ -203,7 +207,7 @@
                     }
                 }
                 Action::RequestMoved { name } => {
-                    self.history().moved(&name);
+                    self.history().request_moved(&name);
                     self.moved.borrow().iter().for_each(|moved| moved(&name));
                 }
             }
@@ -213,7 +217,7 @@
 
     fn propose(self: &Rc<Self>, ticket: OperationId, command: work::Command) {
         let work = self.clone();
-        let me = self.fleet.who();
+        let me = self.fleet.instance();
         tokio::task::spawn_local(async move {
             let reply = match work.fleet.propose(Command::Takeover(command)).await {
                 Ok(ProposalResult::Takeover(reply)) => Some(reply),
@@ -227,7 +231,7 @@
                 tokio::time::sleep(AGAIN).await;
             }
             // Another life's machine has other questions.
-            if work.fleet.who() == me {
+            if work.fleet.instance() == me {
                 if reply.is_some()
                     && let Some(written) = work.written.borrow_mut().remove(&ticket)
                 {
@@ -241,16 +245,16 @@
         });
     }
 
-    fn told(self: &Rc<Self>, told: &Told) {
-        match told {
-            Told::Life(who) => {
+    fn on_fleet_event(self: &Rc<Self>, event: &FleetEvent) {
+        match event {
+            FleetEvent::IncarnationStarted(who) => {
                 *self.hands.borrow_mut() =
                     WorkRecorder::new((*who).clone(), self.settings.most_waiting);
                 // Dropped unanswered: whoever asked in the life before hears that it may not act.
                 self.verdicts.borrow_mut().clear();
             }
-            Told::MayAct(may) => self.handle(Event::LeaseValid(*may)),
-            Told::Effect(_, StateChange::Takeover(notice)) => {
+            FleetEvent::SessionValid(may) => self.handle(Event::LeaseValid(*may)),
+            FleetEvent::StateChanged(_, StateChange::Takeover(notice)) => {
                 match notice {
                     RecordChange::Orphaned { ended: dead, .. } => self.orphan(dead.clone()),
                     RecordChange::TakenOver { ended: dead, .. } => {
@@ -260,7 +264,7 @@
                 }
                 self.handle(Event::RecordChanged(notice.clone()));
             }
-            Told::Restored(state) => {
+            FleetEvent::SnapshotRestored(state) => {
                 let work = state.work();
                 self.orphaned.borrow_mut().clear();
                 work.orphaned_incarnations()
@@ -268,7 +272,10 @@
                 // What is waited for may have happened under the snapshot.
                 self.handle(Event::SnapshotRestored);
             }
-            Told::View(_) | Told::Effect(..) | Told::Leading(_) | Told::Sites(_) => {}
+            FleetEvent::MembershipChanged(_)
+            | FleetEvent::StateChanged(..)
+            | FleetEvent::LeaderChanged(_)
+            | FleetEvent::SitesChanged(_) => {}
         }
     }
 
@@ -293,14 +300,14 @@
 
     /// Adopts what ended lives have left at model hosts, and has it released. Each member waits for a time of its own
     /// first, so that mostly one asks; the log lets one have it.
-    pub async fn adopt(self: Rc<Self>, members: usize, outbound: Rc<dyn Outbound>) {
+    pub async fn adopt_orphans(self: Rc<Self>, members: usize, outbound: Rc<dyn Outbound>) {
         loop {
             let next = self.orphaned.borrow().front().cloned();
             let Some(dead) = next else {
                 self.orphans.notified().await;
                 continue;
             };
-            let me = self.fleet.who();
+            let me = self.fleet.instance();
             let drawn = xxh3_64(format!("{me} {dead}").as_bytes())
                 % (ADOPT_SPAN_US * members.max(1) as u64);
             tokio::time::sleep(Duration::from_micros(drawn)).await;
@@ -316,7 +323,7 @@
             match answer {
                 Ok(ProposalResult::Takeover(Reply::TakenOver(sends))) => {
                     self.orphaned.borrow_mut().retain(|d| *d != dead);
-                    History(me).adopted(&dead, sends.len());
+                    History(me).orphans_adopted(&dead, sends.len());
                     self.release_all(sends, &outbound).await;
                 }
                 Ok(ProposalResult::Takeover(Reply::Rejected(Rejection::NothingToTakeOver))) => {
@@ -352,7 +359,7 @@
             }
         }
         for ids in over.chunks(MAX_IDS_PER_COMMAND) {
-            self.tell(work::Command::CompleteSends { ids: ids.to_vec() });
+            self.report(work::Command::CompleteSends { ids: ids.to_vec() });
         }
     }
 
@@ -386,16 +393,16 @@
         releasing.over().await;
         let taken = !releasing.is_cut_short();
         if taken {
-            self.history().released(id, worker);
+            self.history().send_released(id, worker);
         }
         taken
     }
 }
 
 /// An [`Outbound`] that writes each send down before it goes out.
-pub struct Recording {
+pub struct RecordingOutbound {
     inner: Rc<dyn Outbound>,
-    work: Rc<Work>,
+    work: Rc<TakeoverClient>,
     dispatcher: DispatcherHandle,
     reads: Box<dyn Fn(&WorkerId) -> bool>,
     /// What is on record, by id.
@@ -412,16 +419,16 @@
     releasing: Option<Rc<ReleaseProgress>>,
 }
 
-impl Recording {
+impl RecordingOutbound {
     /// Stands before `inner`; `reads` says whether a host only reads.
     pub fn start(
         inner: Rc<dyn Outbound>,
-        work: Rc<Work>,
+        work: Rc<TakeoverClient>,
         dispatcher: DispatcherHandle,
         reads: Box<dyn Fn(&WorkerId) -> bool>,
     ) -> Rc<Self> {
         let noted = RefCell::default();
-        let recording = Rc::new(Recording {
+        let recording = Rc::new(RecordingOutbound {
             inner,
             work,
             dispatcher,
@@ -466,7 +473,7 @@
             }
             for ids in over.chunks(MAX_IDS_PER_COMMAND) {
                 self.work
-                    .tell(work::Command::CompleteSends { ids: ids.to_vec() });
+                    .report(work::Command::CompleteSends { ids: ids.to_vec() });
             }
         }
     }
@@ -475,7 +482,7 @@
 /// A handle on itself, for what goes on after a call has returned.
 struct Going {
     inner: Rc<dyn Outbound>,
-    work: Rc<Work>,
+    work: Rc<TakeoverClient>,
     dispatcher: DispatcherHandle,
 }
 
@@ -486,7 +493,7 @@
         let verdict = tokio::select! {
             biased;
             _ = &mut attempt.cancelled => return self.not_sent(&attempt, AttemptOutcome::Cancelled),
-            verdict = self.work.ask(command, within.min(most)) => verdict,
+            verdict = self.work.request_until(command, within.min(most)) => verdict,
         };
         match verdict {
             Decision::Proceed => self.inner.send(attempt),
@@ -512,7 +519,7 @@
     }
 }
 
-impl Outbound for Recording {
+impl Outbound for RecordingOutbound {
     fn send(&self, attempt: Attempt) {
         let call = &attempt.call;
         let (worker, releasing) = (attempt.worker.clone(), None);
@@ -536,7 +543,7 @@
             name: call.name.clone(),
             read_only: (self.reads)(&attempt.worker),
             max_attempts: attempt.max_attempts,
-            capacity: self.work.bounds(),
+            capacity: self.work.capacity(),
         };
         let going = Going {
             inner: self.inner.clone(),
--- a/src/front/jsonrpc.rs
+++ b/src/front/jsonrpc.rs
@@ -12,7 +12,7 @@
 use super::shared::{COME_BACK, CUT_OFF, MOST_BODY, Shared};
 use crate::config::ToolSettings;
 use crate::exchange::{Answer, Call, Feed, Frame, Presence, is_plain_id};
-use crate::fleet::transport::work::Work;
+use crate::fleet::transport::work::TakeoverClient;
 use crate::fleet::work::FinalResponse;
 use crate::routing::types::{Micros, RequestId, RequestSpec};
 use bytes::{Bytes, BytesMut};
@@ -319,7 +319,7 @@
     next: Cell<u64>,
     seed: u64,
     /// The fleet's records, where other conductors take work over.
-    work: Option<Rc<Work>>,
+    work: Option<Rc<TakeoverClient>>,
     /// Where clients reach it.
     pub path: String,
 }
@@ -422,7 +422,7 @@
         settings: ToolSettings,
         connect_timeout: Duration,
         seed: u64,
-        work: Option<Rc<Work>>,
+        work: Option<Rc<TakeoverClient>>,
     ) -> Rc<Self> {
         let path = settings.listen_path.clone();
         let ledger = Ledger::new(settings, connect_timeout, shared.counters.clone());
@@ -438,7 +438,7 @@
         });
         if let Some(work) = work {
             let moved = Rc::downgrade(&front);
-            work.on_moved(move |name| {
+            work.on_request_moved(move |name| {
                 if let Some(front) = moved.upgrade() {
                     front.end(name, Stop::Moved);
                 }
--- a/src/front/record.rs
+++ b/src/front/record.rs
@@ -1,7 +1,7 @@
 //! The tool-call front's side of the fleet's records: a claim to a named request, and what is written under it.
 
 use super::ledger::{NEVER_RAN, NO_ROOM, Outcome, REUSED, ToolError, UNKNOWN};
-use crate::fleet::transport::work::Work;
+use crate::fleet::transport::work::TakeoverClient;
 use crate::fleet::work::recorder::Decision;
 use crate::fleet::work::{CallState, ClientRequestRecord, Command, FinalResponse, Rejection};
 use crate::routing::types::Micros;
@@ -17,7 +17,7 @@
 pub struct Claim(Rc<Held>);
 
 struct Held {
-    work: Rc<Work>,
+    work: Rc<TakeoverClient>,
     name: String,
     generation: u64,
     ended: Cell<bool>,
@@ -28,7 +28,7 @@
     fn drop(&mut self) {
         if !self.ended.get() {
             let (name, generation) = (self.name.clone(), self.generation);
-            self.work.tell(Command::Release {
+            self.work.report(Command::Release {
                 name,
                 generation,
                 not_executed: self.harmless.get(),
@@ -80,20 +80,20 @@
 impl Claim {
     /// Asks the fleet for a request, until `deadline` at the latest.
     pub async fn ask(
-        work: &Rc<Work>,
+        work: &Rc<TakeoverClient>,
         name: &str,
         once: bool,
         resumes: bool,
         deadline: Micros,
     ) -> Claimed {
-        let bounds = work.bounds();
+        let bounds = work.capacity();
         let command = Command::Claim {
             name: name.into(),
             at_most_once: once,
             resume: resumes,
             capacity: bounds,
         };
-        match work.ask_for(command, deadline).await {
+        match work.request_claim(command, deadline).await {
             Decision::Claimed(record) => Claimed::Mine(Claim::new(work, name, &record)),
             Decision::Completed(answer) => Claimed::Ended(answer),
             Decision::OwnedBy(_) => Claimed::InHand,
@@ -102,9 +102,9 @@
         }
     }
 
-    fn new(work: &Rc<Work>, name: &str, record: &ClientRequestRecord) -> Self {
+    fn new(work: &Rc<TakeoverClient>, name: &str, record: &ClientRequestRecord) -> Self {
         let (work, name, generation) = (work.clone(), name.to_owned(), record.generation);
-        work.history().claimed(&name, generation);
+        work.history().request_claimed(&name, generation);
         Claim(Rc::new(Held {
             work,
             name,
@@ -134,13 +134,13 @@
         let (name, generation) = self.key();
         self.0
             .work
-            .tell(Command::ResponseStarted { name, generation });
+            .report(Command::ResponseStarted { name, generation });
     }
 
     /// Asks to make a tool call. `None`: it may go out now, and by this conductor alone. Else its outcome.
     pub async fn call(&self, ordinal: u32, arguments: u128, patience: Duration) -> Option<Outcome> {
         let (name, generation) = self.key();
-        let bounds = self.0.work.bounds();
+        let bounds = self.0.work.capacity();
         let command = Command::StartCall {
             name,
             generation,
@@ -149,9 +149,12 @@
             capacity: bounds,
         };
         // Another conductor may be at it: its outcome is worth the wait that a call may take.
-        let error = match self.0.work.ask_within(command, patience).await {
+        let error = match self.0.work.request_with_extra_wait(command, patience).await {
             Decision::Proceed => {
-                self.0.work.history().call_out(&self.0.name, ordinal);
+                self.0
+                    .work
+                    .history()
+                    .tool_call_started(&self.0.name, ordinal);
                 return None;
             }
             Decision::KnownCall(CallState::Completed(outcome)) => return Some(decode(&outcome)),
@@ -169,13 +172,16 @@
         let (name, outcome) = (self.0.name.clone(), (!never).then(|| encode(outcome)));
         self.0
             .work
-            .told_soon(Command::CompleteCall {
+            .report_and_wait(Command::CompleteCall {
                 name,
                 ordinal,
                 outcome,
             })
             .await;
-        self.0.work.history().call_ended(&self.0.name, ordinal);
+        self.0
+            .work
+            .history()
+            .tool_call_recorded(&self.0.name, ordinal);
     }
 
     /// Writes the final answer down. The answer that stands: this one, an earlier one, or none if this conductor can't
@@ -187,13 +193,13 @@
             generation,
             response: answer.clone(),
         };
-        let stands = match self.0.work.ask_soon(command).await {
+        let stands = match self.0.work.request_record(command).await {
             Decision::Proceed => Some(answer),
             Decision::Completed(earlier) => Some(earlier),
             _ => None,
         };
         if stands.is_some() {
-            self.0.work.history().answered(&self.0.name);
+            self.0.work.history().answer_recorded(&self.0.name);
         }
         self.0.ended.set(stands.is_some());
         stands
@@ -203,7 +209,7 @@
     pub fn ends(&self, answer: FinalResponse) {
         let (name, generation) = self.key();
         self.0.ended.set(true);
-        self.0.work.tell(Command::Complete {
+        self.0.work.report(Command::Complete {
             name,
             generation,
             response: answer,
--- a/src/front/shared.rs
+++ b/src/front/shared.rs
@@ -3,7 +3,9 @@
 use crate::admin::metrics::Metrics;
 use crate::counters::Counters;
 use crate::dispatch::DispatcherHandle;
-use crate::fleet::transport::policy::{Gate, Pass, Shut, once};
+use crate::fleet::transport::policy::{
+    AdmissionError, PolicyGate, PolicyPermit, non_repeatable_classes,
+};
 use crate::routing::types::{Micros, RequestClass};
 use crate::shutdown::{AdmissionPermit, Shutdown};
 use std::cell::{Cell, RefCell};
@@ -24,7 +26,7 @@
     /// Classes that the settings in force name.
     pub classes: RefCell<Vec<RequestClass>>,
     /// Lets requests begin under the fleet's policy, where there is one.
-    pub gate: Option<Rc<Gate>>,
+    pub gate: Option<Rc<PolicyGate>>,
     /// Whether the conductor can serve.
     pub ready: Box<dyn Fn() -> bool>,
     /// Whether new requests may be taken: in a fleet, whether the conductor's right to act stands at this moment.
@@ -49,7 +51,7 @@
 
     /// Whether requests of this class must not run twice.
     pub fn is_once(&self, class: &str) -> bool {
-        once(&self.classes.borrow()).any(|c| c.name == class)
+        non_repeatable_classes(&self.classes.borrow()).any(|c| c.name == class)
     }
 
     /// Admits a request that has just come whole.
@@ -79,17 +81,17 @@
     ///
     /// # Errors
     /// It can't begin now: the advice when to come back.
-    pub async fn begin(&self, deadline: Micros) -> Result<Option<Pass>, Micros> {
+    pub async fn begin(&self, deadline: Micros) -> Result<Option<PolicyPermit>, Micros> {
         let Some(gate) = &self.gate else {
             return Ok(None);
         };
-        match gate.begin(deadline).await {
+        match gate.admit(deadline).await {
             Ok(pass) => Ok(Some(pass)),
-            Err(Shut::CutOff) => {
+            Err(AdmissionError::NotServing) => {
                 self.counters.cut_off.up();
                 Err(CUT_OFF)
             }
-            Err(Shut::Waited) => {
+            Err(AdmissionError::TimedOut) => {
                 self.counters.over_bound.up();
                 Err(COME_BACK)
             }
--- a/src/logs.rs
+++ b/src/logs.rs
@@ -4,7 +4,9 @@
 use log::kv::{Error, Key, Value, VisitSource, VisitValue};
 use serde_json::{Map, Value as Json};
 use std::io::Write;
-use whinhaven::fleet::transport::history::{ACTS, BEGINS, RENEWALS, WORK};
+use whinhaven::fleet::transport::history::{
+    ACTS_TARGET, BEGINS_TARGET, RENEWALS_TARGET, WORK_TARGET,
+};
 
 /// How log lines are written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
@@ -18,7 +20,9 @@
 /// Starts the log.
 pub fn start(format: LogFormat) {
     // What comes once a period is for whoever reads by program.
-    let quiet = format!("info,{RENEWALS}=warn,{ACTS}=warn,{BEGINS}=warn,{WORK}=warn");
+    let quiet = format!(
+        "info,{RENEWALS_TARGET}=warn,{ACTS_TARGET}=warn,{BEGINS_TARGET}=warn,{WORK_TARGET}=warn"
+    );
     let default = if format == LogFormat::Json {
         "info"
     } else {
--- a/src/main.rs
+++ b/src/main.rs
@@ -98,14 +98,14 @@
         .build();
     runtime
         .map_err(|e| format!("runtime: {e}"))?
-        .block_on(admin::ask(&fleet, request))
+        .block_on(admin::query(&fleet, request))
 }
 
 /// Prints how a conductor sees its fleet.
 fn status(at: &Where) -> Result<(), String> {
     match ask(&at.file, Request::Status)? {
-        Reply::Status(report) if at.json => println!("{}", report.json()),
-        Reply::Status(report) => print!("{}", admin::table(&report)),
+        Reply::Status(report) if at.json => println!("{}", report.to_json()),
+        Reply::Status(report) => print!("{}", admin::status_table(&report)),
         other => return Err(unexpected(other)),
     }
     Ok(())
@@ -117,7 +117,7 @@
         .map(|name| MemberName::try_from(name.as_str()))
         .collect();
     match ask(file, Request::Voters(names.map_err(|e| e.to_string())?))? {
-        Reply::Asked => println!("asked; whinhaven fleet status tells what comes of it"),
+        Reply::Accepted => println!("asked; whinhaven fleet status tells what comes of it"),
         other => return Err(unexpected(other)),
     }
     Ok(())
--- a/src/policies.rs
+++ b/src/policies.rs
@@ -7,8 +7,8 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use whinhaven::fleet::config::FleetConfig;
 use whinhaven::fleet::policy_content as content;
-use whinhaven::fleet::policy_epoch::{self as epoch, Command, Outcome, Past};
-use whinhaven::fleet::transport::admin::{self, Policies, Reply, Request};
+use whinhaven::fleet::policy_epoch::{self as epoch, Command, FinishedProposal, Outcome};
+use whinhaven::fleet::transport::admin::{self, PolicyStatus, Reply, Request};
 
 /// Between two looks at how a proposal goes.
 const LOOK: Duration = Duration::from_millis(100);
@@ -41,19 +41,19 @@
     }
 
     fn ask(&self, request: Request) -> Result<Reply, String> {
-        self.runtime.block_on(admin::ask(&self.fleet, request))
+        self.runtime.block_on(admin::query(&self.fleet, request))
     }
 
-    fn policies(&self) -> Result<Policies, String> {
-        match self.ask(Request::Policies)? {
-            Reply::Policies(policies) => Ok(*policies),
+    fn policies(&self) -> Result<PolicyStatus, String> {
+        match self.ask(Request::PolicyStatus)? {
+            Reply::PolicyStatus(policies) => Ok(*policies),
             other => Err(unexpected(other)),
         }
     }
 
     fn command(&self, command: Command) -> Result<u64, String> {
         match self.ask(Request::Policy(command))? {
-            Reply::Policy(epoch::Reply::Taken(proposal)) => Ok(proposal),
+            Reply::Policy(epoch::Reply::Accepted(proposal)) => Ok(proposal),
             Reply::Policy(epoch::Reply::Done) => Ok(0),
             Reply::Policy(epoch::Reply::Refused(refusal)) => Err(refusal.to_string()),
             other => Err(unexpected(other)),
@@ -95,12 +95,12 @@
         .get_mut("settings")
         .map(serde_json::Value::take)
         .unwrap_or(value);
-    let (policy, own) = content::take(&settings).map_err(fault)?;
-    if policy.len() > epoch::MOST_CONTENT {
+    let (policy, own) = content::extract_policy(&settings).map_err(fault)?;
+    if policy.len() > epoch::MAX_CONTENT_BYTES {
         return Err(fault(format!(
             "{} bytes are above {}",
             policy.len(),
-            epoch::MOST_CONTENT
+            epoch::MAX_CONTENT_BYTES
         )));
     }
     if !own.is_empty() {
@@ -126,7 +126,7 @@
         .unwrap_or_default();
     let mark = (since.as_nanos() as u64) ^ (u64::from(std::process::id()) << 40);
     let command = Command::Propose {
-        mark,
+        nonce: mark,
         content,
         base: before.table.epoch(),
         only_check,
@@ -144,7 +144,7 @@
         let found = asker
             .policies()
             .ok()
-            .and_then(|p| p.table.past().find(|p| p.mark == mark).cloned());
+            .and_then(|p| p.table.finished().find(|p| p.nonce == mark).cloned());
         match found {
             Some(past) => break past,
             None if Instant::now() > until => {
@@ -158,10 +158,12 @@
     match past.outcome {
         Outcome::Checked => println!(
             "checked: all {} could; nothing was changed",
-            before.living.len()
+            before.live_members.len()
         ),
-        Outcome::Nowhere(why) => return Err(format!("nowhere: {why}")),
-        Outcome::Epoch(epoch) => println!("epoch {epoch} in force at {}", in_force(&asker, epoch)?),
+        Outcome::Rejected(why) => return Err(format!("nowhere: {why}")),
+        Outcome::InForce(epoch) => {
+            println!("epoch {epoch} in force at {}", in_force(&asker, epoch)?)
+        }
     }
     Ok(())
 }
@@ -170,8 +172,12 @@
 fn in_force(asker: &Asker, epoch: u64) -> Result<String, String> {
     let until = Instant::now() + ALL_OVER;
     loop {
-        let Policies { table, living, .. } = asker.policies()?;
-        let over = living.intersection(table.over()).count();
+        let PolicyStatus {
+            table,
+            live_members: living,
+            ..
+        } = asker.policies()?;
+        let over = living.intersection(table.switched_members()).count();
         if over == living.len() || table.epoch() != epoch || Instant::now() > until {
             return Ok(format!("{over} of {}", living.len()));
         }
@@ -179,8 +185,8 @@
     }
 }
 
-fn line(past: &Past) -> String {
-    let Past {
+fn line(past: &FinishedProposal) -> String {
+    let FinishedProposal {
         proposal,
         by,
         at_us,
@@ -190,17 +196,17 @@
         ..
     } = past;
     let outcome = match outcome {
-        Outcome::Epoch(epoch) => format!("epoch {epoch}"),
+        Outcome::InForce(epoch) => format!("epoch {epoch}"),
         Outcome::Checked => "checked".to_owned(),
-        Outcome::Nowhere(why) => format!("nowhere: {why}"),
+        Outcome::Rejected(why) => format!("nowhere: {why}"),
     };
     format!(
         "proposal {proposal} by {by} at {at_us} us, digest {digest:016x}: {outcome} ({difference})"
     )
 }
 
-fn history(policies: &Policies) -> Result<(), String> {
-    for past in policies.table.past() {
+fn history(policies: &PolicyStatus) -> Result<(), String> {
+    for past in policies.table.finished() {
         println!("{}", line(past));
     }
     if let Some(open) = policies.table.open() {
@@ -213,9 +219,13 @@
     Ok(())
 }
 
-fn show(policies: &Policies) -> Result<(), String> {
-    let Policies { table, living, .. } = policies;
-    let over = living.intersection(table.over()).count();
+fn show(policies: &PolicyStatus) -> Result<(), String> {
+    let PolicyStatus {
+        table,
+        live_members: living,
+        ..
+    } = policies;
+    let over = living.intersection(table.switched_members()).count();
     println!(
         "epoch {}, digest {:016x}",
         table.epoch(),
--- a/src/run.rs
+++ b/src/run.rs
@@ -20,9 +20,9 @@
 use whinhaven::counters::Counters;
 use whinhaven::dispatch::{Clock, Dispatcher, DispatcherHandle, Outbound};
 use whinhaven::fleet::LeaseName;
-use whinhaven::fleet::transport::policy::Gate;
-use whinhaven::fleet::transport::sites::{Seen, Sites};
-use whinhaven::fleet::transport::work::{Recording, Work};
+use whinhaven::fleet::transport::policy::PolicyGate;
+use whinhaven::fleet::transport::sites::{ModelHosts, Sites};
+use whinhaven::fleet::transport::work::{RecordingOutbound, TakeoverClient};
 use whinhaven::fleet::transport::{self, Fleet};
 use whinhaven::front::jsonrpc::Front;
 use whinhaven::front::shared::Shared;
@@ -128,12 +128,12 @@
 /// The duty of one conductor for all: asks discovery for its whole list once a period, while it holds the lease.
 async fn refresh(fleet: Fleet, period: Duration, fetch: impl Fn()) {
     let lease = LeaseName::try_from("discovery-refresh").expect("a name");
-    fleet.want(lease.clone()).await;
+    fleet.acquire_lease(lease.clone()).await;
     let mut periods = tokio::time::interval(period);
     periods.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         periods.tick().await;
-        fleet.act(&lease, |_| fetch());
+        fleet.act_under_lease(&lease, |_| fetch());
     }
 }
 
@@ -222,7 +222,7 @@
         .and_then(|f| config.sites.as_ref()?.site(f.site.as_str()));
     let plans = match (own, config.sites.clone()) {
         (Some(own), Some(tables)) => {
-            let plans = Sites::plan(tables)
+            let plans = Sites::build_plans(tables)
                 .await
                 .map_err(|e| ConfigError(format!("sites: {e}")))?;
             log::info!("sites: plans {:016x}", plans.fingerprint());
@@ -236,7 +236,7 @@
     };
     let sites = match (&fleet, plans) {
         (Some(fleet), Some((own, plans))) => {
-            let seen = Seen {
+            let seen = ModelHosts {
                 directory: directory.clone(),
                 dispatcher: dispatcher.clone(),
                 kinds: settings.kinds.clone(),
@@ -256,7 +256,8 @@
     let gate = match (&fleet, config.fleet.as_ref().and_then(|f| f.policy.clone())) {
         (Some(fleet), Some(policy)) => {
             let own = config.settings_table.clone();
-            let gate = Gate::start(fleet.clone(), dispatcher.clone(), live.clone(), policy, own);
+            let gate =
+                PolicyGate::start(fleet.clone(), dispatcher.clone(), live.clone(), policy, own);
             Some(gate.map_err(|e| ConfigError(format!("settings: {e}")))?)
         }
         _ => None,
@@ -269,8 +270,11 @@
             .and_then(|f| Some((f, f.takeover.clone()?))),
     ) {
         (Some(fleet), Some((settings, takeover))) => {
-            let work = Work::start(fleet.clone(), clock, takeover);
-            tokio::task::spawn_local(work.clone().adopt(settings.most_members, outbound.clone()));
+            let work = TakeoverClient::start(fleet.clone(), clock, takeover);
+            tokio::task::spawn_local(
+                work.clone()
+                    .adopt_orphans(settings.most_members, outbound.clone()),
+            );
             Some(work)
         }
         _ => None,
@@ -280,7 +284,7 @@
         let reads = Box::new(move |worker: &WorkerId| {
             directory.role(worker, &kinds) == Some(Role::Prefill)
         });
-        outbound = Recording::start(outbound, work.clone(), dispatcher.clone(), reads);
+        outbound = RecordingOutbound::start(outbound, work.clone(), dispatcher.clone(), reads);
     }
     let driver = Dispatcher::new(
         settings.clone(),
@@ -300,7 +304,7 @@
         fetch_list: fetch_list.clone(),
         counters: counters.clone(),
         weigh: sites.clone().map(|sites| {
-            Box::new(move |kind, entries: &mut [_]| sites.weigh(kind, entries)) as Weigh
+            Box::new(move |kind, entries: &mut [_]| sites.apply_weights(kind, entries)) as Weigh
         }),
         starts: RefCell::default(),
     };
--- a/src/run/orderly_end.rs
+++ b/src/run/orderly_end.rs
@@ -6,7 +6,7 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 use whinhaven::fleet::transport::Fleet;
-use whinhaven::fleet::transport::work::Work;
+use whinhaven::fleet::transport::work::TakeoverClient;
 use whinhaven::front::jsonrpc::Front;
 use whinhaven::net::client::Pending;
 use whinhaven::net::connections::Connections;
@@ -43,7 +43,7 @@
     /// The fleet, if this router is a member of one.
     pub fleet: Option<Fleet>,
     /// Records of requests in flight, if the fleet keeps them.
-    pub work: Option<Rc<Work>>,
+    pub work: Option<Rc<TakeoverClient>>,
     /// The tool-call front, if configured.
     pub front: Option<Rc<Front>>,
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -14,7 +14,7 @@
 use std::sync::mpsc;
 use std::time::Duration;
 use support::*;
-use whinhaven::fleet::transport::seal::{Bounds, Keys, Sealer};
+use whinhaven::fleet::transport::seal::{FrameLimits, Keys, Sealer};
 use whinhaven::fleet::{Incarnation, MemberInstance, MemberName};
 
 const KEY: &str = "00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff";
@@ -365,7 +365,7 @@
     let mut fleet = Fleet::new(1, "");
     fleet.settle();
     let peer = fleet.members[0].peer;
-    let bounds = Bounds::default();
+    let bounds = FrameLimits::default();
     let me = MemberInstance {
         name: MemberName::try_from("c7").unwrap(),
         incarnation: Incarnation(7),
--- a/tests/golden/commands.rs
+++ b/tests/golden/commands.rs
@@ -262,7 +262,7 @@
 
 fn propose(mark: u64, content: &str, base: u64, only_check: bool) -> Command {
     Command::Policy(policy_epoch::Command::Propose {
-        mark,
+        nonce: mark,
         content: content.into(),
         base,
         only_check,
@@ -283,7 +283,7 @@
 }
 
 fn gone_over(epoch: u64) -> Command {
-    Command::Policy(policy_epoch::Command::Over { epoch })
+    Command::Policy(policy_epoch::Command::Switched { epoch })
 }
 
 fn abort(proposal: u64) -> Command {
--- a/tests/golden_fleet.rs
+++ b/tests/golden_fleet.rs
@@ -15,7 +15,7 @@
 use whinhaven::fleet::message::Message;
 use whinhaven::fleet::raft::{HardState, LogEntry, RestoredState, Snapshot};
 use whinhaven::fleet::state::{FleetState, Proposal, ProposalResult, StateChange};
-use whinhaven::fleet::transport::disk::{Disk, Found};
+use whinhaven::fleet::transport::disk::{Disk, OpenedStore};
 use whinhaven::fleet::transport::seal;
 use whinhaven::fleet::{Incarnation, lease, node, policy_epoch, sites, work};
 use whinhaven::storage;
@@ -151,10 +151,10 @@
     seal::Keys::parse(&"0123456789abcdef".repeat(4)).unwrap()
 }
 
-const SESSION: seal::Session = seal::Session([7; 16]);
+const SESSION: seal::ConnectionNonce = seal::ConnectionNonce([7; 16]);
 
 fn frames() -> Vec<golden::Example<Vec<u8>>> {
-    let bounds = seal::Bounds::default();
+    let bounds = seal::FrameLimits::default();
     let (from, to) = (who("c1", 11), member("c2"));
     let mut datagrams = seal::Sealer::new(from.clone(), keys(), &bounds);
     let mut stream = seal::StreamSealer::new(from, to.clone(), keys(), &bounds, SESSION);
@@ -173,7 +173,7 @@
 #[test]
 fn kept_frames_are_opened() {
     let kept = lines(FRAMES);
-    let mut opener = seal::Opener::new(member("c2"), keys(), seal::Bounds::default());
+    let mut opener = seal::Opener::new(member("c2"), keys(), seal::FrameLimits::default());
     let mut inbound = seal::Inbound::new(SESSION);
     let datagram = opener.datagram(0, &kept[0]).unwrap();
     assert_eq!(datagram, opened(3, 1, b"payload"));
@@ -209,7 +209,7 @@
         copy
     }
 
-    fn open(&self) -> Found {
+    fn open(&self) -> OpenedStore {
         Disk::open(&self.0, storage::StoreConfig::default(), 0).unwrap()
     }
 }
@@ -241,7 +241,7 @@
 fn default_settings_keep_their_names_and_values() {
     assert_eq!(json(&node::Config::default()), SETTINGS);
     assert_eq!(json(&storage::StoreConfig::default()), STORE_SETTINGS);
-    assert_eq!(json(&seal::Bounds::default()), SEAL_BOUNDS);
+    assert_eq!(json(&seal::FrameLimits::default()), SEAL_BOUNDS);
 }
 
 #[test]
@@ -250,8 +250,8 @@
     assert_eq!(settings, node::Config::default());
     let store: storage::StoreConfig = serde_json::from_str(STORE_SETTINGS).unwrap();
     assert_eq!(store, storage::StoreConfig::default());
-    let bounds: seal::Bounds = serde_json::from_str(SEAL_BOUNDS).unwrap();
-    assert_eq!(bounds, seal::Bounds::default());
+    let bounds: seal::FrameLimits = serde_json::from_str(SEAL_BOUNDS).unwrap();
+    assert_eq!(bounds, seal::FrameLimits::default());
 }
 
 fn fleet_of(file: &str) -> FleetConfig {
