--- a/src/fleet/transport/admin.rs
+++ b/src/fleet/transport/admin.rs
@@ -3,7 +3,7 @@
 use super::seal::{
     ConnectionNonce, FrameLimits, Inbound, Keys, Opener, StreamSealer, frame_length, length_prefix,
 };
-use super::{ADMIN_FRAME, draw, frame_limits, within};
+use super::{ADMIN_FRAME, frame_limits, random_bytes, with_timeout};
 use crate::fleet::config::FleetConfig;
 use crate::fleet::node::NodeStatus;
 use crate::fleet::raft::VoterId;
@@ -97,7 +97,7 @@
 /// A request with what the reply is sealed for.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct RequestEnvelope {
-    pub session: [u8; 16],
+    pub nonce: [u8; 16],
     pub request: Request,
 }
 
@@ -121,7 +121,7 @@
     let mut failures = String::new();
     for (name, address) in std::iter::once(own).chain(peers) {
         let asked = query_one(name, *address, &keys, &limits, request.clone());
-        match within(ANSWER, asked).await {
+        match with_timeout(ANSWER, asked).await {
             Ok(reply) => return Ok(reply),
             Err(error) => {
                 let gap = if failures.is_empty() { "" } else { "; " };
@@ -154,12 +154,12 @@
         limits,
         ConnectionNonce(session),
     );
-    let answer = draw()?;
+    let answer = random_bytes()?;
     let frame = sealer
         .seal(
             ADMIN_FRAME,
             &encode(&RequestEnvelope {
-                session: answer,
+                nonce: answer,
                 request,
             }),
         )
@@ -181,7 +181,7 @@
     let mut opener = Opener::new(own, keys.clone(), limits.clone());
     let mut inbound = Inbound::new(ConnectionNonce(answer));
     let opened = opener
-        .stream(0, &mut inbound, &frame)
+        .open_stream_frame(0, &mut inbound, &frame)
         .map_err(io::Error::other)?;
     if opened.from.name != *name {
         return Err(io::Error::other("another member answered"));
--- a/src/fleet/transport/disk.rs
+++ b/src/fleet/transport/disk.rs
@@ -1,4 +1,4 @@
-//! The member's store: what the group writes, in the form that it is kept in.
+//! The member's store: encodes the writes of the Raft group and passes them to the log store.
 
 use crate::fleet::raft::{HardState, RestoredState, StorageWrite};
 use crate::fleet::{Incarnation, Index, raft};
@@ -6,164 +6,172 @@
 use serde::{Deserialize, Serialize};
 use std::path::Path;
 
-/// What is set as the store's hard state.
+/// The hard state as stored: the Raft hard state with this member's incarnation. Encoded by postcard, so the order of
+/// the fields is fixed.
 #[derive(Serialize, Deserialize)]
-struct Kept {
+struct StoredHardState {
     incarnation: Incarnation,
     hard: HardState,
 }
 
-/// A change in the form that the store takes.
-enum Form {
-    Hard(Vec<u8>),
+/// An encoded write that is not passed to the store yet.
+enum PendingWrite {
+    HardState(Vec<u8>),
     Append(u64, Vec<Vec<u8>>),
 }
 
-/// Why the store can't go on.
+/// Why the store can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum DiskError {
-    /// The store's own word.
+    /// An error of the underlying store.
     #[error(transparent)]
     Store(#[from] StoreError),
-    /// A record is whole but not one of this program's.
-    #[error("{0} is of another program or version")]
-    Foreign(&'static str),
-    /// A write takes so long that the disk counts as failed.
-    #[error("no answer of the disk in {0} s")]
+    /// The named part of the store is intact but can't be decoded: another program or version wrote it.
+    #[error("{0} in the store was written by another program or version")]
+    Unrecognized(&'static str),
+    /// A write did not complete within this many seconds.
+    #[error("the disk did not complete a write within {0} s")]
     Stalled(u32),
-    /// The thread that writes is gone.
-    #[error("the writing thread ended")]
-    Gone,
+    /// The thread that used the store panicked or was cancelled.
+    #[error("the thread that writes to the store ended")]
+    WriterThreadEnded,
 }
 
 impl DiskError {
-    /// Whether the folder may be well again later.
+    /// Whether opening the store again may succeed later without any change by an operator.
     pub fn is_transient(&self) -> bool {
         match self {
             DiskError::Store(error) => error.is_transient(),
-            DiskError::Stalled(_) | DiskError::Gone => true,
-            DiskError::Foreign(_) => false,
+            DiskError::Stalled(_) | DiskError::WriterThreadEnded => true,
+            DiskError::Unrecognized(_) => false,
         }
     }
 }
 
-/// A store that is open, and what has to be written with each hard state.
+/// An open store, with the state that is written along with each hard state.
 #[derive(Debug)]
 pub struct Disk {
     store: Store,
     incarnation: Incarnation,
     hard: HardState,
-    /// The place after the last record.
-    next: u64,
+    /// Index after the last record.
+    next_index: u64,
 }
 
-/// What a start finds.
+/// An opened store and its contents.
 pub struct OpenedStore {
-    /// The store.
+    /// The open store.
     pub disk: Disk,
-    /// The number that it drew when it was formatted.
+    /// Random number that the store got when it was formatted.
     pub store_id: u64,
-    /// Whether this opening formatted it.
-    pub fresh: bool,
-    /// What the group had written.
+    /// Whether the store did not exist before and was formatted by this call.
+    pub newly_formatted: bool,
+    /// The Raft group's state as last written.
     pub restored: RestoredState,
-    /// What a crash had left half-written.
-    pub torn: Option<storage::TornTail>,
+    /// The incomplete end of the log that a crash left and that was cut off, if any.
+    pub torn_tail: Option<storage::TornTail>,
 }
 
 impl Disk {
-    /// Opens the store for a new life, and makes that life durable: the one after the last, at `now` (microseconds
-    /// since 1970) or later. Blocks.
+    /// Opens the store and makes a new incarnation durable: the higher of `now` (microseconds since 1970) and the last
+    /// incarnation plus one. Blocks.
     pub fn open(
         path: &Path,
         settings: storage::StoreConfig,
         now: u64,
     ) -> Result<OpenedStore, DiskError> {
-        let (store, found) = Store::open(path, settings)?;
-        let kept = match &found.hard_state {
-            Some(bytes) => read::<Kept>(bytes, "the hard state")?,
-            None => Kept {
+        let (store, opened) = Store::open(path, settings)?;
+        let stored = match &opened.hard_state {
+            Some(bytes) => decode::<StoredHardState>(bytes, "the hard state")?,
+            None => StoredHardState {
                 incarnation: Incarnation(0),
                 hard: HardState::default(),
             },
         };
-        let snapshot = found
+        let snapshot = opened
             .snapshot
             .as_ref()
-            .map(|(_, data)| read(data, "the snapshot"))
+            .map(|(_, data)| decode(data, "the snapshot"))
             .transpose()?;
-        let entries: Result<Vec<raft::LogEntry>, _> =
-            found.records.iter().map(|r| read(r, "a record")).collect();
+        let entries: Result<Vec<raft::LogEntry>, _> = opened
+            .records
+            .iter()
+            .map(|r| decode(r, "a record"))
+            .collect();
         let entries = entries?;
-        let follows =
-            |(i, e): (usize, &raft::LogEntry)| e.index == Index(found.first_index + i as u64);
-        if !entries.iter().enumerate().all(follows) {
-            return Err(DiskError::Foreign("a record's place"));
+        let is_consecutive =
+            |(i, e): (usize, &raft::LogEntry)| e.index == Index(opened.first_index + i as u64);
+        if !entries.iter().enumerate().all(is_consecutive) {
+            return Err(DiskError::Unrecognized("a record's index"));
         }
-        let incarnation = Incarnation(now.max(kept.incarnation.0 + 1));
-        let next = found.first_index + entries.len() as u64;
+        let incarnation = Incarnation(now.max(stored.incarnation.0 + 1));
+        let next_index = opened.first_index + entries.len() as u64;
         let mut disk = Disk {
             store,
             incarnation,
-            hard: kept.hard.clone(),
-            next,
+            hard: stored.hard.clone(),
+            next_index,
         };
         disk.write(&[])?;
         let restored = RestoredState {
-            hard_state: kept.hard,
+            hard_state: stored.hard,
             snapshot,
             entries,
         };
         Ok(OpenedStore {
             disk,
-            store_id: found.store_id,
-            fresh: found.newly_formatted,
+            store_id: opened.store_id,
+            newly_formatted: opened.newly_formatted,
             restored,
-            torn: found.torn_tail,
+            torn_tail: opened.torn_tail,
         })
     }
 
-    /// The life that was made durable.
+    /// The incarnation that [`Disk::open`] made durable.
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// Writes these in order; all is durable when it returns. Blocks. With none, the hard state is written again.
+    /// Performs the writes in order; all are durable when this returns. Without any, the hard state is written again.
+    /// Blocks.
     pub fn write(&mut self, writes: &[StorageWrite]) -> Result<(), DiskError> {
-        let mut forms = Vec::new();
+        let mut pending = Vec::new();
         if writes.is_empty() {
-            forms.push(Form::Hard(self.hard_bytes()));
+            pending.push(PendingWrite::HardState(self.encode_hard_state()));
         }
         for write in writes {
             match write {
                 StorageWrite::HardState(hard) => {
                     self.hard = hard.clone();
-                    forms.push(Form::Hard(self.hard_bytes()));
+                    pending.push(PendingWrite::HardState(self.encode_hard_state()));
                 }
-                // Nothing to drop there: before a snapshot that is ahead of the log.
+                // No entries to truncate from `first` on. Occurs before a snapshot that is ahead of the log.
                 StorageWrite::Entries { first, entries }
-                    if entries.is_empty() && first.0 >= self.next => {}
+                    if entries.is_empty() && first.0 >= self.next_index => {}
                 StorageWrite::Entries { first, entries } => {
-                    self.next = first.0 + entries.len() as u64;
-                    forms.push(Form::Append(first.0, entries.iter().map(bytes).collect()));
+                    self.next_index = first.0 + entries.len() as u64;
+                    pending.push(PendingWrite::Append(
+                        first.0,
+                        entries.iter().map(encode).collect(),
+                    ));
                 }
                 StorageWrite::Snapshot(snapshot) => {
-                    self.flush(&mut forms)?;
+                    self.flush(&mut pending)?;
                     self.store
-                        .install_snapshot(snapshot.index.0, &bytes(snapshot))?;
-                    self.next = self.next.max(snapshot.index.0 + 1);
+                        .install_snapshot(snapshot.index.0, &encode(snapshot))?;
+                    self.next_index = self.next_index.max(snapshot.index.0 + 1);
                 }
             }
         }
-        self.flush(&mut forms)
+        self.flush(&mut pending)
     }
 
-    /// One wait for the disk for all of these.
-    fn flush(&mut self, forms: &mut Vec<Form>) -> Result<(), DiskError> {
-        let forms = std::mem::take(forms);
-        let writes = forms.iter().map(|form| match form {
-            Form::Hard(state) => storage::WriteOperation::HardState(state),
-            Form::Append(first, records) => storage::WriteOperation::Append {
+    /// Passes all pending writes to the store at once, so that they cost one wait for the disk.
+    fn flush(&mut self, pending: &mut Vec<PendingWrite>) -> Result<(), DiskError> {
+        let pending = std::mem::take(pending);
+        let writes = pending.iter().map(|operation| match operation {
+            PendingWrite::HardState(state) => storage::WriteOperation::HardState(state),
+            PendingWrite::Append(first, records) => storage::WriteOperation::Append {
                 first: *first,
                 records,
             },
@@ -175,22 +183,22 @@
         Ok(())
     }
 
-    fn hard_bytes(&self) -> Vec<u8> {
-        bytes(&Kept {
+    fn encode_hard_state(&self) -> Vec<u8> {
+        encode(&StoredHardState {
             incarnation: self.incarnation,
             hard: self.hard.clone(),
         })
     }
 }
 
-fn bytes<T: Serialize>(value: &T) -> Vec<u8> {
-    // Nothing here can fail to be written: no sequences of unknown length.
+fn encode<T: Serialize>(value: &T) -> Vec<u8> {
+    // Encoding can't fail: postcard fails only for sequences of unknown length, and these types have none.
     postcard::to_stdvec(value).unwrap_or_default()
 }
 
-fn read<'a, T: Deserialize<'a>>(bytes: &'a [u8], what: &'static str) -> Result<T, DiskError> {
+fn decode<'a, T: Deserialize<'a>>(bytes: &'a [u8], what: &'static str) -> Result<T, DiskError> {
     match postcard::take_from_bytes(bytes) {
         Ok((value, [])) => Ok(value),
-        _ => Err(DiskError::Foreign(what)),
+        _ => Err(DiskError::Unrecognized(what)),
     }
 }
--- a/src/fleet/transport/drive.rs
+++ b/src/fleet/transport/drive.rs
@@ -1,7 +1,8 @@
-//! Drives a member: events in, actions out in their order, one life after the other.
+//! Event loop of the member that this process runs: passes events to the [`Node`] and carries out its actions in order,
+//! one incarnation after the other.
 //!
-//! What the view sends goes out at once. All else waits in one queue, so that whatever follows a write happens after
-//! the write is on the disk.
+//! Membership messages are sent at once. All other actions wait in one queue, so that an action that follows a write
+//! is carried out only after the write is durable.
 
 use super::disk::{Disk, DiskError, OpenedStore};
 use super::history::{self, History};
@@ -28,236 +29,251 @@
 use tokio::time::{Instant, MissedTickBehavior};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Actions that may wait for the disk until nothing more of the group is taken in.
-const MOST_WAITING: usize = 4_096;
-/// A write that has not ended after so many seconds has failed.
-const MOST_SECONDS: u32 = 10;
-/// How often what the view has forgotten is forgotten here.
-const TIDY: Duration = Duration::from_secs(60);
-/// Datagrams that are looked at in a second, for each member there may be: checking a seal takes time.
-const LOOKS: u32 = 1_000;
+/// Queued actions above which messages from connections are no longer read: the queue waits for the disk.
+const MAX_QUEUED_ACTIONS: usize = 4_096;
+/// Seconds after which a write that has not completed counts as failed.
+const MAX_WRITE_SECONDS: u32 = 10;
+/// Interval at which state of members that the membership has forgotten is removed.
+const CLEANUP_INTERVAL: Duration = Duration::from_secs(60);
+/// Datagrams per second whose seal is checked, per member that the fleet may have. Bounds the time spent on MACs.
+const DATAGRAM_CHECKS_PER_MEMBER: u32 = 1_000;
 
-/// A life that ends sooner than this is followed by a pause from the second one on, each twice as long as the last.
-const SHORT_LIFE: Micros = 10_000_000;
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
-const LONGEST_PAUSE: Duration = Duration::from_secs(10);
+/// An incarnation that ends sooner than this counts as short_incarnations. From the second short_incarnations one in a row on, the next_timer
+/// incarnation starts after a pause that doubles each time.
+const SHORT_INCARNATION: Micros = 10_000_000;
+const FIRST_BACKOFF: Duration = Duration::from_millis(100);
+const MAX_BACKOFF: Duration = Duration::from_secs(10);
 
-/// What the program asks of its member.
+/// A request of this process to its member.
 pub enum LocalRequest {
-    /// Hold this lease whenever it can be had.
+    /// Acquire this lease whenever it is not held.
     AcquireLease(LeaseName),
-    /// A planned stop.
+    /// Leave the fleet for a planned stop; the sender is signalled when the other members know.
     Leave(oneshot::Sender<()>),
-    /// Put a command into the log.
+    /// Propose a command to the log and send the result.
     Propose(
         Command,
         oneshot::Sender<Result<ProposalResult, ProposalError>>,
     ),
 }
 
-/// What parts of the program are told of the fleet, in the order in which it happens. What the log did is told when it
-/// is on this member's disk.
+/// Events of the fleet for other parts of the program, in order. Effects of log entries are reported once the entries
+/// are durable at this member.
 pub enum FleetEvent<'a> {
-    /// A life begins: nothing that was told of the state before counts any more.
+    /// A new incarnation of this member starts. The state is rebuilt from the log, so all earlier events are void.
     IncarnationStarted(&'a MemberInstance),
-    /// A belief about a member changed.
+    /// The membership status of a member changed.
     MembershipChanged(&'a membership::StatusChange),
-    /// The conductor gained or lost its right to act as itself.
+    /// This router's session lease became valid (`true`) or invalid (`false`).
     SessionValid(bool),
-    /// The log did something.
+    /// The log entry at this index changed the replicated state.
     StateChanged(Index, &'a StateChange),
-    /// Another leader is known, or none.
+    /// The known leader changed; `None`: no leader is known.
     LeaderChanged(Option<&'a MemberName>),
-    /// What is agreed of the sites has changed: this is it, or a later one.
+    /// The agreed table of sites changed. Holds the current table, which may be newer than the change.
     SitesChanged(&'a Table),
-    /// The state was replaced by a snapshot: this is it, or a later one.
+    /// A snapshot replaced the replicated state. Holds the current state, which may be newer than the snapshot.
     SnapshotRestored(&'a FleetState),
 }
 
-/// Drives one member for as long as the program runs.
+/// Runs one member until the process stops.
 pub struct Driver {
-    /// What it was told.
+    /// The fleet section of the configuration.
     pub config: FleetConfig,
-    /// What the program sees of it.
+    /// Handle that the rest of the program uses.
     pub fleet: Fleet,
-    /// What comes over connections, and the opener of frames.
+    /// Accepts peer connections, and holds the opener of all frames.
     pub reception: Rc<Reception>,
-    /// For datagrams.
+    /// Socket for datagrams.
     pub socket: UdpSocket,
-    /// Messages and administrators' requests.
-    pub came: mpsc::Receiver<Incoming>,
-    /// The program's requests.
-    pub asked: mpsc::Receiver<LocalRequest>,
-    /// Of all that is drawn.
+    /// Messages of other members and requests of operators.
+    pub incoming: mpsc::Receiver<Incoming>,
+    /// Requests of this process.
+    pub local_requests: mpsc::Receiver<LocalRequest>,
+    /// Seed of the pseudo-random numbers; mixed with the store's number and the incarnation.
     pub seed: u64,
 }
 
-/// Why a life is over.
-enum Over {
-    /// The log has ended it: another one may begin, from this incarnation on.
-    Ended(u64),
-    /// The disk failed.
-    Failed(DiskError),
-    /// The program has dropped its end.
-    Dropped,
+/// Why an incarnation of the member is over.
+enum IncarnationEnd {
+    /// The log has ended it. The next_timer incarnation has to have at least this number.
+    EndedByLog(u64),
+    /// The store failed.
+    StoreFailed(DiskError),
+    /// All handles of the fleet are dropped: the process stops.
+    HandleDropped,
 }
 
-/// The program leaves the fleet, or has dropped its end.
-struct ProgramEnds;
+/// The member left the fleet, or all handles of the fleet are dropped.
+struct Stopping;
 
-/// A pause that doubles with each time.
-fn doubled(times: u32) -> Duration {
-    FIRST_PAUSE
-        .saturating_mul(1 << times.min(8))
-        .min(LONGEST_PAUSE)
+/// Pause before the next_timer attempt; doubles with each failure, up to [`MAX_BACKOFF`].
+fn backoff_delay(failures: u32) -> Duration {
+    FIRST_BACKOFF
+        .saturating_mul(1 << failures.min(8))
+        .min(MAX_BACKOFF)
 }
 
-/// The store, at hand or at the thread that writes.
-enum Writing {
+/// Where the store is.
+enum StoreState {
     Idle(Box<Disk>),
+    /// A write is in progress on a blocking thread.
     Busy(JoinHandle<(Box<Disk>, Result<(), DiskError>)>),
-    Gone,
+    /// Placeholder while the store moves from `Idle` to `Busy`.
+    Moving,
 }
 
-/// One life of the member.
-struct Life {
-    who: MemberInstance,
+/// The member in one incarnation.
+struct RunningMember {
+    instance: MemberInstance,
     history: History,
     node: Node,
     sealer: Sealer,
     links: Links,
-    writing: Writing,
-    /// What is to be done once the disk has what came before it.
-    waiting: VecDeque<Action>,
-    left: Option<oneshot::Sender<()>>,
+    store: StoreState,
+    /// Actions to carry out in this order, each after the writes before it are durable.
+    queued_actions: VecDeque<Action>,
+    leave_done: Option<oneshot::Sender<()>>,
     leaving: bool,
     ended: bool,
-    /// The program's proposals that wait for their answers.
+    /// Proposals of this process and of operators that wait for their results, by request id.
     proposals: BTreeMap<u64, oneshot::Sender<Result<ProposalResult, ProposalError>>>,
-    tickets: u64,
+    last_request_id: u64,
 }
 
 impl Driver {
-    /// Runs until the program ends. Where the store fails, the member is silent until it can be opened again, for good where
-    /// time alone can't mend it.
-    pub async fn run(mut self, mut found: OpenedStore) {
-        let mut wants = vec![];
-        let mut short = 0;
+    /// Runs incarnations until the process stops. After a failure of the store the member takes no part until the store
+    /// can be opened again; after a failure that isn't transient it takes no part until the process stops.
+    pub async fn run(mut self, mut opened_store: OpenedStore) {
+        let mut wanted_leases = vec![];
+        let mut short_incarnations = 0;
         loop {
-            let begun = self.now();
-            let over = self.live(found, &mut wants).await;
-            // Whatever comes next, this life acts no more.
-            let acted = self.fleet.lease_token(&self.fleet.0.life);
-            self.fleet.0.rights.take();
+            let started_at = self.now();
+            let end = self.run_incarnation(opened_store, &mut wanted_leases).await;
+            // Gives up all leases before anything else: this incarnation must not act any more.
+            let last_token = self.fleet.lease_token(&self.fleet.0.session_lease);
+            self.fleet.0.leases.take();
             let history = History(self.fleet.instance());
-            let least = match over {
-                Over::Dropped => return,
-                Over::Ended(least) => {
-                    short = if self.now() - begun < SHORT_LIFE {
-                        short + 1
+            let min_incarnation = match end {
+                IncarnationEnd::HandleDropped => return,
+                IncarnationEnd::EndedByLog(min_incarnation) => {
+                    short_incarnations = if self.now() - started_at < SHORT_INCARNATION {
+                        short_incarnations + 1
                     } else {
                         0
                     };
-                    if short > 1 {
+                    if short_incarnations > 1 {
                         history.note(
-                            "lives end soon after their beginning: is there another process of this name?",
+                            "incarnations end soon after they start: another process may run under this member's name; pausing before the next_timer one",
                         );
                         if self
-                            .pause("between two lives", doubled(short), &mut wants)
+                            .pause(
+                                "pausing between two incarnations",
+                                backoff_delay(short_incarnations),
+                                &mut wanted_leases,
+                            )
                             .await
                             .is_err()
                         {
                             return;
                         }
                     }
-                    least
+                    min_incarnation
                 }
-                Over::Failed(error) => {
-                    if let Some(token) = acted {
+                IncarnationEnd::StoreFailed(error) => {
+                    if let Some(token) = last_token {
                         history.session_changed(Some(token), false);
                         self.fleet
                             .notify_listeners(&FleetEvent::SessionValid(false));
                     }
                     history.store_failed(&error.to_string());
                     if !error.is_transient() {
-                        return self.give_up(&error, &mut wants).await;
+                        return self.give_up(&error, &mut wanted_leases).await;
                     }
                     0
                 }
             };
-            found = match self.reopen_in_time(least, &mut wants).await {
-                Some(again) => again,
+            opened_store = match self
+                .reopen_with_retries(min_incarnation, &mut wanted_leases)
+                .await
+            {
+                Some(reopened) => reopened,
                 None => return,
             };
         }
     }
 
-    /// Opens the store for another life, as soon as the folder lets it be; `None`: the program ends.
-    async fn reopen_in_time(
+    /// Opens the store for the next_timer incarnation, and retries while the failure is transient. `None`: the process stops.
+    async fn reopen_with_retries(
         &mut self,
-        least: u64,
-        wants: &mut Vec<LeaseName>,
+        min_incarnation: u64,
+        wanted_leases: &mut Vec<LeaseName>,
     ) -> Option<OpenedStore> {
-        let mut tries = 0;
+        let mut attempts = 0;
         loop {
-            let error = match self.reopen(least).await {
-                Ok(found) => return Some(found),
+            let error = match self.reopen(min_incarnation).await {
+                Ok(opened_store) => return Some(opened_store),
                 Err(error) => error,
             };
             let history = History(self.fleet.instance());
             if !error.is_transient() {
                 history.store_failed(&error.to_string());
-                self.give_up(&error, wants).await;
+                self.give_up(&error, wanted_leases).await;
                 return None;
             }
-            history.note(&format!("the store can't be opened yet: {error}"));
-            self.pause(&format!("the store failed: {error}"), doubled(tries), wants)
-                .await
-                .ok()?;
-            tries += 1;
+            history.note(&format!("the store can't be opened: {error}; retrying"));
+            self.pause(
+                &format!("the store failed: {error}"),
+                backoff_delay(attempts),
+                wanted_leases,
+            )
+            .await
+            .ok()?;
+            attempts += 1;
         }
     }
 
-    /// Takes no part any more, until the program ends.
-    async fn give_up(&mut self, error: &DiskError, wants: &mut Vec<LeaseName>) {
+    /// Takes no part in the fleet until the process stops.
+    async fn give_up(&mut self, error: &DiskError, wanted_leases: &mut Vec<LeaseName>) {
         self.fleet.0.stopped.set(true);
-        self.silent(&format!("the store failed: {error}"), wants)
+        self.refuse_requests(&format!("the store failed: {error}"), wanted_leases)
             .await;
     }
 
-    /// Takes no part for some time.
+    /// Takes no part in the fleet for `duration`.
     async fn pause(
         &mut self,
         why: &str,
-        time: Duration,
-        wants: &mut Vec<LeaseName>,
-    ) -> Result<(), ProgramEnds> {
-        match tokio::time::timeout(time, self.silent(why, wants)).await {
-            Ok(()) => Err(ProgramEnds),
+        duration: Duration,
+        wanted_leases: &mut Vec<LeaseName>,
+    ) -> Result<(), Stopping> {
+        match tokio::time::timeout(duration, self.refuse_requests(why, wanted_leases)).await {
+            Ok(()) => Err(Stopping),
             Err(_) => Ok(()),
         }
     }
 
-    async fn reopen(&self, least: u64) -> Result<OpenedStore, DiskError> {
+    async fn reopen(&self, min_incarnation: u64) -> Result<OpenedStore, DiskError> {
         let (path, settings) = (self.config.store.path.clone(), store_settings(&self.config));
-        let now = history::unix_us().max(least);
+        let now = history::unix_us().max(min_incarnation);
         let opening = tokio::task::spawn_blocking(move || Disk::open(&path, settings, now));
-        opening.await.unwrap_or(Err(DiskError::Gone))
+        opening.await.unwrap_or(Err(DiskError::WriterThreadEnded))
     }
 
-    /// Answers administrators, and nobody else, until the program stops.
-    async fn silent(&mut self, why: &str, wants: &mut Vec<LeaseName>) {
+    /// Refuses operators' requests with `why` and discards all other messages, until the process stops. Leases that
+    /// this process requests meanwhile are added to `wanted_leases`.
+    async fn refuse_requests(&mut self, why: &str, wanted_leases: &mut Vec<LeaseName>) {
         loop {
             tokio::select! {
-                came = self.came.recv() => match came {
-                    Some(Incoming::AdminRequest(_, answer)) => {
-                        let _ = answer.send(admin::Reply::Refused(why.to_owned()));
+                incoming = self.incoming.recv() => match incoming {
+                    Some(Incoming::AdminRequest(_, reply_sender)) => {
+                        let _ = reply_sender.send(admin::Reply::Refused(why.to_owned()));
                     }
                     Some(Incoming::Message(..)) => {}
                     None => return,
                 },
-                asked = self.asked.recv() => match asked {
-                    Some(LocalRequest::AcquireLease(name)) if !wants.contains(&name) => wants.push(name),
+                request = self.local_requests.recv() => match request {
+                    Some(LocalRequest::AcquireLease(name)) if !wanted_leases.contains(&name) => wanted_leases.push(name),
                     Some(LocalRequest::AcquireLease(_) | LocalRequest::Propose(..)) => {}
                     Some(LocalRequest::Leave(_)) | None => return,
                 },
@@ -265,38 +281,47 @@
         }
     }
 
-    async fn live(&mut self, found: OpenedStore, wants: &mut Vec<LeaseName>) -> Over {
+    async fn run_incarnation(
+        &mut self,
+        opened_store: OpenedStore,
+        wanted_leases: &mut Vec<LeaseName>,
+    ) -> IncarnationEnd {
         let OpenedStore {
             disk,
             store_id,
-            fresh,
+            newly_formatted,
             restored,
-            torn,
-        } = found;
-        let who = MemberInstance {
+            torn_tail,
+        } = opened_store;
+        let instance = MemberInstance {
             name: self.config.name.clone(),
             incarnation: disk.incarnation(),
         };
-        let history = History(who.clone());
-        if let Some(torn) = torn {
-            history.note(&format!("store: {torn}"));
+        let history = History(instance.clone());
+        if let Some(torn_tail) = torn_tail {
+            history.note(&format!("store: {torn_tail}"));
         }
-        history.started(self.config.site.as_str(), self.config.peer, store_id, fresh);
-        self.fleet.0.who.replace(who.clone());
-        self.reception.me.replace(who.clone());
+        history.started(
+            self.config.site.as_str(),
+            self.config.peer,
+            store_id,
+            newly_formatted,
+        );
+        self.fleet.0.instance.replace(instance.clone());
+        self.reception.me.replace(instance.clone());
         self.fleet
-            .notify_listeners(&FleetEvent::IncarnationStarted(&who));
-        let key = [who.incarnation.0.to_le_bytes(), store_id.to_le_bytes()].concat();
+            .notify_listeners(&FleetEvent::IncarnationStarted(&instance));
+        let key = [instance.incarnation.0.to_le_bytes(), store_id.to_le_bytes()].concat();
         let seed = xxh3_64_with_seed(&key, self.seed);
-        let me = membership::LocalMember {
-            name: who.name.clone(),
+        let local_member = membership::LocalMember {
+            name: instance.name.clone(),
             site: self.config.site.clone(),
             address: self.config.peer,
-            incarnation: who.incarnation,
+            incarnation: instance.incarnation,
         };
         let (voters, relays) = (self.config.voters.clone(), self.config.relays.clone());
         let start = NodeStart {
-            local: me,
+            local: local_member,
             store: store_id,
             voters,
             restored,
@@ -304,26 +329,26 @@
             relays,
         };
         let (keys, limits) = (self.reception.keys.clone(), frame_limits(&self.config));
-        let terms = LinkSettings {
-            me: who.clone(),
+        let link_settings = LinkSettings {
+            me: instance.clone(),
             keys: keys.clone(),
             limits: limits.clone(),
-            most_queue_bytes: self.config.most_queue_bytes,
-            most_links: self.config.most_members,
+            max_queue_bytes: self.config.most_queue_bytes,
+            max_links: self.config.most_members,
             seed: seed ^ 1,
         };
-        let mut life = Life {
+        let mut member = RunningMember {
             node: Node::new(start, self.config.settings.clone(), self.now()),
-            sealer: Sealer::new(who.clone(), keys, &limits),
-            links: Links::new(terms, self.fleet.0.counters.clone()),
-            writing: Writing::Idle(Box::new(disk)),
-            waiting: VecDeque::new(),
-            left: None,
+            sealer: Sealer::new(instance.clone(), keys, &limits),
+            links: Links::new(link_settings, self.fleet.0.counters.clone()),
+            store: StoreState::Idle(Box::new(disk)),
+            queued_actions: VecDeque::new(),
+            leave_done: None,
             leaving: false,
             ended: false,
             proposals: BTreeMap::new(),
-            tickets: 0,
-            who,
+            last_request_id: 0,
+            instance,
             history,
         };
         let seeds = self
@@ -332,102 +357,111 @@
             .iter()
             .map(|(name, address)| (name.clone(), *address))
             .collect();
-        self.event(&mut life, Event::Join { seeds });
-        for name in wants.iter() {
-            self.event(&mut life, Event::AcquireLease(name.clone()));
+        self.handle_event(&mut member, Event::Join { seeds });
+        for name in wanted_leases.iter() {
+            self.handle_event(&mut member, Event::AcquireLease(name.clone()));
         }
-        self.drive(life, wants).await
+        self.event_loop(member, wanted_leases).await
     }
 
-    async fn drive(&mut self, mut life: Life, wants: &mut Vec<LeaseName>) -> Over {
+    async fn event_loop(
+        &mut self,
+        mut member: RunningMember,
+        wanted_leases: &mut Vec<LeaseName>,
+    ) -> IncarnationEnd {
         let mut buffer =
             vec![0; max_frame_bytes(self.config.settings.membership.max_datagram_bytes) + 1];
-        let looks = LOOKS.saturating_mul(self.config.most_members as u32);
-        let mut looks = TokenBucket::new(self.now(), looks, looks);
-        let mut seconds = tokio::time::interval(Duration::from_secs(1));
-        seconds.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut tidy = tokio::time::interval(TIDY);
-        tidy.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut waited = 0;
+        let checks_per_second =
+            DATAGRAM_CHECKS_PER_MEMBER.saturating_mul(self.config.most_members as u32);
+        let mut datagram_checks =
+            TokenBucket::new(self.now(), checks_per_second, checks_per_second);
+        let mut second_ticks = tokio::time::interval(Duration::from_secs(1));
+        second_ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut cleanup = tokio::time::interval(CLEANUP_INTERVAL);
+        cleanup.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut write_seconds = 0;
         loop {
-            self.carry_out(&mut life);
-            if life.ended
-                && !life.leaving
-                && matches!(life.writing, Writing::Idle(_))
-                && life.waiting.is_empty()
+            self.run_queued_actions(&mut member);
+            if member.ended
+                && !member.leaving
+                && matches!(member.store, StoreState::Idle(_))
+                && member.queued_actions.is_empty()
             {
-                let name = &life.who.name;
-                let known = life
+                let name = &member.instance.name;
+                let last_incarnation = member
                     .node
                     .state()
                     .leases()
                     .session(name)
                     .map_or(0, |grant| grant.holder.incarnation.0);
-                return Over::Ended(known.saturating_add(1));
+                return IncarnationEnd::EndedByLog(last_incarnation.saturating_add(1));
             }
-            let next = life.node.timeout().map(|at| self.fleet.0.clock.instant(at));
-            let full = life.waiting.len() >= MOST_WAITING;
-            let busy = matches!(life.writing, Writing::Busy(_));
-            // What the clock says goes before what has come: after a pause, rights that have run out end first.
+            let next_timer = member
+                .node
+                .timeout()
+                .map(|at| self.fleet.0.clock.instant(at));
+            let queue_full = member.queued_actions.len() >= MAX_QUEUED_ACTIONS;
+            let write_in_progress = matches!(member.store, StoreState::Busy(_));
+            // Timers come before messages, so that after a stall of the process expired leases end first.
             tokio::select! {
                 biased;
-                written = written(&mut life.writing), if busy => {
-                    waited = 0;
+                written = write_completed(&mut member.store), if write_in_progress => {
+                    write_seconds = 0;
                     match written {
-                        Ok(disk) => life.writing = Writing::Idle(disk),
-                        Err(error) => return Over::Failed(error),
+                        Ok(disk) => member.store = StoreState::Idle(disk),
+                        Err(error) => return IncarnationEnd::StoreFailed(error),
                     }
                 }
-                () = tokio::time::sleep_until(next.unwrap_or_else(Instant::now)), if next.is_some() => {
-                    self.event(&mut life, Event::Tick);
+                () = tokio::time::sleep_until(next_timer.unwrap_or_else(Instant::now)), if next_timer.is_some() => {
+                    self.handle_event(&mut member, Event::Tick);
                 }
-                _ = seconds.tick(), if busy => {
-                    // Counted, not measured: a process that was stopped has not waited for its disk.
-                    waited += 1;
-                    if waited > MOST_SECONDS {
-                        return Over::Failed(DiskError::Stalled(MOST_SECONDS));
+                _ = second_ticks.tick(), if write_in_progress => {
+                    // Counts ticks instead of reading the clock: a process that was stopped has not waited for its disk.
+                    write_seconds += 1;
+                    if write_seconds > MAX_WRITE_SECONDS {
+                        return IncarnationEnd::StoreFailed(DiskError::Stalled(MAX_WRITE_SECONDS));
                     }
                 }
-                _ = tidy.tick() => self.tidy(&mut life),
-                came = async {
+                _ = cleanup.tick() => self.cleanup(&mut member),
+                wakeup = async {
                     tokio::select! {
-                        asked = self.asked.recv() => Wakeup::LocalRequest(asked),
-                        came = self.came.recv(), if !full => Wakeup::Incoming(came),
-                        came = self.socket.recv_from(&mut buffer) => Wakeup::Datagram(came),
+                        request = self.local_requests.recv() => Wakeup::LocalRequest(request),
+                        incoming = self.incoming.recv(), if !queue_full => Wakeup::Incoming(incoming),
+                        datagram = self.socket.recv_from(&mut buffer) => Wakeup::Datagram(datagram),
                     }
-                } => match came {
-                    Wakeup::LocalRequest(None) | Wakeup::Incoming(None) => return Over::Dropped,
+                } => match wakeup {
+                    Wakeup::LocalRequest(None) | Wakeup::Incoming(None) => return IncarnationEnd::HandleDropped,
                     Wakeup::LocalRequest(Some(LocalRequest::AcquireLease(name))) => {
-                        if !wants.contains(&name) {
-                            wants.push(name.clone());
+                        if !wanted_leases.contains(&name) {
+                            wanted_leases.push(name.clone());
                         }
-                        self.event(&mut life, Event::AcquireLease(name));
+                        self.handle_event(&mut member, Event::AcquireLease(name));
                     }
-                    Wakeup::LocalRequest(Some(LocalRequest::Propose(command, answer))) => {
-                        life.tickets += 1;
-                        life.proposals.insert(life.tickets, answer);
-                        let ticket = life.tickets;
-                        self.event(&mut life, Event::Propose { request_id: ticket, command });
+                    Wakeup::LocalRequest(Some(LocalRequest::Propose(command, reply_sender))) => {
+                        member.last_request_id += 1;
+                        member.proposals.insert(member.last_request_id, reply_sender);
+                        let request_id = member.last_request_id;
+                        self.handle_event(&mut member, Event::Propose { request_id, command });
                     }
                     Wakeup::LocalRequest(Some(LocalRequest::Leave(left))) => {
-                        life.leaving = true;
-                        life.left = Some(left);
-                        self.event(&mut life, Event::Leave);
+                        member.leaving = true;
+                        member.leave_done = Some(left);
+                        self.handle_event(&mut member, Event::Leave);
                     }
                     Wakeup::Incoming(Some(Incoming::Message(from, message))) => {
-                        self.event(&mut life, Event::Message { from, message });
+                        self.handle_event(&mut member, Event::Message { from, message });
                     }
-                    Wakeup::Incoming(Some(Incoming::AdminRequest(admin::Request::Policy(command), answer))) => {
-                        self.ask_log(&mut life, command, answer);
+                    Wakeup::Incoming(Some(Incoming::AdminRequest(admin::Request::Policy(command), reply_sender))) => {
+                        self.propose_policy(&mut member, command, reply_sender);
                     }
-                    Wakeup::Incoming(Some(Incoming::AdminRequest(request, answer))) => {
-                        let _ = answer.send(self.answer(&mut life, request));
+                    Wakeup::Incoming(Some(Incoming::AdminRequest(request, reply_sender))) => {
+                        let _ = reply_sender.send(self.answer_operator(&mut member, request));
                     }
                     Wakeup::Datagram(Ok((length, from))) => {
-                        self.datagram(&mut life, &buffer[..length], from, &mut looks);
+                        self.receive_datagram(&mut member, &buffer[..length], from, &mut datagram_checks);
                     }
-                    // Someone was not there to take a datagram.
-                    Wakeup::Datagram(Err(error)) => log::debug!("fleet: {error}"),
+                    // An earlier datagram could not be delivered: its receiver was not listening.
+                    Wakeup::Datagram(Err(error)) => log::debug!("fleet: receiving a datagram on the peer address failed: {error}"),
                 }
             }
         }
@@ -437,14 +471,14 @@
         self.fleet.0.clock.now()
     }
 
-    fn event(&self, life: &mut Life, event: Event) {
+    fn handle_event(&self, member: &mut RunningMember, event: Event) {
         let mut actions = Vec::new();
         let now = self.now();
-        // Timers that are due go first, whatever it was that woke this member up.
-        if event != Event::Tick && life.node.timeout().is_some_and(|at| at <= now) {
-            life.node.handle(now, Event::Tick, &mut actions);
+        // Timers that are due run first, whatever woke this member up.
+        if event != Event::Tick && member.node.timeout().is_some_and(|at| at <= now) {
+            member.node.handle(now, Event::Tick, &mut actions);
         }
-        life.node.handle(now, event, &mut actions);
+        member.node.handle(now, event, &mut actions);
         for action in actions {
             match action {
                 Action::Send {
@@ -453,31 +487,39 @@
                     message: message @ Message::Membership(_),
                     reliable,
                 } => {
-                    self.send(life, &to, address, &message, reliable);
+                    self.send(member, &to, address, &message, reliable);
                 }
                 Action::MembershipChanged(change) => {
                     self.fleet.0.counters.view_changes.up();
-                    life.history.membership_changed(&change);
+                    member.history.membership_changed(&change);
                     self.fleet
                         .notify_listeners(&FleetEvent::MembershipChanged(&change));
                 }
-                other => life.waiting.push_back(other),
+                other => member.queued_actions.push_back(other),
             }
         }
-        if life.leaving
-            && life.node.left()
-            && let Some(left) = life.left.take()
+        if member.leaving
+            && member.node.left()
+            && let Some(left) = member.leave_done.take()
         {
             let _ = left.send(());
         }
     }
 
-    fn datagram(&self, life: &mut Life, frame: &[u8], from: SocketAddr, looks: &mut TokenBucket) {
+    fn receive_datagram(
+        &self,
+        member: &mut RunningMember,
+        frame: &[u8],
+        from: SocketAddr,
+        datagram_checks: &mut TokenBucket,
+    ) {
         let now = self.now();
-        if !looks.take(now) {
-            return self.reception.refused(from.ip(), FrameError::Rate);
+        if !datagram_checks.take(now) {
+            return self
+                .reception
+                .report_frame_error(from.ip(), FrameError::Rate);
         }
-        let opened = match self.reception.opener.borrow_mut().datagram(now, frame) {
+        let opened = match self.reception.opener.borrow_mut().open_datagram(now, frame) {
             Ok(opened) => Ok((
                 opened.from.name,
                 opened.kind,
@@ -486,18 +528,18 @@
             Err(reason) => Err(reason),
         };
         match opened {
-            Err(reason) => self.reception.refused(from.ip(), reason),
+            Err(reason) => self.reception.report_frame_error(from.ip(), reason),
             Ok((from, MESSAGE_FRAME, Some(message @ Message::Membership(_)))) => {
                 self.fleet.0.counters.datagrams_in.up();
-                self.event(life, Event::Message { from, message });
+                self.handle_event(member, Event::Message { from, message });
             }
-            Ok((from, ..)) => self.reception.unreadable(&from),
+            Ok((from, ..)) => self.reception.report_unreadable_payload(&from),
         }
     }
 
     fn send(
         &self,
-        life: &mut Life,
+        member: &mut RunningMember,
         to: &MemberName,
         address: Option<SocketAddr>,
         message: &Message,
@@ -508,11 +550,11 @@
         };
         let payload = message.encode();
         if reliable || payload.len() > self.config.settings.membership.max_datagram_bytes {
-            return life.links.send(to, address, payload);
+            return member.links.send(to, address, payload);
         }
-        let sent = life.sealer.seal(to, MESSAGE_FRAME, &payload).ok();
+        let sealed = member.sealer.seal(to, MESSAGE_FRAME, &payload).ok();
         let counters = &self.fleet.0.counters;
-        match sent.and_then(|frame| self.socket.try_send_to(&frame, address).ok()) {
+        match sealed.and_then(|frame| self.socket.try_send_to(&frame, address).ok()) {
             Some(bytes) => {
                 counters.datagrams_out.up();
                 counters.bytes_out.add(bytes);
@@ -521,37 +563,38 @@
         }
     }
 
-    /// Carries out what waits, up to a write that is not done yet.
-    fn carry_out(&self, life: &mut Life) {
-        while matches!(life.writing, Writing::Idle(_)) {
-            let Some(action) = life.waiting.pop_front() else {
+    /// Carries out queued actions until a write is in progress.
+    fn run_queued_actions(&self, member: &mut RunningMember) {
+        while matches!(member.store, StoreState::Idle(_)) {
+            let Some(action) = member.queued_actions.pop_front() else {
                 return;
             };
             match action {
-                Action::Persist(write) => self.write(life, write),
-                other => self.act(life, other),
+                Action::Persist(write) => self.write(member, write),
+                other => self.run_action(member, other),
             }
         }
     }
 
-    /// Hands a write to the blocking thread, with those that follow it directly.
-    fn write(&self, life: &mut Life, first: raft::StorageWrite) {
+    /// Hands a write, and the writes that directly follow it in the queue, to a blocking thread.
+    fn write(&self, member: &mut RunningMember, first: raft::StorageWrite) {
         let mut writes = vec![first];
-        while matches!(life.waiting.front(), Some(Action::Persist(_))) {
-            if let Some(Action::Persist(write)) = life.waiting.pop_front() {
+        while matches!(member.queued_actions.front(), Some(Action::Persist(_))) {
+            if let Some(Action::Persist(write)) = member.queued_actions.pop_front() {
                 writes.push(write);
             }
         }
-        if let Writing::Idle(mut disk) = std::mem::replace(&mut life.writing, Writing::Gone) {
+        if let StoreState::Idle(mut disk) = std::mem::replace(&mut member.store, StoreState::Moving)
+        {
             self.fleet.0.counters.writes.up();
-            life.writing = Writing::Busy(tokio::task::spawn_blocking(move || {
+            member.store = StoreState::Busy(tokio::task::spawn_blocking(move || {
                 let done = disk.write(&writes);
                 (disk, done)
             }));
         }
     }
 
-    fn act(&self, life: &mut Life, action: Action) {
+    fn run_action(&self, member: &mut RunningMember, action: Action) {
         let shared = &self.fleet.0;
         match action {
             Action::Send {
@@ -559,131 +602,133 @@
                 address,
                 message,
                 reliable,
-            } => self.send(life, &to, address, &message, reliable),
+            } => self.send(member, &to, address, &message, reliable),
             Action::LeaseChanged(change) => {
                 let now = self.now();
-                shared.rights.borrow_mut().apply(&change);
+                shared.leases.borrow_mut().apply(&change);
                 match (change.from, change.to) {
                     (LeaseStatus::Held, LeaseStatus::Held) => {}
                     (_, LeaseStatus::Held) => shared.counters.leases_granted.up(),
                     (LeaseStatus::Held, _) => shared.counters.leases_lost.up(),
                     _ => {}
                 }
-                life.history.lease_changed(&change, now);
+                member.history.lease_changed(&change, now);
             }
             Action::LeaderChanged { leader, term } => {
                 if leader.is_some() {
                     shared.counters.leaders.up();
                 }
-                life.history.leader_changed(leader.as_ref(), term);
+                member.history.leader_changed(leader.as_ref(), term);
                 self.fleet
                     .notify_listeners(&FleetEvent::LeaderChanged(leader.as_ref()));
             }
             Action::SessionValid(gained) => {
-                let table = life.node.state().leases();
+                let table = member.node.state().leases();
                 let token = table
-                    .session(&life.who.name)
-                    .filter(|grant| grant.holder == life.who);
-                life.history
+                    .session(&member.instance.name)
+                    .filter(|grant| grant.holder == member.instance);
+                member
+                    .history
                     .session_changed(token.map(|grant| grant.token), gained);
                 self.fleet
                     .notify_listeners(&FleetEvent::SessionValid(gained));
             }
-            Action::IncarnationEnded => life.ended = true,
+            Action::IncarnationEnded => member.ended = true,
             Action::Effect { index, effect } => {
                 if let StateChange::Lease(change) = &effect {
-                    let of_life = self::session_lease(&change.holder.name)
-                        .is_some_and(|name| name == change.name);
-                    if of_life
+                    let is_session_lease =
+                        session_lease(&change.holder.name).is_some_and(|name| name == change.name);
+                    if is_session_lease
                         && matches!(
                             change.kind,
                             LeaseChangeKind::Expired | LeaseChangeKind::Released
                         )
                     {
                         shared.counters.deaths.up();
-                        life.history.incarnation_ended(&change.holder, index);
+                        member.history.incarnation_ended(&change.holder, index);
                     }
                 }
                 self.fleet
                     .notify_listeners(&FleetEvent::StateChanged(index, &effect));
                 if matches!(effect, StateChange::Sites(_)) {
                     self.fleet
-                        .notify_listeners(&FleetEvent::SitesChanged(life.node.state().sites()));
+                        .notify_listeners(&FleetEvent::SitesChanged(member.node.state().sites()));
                 }
             }
             Action::Rejected(raft::Rejection::InitialVotersDiffer) => {
-                life.history
-                    .note("another first voter names other first voters: the group can't start");
+                member.history
+                    .note("another initial voter is configured with a different set of initial voters: the group can't start; set the same fleet.voters on all of them");
+            }
+            Action::Rejected(refusal) => {
+                log::debug!("fleet: the Raft group rejected an input: {refusal:?}");
             }
-            Action::Rejected(refusal) => log::debug!("fleet: the group refused: {refusal:?}"),
-            Action::ProposalCompleted {
-                request_id: ticket,
-                result,
-            } => {
-                if let Some(answer) = life.proposals.remove(&ticket) {
-                    let _ = answer.send(result);
+            Action::ProposalCompleted { request_id, result } => {
+                if let Some(reply_sender) = member.proposals.remove(&request_id) {
+                    let _ = reply_sender.send(result);
                 }
             }
             Action::SnapshotRestored { .. } => self
                 .fleet
-                .notify_listeners(&FleetEvent::SnapshotRestored(life.node.state())),
+                .notify_listeners(&FleetEvent::SnapshotRestored(member.node.state())),
             Action::Persist(_) | Action::MembershipChanged(_) => {}
         }
     }
 
-    /// Puts an administrator's command about the policy into the log, and answers when that has.
-    fn ask_log(
+    /// Proposes an operator's policy command to the log, and replies with the result.
+    fn propose_policy(
         &self,
-        life: &mut Life,
+        member: &mut RunningMember,
         command: policy_epoch::Command,
-        answer: oneshot::Sender<admin::Reply>,
+        reply_sender: oneshot::Sender<admin::Reply>,
     ) {
         let refused = match (&self.config.policy, &command) {
-            (None, _) => Some("the asked conductor has no [policy] table"),
-            (_, policy_epoch::Command::Propose { base: 0, .. }) => Some("there is no epoch yet"),
+            (None, _) => Some("this router's configuration has no [policy] table"),
+            (_, policy_epoch::Command::Propose { base: 0, .. }) => {
+                Some("no policy epoch is in force yet; try again when the first one is")
+            }
             (_, policy_epoch::Command::Propose { content, .. })
                 if content.len() > policy_epoch::MAX_CONTENT_BYTES =>
             {
-                Some("it is too long")
+                Some("the policy's text is longer than 64 KiB")
             }
             (_, policy_epoch::Command::Propose { .. } | policy_epoch::Command::Abort { .. }) => {
                 None
             }
-            // Members speak for themselves.
-            _ => Some("not for an administrator"),
+            // Votes and confirmations are accepted from members only, each for itself.
+            _ => Some("only members may send this command, not an operator"),
         };
         if let Some(why) = refused {
-            let _ = answer.send(admin::Reply::Refused(why.to_owned()));
+            let _ = reply_sender.send(admin::Reply::Refused(why.to_owned()));
             return;
         }
         let (done, decided) = oneshot::channel();
-        life.tickets += 1;
-        life.proposals.insert(life.tickets, done);
-        let ticket = life.tickets;
-        self.event(
-            life,
+        member.last_request_id += 1;
+        member.proposals.insert(member.last_request_id, done);
+        let request_id = member.last_request_id;
+        self.handle_event(
+            member,
             Event::Propose {
-                request_id: ticket,
+                request_id,
                 command: Command::Policy(command),
             },
         );
         tokio::task::spawn_local(async move {
             let reply = match decided.await {
                 Ok(Ok(ProposalResult::Policy(reply))) => admin::Reply::Policy(reply),
-                Ok(Err(lost)) => admin::Reply::Refused(lost.to_string()),
-                _ => admin::Reply::Refused("the log has not looked at it".to_owned()),
+                Ok(Err(error)) => admin::Reply::Refused(error.to_string()),
+                _ => admin::Reply::Refused("the command was not applied to the log".to_owned()),
             };
-            let _ = answer.send(reply);
+            let _ = reply_sender.send(reply);
         });
     }
 
-    fn answer(&self, life: &mut Life, request: admin::Request) -> admin::Reply {
+    fn answer_operator(&self, member: &mut RunningMember, request: admin::Request) -> admin::Reply {
         match request {
             admin::Request::Status => {
-                let group = life.node.raft();
+                let group = member.node.raft();
                 let voters = group.voter_config();
                 admin::Reply::Status(Box::new(admin::StatusReport {
-                    status: life.node.status(self.now()),
+                    status: member.node.status(self.now()),
                     role: match group.role() {
                         Role::Leader => "leader",
                         Role::Candidate => "candidate",
@@ -700,67 +745,73 @@
                 }))
             }
             admin::Request::Voters(names) if names.is_empty() || names.len() > MAX_VOTERS => {
-                admin::Reply::Refused(format!("1 to {MAX_VOTERS} voters are needed"))
+                admin::Reply::Refused(format!(
+                    "{} voters given; 1 to {MAX_VOTERS} are needed",
+                    names.len()
+                ))
+            }
+            admin::Request::Policy(_) => {
+                admin::Reply::Refused("policy commands can't be handled now; try again".to_owned())
             }
-            admin::Request::Policy(_) => admin::Reply::Refused("not now".to_owned()),
             admin::Request::PolicyStatus => {
-                let state = life.node.state();
-                let (table, living) = (state.policy().clone(), state.live_members());
+                let state = member.node.state();
+                let (table, live_members) = (state.policy().clone(), state.live_members());
                 admin::Reply::PolicyStatus(Box::new(admin::PolicyStatus {
-                    member: life.who.clone(),
+                    member: member.instance.clone(),
                     table,
-                    live_members: living,
+                    live_members,
                 }))
             }
             admin::Request::Voters(names) => {
-                self.event(life, Event::ChangeVoters(names));
+                self.handle_event(member, Event::ChangeVoters(names));
                 admin::Reply::Accepted
             }
         }
     }
 
-    /// Lets go of what belongs to members that the view has forgotten.
-    fn tidy(&self, life: &mut Life) {
-        let known = |name: &MemberName| {
-            life.node.membership().member(name).is_some() || self.config.peers.contains_key(name)
+    /// Removes connections and replay windows of members that the membership has forgotten.
+    fn cleanup(&self, member: &mut RunningMember) {
+        let is_known = |name: &MemberName| {
+            member.node.membership().member(name).is_some() || self.config.peers.contains_key(name)
         };
-        let gone: Vec<MemberName> = life
+        let forgotten_links: Vec<MemberName> = member
             .links
             .names()
-            .filter(|name| !known(name))
+            .filter(|name| !is_known(name))
             .cloned()
             .collect();
-        let senders = self
+        let forgotten_senders = self
             .reception
             .opener
             .borrow()
-            .names()
-            .filter(|name| !known(name))
+            .sender_names()
+            .filter(|name| !is_known(name))
             .cloned()
             .collect::<Vec<_>>();
-        for name in &gone {
-            life.links.forget(name);
+        for name in &forgotten_links {
+            member.links.forget(name);
         }
-        for name in &senders {
+        for name in &forgotten_senders {
             self.reception.opener.borrow_mut().forget(name);
         }
     }
 }
 
+/// What woke the event loop, besides timers and writes.
 enum Wakeup {
     LocalRequest(Option<LocalRequest>),
     Incoming(Option<Incoming>),
     Datagram(std::io::Result<(usize, SocketAddr)>),
 }
 
-/// Waits for the write that is under way.
-async fn written(writing: &mut Writing) -> Result<Box<Disk>, DiskError> {
-    let Writing::Busy(task) = writing else {
+/// Waits for the write in progress. Never returns while there is none.
+async fn write_completed(store: &mut StoreState) -> Result<Box<Disk>, DiskError> {
+    let StoreState::Busy(task) = store else {
         return std::future::pending().await;
     };
     match task.await {
         Ok((disk, Ok(()))) => Ok(disk),
         Ok((_, Err(error))) => Err(error),
-        Err(_) => Err(DiskError::Gone),
+        Err(_) => Err(DiskError::WriterThreadEnded),
     }
 }
--- a/src/fleet/transport/links.rs
+++ b/src/fleet/transport/links.rs
@@ -1,10 +1,10 @@
-//! Connections to other members, one each: opened when there is something to send, and again when they break.
+//! Outgoing connections, one per member: opened when there is a message to send, and reopened when they break.
 //!
-//! What waits for a member is bounded in bytes; over the bound the oldest is dropped and counted. The machines send
-//! again what matters.
+//! The queue of messages to a member is limited in bytes; above the limit the oldest messages are dropped and counted.
+//! The state machines of the fleet repeat messages that matter.
 
 use super::seal::{ConnectionNonce, FrameLimits, Keys, StreamSealer, length_prefix};
-use super::{MESSAGE_FRAME, within};
+use super::{MESSAGE_FRAME, with_timeout};
 use crate::counters::FleetCounters;
 use crate::fleet::{MemberInstance, MemberName};
 use crate::net::stream::SteadyStream;
@@ -20,38 +20,38 @@
 use tokio::task::JoinHandle;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// A connection has this long to come about, and the acceptor to say its first word.
-const CONNECT: Duration = Duration::from_secs(1);
-/// A receiver that takes nothing for this long is cut off, and tried anew.
-const STALLED: Duration = Duration::from_secs(3);
-/// A connection with nothing to carry is closed after this.
-const IDLE: Duration = Duration::from_secs(30);
-/// The wait after the first failure; doubled with each one that follows, up to the longest.
-const FIRST_WAIT: Duration = Duration::from_millis(50);
-const LONGEST_WAIT: Duration = Duration::from_secs(1);
-/// Frames that go out with one write at the most, by their bytes.
-const TOGETHER: usize = 64 * 1024;
+/// Time limit for connecting, and again for the acceptor to send its nonce.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time limit of a write. A connection whose receiver stalls for longer is closed and reopened.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Time without a message after which a connection is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Delay before reconnecting after the first failure; doubles with each further failure, up to the maximum.
+const FIRST_RECONNECT_DELAY: Duration = Duration::from_millis(50);
+const MAX_RECONNECT_DELAY: Duration = Duration::from_secs(1);
+/// Frames are collected into one write until it has this many bytes.
+const WRITE_BATCH_BYTES: usize = 64 * 1024;
 
-/// How links are made.
+/// Settings of all links of one incarnation.
 #[derive(Clone, Debug)]
 pub struct LinkSettings {
-    /// This member, in this life.
+    /// This member, with its current incarnation.
     pub me: MemberInstance,
-    /// The shared keys.
+    /// Keys that seal the frames.
     pub keys: Keys,
-    /// Of frames.
+    /// Limits of the frames' sizes.
     pub limits: FrameLimits,
-    /// Bytes that may wait for one member.
-    pub most_queue_bytes: usize,
-    /// Members that there may be links to.
-    pub most_links: usize,
-    /// For the spread of waits.
+    /// Maximum size of the queue to one member, in bytes of payload.
+    pub max_queue_bytes: usize,
+    /// Maximum number of links.
+    pub max_links: usize,
+    /// Seed of the jitter in reconnect delays.
     pub seed: u64,
 }
 
-/// All links of one life. Dropped, they close.
+/// All links of one incarnation. Dropping it closes the connections.
 pub struct Links {
-    terms: Rc<LinkSettings>,
+    settings: Rc<LinkSettings>,
     counters: Rc<FleetCounters>,
     links: BTreeMap<MemberName, (Rc<Link>, JoinHandle<()>)>,
 }
@@ -60,46 +60,47 @@
     to: MemberName,
     address: Cell<SocketAddr>,
     queue: RefCell<VecDeque<Vec<u8>>>,
-    bytes: Cell<usize>,
+    queued_bytes: Cell<usize>,
     wake: Notify,
 }
 
 impl Links {
-    /// None yet.
-    pub fn new(terms: LinkSettings, counters: Rc<FleetCounters>) -> Self {
+    /// Creates an empty set; connections are opened by [`Links::send`].
+    pub fn new(settings: LinkSettings, counters: Rc<FleetCounters>) -> Self {
         Links {
-            terms: Rc::new(terms),
+            settings: Rc::new(settings),
             counters,
             links: BTreeMap::new(),
         }
     }
 
-    /// Puts a message into the queue to a member.
+    /// Queues an encoded message to a member. `address` replaces the address used for the next connection. The message
+    /// is dropped and counted if it alone exceeds the queue's limit, or if it needs a new link and there is no room for one.
     pub fn send(&mut self, to: &MemberName, address: SocketAddr, payload: Vec<u8>) {
-        let most = self.terms.most_queue_bytes;
-        if payload.len() > most
-            || (!self.links.contains_key(to) && self.links.len() >= self.terms.most_links)
+        let max_bytes = self.settings.max_queue_bytes;
+        if payload.len() > max_bytes
+            || (!self.links.contains_key(to) && self.links.len() >= self.settings.max_links)
         {
             self.counters.queue_drops.up();
             return;
         }
         let (link, _) = self.links.entry(to.clone()).or_insert_with(|| {
-            let (queue, bytes) = (RefCell::default(), Cell::new(0));
+            let (queue, queued_bytes) = (RefCell::default(), Cell::new(0));
             let address = Cell::new(address);
             let link = Rc::new(Link {
                 to: to.clone(),
                 address,
                 queue,
-                bytes,
+                queued_bytes,
                 wake: Notify::new(),
             });
-            let task = run(link.clone(), self.terms.clone(), self.counters.clone());
+            let task = run(link.clone(), self.settings.clone(), self.counters.clone());
             (link, tokio::task::spawn_local(task))
         });
         link.address.set(address);
         let mut queue = link.queue.borrow_mut();
-        let mut bytes = link.bytes.get() + payload.len();
-        while bytes > most {
+        let mut bytes = link.queued_bytes.get() + payload.len();
+        while bytes > max_bytes {
             let Some(oldest) = queue.pop_front() else {
                 break;
             };
@@ -107,16 +108,16 @@
             self.counters.queue_drops.up();
         }
         queue.push_back(payload);
-        link.bytes.set(bytes);
+        link.queued_bytes.set(bytes);
         link.wake.notify_one();
     }
 
-    /// The members that there are links to.
+    /// Members that have a link.
     pub fn names(&self) -> impl Iterator<Item = &MemberName> {
         self.links.keys()
     }
 
-    /// A member has gone for good.
+    /// Closes the link to a member and drops its queue.
     pub fn forget(&mut self, name: &MemberName) {
         if let Some((_, task)) = self.links.remove(name) {
             task.abort();
@@ -131,10 +132,11 @@
 }
 
 impl Link {
-    fn next(&self) -> Option<Vec<u8>> {
-        let next = self.queue.borrow_mut().pop_front()?;
-        self.bytes.set(self.bytes.get() - next.len());
-        Some(next)
+    fn pop(&self) -> Option<Vec<u8>> {
+        let payload = self.queue.borrow_mut().pop_front()?;
+        self.queued_bytes
+            .set(self.queued_bytes.get() - payload.len());
+        Some(payload)
     }
 
     fn is_empty(&self) -> bool {
@@ -142,68 +144,69 @@
     }
 }
 
-async fn run(link: Rc<Link>, terms: Rc<LinkSettings>, counters: Rc<FleetCounters>) {
+async fn run(link: Rc<Link>, settings: Rc<LinkSettings>, counters: Rc<FleetCounters>) {
     let mut failures = 0u32;
-    let mut draws = 0u64;
+    let mut jitter_draws = 0u64;
     loop {
         while link.is_empty() {
             link.wake.notified().await;
         }
-        let failed = match connect(&link).await {
-            Ok((stream, session)) => {
+        let outcome = match connect(&link).await {
+            Ok((stream, nonce)) => {
                 counters.links_opened.up();
                 failures = 0;
                 let sealer = StreamSealer::new(
-                    terms.me.clone(),
+                    settings.me.clone(),
                     link.to.clone(),
-                    terms.keys.clone(),
-                    &terms.limits,
-                    session,
+                    settings.keys.clone(),
+                    &settings.limits,
+                    nonce,
                 );
-                carry(&link, stream, sealer, &counters).await
+                send_queued(&link, stream, sealer, &counters).await
             }
             Err(error) => Err(error),
         };
-        let Err(error) = failed else { continue };
+        let Err(error) = outcome else { continue };
         log::debug!(
-            "fleet: connection to {} at {}: {error}",
+            "fleet: connection to {} at {} failed: {error}; reconnecting",
             link.to,
             link.address.get()
         );
         counters.links_lost.up();
-        let wait = FIRST_WAIT
+        let delay = FIRST_RECONNECT_DELAY
             .saturating_mul(1 << failures.min(8))
-            .min(LONGEST_WAIT);
+            .min(MAX_RECONNECT_DELAY);
         failures += 1;
-        draws += 1;
-        // From half of it to all of it, so that a fleet does not come back in step.
-        let spread = xxh3_64_with_seed(&draws.to_le_bytes(), terms.seed) % 500;
-        tokio::time::sleep(wait * (500 + spread as u32) / 1000).await;
+        jitter_draws += 1;
+        // Jitter: between half the delay and the whole delay, so that the members do not all reconnect at once.
+        let jitter = xxh3_64_with_seed(&jitter_draws.to_le_bytes(), settings.seed) % 500;
+        tokio::time::sleep(delay * (500 + jitter as u32) / 1000).await;
     }
 }
 
 async fn connect(link: &Link) -> io::Result<(SteadyStream, ConnectionNonce)> {
-    let stream = within(CONNECT, TcpStream::connect(link.address.get())).await?;
+    let stream = with_timeout(CONNECT_TIMEOUT, TcpStream::connect(link.address.get())).await?;
     stream.set_nodelay(true)?;
     let mut stream = SteadyStream(stream);
-    let mut session = [0; 16];
-    within(CONNECT, stream.read_exact(&mut session)).await?;
-    Ok((stream, ConnectionNonce(session)))
+    let mut nonce = [0; 16];
+    with_timeout(CONNECT_TIMEOUT, stream.read_exact(&mut nonce)).await?;
+    Ok((stream, ConnectionNonce(nonce)))
 }
 
-/// Carries what comes until there is nothing for long. The receiver says nothing: whatever can be read is its end.
-async fn carry(
+/// Sends queued messages until the link has been idle for [`IDLE_TIMEOUT`]. The receiver sends nothing after its nonce,
+/// so a read that returns means that the connection is closed or broken.
+async fn send_queued(
     link: &Link,
     stream: SteadyStream,
     mut sealer: StreamSealer,
     counters: &FleetCounters,
 ) -> io::Result<()> {
-    let (mut from, mut to) = tokio::io::split(stream);
-    let mut scrap = [0];
+    let (mut reader, mut writer) = tokio::io::split(stream);
+    let mut read_buffer = [0];
     loop {
         let (mut bytes, mut frames) = (Vec::new(), 0);
-        while bytes.len() < TOGETHER {
-            let Some(payload) = link.next() else { break };
+        while bytes.len() < WRITE_BATCH_BYTES {
+            let Some(payload) = link.pop() else { break };
             match sealer.seal(MESSAGE_FRAME, &payload) {
                 Ok(frame) => {
                     bytes.extend_from_slice(&length_prefix(&frame));
@@ -215,8 +218,8 @@
         }
         if !bytes.is_empty() {
             tokio::select! {
-                written = within(STALLED, to.write_all(&bytes)) => written?,
-                _ = from.read(&mut scrap) => return Err(io::ErrorKind::ConnectionReset.into()),
+                written = with_timeout(WRITE_TIMEOUT, writer.write_all(&bytes)) => written?,
+                _ = reader.read(&mut read_buffer) => return Err(io::ErrorKind::ConnectionReset.into()),
             }
             counters.frames_out.add(frames);
             counters.bytes_out.add(bytes.len());
@@ -224,8 +227,8 @@
         }
         tokio::select! {
             () = link.wake.notified() => {}
-            _ = from.read(&mut scrap) => return Err(io::ErrorKind::ConnectionReset.into()),
-            () = tokio::time::sleep(IDLE) => return Ok(()),
+            _ = reader.read(&mut read_buffer) => return Err(io::ErrorKind::ConnectionReset.into()),
+            () = tokio::time::sleep(IDLE_TIMEOUT) => return Ok(()),
         }
     }
 }
--- a/src/fleet/transport/mod.rs
+++ b/src/fleet/transport/mod.rs
@@ -1,8 +1,9 @@
-//! Carries out what a member decides: sockets, keys, disk, and the history.
+//! Runs a member of the fleet: peer sockets, sealed frames, writes to the store, and the history in the log.
 //!
-//! [`start`] opens all that a member needs and drives its [`Node`](super::node::Node) on the program's one thread;
-//! writes to the store go through one blocking thread, one after the other. [`Fleet`] is what the rest of the program
-//! asks. Datagrams and connections share the peer address: the view goes by datagrams, all else by connections.
+//! [`start`] opens the store and the peer sockets and runs the member's [`Node`](super::node::Node) on the current
+//! thread; writes to the store run one after the other on a blocking thread. [`Fleet`] is the handle for the rest of
+//! the program. Datagrams and connections use the same peer address: membership messages go as datagrams unless they
+//! are too long or need reliable delivery, all other messages go over connections.
 
 pub mod admin;
 pub mod disk;
@@ -37,66 +38,77 @@
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::sync::{mpsc, oneshot};
 
-/// The kind of a frame that carries a message between members.
+/// Frame kind of a message between members.
 const MESSAGE_FRAME: u8 = 1;
-/// The kind of a frame that carries a request of an administrator or its reply.
+/// Frame kind of an operator's request and of the reply to it.
 const ADMIN_FRAME: u8 = 2;
-/// Messages that have come and wait for the member.
+/// Received messages that may wait for the driver.
 const INBOX_CAPACITY: usize = 256;
-/// The program's own requests to the member that wait.
+/// Requests of this process that may wait for the driver.
 const LOCAL_REQUEST_CAPACITY: usize = 64;
 
-/// What the rest of the program knows of its fleet.
+/// Handle to the member that this process runs. Clones share one member.
 #[derive(Clone)]
 pub struct Fleet(Rc<Shared>);
 
 struct Shared {
     clock: Clock,
     when_cut_off: WhenCutOff,
-    who: RefCell<MemberInstance>,
-    life: LeaseName,
-    rights: RefCell<LeaseView>,
-    asks: mpsc::Sender<LocalRequest>,
+    instance: RefCell<MemberInstance>,
+    session_lease: LeaseName,
+    leases: RefCell<LeaseView>,
+    requests: mpsc::Sender<LocalRequest>,
     counters: Rc<FleetCounters>,
     stopped: Cell<bool>,
     listeners: RefCell<Vec<EventListener>>,
 }
 
-/// A part of the program that is told what happens in the fleet.
+/// Callback that receives every [`FleetEvent`], in order.
 pub type EventListener = Box<dyn FnMut(&FleetEvent)>;
 
 impl Fleet {
-    /// The token to act under, if this conductor may act under a lease at this very moment: the clock is read anew.
+    /// The fencing token of `lease` if this router holds the lease now, by a fresh reading of the clock; otherwise
+    /// `None`.
     pub fn lease_token(&self, lease: &LeaseName) -> Option<Token> {
         let Shared {
-            clock, who, rights, ..
+            clock,
+            instance,
+            leases,
+            ..
         } = &*self.0;
-        rights
+        leases
             .borrow()
-            .valid_token(&who.borrow(), lease, clock.now())
+            .valid_token(&instance.borrow(), lease, clock.now())
     }
 
-    /// Whether new requests may be taken at this very moment.
+    /// Whether this router may take new requests now: its session lease is valid, or `when_cut_off` is set to serve
+    /// without one.
     pub fn may_serve(&self) -> bool {
-        self.0.when_cut_off == WhenCutOff::Serve || self.lease_token(&self.0.life).is_some()
+        self.0.when_cut_off == WhenCutOff::Serve
+            || self.lease_token(&self.0.session_lease).is_some()
     }
 
-    /// Whether this conductor's life lease stands at this very moment: the clock is read anew.
+    /// Whether this router's session lease is valid now, by a fresh reading of the clock.
     pub fn session_valid(&self) -> bool {
-        self.lease_token(&self.0.life).is_some()
+        self.lease_token(&self.0.session_lease).is_some()
     }
 
-    /// This conductor in its present life.
+    /// This router's name and current incarnation.
     pub fn instance(&self) -> MemberInstance {
-        self.0.who.borrow().clone()
+        self.0.instance.borrow().clone()
     }
 
-    /// Holds a lease from here on whenever it can be had.
+    /// Requests a lease and keeps requesting it whenever it is not held, across incarnations.
     pub async fn acquire_lease(&self, lease: LeaseName) {
-        let _ = self.0.asks.send(LocalRequest::AcquireLease(lease)).await;
+        let _ = self
+            .0
+            .requests
+            .send(LocalRequest::AcquireLease(lease))
+            .await;
     }
 
-    /// Has a part of the program told what happens from here on. It must not call back into the fleet at once.
+    /// Registers a callback for all later events. The callback must not call [`Fleet::add_listener`] itself, because
+    /// the list of listeners is borrowed while it runs.
     pub fn add_listener(&self, listener: EventListener) {
         self.0.listeners.borrow_mut().push(listener);
     }
@@ -109,21 +121,22 @@
             .for_each(|listener| listener(event));
     }
 
-    /// Puts a command into the log, again and again until it is there, and gives the log's answer.
+    /// Proposes a command to the log, repeats it until it is committed, and returns the result of applying it.
     ///
     /// # Errors
-    /// There is no answer: too many wait, none came in time, or this life is over.
+    /// The result is unknown: too many proposals are pending, the proposal timed out, or this incarnation has ended.
     pub async fn propose(&self, command: Command) -> Result<ProposalResult, ProposalError> {
         let (answer, answered) = oneshot::channel();
         self.0
-            .asks
+            .requests
             .send(LocalRequest::Propose(command, answer))
             .await
             .map_err(|_| ProposalError::TimedOut)?;
         answered.await.unwrap_or(Err(ProposalError::TimedOut))
     }
 
-    /// Does something under a lease if this conductor may, and tells the history.
+    /// Runs `act` with the fencing token if this router holds the lease, and writes that to the history. The time in
+    /// the history is read before the lease is checked.
     pub fn act_under_lease(&self, lease: &LeaseName, act: impl FnOnce(Token)) {
         let at = history::unix_us();
         let Some(token) = self.lease_token(lease) else {
@@ -134,12 +147,18 @@
         History(self.instance()).lease_acted(at, lease, token);
     }
 
-    /// A planned stop: gives all leases up and leaves the view. Resolves when the others know, or it can't be waited
-    /// for any longer.
-    pub async fn leave(&self, patience: Duration) {
+    /// Leaves the fleet for a planned stop: releases all leases and announces the departure. Returns when the other
+    /// members know of it, or after `timeout`.
+    pub async fn leave(&self, timeout: Duration) {
         let (done, left) = oneshot::channel();
-        if self.0.asks.send(LocalRequest::Leave(done)).await.is_ok() {
-            let _ = tokio::time::timeout(patience, left).await;
+        if self
+            .0
+            .requests
+            .send(LocalRequest::Leave(done))
+            .await
+            .is_ok()
+        {
+            let _ = tokio::time::timeout(timeout, left).await;
         }
         self.stopped("left");
     }
@@ -150,48 +169,63 @@
         }
     }
 
-    /// Counters.
+    /// The counters of this process's fleet traffic and events, over all incarnations.
     pub fn counters(&self) -> &FleetCounters {
         &self.0.counters
     }
 }
 
-/// Opens the store and the peer address, and lets the member run on the present thread's tasks.
+/// Opens the store and the peer sockets, and spawns the tasks that run the member on the current thread.
 ///
 /// # Errors
-/// Names the field at fault: the key file, the peer address or the store.
+/// Names the configuration field at fault: the key file, the peer address or the store.
 pub async fn start(config: &FleetConfig, clock: Clock, seed: u64) -> Result<Fleet, ConfigError> {
-    let wrong = |field: &str, what: String| ConfigError(format!("{field}: {what}"));
+    let config_error = |field: &str, what: String| ConfigError(format!("{field}: {what}"));
     let key_file = config.key_file.display();
     let (keys, warning) = Keys::read(&config.key_file)
-        .map_err(|e| wrong("fleet.key_file", format!("{key_file}: {e}")))?;
+        .map_err(|e| config_error("fleet.key_file", format!("{key_file}: {e}")))?;
     if let Some(warning) = warning {
         log::warn!("fleet: {key_file}: {warning}");
     }
-    let unreachable = |e: io::Error| wrong("fleet.peer", format!("{}: {e}", config.peer));
-    let listener = TcpListener::bind(config.peer).await.map_err(unreachable)?;
-    let socket = UdpSocket::bind(config.peer).await.map_err(unreachable)?;
+    let bind_error = |e: io::Error| {
+        let peer = config.peer;
+        config_error(
+            "fleet.peer",
+            format!(
+                "can't listen on {peer}: {e}; set an address of this machine that no other process uses"
+            ),
+        )
+    };
+    let listener = TcpListener::bind(config.peer).await.map_err(bind_error)?;
+    let socket = UdpSocket::bind(config.peer).await.map_err(bind_error)?;
     let path = config.store.path.clone();
     let settings = store_settings(config);
-    let found = disk::Disk::open(&path, settings, history::unix_us())
-        .map_err(|e| wrong("store.path", format!("{}: {e}", path.display())))?;
-    let life =
-        session_lease(&config.name).ok_or_else(|| wrong("fleet.name", "too long".to_owned()))?;
-    let who = MemberInstance {
+    let opened_store = disk::Disk::open(&path, settings, history::unix_us())
+        .map_err(|e| config_error("store.path", format!("{}: {e}", path.display())))?;
+    let session_lease = session_lease(&config.name).ok_or_else(|| {
+        config_error(
+            "fleet.name",
+            format!(
+                "{} is too long for the name of a session lease; choose a shorter name",
+                config.name
+            ),
+        )
+    })?;
+    let instance = MemberInstance {
         name: config.name.clone(),
-        incarnation: found.disk.incarnation(),
+        incarnation: opened_store.disk.incarnation(),
     };
     let limits = frame_limits(config);
     let counters = Rc::new(FleetCounters::default());
-    let (inbox, came) = mpsc::channel(INBOX_CAPACITY);
-    let (asks, asked) = mpsc::channel(LOCAL_REQUEST_CAPACITY);
+    let (inbox, incoming) = mpsc::channel(INBOX_CAPACITY);
+    let (requests, local_requests) = mpsc::channel(LOCAL_REQUEST_CAPACITY);
     let fleet = Fleet(Rc::new(Shared {
         clock,
         when_cut_off: config.when_cut_off,
-        who: RefCell::new(who.clone()),
-        life,
-        rights: RefCell::default(),
-        asks,
+        instance: RefCell::new(instance.clone()),
+        session_lease,
+        leases: RefCell::default(),
+        requests,
         counters: counters.clone(),
         stopped: Cell::new(false),
         listeners: RefCell::default(),
@@ -202,16 +236,16 @@
             keys.clone(),
             limits.clone(),
         )),
-        me: RefCell::new(who),
+        me: RefCell::new(instance),
         keys,
         limits,
         refusals: RefCell::default(),
         counters,
         clock,
         inbox,
-        most_proven: config.most_members,
-        proven: RefCell::default(),
-        unproven: RefCell::default(),
+        max_authenticated: config.most_members,
+        authenticated: RefCell::default(),
+        unauthenticated: RefCell::default(),
     });
     tokio::task::spawn_local(reception.clone().accept(listener));
     let driver = Driver {
@@ -219,15 +253,15 @@
         fleet: fleet.clone(),
         reception,
         socket,
-        came,
-        asked,
+        incoming,
+        local_requests,
         seed,
     };
-    tokio::task::spawn_local(driver.run(found));
+    tokio::task::spawn_local(driver.run(opened_store));
     Ok(fleet)
 }
 
-/// The limits of frames, by the fleet's configuration.
+/// The frame limits that follow from the fleet's configuration.
 fn frame_limits(config: &FleetConfig) -> FrameLimits {
     FrameLimits {
         max_datagram_bytes: config.settings.membership.max_datagram_bytes,
@@ -239,23 +273,26 @@
 }
 
 fn store_settings(config: &FleetConfig) -> storage::StoreConfig {
-    let most_record = config.settings.raft.max_payload_bytes.max(64 * 1024) + 64 * 1024;
+    let max_record_bytes = config.settings.raft.max_payload_bytes.max(64 * 1024) + 64 * 1024;
     storage::StoreConfig {
         max_bytes: config.store.most_bytes,
-        max_record_bytes: u32::try_from(most_record).unwrap_or(u32::MAX),
+        max_record_bytes: u32::try_from(max_record_bytes).unwrap_or(u32::MAX),
     }
 }
 
-/// Bytes that never come twice.
-fn draw() -> io::Result<[u8; 16]> {
+/// Reads 16 bytes from the system's random number generator, so that no two calls return the same bytes.
+fn random_bytes() -> io::Result<[u8; 16]> {
     let mut bytes = [0; 16];
     std::fs::File::open("/dev/urandom")?.read_exact(&mut bytes)?;
     Ok(bytes)
 }
 
-/// FrameLimits a wait.
-async fn within<T>(patience: Duration, wait: impl Future<Output = io::Result<T>>) -> io::Result<T> {
-    tokio::time::timeout(patience, wait)
+/// Awaits `operation` for at most `timeout`, then fails with [`io::ErrorKind::TimedOut`].
+async fn with_timeout<T>(
+    timeout: Duration,
+    operation: impl Future<Output = io::Result<T>>,
+) -> io::Result<T> {
+    tokio::time::timeout(timeout, operation)
         .await
         .unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
 }
--- a/src/fleet/transport/refusals.rs
+++ b/src/fleet/transport/refusals.rs
@@ -1,4 +1,4 @@
-//! What was refused: counted by reason, and one log line per source and minute.
+//! Refused frames: counts them by reason, and writes at most one log line per source and minute.
 
 use super::history::History;
 use super::seal::FrameError;
@@ -7,12 +7,12 @@
 use std::collections::BTreeMap;
 use std::net::IpAddr;
 
-/// One line for each source in this time.
-const MINUTE: Micros = 60_000_000;
-/// Sources that are kept apart. With more, the rest share one line.
-const MOST_SOURCES: usize = 64;
+/// Interval of the history lines of one source.
+const REPORT_INTERVAL: Micros = 60_000_000;
+/// Maximum number of sources with history lines of their own. Further sources share the line of `others`.
+const MAX_SOURCES: usize = 64;
 
-/// The sources of the last minutes.
+/// Sources of frames that were refused in the last minutes.
 #[derive(Debug, Default)]
 pub struct Refusals {
     sources: BTreeMap<String, Source>,
@@ -20,65 +20,72 @@
 
 #[derive(Debug)]
 struct Source {
-    told: Micros,
-    untold: u64,
+    reported_at: Micros,
+    unreported: u64,
 }
 
 impl Refusals {
-    /// A frame from this address was refused.
-    pub fn refused(
+    /// Counts a frame from an address that was refused, and reports it if a history line is due.
+    pub fn frame_refused(
         &mut self,
         now: Micros,
         from: IpAddr,
         reason: FrameError,
-        count: &FleetCounters,
-        log: &History,
+        counters: &FleetCounters,
+        history: &History,
     ) {
-        counter(count, reason).up();
-        self.tell(now, from.to_string(), &reason.to_string(), log);
+        counter(counters, reason).up();
+        self.report(now, from.to_string(), &reason.to_string(), history);
     }
 
-    /// The payload of a well-sealed frame can't be read.
-    pub fn payload(&mut self, now: Micros, from: &str, count: &FleetCounters, log: &History) {
-        count.refused_payload.up();
-        self.tell(now, from.to_owned(), "payload", log);
+    /// Counts a valid frame of a member whose payload can't be decoded, and reports it if a history line is due.
+    pub fn payload_unreadable(
+        &mut self,
+        now: Micros,
+        from: &str,
+        counters: &FleetCounters,
+        history: &History,
+    ) {
+        counters.refused_payload.up();
+        self.report(now, from.to_owned(), "payload", history);
     }
 
-    fn tell(&mut self, now: Micros, mut from: String, reason: &str, log: &History) {
-        if !self.sources.contains_key(&from) && self.sources.len() >= MOST_SOURCES {
-            self.sources
-                .retain(|_, source| source.untold > 0 || now - source.told < MINUTE);
-            if self.sources.len() >= MOST_SOURCES {
+    fn report(&mut self, now: Micros, mut from: String, reason: &str, history: &History) {
+        if !self.sources.contains_key(&from) && self.sources.len() >= MAX_SOURCES {
+            self.sources.retain(|_, source| {
+                source.unreported > 0 || now - source.reported_at < REPORT_INTERVAL
+            });
+            if self.sources.len() >= MAX_SOURCES {
                 "others".clone_into(&mut from);
             }
         }
-        let fresh = Source {
-            told: now.saturating_sub(MINUTE),
-            untold: 0,
+        let new_source = Source {
+            reported_at: now.saturating_sub(REPORT_INTERVAL),
+            unreported: 0,
         };
-        let source = self.sources.entry(from.clone()).or_insert(fresh);
-        source.untold += 1;
-        if now.saturating_sub(source.told) >= MINUTE {
-            log.frames_refused(&from, reason, source.untold);
-            (source.told, source.untold) = (now, 0);
+        let source = self.sources.entry(from.clone()).or_insert(new_source);
+        source.unreported += 1;
+        if now.saturating_sub(source.reported_at) >= REPORT_INTERVAL {
+            history.frames_refused(&from, reason, source.unreported);
+            (source.reported_at, source.unreported) = (now, 0);
         }
     }
 }
 
-fn counter(count: &FleetCounters, reason: FrameError) -> &Count {
+fn counter(counters: &FleetCounters, reason: FrameError) -> &Count {
     match reason {
-        FrameError::Malformed => &count.refused_malformed,
-        FrameError::TooLong => &count.refused_too_long,
-        FrameError::Version => &count.refused_version,
-        FrameError::Channel => &count.refused_channel,
-        FrameError::Receiver => &count.refused_receiver,
-        FrameError::OwnName => &count.refused_own_name,
-        FrameError::Mac => &count.refused_mac,
-        FrameError::OldIncarnation => &count.refused_old_incarnation,
-        FrameError::Replay => &count.refused_replay,
-        FrameError::Order => &count.refused_order,
-        FrameError::OtherSender => &count.refused_other_sender,
-        FrameError::TooManySenders => &count.refused_too_many_senders,
-        FrameError::Rate => &count.refused_rate,
+        FrameError::Malformed => &counters.refused_malformed,
+        FrameError::TooLong => &counters.refused_too_long,
+        FrameError::Version => &counters.refused_version,
+        FrameError::Channel => &counters.refused_channel,
+        FrameError::Receiver => &counters.refused_receiver,
+        FrameError::OwnName => &counters.refused_own_name,
+        FrameError::Mac => &counters.refused_mac,
+        FrameError::OldIncarnation => &counters.refused_old_incarnation,
+        FrameError::Replay => &counters.refused_replay,
+        FrameError::Order => &counters.refused_order,
+        FrameError::OtherSender => &counters.refused_other_sender,
+        FrameError::TooManySenders => &counters.refused_too_many_senders,
+        FrameError::Rate => &counters.refused_rate,
     }
 }
--- a/src/fleet/transport/seal.rs
+++ b/src/fleet/transport/seal.rs
@@ -1,23 +1,24 @@
-//! Frames between members: sealed with a shared key, refused when forged, garbled, replayed or meant for another.
+//! Frames between members: authenticated with a shared key, and refused if they are forged, corrupted, replayed or
+//! meant for another member.
 //!
-//! No I/O and no clock. [`Sealer`] makes datagrams, [`StreamSealer`] the frames of one connection, [`Opener`] opens
-//! both. A frame that is refused changes nothing, whoever sent it: only what the key vouches for reaches a table.
+//! Does no I/O and reads no clock. [`Sealer`] makes datagrams, [`StreamSealer`] the frames of one connection, [`Opener`]
+//! checks both. A refused frame changes no state: only frames with a valid MAC reach the table of senders.
 //!
-//! A frame, integers little-endian:
+//! Layout of a frame, in bytes, with integers in little-endian order:
 //!
 //! ```text
 //! version 1 | channel 1 | kind 1 | bytes of from 1 | bytes of to 1 | incarnation 8 | sequence 8 | from | to | payload | MAC 32
 //! ```
 //!
-//! The MAC is HMAC-SHA256 over a label, the connection's session (nothing for a datagram) and all of the frame before
-//! it. On a connection a frame comes after its length ([`length_prefix`], [`frame_length`]). A connection carries
-//! frames one way, from who opened it: the acceptor begins with a [`ConnectionNonce`] drawn afresh, as plain bytes, so that
-//! nothing recorded from another connection opens on this one.
+//! The MAC is HMAC-SHA256 over a label, the connection's nonce (nothing for a datagram) and all of the frame before the
+//! MAC. On a connection each frame follows its length ([`length_prefix`], [`frame_length`]). A connection carries frames
+//! one way, from the member that opened it: the acceptor first sends a fresh random [`ConnectionNonce`] as without_comment bytes,
+//! so that frames recorded from another connection are refused on this one.
 //!
-//! What this does not do: payloads can be read on the way; whoever has the key can speak as any member; and a member
-//! that has just started knows no sequences, so that a datagram recorded from a living sender is taken once more if it
-//! comes before the first fresh one of that sender. The view bears that, its news being ordered by incarnation and
-//! refutation; what must not be repeated goes over connections.
+//! Limits of the protection: payloads are not encrypted; whoever has the key can send as any member; and a member that
+//! has just started knows no sequence numbers, so it accepts a datagram recorded from a live sender once more if it
+//! arrives before that sender's first fresh one. Membership messages tolerate that, because they are ordered by
+//! incarnation and refutation; messages that must not be repeated go over connections.
 
 use crate::fleet::{Incarnation, MAX_NAME_LENGTH, MemberInstance, MemberName};
 use crate::routing::types::Micros;
@@ -29,62 +30,62 @@
 use std::io::Read;
 use std::path::Path;
 
-/// The version of the frames' form.
+/// Version of the frame layout, the first byte of each frame.
 pub const VERSION: u8 = 1;
-/// Bytes of a frame's MAC.
+/// Length of a frame's MAC, in bytes.
 pub const MAC_BYTES: usize = 32;
-/// Bytes of a key at the least.
+/// Minimum length of a key, in bytes.
 pub const MIN_KEY_BYTES: usize = 32;
-/// Keys at once at the most: during a rotation the new one and the old one.
+/// Maximum number of keys in use: during a rotation the new one and the old one.
 pub const MAX_KEYS: usize = 2;
-/// How many sequences below the highest one seen a datagram may still come.
+/// A datagram is accepted if its sequence number is less than this below the highest one received from its sender.
 pub const REPLAY_WINDOW: u64 = 1024;
 
 const MAX_KEY_FILE_BYTES: u64 = 4096;
-const FIXED: usize = 21;
-const LABEL: &[u8] = b"whinhaven peer frame";
-const DATAGRAM: u8 = 1;
-const STREAM: u8 = 2;
+const FIXED_HEADER_BYTES: usize = 21;
+const MAC_LABEL: &[u8] = b"whinhaven peer frame";
+const DATAGRAM_CHANNEL: u8 = 1;
+const STREAM_CHANNEL: u8 = 2;
 
-/// The keys that members share. The first signs, all open.
+/// The keys that members share. The first one signs, and any of them verifies.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Keys(Vec<Vec<u8>>);
 
-/// A key file can't be used. Says nothing of the keys.
+/// Why a key file can't be used. The texts and the debug output contain no part of a key.
 #[derive(Debug, thiserror::Error)]
 pub enum KeyError {
-    /// The file can't be read.
+    /// The file can't be opened or read.
     #[error("can't be read: {0}")]
     Io(#[from] std::io::Error),
-    /// Neither `keys = ["...", "..."]` nor one key a line.
-    #[error("not of the form keys = [\"HEX\", \"HEX\"] or one HEX key a line")]
-    Form,
-    /// A key is not hexadecimal; counted from 1.
-    #[error("key {0} is not hexadecimal")]
-    Hex(usize),
-    /// A key has fewer than [`MIN_KEY_BYTES`] bytes; counted from 1.
+    /// The text is neither `keys = ["...", "..."]` nor one key per line.
+    #[error("not of the form keys = [\"HEX\", \"HEX\"] or one HEX key per line")]
+    Format,
+    /// The key at this position, counted from 1, is not hexadecimal.
+    #[error("key {0} is not hexadecimal; write two hexadecimal digits per byte")]
+    NotHexadecimal(usize),
+    /// The key at this position, counted from 1, has this many bytes, fewer than [`MIN_KEY_BYTES`].
     #[error("key {0} has {1} bytes, at least 32 are needed")]
-    Short(usize, usize),
-    /// No key, or more than [`MAX_KEYS`].
-    #[error("{0} keys, 1 or 2 are needed")]
+    TooShort(usize, usize),
+    /// The file has this many keys: none, or more than [`MAX_KEYS`].
+    #[error("{0} keys in the file, 1 or 2 are needed")]
     Count(usize),
 }
 
 impl Keys {
-    /// Reads the text of a key file: `keys = ["HEX", "HEX"]`, or one hexadecimal key a line; `#` begins a comment.
+    /// Parses the text of a key file: `keys = ["HEX", "HEX"]`, or one hexadecimal key per line; `#` begins a comment.
     pub fn parse(text: &str) -> Result<Keys, KeyError> {
-        let plain = |line: &str| line.split('#').next().unwrap_or("").trim().to_owned();
+        let without_comment = |line: &str| line.split('#').next().unwrap_or("").trim().to_owned();
         let hex: Vec<String> = if text.contains('=') {
-            let table: toml::Table = text.parse().map_err(|_| KeyError::Form)?;
+            let table: toml::Table = text.parse().map_err(|_| KeyError::Format)?;
             let keys = table
                 .get("keys")
                 .and_then(toml::Value::as_array)
-                .ok_or(KeyError::Form)?;
+                .ok_or(KeyError::Format)?;
             let keys: Option<Vec<_>> = keys.iter().map(|k| k.as_str().map(str::to_owned)).collect();
-            keys.ok_or(KeyError::Form)?
+            keys.ok_or(KeyError::Format)?
         } else {
             text.lines()
-                .map(plain)
+                .map(without_comment)
                 .filter(|line| !line.is_empty())
                 .collect()
         };
@@ -93,16 +94,16 @@
         }
         let mut keys = Vec::new();
         for (i, hex) in hex.iter().enumerate() {
-            let key = from_hex(hex).ok_or(KeyError::Hex(i + 1))?;
+            let key = from_hex(hex).ok_or(KeyError::NotHexadecimal(i + 1))?;
             if key.len() < MIN_KEY_BYTES {
-                return Err(KeyError::Short(i + 1, key.len()));
+                return Err(KeyError::TooShort(i + 1, key.len()));
             }
             keys.push(key);
         }
         Ok(Keys(keys))
     }
 
-    /// Reads a key file, and says what is to be warned of: that every user of the machine can read it.
+    /// Reads a key file. The second value is a warning for the log if every user of the machine can read the file.
     pub fn read(path: &Path) -> Result<(Keys, Option<&'static str>), KeyError> {
         use std::os::unix::fs::PermissionsExt;
         let file = std::fs::File::open(path)?;
@@ -110,30 +111,28 @@
         let mut text = String::new();
         file.take(MAX_KEY_FILE_BYTES).read_to_string(&mut text)?;
         let warning =
-            (mode & 0o004 != 0).then_some("every user of this machine can read the key file");
+            (mode & 0o004 != 0).then_some("every user of this machine can read the key file; remove the permission with chmod o-r");
         Ok((Keys::parse(&text)?, warning))
     }
 
-    fn mac(key: &[u8], session: &[u8], body: &[u8]) -> Hmac<Sha256> {
+    fn mac(key: &[u8], nonce: &[u8], body: &[u8]) -> Hmac<Sha256> {
         let mut mac = Hmac::<Sha256>::new_from_slice(key).expect("HMAC takes keys of any length");
-        for part in [LABEL, session, body] {
+        for part in [MAC_LABEL, nonce, body] {
             mac.update(part);
         }
         mac
     }
 
-    fn sign(&self, session: &[u8], frame: &mut Vec<u8>) {
-        let mac = Self::mac(&self.0[0], session, frame)
-            .finalize()
-            .into_bytes();
+    fn sign(&self, nonce: &[u8], frame: &mut Vec<u8>) {
+        let mac = Self::mac(&self.0[0], nonce, frame).finalize().into_bytes();
         frame.extend_from_slice(&mac);
     }
 
-    /// Takes the same time wherever a MAC differs.
-    fn vouch(&self, session: &[u8], body: &[u8], mac: &[u8]) -> bool {
+    /// Whether one of the keys produces this MAC. The comparison takes constant time.
+    fn verify(&self, nonce: &[u8], body: &[u8], mac: &[u8]) -> bool {
         self.0
             .iter()
-            .any(|key| Self::mac(key, session, body).verify_slice(mac).is_ok())
+            .any(|key| Self::mac(key, nonce, body).verify_slice(mac).is_ok())
     }
 }
 
@@ -157,23 +156,23 @@
     )
 }
 
-/// What is sealed or opened at the most.
+/// Limits of frames' sizes, of senders, and of senders' rates.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct FrameLimits {
-    /// Bytes of a datagram's payload.
+    /// Maximum payload of a datagram, in bytes.
     #[serde(rename = "most_datagram")]
     pub max_datagram_bytes: usize,
-    /// Bytes of the payload of a frame on a connection.
+    /// Maximum payload of a frame on a connection, in bytes.
     #[serde(rename = "most_stream_frame")]
     pub max_stream_payload_bytes: usize,
-    /// Senders that are remembered; one more is refused.
+    /// Maximum number of senders in the table; frames of further senders are refused.
     #[serde(rename = "most_senders")]
     pub max_senders: usize,
-    /// Frames a second that one sender may send on average.
+    /// Average number of frames per second accepted from one sender.
     #[serde(rename = "per_second")]
     pub frames_per_second: u32,
-    /// Frames that one sender may send at once.
+    /// Maximum number of frames accepted from one sender at once.
     pub burst: u32,
 }
 
@@ -189,52 +188,52 @@
     }
 }
 
-/// Why a frame is refused; nothing has changed.
+/// Why a frame is refused. A refused frame changes no state. The texts are values of log fields.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, thiserror::Error)]
 pub enum FrameError {
-    /// Cut off, or no frame at all.
+    /// The frame is truncated, or its layout is invalid.
     #[error("malformed")]
     Malformed,
-    /// Larger than [`FrameLimits`] allow.
+    /// The payload is larger than the [`FrameLimits`] allow.
     #[error("too_long")]
     TooLong,
-    /// Of another version.
+    /// The version is not [`VERSION`].
     #[error("version")]
     Version,
-    /// Made for a connection but came as a datagram, or the other way.
+    /// The frame was made for a connection but arrived as a datagram, or the other way round.
     #[error("channel")]
     Channel,
-    /// Meant for another member.
+    /// The frame is addressed to another member.
     #[error("receiver")]
     Receiver,
-    /// Says that it is from this very member.
+    /// The frame names this member as its sender.
     #[error("own_name")]
     OwnName,
-    /// No key of ours vouches for it: forged, garbled, another key, or of another connection.
+    /// The MAC fits none of the keys: the frame is forged, corrupted, made with another key, or of another connection.
     #[error("mac")]
     Mac,
-    /// From a life of the sender before the one that has been heard.
+    /// The frame is from an earlier incarnation of the sender than the latest one received.
     #[error("old_incarnation")]
     OldIncarnation,
-    /// A datagram that has been taken before, or is too old to tell.
+    /// The datagram was accepted before, or is too old for the replay window.
     #[error("replay")]
     Replay,
-    /// Not the next frame of its connection.
+    /// The frame is not the next one of its connection.
     #[error("order")]
     Order,
-    /// From another sender, or another life, than the connection's first frame.
+    /// The frame is from another sender or incarnation than the connection's first frame.
     #[error("other_sender")]
     OtherSender,
-    /// The sender is new and the table of senders is full.
+    /// The sender is new, and the table of senders is full.
     #[error("too_many_senders")]
     TooManySenders,
-    /// The sender sends more than it may.
+    /// The sender exceeds its rate.
     #[error("rate")]
     Rate,
 }
 
 impl FrameError {
-    /// Every reason, for counters.
+    /// All variants, in the order of their declaration.
     pub const ALL: [FrameError; 13] = [
         FrameError::Malformed,
         FrameError::TooLong,
@@ -252,20 +251,20 @@
     ];
 }
 
-/// What the acceptor of a connection draws and sends first; must never come twice.
+/// Random bytes that the acceptor of a connection sends first and that every MAC on it covers. Must be unique.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ConnectionNonce(pub [u8; 16]);
 
-/// An opened frame.
+/// A frame that was accepted.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Opened<'a> {
-    /// Who sent it, in which life.
+pub struct OpenedFrame<'a> {
+    /// The sender and its incarnation.
     pub from: MemberInstance,
-    /// What the payload is; the transport's affair.
+    /// Kind of the payload; its meaning is defined by the transport.
     pub kind: u8,
-    /// The sender's count of its datagrams, or of the connection's frames.
+    /// Sequence number, from 1: of the sender's datagrams in this incarnation, or of the connection's frames.
     pub sequence: u64,
-    /// What was sealed.
+    /// The bytes that the sender sealed.
     pub payload: &'a [u8],
 }
 
@@ -275,228 +274,230 @@
     me: &MemberInstance,
     to: &MemberName,
     channel: u8,
-    session: &[u8],
+    nonce: &[u8],
     kind: u8,
     sequence: u64,
     payload: &[u8],
 ) -> Vec<u8> {
     let (from, to) = (me.name.as_str().as_bytes(), to.as_str().as_bytes());
-    let mut frame = Vec::with_capacity(FIXED + from.len() + to.len() + payload.len() + MAC_BYTES);
+    let mut frame =
+        Vec::with_capacity(FIXED_HEADER_BYTES + from.len() + to.len() + payload.len() + MAC_BYTES);
     frame.extend_from_slice(&[VERSION, channel, kind, from.len() as u8, to.len() as u8]);
     frame.extend_from_slice(&me.incarnation.0.to_le_bytes());
     frame.extend_from_slice(&sequence.to_le_bytes());
     frame.extend_from_slice(from);
     frame.extend_from_slice(to);
     frame.extend_from_slice(payload);
-    keys.sign(session, &mut frame);
+    keys.sign(nonce, &mut frame);
     frame
 }
 
-/// Seals a member's datagrams. One for each life of the member, since it counts them.
+/// Seals a member's datagrams. Needs to be created once per incarnation, because it numbers the datagrams.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Sealer {
     me: MemberInstance,
     keys: Keys,
-    most: usize,
-    next: u64,
+    max_payload_bytes: usize,
+    next_sequence: u64,
 }
 
 impl Sealer {
-    /// Of this member in this life.
+    /// Creates a sealer for this member and incarnation.
     pub fn new(me: MemberInstance, keys: Keys, limits: &FrameLimits) -> Self {
         Sealer {
             me,
             keys,
-            most: limits.max_datagram_bytes,
-            next: 1,
+            max_payload_bytes: limits.max_datagram_bytes,
+            next_sequence: 1,
         }
     }
 
-    /// A datagram for `to`. FrameError is a payload over [`FrameLimits::max_datagram_bytes`] only.
+    /// Makes a datagram for `to`. Fails only if the payload exceeds [`FrameLimits::max_datagram_bytes`].
     pub fn seal(
         &mut self,
         to: &MemberName,
         kind: u8,
         payload: &[u8],
     ) -> Result<Vec<u8>, FrameError> {
-        if payload.len() > self.most {
+        if payload.len() > self.max_payload_bytes {
             return Err(FrameError::TooLong);
         }
         let frame = seal(
             &self.keys,
             &self.me,
             to,
-            DATAGRAM,
+            DATAGRAM_CHANNEL,
             &[],
             kind,
-            self.next,
+            self.next_sequence,
             payload,
         );
-        self.next += 1;
+        self.next_sequence += 1;
         Ok(frame)
     }
 }
 
-/// Seals the frames of one connection, opened by this member to another.
+/// Seals the frames of one connection that this member opened to another.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StreamSealer {
     me: MemberInstance,
     to: MemberName,
     keys: Keys,
-    most: usize,
-    session: ConnectionNonce,
-    next: u64,
+    max_payload_bytes: usize,
+    nonce: ConnectionNonce,
+    next_sequence: u64,
 }
 
 impl StreamSealer {
-    /// For the connection whose acceptor began with `session`.
+    /// Creates a sealer for the connection to `to` on which the acceptor sent `nonce`.
     pub fn new(
         me: MemberInstance,
         to: MemberName,
         keys: Keys,
         limits: &FrameLimits,
-        session: ConnectionNonce,
+        nonce: ConnectionNonce,
     ) -> Self {
         StreamSealer {
             me,
             to,
             keys,
-            most: limits.max_stream_payload_bytes,
-            session,
-            next: 1,
+            max_payload_bytes: limits.max_stream_payload_bytes,
+            nonce,
+            next_sequence: 1,
         }
     }
 
-    /// The next frame, without its length. FrameError is a payload over [`FrameLimits::max_stream_payload_bytes`] only.
+    /// Makes the next frame, without its length. Fails only if the payload exceeds
+    /// [`FrameLimits::max_stream_payload_bytes`].
     pub fn seal(&mut self, kind: u8, payload: &[u8]) -> Result<Vec<u8>, FrameError> {
-        if payload.len() > self.most {
+        if payload.len() > self.max_payload_bytes {
             return Err(FrameError::TooLong);
         }
         let frame = seal(
             &self.keys,
             &self.me,
             &self.to,
-            STREAM,
-            &self.session.0,
+            STREAM_CHANNEL,
+            &self.nonce.0,
             kind,
-            self.next,
+            self.next_sequence,
             payload,
         );
-        self.next += 1;
+        self.next_sequence += 1;
         Ok(frame)
     }
 }
 
-/// What goes before a frame on a connection: its length.
+/// The length that precedes a frame on a connection.
 pub fn length_prefix(frame: &[u8]) -> [u8; 4] {
     (frame.len() as u32).to_le_bytes()
 }
 
-/// The length of the frame to come. FrameError before anything is read if no frame within `limits` is that long.
+/// Decodes the length of the next frame. Fails, before the frame is read, if no frame within `limits` has that length.
 pub fn frame_length(prefix: [u8; 4], limits: &FrameLimits) -> Result<usize, FrameError> {
     let length = u32::from_le_bytes(prefix) as usize;
     match length {
         _ if length > max_frame_bytes(limits.max_stream_payload_bytes) => Err(FrameError::TooLong),
-        _ if length < FIXED + 2 + MAC_BYTES => Err(FrameError::Malformed),
+        _ if length < FIXED_HEADER_BYTES + 2 + MAC_BYTES => Err(FrameError::Malformed),
         _ => Ok(length),
     }
 }
 
-/// Bytes of the longest frame that carries a payload of `most` bytes; a buffer for datagrams needs one byte more to
-/// tell a longer one.
-pub const fn max_frame_bytes(most: usize) -> usize {
-    FIXED + 2 * MAX_NAME_LENGTH + most + MAC_BYTES
+/// Maximum length in bytes of a frame with a payload of up to `max_payload_bytes` bytes. A buffer for datagrams needs one byte more,
+/// so that a longer datagram is noticed.
+pub const fn max_frame_bytes(max_payload_bytes: usize) -> usize {
+    FIXED_HEADER_BYTES + 2 * MAX_NAME_LENGTH + max_payload_bytes + MAC_BYTES
 }
 
-/// The acceptor's side of a connection: who sends on it, and what comes next.
+/// The acceptor's state of a connection: its sender and the next sequence number.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Inbound {
-    session: ConnectionNonce,
+    nonce: ConnectionNonce,
     from: Option<MemberInstance>,
-    next: u64,
+    next_sequence: u64,
 }
 
 impl Inbound {
-    /// A connection just accepted, on which `session` was sent.
-    pub fn new(session: ConnectionNonce) -> Self {
+    /// Creates the state of a new connection on which `nonce` was sent.
+    pub fn new(nonce: ConnectionNonce) -> Self {
         Inbound {
-            session,
+            nonce,
             from: None,
-            next: 1,
+            next_sequence: 1,
         }
     }
 
-    /// Who sends, once a frame was opened.
+    /// The sender; `None` until a frame is accepted.
     pub fn from(&self) -> Option<&MemberInstance> {
         self.from.as_ref()
     }
 }
 
-/// Lets through so many a second on average, and so many at once.
+/// Token bucket: limits the average rate and the burst.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TokenBucket {
     frames_per_second: u32,
     burst: u32,
-    millionths: u64,
-    at: Micros,
+    micro_tokens: u64,
+    updated_at: Micros,
 }
 
 impl TokenBucket {
-    /// A full one.
+    /// Creates a full bucket.
     pub fn new(now: Micros, frames_per_second: u32, burst: u32) -> Self {
         TokenBucket {
             frames_per_second,
             burst,
-            millionths: u64::from(burst) * 1_000_000,
-            at: now,
+            micro_tokens: u64::from(burst) * 1_000_000,
+            updated_at: now,
         }
     }
 
-    /// Takes one, if one is left.
+    /// Takes a token if one is available.
     pub fn take(&mut self, now: Micros) -> bool {
-        let came = now
-            .saturating_sub(self.at)
+        let refill = now
+            .saturating_sub(self.updated_at)
             .saturating_mul(u64::from(self.frames_per_second));
-        let held = self
-            .millionths
-            .saturating_add(came)
+        let available = self
+            .micro_tokens
+            .saturating_add(refill)
             .min(u64::from(self.burst) * 1_000_000);
-        let left = held.checked_sub(1_000_000);
-        // A refusal changes nothing: what came meanwhile is counted the next time.
-        if let Some(left) = left {
-            (self.millionths, self.at) = (left, now.max(self.at));
+        let remaining = available.checked_sub(1_000_000);
+        // A refusal changes nothing: the tokens added since the last success are computed again the next time.
+        if let Some(remaining) = remaining {
+            (self.micro_tokens, self.updated_at) = (remaining, now.max(self.updated_at));
         }
-        left.is_some()
+        remaining.is_some()
     }
 }
 
-/// Which of a sender's last datagrams were taken.
+/// Bit map of a sender's latest datagrams that were accepted.
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Window {
+struct ReplayWindow {
     highest: u64,
-    taken: [u64; (REPLAY_WINDOW / 64) as usize],
+    accepted: [u64; (REPLAY_WINDOW / 64) as usize],
 }
 
-impl Window {
+impl ReplayWindow {
     fn new() -> Self {
-        Window {
+        ReplayWindow {
             highest: 0,
-            taken: [0; (REPLAY_WINDOW / 64) as usize],
+            accepted: [0; (REPLAY_WINDOW / 64) as usize],
         }
     }
 
-    fn place(sequence: u64) -> (usize, u64) {
+    fn bit_position(sequence: u64) -> (usize, u64) {
         let at = sequence % REPLAY_WINDOW;
         ((at / 64) as usize, 1 << (at % 64))
     }
 
-    /// Counted from 1, so that 0 is never fresh.
+    /// Whether a sequence number is within the window and not yet accepted. Numbers start at 1, so 0 is never fresh.
     fn is_fresh(&self, sequence: u64) -> bool {
-        let (word, bit) = Self::place(sequence);
+        let (word, bit) = Self::bit_position(sequence);
         sequence > self.highest
             || (sequence > 0
                 && self.highest - sequence < REPLAY_WINDOW
-                && self.taken[word] & bit == 0)
+                && self.accepted[word] & bit == 0)
     }
 
     fn take(&mut self, sequence: u64) {
@@ -505,32 +506,32 @@
                 .rev()
                 .take(REPLAY_WINDOW as usize)
             {
-                let (word, bit) = Self::place(skipped);
-                self.taken[word] &= !bit;
+                let (word, bit) = Self::bit_position(skipped);
+                self.accepted[word] &= !bit;
             }
             self.highest = sequence;
         }
-        let (word, bit) = Self::place(sequence);
-        self.taken[word] |= bit;
+        let (word, bit) = Self::bit_position(sequence);
+        self.accepted[word] |= bit;
     }
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Sender {
     incarnation: Incarnation,
-    window: Window,
+    window: ReplayWindow,
     bucket: TokenBucket,
 }
 
-/// A frame whose MAC has been checked.
-struct Vouched<'a> {
+/// A frame whose MAC is valid.
+struct VerifiedFrame<'a> {
     from: MemberInstance,
     kind: u8,
     sequence: u64,
     payload: &'a [u8],
 }
 
-/// Opens frames to a member, and remembers what it has to of their senders: 150 bytes and a name each.
+/// Checks frames addressed to a member. Keeps state of 150 bytes and a name per sender.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Opener {
     me: MemberName,
@@ -540,7 +541,7 @@
 }
 
 impl Opener {
-    /// Of this member.
+    /// Creates an opener for frames addressed to `me`, with an empty table of senders.
     pub fn new(me: MemberName, keys: Keys, limits: FrameLimits) -> Self {
         Opener {
             me,
@@ -550,81 +551,85 @@
         }
     }
 
-    /// Opens a datagram.
-    pub fn datagram<'a>(&mut self, now: Micros, frame: &'a [u8]) -> Result<Opened<'a>, FrameError> {
-        let vouched = self.vouch(frame, DATAGRAM, &[], self.limits.max_datagram_bytes)?;
-        let mut sender = self.sender(now, &vouched.from)?;
-        if !sender.window.is_fresh(vouched.sequence) {
+    /// Checks a datagram and returns its content.
+    pub fn open_datagram<'a>(
+        &mut self,
+        now: Micros,
+        frame: &'a [u8],
+    ) -> Result<OpenedFrame<'a>, FrameError> {
+        let verified = self.verify(frame, DATAGRAM_CHANNEL, &[], self.limits.max_datagram_bytes)?;
+        let mut sender = self.sender(now, &verified.from)?;
+        if !sender.window.is_fresh(verified.sequence) {
             return Err(FrameError::Replay);
         }
         if !sender.bucket.take(now) {
             return Err(FrameError::Rate);
         }
-        sender.window.take(vouched.sequence);
-        Ok(self.opened(sender, vouched))
+        sender.window.take(verified.sequence);
+        Ok(self.accept(sender, verified))
     }
 
-    /// Opens a frame of a connection. After [`FrameError::Rate`] the same frame may be tried again later; after any other
-    /// refusal nothing of that connection can be trusted, and it is to be closed.
-    pub fn stream<'a>(
+    /// Checks a frame of a connection and returns its content. After [`FrameError::Rate`] the same frame may be tried
+    /// again later. After any other error the connection can't be trusted any more, and the caller has to close it.
+    pub fn open_stream_frame<'a>(
         &mut self,
         now: Micros,
         inbound: &mut Inbound,
         frame: &'a [u8],
-    ) -> Result<Opened<'a>, FrameError> {
-        let vouched = self.vouch(
+    ) -> Result<OpenedFrame<'a>, FrameError> {
+        let verified = self.verify(
             frame,
-            STREAM,
-            &inbound.session.0,
+            STREAM_CHANNEL,
+            &inbound.nonce.0,
             self.limits.max_stream_payload_bytes,
         )?;
         if inbound
             .from
             .as_ref()
-            .is_some_and(|from| *from != vouched.from)
+            .is_some_and(|from| *from != verified.from)
         {
             return Err(FrameError::OtherSender);
         }
-        if vouched.sequence != inbound.next {
+        if verified.sequence != inbound.next_sequence {
             return Err(FrameError::Order);
         }
-        let mut sender = self.sender(now, &vouched.from)?;
+        let mut sender = self.sender(now, &verified.from)?;
         if !sender.bucket.take(now) {
             return Err(FrameError::Rate);
         }
-        inbound.next += 1;
-        inbound.from.get_or_insert_with(|| vouched.from.clone());
-        Ok(self.opened(sender, vouched))
+        inbound.next_sequence += 1;
+        inbound.from.get_or_insert_with(|| verified.from.clone());
+        Ok(self.accept(sender, verified))
     }
 
-    /// Forgets a sender that the view has dropped for good, and makes its place free. What was recorded from it can
+    /// Removes a sender that the membership has forgotten, and frees its place in the table. Its recorded datagrams can
     /// be replayed from then on.
     pub fn forget(&mut self, name: &MemberName) {
         self.senders.remove(name);
     }
 
-    /// The senders that are remembered.
-    pub fn names(&self) -> impl Iterator<Item = &MemberName> {
+    /// Names of the senders in the table.
+    pub fn sender_names(&self) -> impl Iterator<Item = &MemberName> {
         self.senders.keys()
     }
 
-    /// How many senders are remembered; at most [`FrameLimits::max_senders`].
-    pub fn senders(&self) -> usize {
+    /// Number of senders in the table; at most [`FrameLimits::max_senders`].
+    pub fn sender_count(&self) -> usize {
         self.senders.len()
     }
 
-    fn vouch<'a>(
+    fn verify<'a>(
         &self,
         frame: &'a [u8],
         channel: u8,
-        session: &[u8],
-        most: usize,
-    ) -> Result<Vouched<'a>, FrameError> {
+        nonce: &[u8],
+        max_payload_bytes: usize,
+    ) -> Result<VerifiedFrame<'a>, FrameError> {
         let (&version, _) = frame.split_first().ok_or(FrameError::Malformed)?;
         if version != VERSION {
             return Err(FrameError::Version);
         }
-        if frame.len() > max_frame_bytes(most) {
+        if frame.len() > max_frame_bytes(max_payload_bytes) {
             return Err(FrameError::TooLong);
         }
         let body_length = frame
@@ -632,23 +637,25 @@
             .checked_sub(MAC_BYTES)
             .ok_or(FrameError::Malformed)?;
         let (body, mac) = frame.split_at(body_length);
-        let (head, rest) = body.split_at_checked(FIXED).ok_or(FrameError::Malformed)?;
-        let (from, rest) = rest
-            .split_at_checked(head[3].into())
+        let (header, remaining) = body
+            .split_at_checked(FIXED_HEADER_BYTES)
             .ok_or(FrameError::Malformed)?;
-        let (to, payload) = rest
-            .split_at_checked(head[4].into())
+        let (from, remaining) = remaining
+            .split_at_checked(header[3].into())
             .ok_or(FrameError::Malformed)?;
-        if head[1] != channel {
+        let (to, payload) = remaining
+            .split_at_checked(header[4].into())
+            .ok_or(FrameError::Malformed)?;
+        if header[1] != channel {
             return Err(FrameError::Channel);
         }
-        if payload.len() > most {
+        if payload.len() > max_payload_bytes {
             return Err(FrameError::TooLong);
         }
         if to != self.me.as_str().as_bytes() {
             return Err(FrameError::Receiver);
         }
-        if !self.keys.vouch(session, body, mac) {
+        if !self.keys.verify(nonce, body, mac) {
             return Err(FrameError::Mac);
         }
         let name = std::str::from_utf8(from)
@@ -658,28 +665,34 @@
         if name == self.me {
             return Err(FrameError::OwnName);
         }
-        let integer = |at: usize| u64::from_le_bytes(head[at..at + 8].try_into().expect("8 bytes"));
+        let read_u64 = |at: usize| {
+            u64::from_le_bytes(
+                header[at..at + 8]
+                    .try_into()
+                    .expect("the range has 8 bytes"),
+            )
+        };
         let from = MemberInstance {
             name,
-            incarnation: Incarnation(integer(5)),
+            incarnation: Incarnation(read_u64(5)),
         };
-        Ok(Vouched {
+        Ok(VerifiedFrame {
             from,
-            kind: head[2],
-            sequence: integer(13),
+            kind: header[2],
+            sequence: read_u64(13),
             payload,
         })
     }
 
-    /// What is known of the sender, as a copy that [`Self::opened`] puts in place once all else is settled.
+    /// A copy of the sender's state, or new state. [`Self::accept`] stores it once all checks have passed.
     fn sender(&self, now: Micros, from: &MemberInstance) -> Result<Sender, FrameError> {
         match self.senders.get(&from.name) {
             Some(known) if from.incarnation < known.incarnation => Err(FrameError::OldIncarnation),
             Some(known) if from.incarnation == known.incarnation => Ok(known.clone()),
-            // The bucket stays, so that a new life is no way around the rate.
+            // The bucket is kept, so that a new incarnation can't exceed the rate.
             Some(known) => Ok(Sender {
                 incarnation: from.incarnation,
-                window: Window::new(),
+                window: ReplayWindow::new(),
                 bucket: known.bucket.clone(),
             }),
             None if self.senders.len() >= self.limits.max_senders => {
@@ -687,21 +700,21 @@
             }
             None => Ok(Sender {
                 incarnation: from.incarnation,
-                window: Window::new(),
+                window: ReplayWindow::new(),
                 bucket: TokenBucket::new(now, self.limits.frames_per_second, self.limits.burst),
             }),
         }
     }
 
-    fn opened<'a>(&mut self, sender: Sender, vouched: Vouched<'a>) -> Opened<'a> {
-        let Vouched {
+    fn accept<'a>(&mut self, sender: Sender, verified: VerifiedFrame<'a>) -> OpenedFrame<'a> {
+        let VerifiedFrame {
             from,
             kind,
             sequence,
             payload,
-        } = vouched;
+        } = verified;
         self.senders.insert(from.name.clone(), sender);
-        Opened {
+        OpenedFrame {
             from,
             kind,
             sequence,
--- a/src/fleet/transport/seal/tests.rs
+++ b/src/fleet/transport/seal/tests.rs
@@ -8,10 +8,10 @@
     MemberName::try_from(text).unwrap()
 }
 
-fn who(text: &str, life: u64) -> MemberInstance {
+fn instance(text: &str, incarnation: u64) -> MemberInstance {
     MemberInstance {
         name: name(text),
-        incarnation: Incarnation(life),
+        incarnation: Incarnation(incarnation),
     }
 }
 
@@ -19,11 +19,11 @@
     Keys(bytes.iter().map(|b| vec![*b; MIN_KEY_BYTES]).collect())
 }
 
-fn c1(life: u64, limits: &FrameLimits) -> Sealer {
-    Sealer::new(who("c1", life), keys(&[1]), limits)
+fn c1(incarnation: u64, limits: &FrameLimits) -> Sealer {
+    Sealer::new(instance("c1", incarnation), keys(&[1]), limits)
 }
 
-fn small() -> FrameLimits {
+fn small_limits() -> FrameLimits {
     FrameLimits {
         max_datagram_bytes: 40,
         max_stream_payload_bytes: 60,
@@ -33,88 +33,99 @@
     }
 }
 
-/// Whatever `opener` says of the frame, it must refuse it and stay as it is.
-fn refuses(opener: &mut Opener, frame: &[u8], what: &str) -> FrameError {
+/// Asserts that `opener` refuses the datagram and that its state does not change. Returns the error.
+fn assert_refused(opener: &mut Opener, frame: &[u8], what: &str) -> FrameError {
     let before = opener.clone();
-    let refused = opener.datagram(5, frame).expect_err(what);
+    let refused = opener.open_datagram(5, frame).expect_err(what);
     assert_eq!(*opener, before, "{what}: {refused}");
     refused
 }
 
 #[test]
-fn only_the_very_bytes_that_a_member_sealed_for_this_one_open_and_only_once() {
-    let limits = small();
+fn a_datagram_opens_once_and_only_unmodified_at_its_receiver() {
+    let limits = small_limits();
     let mut opener = Opener::new(name("c2"), keys(&[1]), limits.clone());
     let mut sealer = c1(7, &limits);
     let frame = sealer.seal(&name("c2"), 9, b"news").unwrap();
-    // Before the sender is known, and after: forged frames reach no table in either case.
+    // Forged frames change no state, neither before nor after the sender is in the table.
     for round in ["new sender", "known sender"] {
         for bit in 0..frame.len() * 8 {
             let mut flipped = frame.clone();
             flipped[bit / 8] ^= 1 << (bit % 8);
-            refuses(&mut opener, &flipped, &format!("{round}, bit {bit}"));
+            assert_refused(&mut opener, &flipped, &format!("{round}, bit {bit}"));
         }
         for cut in 0..frame.len() {
-            refuses(
+            assert_refused(
                 &mut opener,
                 &frame[..cut],
                 &format!("{round}, cut at {cut}"),
             );
-            refuses(
+            assert_refused(
                 &mut opener,
                 &frame[cut + 1..],
-                &format!("{round}, begun at {cut}"),
+                &format!("{round}, without the first {} bytes", cut + 1),
             );
         }
         for extra in 1..200 {
-            refuses(
+            assert_refused(
                 &mut opener,
                 &[&frame[..], &vec![0; extra]].concat(),
                 "longer",
             );
         }
-        let mut other_key = Sealer::new(who("c1", 7), keys(&[3]), &limits);
+        let mut other_key = Sealer::new(instance("c1", 7), keys(&[3]), &limits);
         let forged = other_key.seal(&name("c2"), 9, b"news").unwrap();
         assert_eq!(
-            refuses(&mut opener, &forged, "another key"),
+            assert_refused(&mut opener, &forged, "another key"),
             FrameError::Mac
         );
         let elsewhere = sealer.seal(&name("c3"), 9, b"news").unwrap();
         assert_eq!(
-            refuses(&mut opener, &elsewhere, "another receiver"),
+            assert_refused(&mut opener, &elsewhere, "another receiver"),
             FrameError::Receiver
         );
-        let own = Sealer::new(who("c2", 1), keys(&[1]), &limits)
+        let own = Sealer::new(instance("c2", 1), keys(&[1]), &limits)
             .seal(&name("c2"), 9, b"news")
             .unwrap();
-        assert_eq!(refuses(&mut opener, &own, "own name"), FrameError::OwnName);
+        assert_eq!(
+            assert_refused(&mut opener, &own, "own name"),
+            FrameError::OwnName
+        );
         if round == "new sender" {
-            assert_eq!(opener.senders(), 0);
-            let opened = opener.datagram(5, &frame).unwrap();
+            assert_eq!(opener.sender_count(), 0);
+            let opened = opener.open_datagram(5, &frame).unwrap();
             assert_eq!(
                 (opened.from, opened.kind, opened.payload),
-                (who("c1", 7), 9, &b"news"[..])
+                (instance("c1", 7), 9, &b"news"[..])
             );
         }
         if round == "known sender" {
-            assert_eq!(refuses(&mut opener, &frame, "replay"), FrameError::Replay);
+            assert_eq!(
+                assert_refused(&mut opener, &frame, "replay"),
+                FrameError::Replay
+            );
         }
     }
     assert_eq!(
         sealer.seal(&name("c2"), 9, &[0; 41]),
         Err(FrameError::TooLong)
     );
-    let roomy = FrameLimits {
+    let larger_limits = FrameLimits {
         max_datagram_bytes: 41,
-        ..small()
+        ..small_limits()
     };
-    let long = c1(7, &roomy).seal(&name("c2"), 9, &[0; 41]).unwrap();
-    assert_eq!(refuses(&mut opener, &long, "too long"), FrameError::TooLong);
+    let long = c1(7, &larger_limits)
+        .seal(&name("c2"), 9, &[0; 41])
+        .unwrap();
+    assert_eq!(
+        assert_refused(&mut opener, &long, "too long"),
+        FrameError::TooLong
+    );
 }
 
 #[test]
-fn a_life_before_the_last_one_heard_is_refused_and_a_full_table_takes_no_new_sender() {
-    let limits = small();
+fn an_older_incarnation_is_refused_and_a_full_table_accepts_no_new_sender() {
+    let limits = small_limits();
     let mut opener = Opener::new(name("c2"), keys(&[1]), limits.clone());
     let (mut old, mut new) = (c1(7, &limits), c1(8, &limits));
     let to = name("c2");
@@ -122,72 +133,78 @@
         old.seal(&to, 0, b"a").unwrap(),
         old.seal(&to, 0, b"b").unwrap(),
     );
-    opener.datagram(0, &first).unwrap();
+    opener.open_datagram(0, &first).unwrap();
     opener
-        .datagram(0, &new.seal(&to, 0, b"c").unwrap())
+        .open_datagram(0, &new.seal(&to, 0, b"c").unwrap())
         .unwrap();
     assert_eq!(
-        refuses(&mut opener, &late, "old life"),
+        assert_refused(&mut opener, &late, "old incarnation"),
         FrameError::OldIncarnation
     );
-    for (sender, taken) in [("c3", true), ("c4", false), ("c5", false), ("c3", true)] {
-        let mut sealer = Sealer::new(who(sender, 2), keys(&[1]), &limits);
-        sealer.next = 1 + opener.senders() as u64;
+    for (sender, accepted) in [("c3", true), ("c4", false), ("c5", false), ("c3", true)] {
+        let mut sealer = Sealer::new(instance(sender, 2), keys(&[1]), &limits);
+        sealer.next_sequence = 1 + opener.sender_count() as u64;
         let frame = sealer.seal(&to, 0, b"").unwrap();
-        assert_eq!(opener.datagram(0, &frame).is_ok(), taken, "{sender}");
-        assert!(opener.senders() <= 2);
+        assert_eq!(
+            opener.open_datagram(0, &frame).is_ok(),
+            accepted,
+            "{sender}"
+        );
+        assert!(opener.sender_count() <= 2);
     }
     opener.forget(&name("c3"));
-    let c4 = Sealer::new(who("c4", 2), keys(&[1]), &limits)
+    let c4 = Sealer::new(instance("c4", 2), keys(&[1]), &limits)
         .seal(&to, 0, b"")
         .unwrap();
-    opener.datagram(0, &c4).unwrap();
+    opener.open_datagram(0, &c4).unwrap();
 }
 
 #[test]
-fn both_keys_open_during_a_rotation_and_the_old_one_no_more_after_it() {
-    let limits = small();
+fn both_keys_are_accepted_during_a_rotation_and_the_old_one_is_refused_after_it() {
+    let limits = small_limits();
     let to = name("c2");
-    // c1's and c2's key files are changed one after the other; at each step they understand each other.
+    // The key files of c1 and c2 are changed one after the other; frames have to open both ways at each step.
     let steps: [&[u8]; 5] = [&[1], &[1, 2], &[2, 1], &[2], &[2]];
     for (step, both) in steps.windows(2).enumerate() {
         for (from, at) in [(both[0], both[1]), (both[1], both[0])] {
-            let frame = Sealer::new(who("c1", 1), keys(from), &limits)
+            let frame = Sealer::new(instance("c1", 1), keys(from), &limits)
                 .seal(&to, 0, b"x")
                 .unwrap();
             let mut opener = Opener::new(to.clone(), keys(at), limits.clone());
             assert!(
-                opener.datagram(0, &frame).is_ok(),
+                opener.open_datagram(0, &frame).is_ok(),
                 "step {step}: {from:?} to {at:?}"
             );
         }
     }
-    let frame = Sealer::new(who("c1", 1), keys(&[1, 2]), &limits)
+    let frame = Sealer::new(instance("c1", 1), keys(&[1, 2]), &limits)
         .seal(&to, 0, b"x")
         .unwrap();
     let refused = Opener::new(to.clone(), keys(&[2]), limits)
-        .datagram(0, &frame)
+        .open_datagram(0, &frame)
         .unwrap_err();
     assert_eq!(refused, FrameError::Mac);
 }
 
 #[test]
-fn a_connection_takes_its_frames_in_order_from_one_life_and_none_of_another_connection() {
-    let limits = small();
+fn a_connection_accepts_only_its_own_frames_in_order_from_one_incarnation() {
+    let limits = small_limits();
     let to = name("c2");
     let mut opener = Opener::new(to.clone(), keys(&[1]), limits.clone());
-    let (here, there) = (ConnectionNonce([1; 16]), ConnectionNonce([2; 16]));
+    let (this_nonce, other_nonce) = (ConnectionNonce([1; 16]), ConnectionNonce([2; 16]));
     let sealer = |from, session| StreamSealer::new(from, to.clone(), keys(&[1]), &limits, session);
-    let mut c1s = sealer(who("c1", 7), here);
+    let mut c1_sealer = sealer(instance("c1", 7), this_nonce);
     let frames: Vec<_> = (0..4)
-        .map(|kind| c1s.seal(kind, &[kind; 60]).unwrap())
+        .map(|kind| c1_sealer.seal(kind, &[kind; 60]).unwrap())
         .collect();
-    assert_eq!(c1s.seal(0, &[0; 61]), Err(FrameError::TooLong));
-    let mut inbound = Inbound::new(here);
-    let elsewhere = sealer(who("c1", 7), there).seal(0, b"x").unwrap();
-    let mut other_life = sealer(who("c1", 8), here);
-    other_life.next = 2;
-    let wrong = [
+    assert_eq!(c1_sealer.seal(0, &[0; 61]), Err(FrameError::TooLong));
+    let mut inbound = Inbound::new(this_nonce);
+    let elsewhere = sealer(instance("c1", 7), other_nonce)
+        .seal(0, b"x")
+        .unwrap();
+    let mut other_incarnation = sealer(instance("c1", 8), this_nonce);
+    other_incarnation.next_sequence = 2;
+    let refused_frames = [
         (elsewhere, FrameError::Mac),
         (
             c1(7, &limits).seal(&to, 0, b"x").unwrap(),
@@ -195,29 +212,41 @@
         ),
         (frames[2].clone(), FrameError::Order),
         (frames[0].clone(), FrameError::Order),
-        (other_life.seal(0, b"x").unwrap(), FrameError::OtherSender),
+        (
+            other_incarnation.seal(0, b"x").unwrap(),
+            FrameError::OtherSender,
+        ),
     ];
-    opener.stream(0, &mut inbound, &frames[0]).unwrap();
-    for (frame, why) in wrong {
+    opener
+        .open_stream_frame(0, &mut inbound, &frames[0])
+        .unwrap();
+    for (frame, why) in refused_frames {
         let before = (opener.clone(), inbound.clone());
-        assert_eq!(opener.stream(0, &mut inbound, &frame).unwrap_err(), why);
+        assert_eq!(
+            opener
+                .open_stream_frame(0, &mut inbound, &frame)
+                .unwrap_err(),
+            why
+        );
         assert_eq!((opener.clone(), inbound.clone()), before);
     }
     for (kind, frame) in frames.iter().enumerate().skip(1) {
         assert_eq!(frame_length(length_prefix(frame), &limits), Ok(frame.len()));
-        let opened = opener.stream(0, &mut inbound, frame).unwrap();
+        let opened = opener.open_stream_frame(0, &mut inbound, frame).unwrap();
         assert_eq!(
             (opened.kind, opened.payload),
             (kind as u8, &[kind as u8; 60][..])
         );
     }
-    // A new life heard anywhere ends the old one's connections.
+    // A frame of a newer incarnation, even a datagram, makes frames on the older one's connections invalid.
     opener
-        .datagram(0, &c1(8, &limits).seal(&to, 0, b"x").unwrap())
+        .open_datagram(0, &c1(8, &limits).seal(&to, 0, b"x").unwrap())
         .unwrap();
-    let late = c1s.seal(0, b"x").unwrap();
+    let late = c1_sealer.seal(0, b"x").unwrap();
     assert_eq!(
-        opener.stream(0, &mut inbound, &late).unwrap_err(),
+        opener
+            .open_stream_frame(0, &mut inbound, &late)
+            .unwrap_err(),
         FrameError::OldIncarnation
     );
     assert_eq!(frame_length([255; 4], &limits), Err(FrameError::TooLong));
@@ -228,40 +257,40 @@
 }
 
 #[test]
-fn a_sender_gets_its_burst_and_then_its_rate_and_takes_nothing_from_others() {
+fn a_sender_is_limited_to_its_burst_and_rate_without_affecting_others() {
     let limits = FrameLimits {
         frames_per_second: 10,
         burst: 5,
-        ..small()
+        ..small_limits()
     };
     let to = name("c2");
     let mut opener = Opener::new(to.clone(), keys(&[1]), limits.clone());
     let mut sealer = c1(1, &limits);
-    let mut flood = |opener: &mut Opener, now| {
+    let mut send_100 = |opener: &mut Opener, now| {
         (0..100)
             .filter(|_| {
                 opener
-                    .datagram(now, &sealer.seal(&to, 0, b"").unwrap())
+                    .open_datagram(now, &sealer.seal(&to, 0, b"").unwrap())
                     .is_ok()
             })
             .count()
     };
-    assert_eq!(flood(&mut opener, 0), 5);
-    assert_eq!(flood(&mut opener, 99_999), 0);
-    assert_eq!(flood(&mut opener, 100_000), 1);
-    assert_eq!(flood(&mut opener, 90_000), 0);
-    assert_eq!(flood(&mut opener, 400_000), 3);
-    assert_eq!(flood(&mut opener, u64::MAX), 5);
-    // Neither does a new life help, nor does it cost another sender anything.
+    assert_eq!(send_100(&mut opener, 0), 5);
+    assert_eq!(send_100(&mut opener, 99_999), 0);
+    assert_eq!(send_100(&mut opener, 100_000), 1);
+    assert_eq!(send_100(&mut opener, 90_000), 0);
+    assert_eq!(send_100(&mut opener, 400_000), 3);
+    assert_eq!(send_100(&mut opener, u64::MAX), 5);
+    // A new incarnation has the same limit, and other senders are not affected.
     let again = c1(2, &limits).seal(&to, 0, b"").unwrap();
     assert_eq!(
-        opener.datagram(u64::MAX, &again).unwrap_err(),
+        opener.open_datagram(u64::MAX, &again).unwrap_err(),
         FrameError::Rate
     );
-    let c3 = Sealer::new(who("c3", 1), keys(&[1]), &limits)
+    let c3 = Sealer::new(instance("c3", 1), keys(&[1]), &limits)
         .seal(&to, 0, b"")
         .unwrap();
-    opener.datagram(u64::MAX, &c3).unwrap();
+    opener.open_datagram(u64::MAX, &c3).unwrap();
 }
 
 #[rstest]
@@ -274,20 +303,20 @@
 #[case::not_hex("secretsecretsecretsecretsecretsecret", Err("key 1 is not hex"))]
 #[case::no_toml("keys = secretsecret", Err("not of the form"))]
 #[case::no_list("keys = \"secretsecret\"", Err("not of the form"))]
-fn a_key_file_is_read_or_refused_without_telling_what_is_in_it(
+fn a_key_file_is_parsed_or_refused_without_revealing_its_content(
     #[case] text: &str,
-    #[case] wanted: Result<usize, &str>,
+    #[case] expected: Result<usize, &str>,
 ) {
     let text = text
         .replace('K', &"0a".repeat(32))
         .replace('L', &"B1".repeat(40));
-    match (Keys::parse(&text), wanted) {
+    match (Keys::parse(&text), expected) {
         (Ok(keys), Ok(count)) => assert_eq!((keys.0.len(), &keys.0[0]), (count, &vec![10; 32])),
         (Err(error), Err(part)) => {
-            let said = format!("{error} {error:?}");
+            let text = format!("{error} {error:?}");
             assert!(
-                said.contains(part) && !said.contains("secretsecret"),
-                "{said}"
+                text.contains(part) && !text.contains("secretsecret"),
+                "{text}"
             );
         }
         (read, _) => panic!("{read:?}"),
@@ -297,20 +326,20 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, rng_seed: RngSeed::Fixed(22), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Any order, loss and repetition of datagrams: none is taken twice, and each that comes less than a window
-    /// late for the first time is taken.
+    /// Under any reordering, loss and repetition, no datagram is accepted twice, and each one that arrives for the
+    /// first time within the window is accepted.
     #[test]
-    fn the_window_takes_each_datagram_once_in_any_order(steps in prop::collection::vec((0u64..3, 0u64..2500), 1..200)) {
-        let (mut window, mut taken, mut highest) = (Window::new(), BTreeSet::new(), 1u64);
-        for (how, by) in steps {
-            let sequence = match how {
-                0 => highest + by % 5,
-                1 => highest.saturating_sub(by),
-                _ => highest + by,
+    fn the_window_accepts_each_datagram_once_in_any_order(steps in prop::collection::vec((0u64..3, 0u64..2500), 1..200)) {
+        let (mut window, mut taken, mut highest) = (ReplayWindow::new(), BTreeSet::new(), 1u64);
+        for (direction, distance) in steps {
+            let sequence = match direction {
+                0 => highest + distance % 5,
+                1 => highest.saturating_sub(distance),
+                _ => highest + distance,
             };
-            let wanted = sequence > 0 && sequence + REPLAY_WINDOW > highest && !taken.contains(&sequence);
-            prop_assert_eq!(window.is_fresh(sequence), wanted, "{} below {}", sequence, highest);
-            if wanted {
+            let expected = sequence > 0 && sequence + REPLAY_WINDOW > highest && !taken.contains(&sequence);
+            prop_assert_eq!(window.is_fresh(sequence), expected, "{} below {}", sequence, highest);
+            if expected {
                 window.take(sequence);
                 taken.insert(sequence);
                 highest = highest.max(sequence);
@@ -319,14 +348,14 @@
     }
 
     #[test]
-    fn no_bytes_at_all_make_the_opener_panic_or_change(bytes in prop::collection::vec(any::<u8>(), 0..120), lengths in any::<(u8, u8)>()) {
-        let mut opener = Opener::new(name("c2"), keys(&[1]), small());
-        let mut framed = [&[VERSION, DATAGRAM, 0, lengths.0 % 9, lengths.1 % 9][..], &bytes].concat();
-        refuses(&mut opener, &bytes, "noise");
-        refuses(&mut opener, &framed, "noise behind a head");
-        framed[1] = STREAM;
+    fn arbitrary_bytes_neither_panic_nor_change_the_opener(bytes in prop::collection::vec(any::<u8>(), 0..120), lengths in any::<(u8, u8)>()) {
+        let mut opener = Opener::new(name("c2"), keys(&[1]), small_limits());
+        let mut framed = [&[VERSION, DATAGRAM_CHANNEL, 0, lengths.0 % 9, lengths.1 % 9][..], &bytes].concat();
+        assert_refused(&mut opener, &bytes, "random bytes");
+        assert_refused(&mut opener, &framed, "random bytes after a valid header");
+        framed[1] = STREAM_CHANNEL;
         let mut inbound = Inbound::new(ConnectionNonce([0; 16]));
-        prop_assert!(opener.stream(0, &mut inbound, &framed).is_err());
+        prop_assert!(opener.open_stream_frame(0, &mut inbound, &framed).is_err());
         prop_assert_eq!(inbound, Inbound::new(ConnectionNonce([0; 16])));
     }
 }
--- a/src/policies.rs
+++ b/src/policies.rs
@@ -162,7 +162,7 @@
         ),
         Outcome::Rejected(why) => return Err(format!("nowhere: {why}")),
         Outcome::InForce(epoch) => {
-            println!("epoch {epoch} in force at {}", in_force(&asker, epoch)?)
+            println!("epoch {epoch} in force at {}", in_force(&asker, epoch)?);
         }
     }
     Ok(())
--- a/tests/golden_fleet.rs
+++ b/tests/golden_fleet.rs
@@ -175,16 +175,16 @@
     let kept = lines(FRAMES);
     let mut opener = seal::Opener::new(member("c2"), keys(), seal::FrameLimits::default());
     let mut inbound = seal::Inbound::new(SESSION);
-    let datagram = opener.datagram(0, &kept[0]).unwrap();
+    let datagram = opener.open_datagram(0, &kept[0]).unwrap();
     assert_eq!(datagram, opened(3, 1, b"payload"));
-    let first = opener.stream(0, &mut inbound, &kept[1]).unwrap();
+    let first = opener.open_stream_frame(0, &mut inbound, &kept[1]).unwrap();
     assert_eq!(first, opened(4, 1, b"first"));
-    let second = opener.stream(0, &mut inbound, &kept[2]).unwrap();
+    let second = opener.open_stream_frame(0, &mut inbound, &kept[2]).unwrap();
     assert_eq!(second, opened(5, 2, b"second"));
 }
 
-fn opened(kind: u8, sequence: u64, payload: &[u8]) -> seal::Opened<'_> {
-    seal::Opened {
+fn opened(kind: u8, sequence: u64, payload: &[u8]) -> seal::OpenedFrame<'_> {
+    seal::OpenedFrame {
         from: who("c1", 11),
         kind,
         sequence,
@@ -231,8 +231,8 @@
     };
     assert_eq!(found.restored, written);
     assert_eq!(found.store_id, STORE_ID);
-    assert!(!found.fresh);
-    assert_eq!(found.torn, None);
+    assert!(!found.newly_formatted);
+    assert_eq!(found.torn_tail, None);
     let next_incarnation = Incarnation(LAST_INCARNATION + 1);
     assert_eq!(found.disk.incarnation(), next_incarnation);
 }
