--- a/src/fleet/policy_epoch.rs
+++ b/src/fleet/policy_epoch.rs
@@ -1,241 +1,244 @@
-//! Policy epochs: a change of policy that takes hold everywhere or nowhere.
+//! Policy epochs: a change of policy takes effect at all members or at none.
 //!
-//! [`Table`] is made by the log alone, so every member decides the same. One proposal is looked at at a time: every
-//! live_members member votes; when all have voted yes it is *closing*, and each member begins no request any more and says
-//! so; when all live_members members have said so, the entry that brings the last word is the switch. A member whose life the
-//! log has ended is waited for no longer: it had stopped acting before. So none begins a request under the old epoch
-//! after any other has begun one under the new.
+//! [`Table`] is computed from the log alone, so all members decide the same. At most one proposal is open. First every
+//! live member votes on it. When all have voted yes, the proposal is *closing*: each member stops admitting requests and
+//! confirms that in the log. The log entry with the last confirmation is the switch to the new epoch. A member whose
+//! session the log has ended is not waited for, since it stopped acting before that. So no member admits a request under
+//! the old epoch after another has admitted one under the new epoch.
 
 use super::MemberInstance;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeSet, VecDeque};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The longest content: it has to fit into an entry of the log.
+/// Maximum length of a policy's text in bytes. It has to fit into a log entry.
 pub const MAX_CONTENT_BYTES: usize = 64 * 1024;
-/// The longest text that says why, or what differs.
+/// Maximum length in bytes of a reason or of a list of differences; longer texts are truncated.
 pub const MAX_TEXT_BYTES: usize = 2 * 1024;
-/// Proposals that are remembered.
+/// Number of finished proposals that the table keeps.
 const MAX_FINISHED_PROPOSALS: usize = 32;
 
-/// What a member may ask of the table.
+/// A command to the table. Encoded by postcard and stored in the log: the order of variants and fields is fixed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Command {
-    /// Put this content in force. Over no epoch at all it is in force at once.
+    /// Propose this content as the next epoch. Before the first epoch it is in force at once.
     Propose {
-        /// Drawn by whoever asks, to know the proposal again.
+        /// Random number chosen by the proposer. A command with the nonce of an earlier proposal is a repetition of it.
         nonce: u64,
-        /// The content.
+        /// The policy, in canonical form.
         content: String,
-        /// The epoch over which it was made.
+        /// The epoch in force when the proposal was made; it is refused if another one is in force.
         base: u64,
-        /// Only ask all members whether they could.
+        /// Only let all members vote, and change nothing.
         only_check: bool,
-        /// When it was made, in microseconds since 1970 by the proposer's clock. For people to read.
+        /// Time of the proposal in microseconds since 1970 by the proposer's clock, for people only.
         at_us: u64,
-        /// What differs from the epoch in force, for people to read.
+        /// Differences from the epoch in force, for people only.
         difference: String,
     },
-    /// This member can go over, or says why it can't.
+    /// This member's vote: whether it can apply the proposed content.
     Vote {
-        /// Which proposal.
+        /// Number of the proposal.
         proposal: u64,
-        /// Why not; `None`: it can.
+        /// Why the member can't apply it; `None`: it can.
         refusal: Option<String>,
     },
-    /// This member begins nothing any more until the proposal is decided.
+    /// This member admits no requests until the proposal is decided.
     Closed {
-        /// Which proposal.
+        /// Number of the proposal.
         proposal: u64,
     },
-    /// This member has gone over.
+    /// This member has switched to an epoch.
     Switched {
-        /// To which epoch.
+        /// The epoch.
         epoch: u64,
     },
-    /// Nowhere, whatever was said so far.
+    /// Reject the proposal, whatever the votes and confirmations so far.
     Abort {
-        /// Which proposal.
+        /// Number of the proposal.
         proposal: u64,
-        /// Why.
+        /// The reason, for people.
         cause: String,
     },
 }
 
-/// What became of a command.
+/// The result of a command. Encoded by postcard: the order of variants is fixed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Reply {
-    /// The proposal is looked at under this number.
+    /// The proposal is accepted for a vote under this number, or was accepted before.
     Accepted(u64),
-    /// Noted.
+    /// The command is applied.
     Done,
-    /// It changed nothing.
+    /// The command is refused and has changed nothing.
     Refused(Refusal),
 }
 
-/// Why a command changed nothing.
+/// Why a command is refused. Encoded by postcard: the order of variants and fields is fixed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, thiserror::Error)]
 pub enum Refusal {
-    /// Only members that may act have a say.
-    #[error("the asked conductor may not act")]
+    /// The member that sent the command has no valid session lease.
+    #[error(
+        "the router that handled the command has no valid session lease; try again through another router"
+    )]
     NoSession,
-    /// One proposal at a time.
-    #[error("proposal {proposal} of {by} is under way")]
+    /// Another proposal is open; only one can be at a time.
+    #[error("proposal {proposal} of {by} is in progress; wait until it is decided, or abort it")]
     Busy {
-        /// Its number.
+        /// Number of the open proposal.
         proposal: u64,
-        /// Whose it is.
+        /// Its proposer.
         by: MemberInstance,
     },
-    /// It was made over another epoch.
-    #[error("it was made over epoch {base}, and epoch {epoch} is in force")]
+    /// The proposal was made for another epoch than the one in force.
+    #[error("the proposal was made for epoch {base}, but epoch {epoch} is in force; propose again")]
     StaleBase {
-        /// The proposal's.
+        /// The epoch that the proposal names.
         base: u64,
-        /// The one in force.
+        /// The epoch in force.
         epoch: u64,
     },
-    /// It is empty, or a text is too long.
-    #[error("empty, or longer than {MAX_CONTENT_BYTES} bytes")]
+    /// The content is empty or longer than [`MAX_CONTENT_BYTES`].
+    #[error("the policy is empty, or longer than {MAX_CONTENT_BYTES} bytes")]
     Size,
-    /// It is in force as it is.
-    #[error("nothing differs from epoch {0}")]
+    /// The content is that of the epoch in force, whose number is given.
+    #[error("the policy does not differ from epoch {0}")]
     Unchanged(u64),
-    /// No such proposal is under way.
-    #[error("it is not under way")]
+    /// The named proposal is not open, or not in the stage that the command needs.
+    #[error("the proposal is not in progress")]
     NotInProgress,
 }
 
-/// What all members hear of.
+/// A change of the table that all members act on.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Notice {
-    /// Vote on this.
+    /// A proposal was staged: vote on it.
     Staged {
-        /// Its number.
+        /// Number of the proposal.
         proposal: u64,
-        /// The content.
+        /// The proposed content.
         content: String,
     },
-    /// All have voted yes: begin nothing any more, and say so.
+    /// All live members have voted yes: stop admitting requests, and confirm that.
     Closing {
-        /// Its number.
+        /// Number of the proposal.
         proposal: u64,
     },
-    /// It is over and changed nothing: refused, given up, or only checked.
+    /// The proposal ended without effect: refused, aborted, or only checked.
     Rejected {
-        /// Its number.
+        /// Number of the proposal.
         proposal: u64,
-        /// Why.
+        /// The reason, for people.
         why: String,
     },
-    /// From here on this is in force.
+    /// A new epoch is in force.
     InForce {
-        /// The epoch.
+        /// Number of the epoch.
         epoch: u64,
-        /// Its content.
+        /// The policy in force.
         content: String,
     },
 }
 
-/// The proposal that is looked at.
+/// The open proposal. Encoded by postcard: the order of fields is fixed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct OpenProposal {
-    /// Its number.
+    /// Number of the proposal.
     pub proposal: u64,
-    /// Drawn by whoever asked.
+    /// Random number chosen by the proposer.
     pub nonce: u64,
-    /// Who proposed.
+    /// The proposer.
     pub by: MemberInstance,
-    /// When, in microseconds since 1970 by the proposer's clock.
+    /// Time of the proposal in microseconds since 1970 by the proposer's clock.
     pub at_us: u64,
-    /// The content.
+    /// The proposed policy, in canonical form.
     pub content: String,
-    /// What differs.
+    /// Differences from the epoch in force, for people.
     pub difference: String,
-    /// Whether it is only checked.
+    /// Whether the members only vote and nothing changes.
     pub only_check: bool,
-    /// Whether all have voted yes.
+    /// Whether all live members have voted yes, so that they stop admitting requests.
     pub closing: bool,
-    /// Who has voted yes.
+    /// Members that have voted yes.
     pub votes: BTreeSet<MemberInstance>,
-    /// Who begins nothing any more.
+    /// Members that have confirmed that they admit no requests.
     pub closed: BTreeSet<MemberInstance>,
 }
 
-/// A proposal that is over.
+/// A finished proposal. Encoded by postcard: the order of fields is fixed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct FinishedProposal {
-    /// Its number.
+    /// Number of the proposal.
     pub proposal: u64,
-    /// Drawn by whoever asked.
+    /// Random number chosen by the proposer.
     pub nonce: u64,
-    /// Who proposed.
+    /// The proposer.
     pub by: MemberInstance,
-    /// When, in microseconds since 1970 by the proposer's clock.
+    /// Time of the proposal in microseconds since 1970 by the proposer's clock.
     pub at_us: u64,
-    /// Of its content.
+    /// [`digest`] of the proposed content.
     pub digest: u64,
-    /// What differed.
+    /// Differences from the epoch that was in force, for people.
     pub difference: String,
-    /// What came of it.
+    /// How the proposal ended.
     pub outcome: Outcome,
 }
 
-/// What came of a proposal.
+/// How a proposal ended. Encoded by postcard: the order of variants is fixed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Outcome {
-    /// It is or was in force under this number.
+    /// It is or was in force as the epoch with this number.
     InForce(u64),
-    /// All members could; nothing else was asked.
+    /// All live members voted yes, and the proposal was to be checked only.
     Checked,
-    /// It is in force nowhere, and why.
+    /// It ended without effect, for this reason.
     Rejected(String),
 }
 
-/// What the log has made of policies.
+/// The replicated state of policies, computed from the log alone. Encoded by postcard in snapshots: the order of fields
+/// is fixed.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Table {
     epoch: u64,
     content: String,
-    /// Members that have said that they have gone over.
+    /// Members that have confirmed the switch to the epoch in force.
     switched_members: BTreeSet<MemberInstance>,
     last_proposal: u64,
     open: Option<OpenProposal>,
     finished: VecDeque<FinishedProposal>,
 }
 
-/// The number by which contents are told apart.
+/// Hash of a policy's text, by which people and logs identify it.
 pub fn digest(content: &str) -> u64 {
     xxh3_64(content.as_bytes())
 }
 
 impl Table {
-    /// The epoch in force; 0 before the first.
+    /// Number of the epoch in force; 0 before the first.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// The content in force; empty before the first epoch.
+    /// The policy in force; empty before the first epoch.
     pub fn content(&self) -> &str {
         &self.content
     }
 
-    /// Who has said that it has gone over to the epoch in force.
+    /// Members that have confirmed the switch to the epoch in force.
     pub fn switched_members(&self) -> &BTreeSet<MemberInstance> {
         &self.switched_members
     }
 
-    /// The proposal that is looked at.
+    /// The open proposal, if there is one.
     pub fn open(&self) -> Option<&OpenProposal> {
         self.open.as_ref()
     }
 
-    /// Proposals that are over, the latest last.
+    /// The latest finished proposals, oldest first.
     pub fn finished(&self) -> impl DoubleEndedIterator<Item = &FinishedProposal> {
         self.finished.iter()
     }
 
-    /// Living members whose word is waited for.
+    /// Live members whose vote, or whose confirmation while closing, is missing. Empty if no proposal is open.
     pub fn awaited_members(&self, live_members: &BTreeSet<MemberInstance>) -> Vec<MemberInstance> {
         let Some(open) = &self.open else {
             return Vec::new();
@@ -250,7 +253,7 @@
             .collect()
     }
 
-    /// Applies a command of `who`; `live_members` are the members whose life leases are in force.
+    /// Applies a command of `member`. `live_members` are the members whose session leases are valid.
     pub fn apply(
         &mut self,
         member: &MemberInstance,
@@ -258,12 +261,12 @@
         command: Command,
         out: &mut Vec<Notice>,
     ) -> Reply {
-        let done = match command {
-            // The leader ends what takes too long, whether or not it may act.
+        let result = match command {
+            // The leader aborts overdue proposals, whether or not its own session lease is valid.
             Command::Abort { proposal, cause } => {
                 match self.open.take_if(|o| o.proposal == proposal) {
                     Some(open) => {
-                        self.reject(open, cut(cause), out);
+                        self.reject(open, truncated(cause), out);
                         Ok(Reply::Done)
                     }
                     None => Err(Refusal::NotInProgress),
@@ -284,7 +287,7 @@
                     by: member.clone(),
                     at_us,
                     content,
-                    difference: cut(difference),
+                    difference: truncated(difference),
                     only_check,
                     closing: false,
                     votes: BTreeSet::new(),
@@ -297,7 +300,7 @@
                     Some(open) if refusal.is_some() && !open.closing => {
                         let why =
                             format!("{} refuses: {}", member.name, refusal.unwrap_or_default());
-                        self.reject(open, cut(why), out);
+                        self.reject(open, truncated(why), out);
                         Ok(Reply::Done)
                     }
                     Some(mut open) => {
@@ -322,14 +325,15 @@
                 }
             }
             Command::Switched { epoch } if epoch == self.epoch => {
-                self.switched_members.retain(|w| live_members.contains(w));
+                self.switched_members
+                    .retain(|instance| live_members.contains(instance));
                 self.switched_members.insert(member.clone());
                 Ok(Reply::Done)
             }
             Command::Switched { .. } => Err(Refusal::NotInProgress),
         };
         self.settle(live_members, out);
-        done.unwrap_or_else(Reply::Refused)
+        result.unwrap_or_else(Reply::Refused)
     }
 
     fn propose(
@@ -338,18 +342,18 @@
         mut open: OpenProposal,
         out: &mut Vec<Notice>,
     ) -> Result<Reply, Refusal> {
-        if let Some(under_way) = &self.open {
-            // Asked once more, by way of another member: it is the same.
-            if under_way.nonce == open.nonce {
-                return Ok(Reply::Accepted(under_way.proposal));
+        if let Some(open_proposal) = &self.open {
+            // The same command was proposed again, possibly through another member.
+            if open_proposal.nonce == open.nonce {
+                return Ok(Reply::Accepted(open_proposal.proposal));
             }
             return Err(Refusal::Busy {
-                proposal: under_way.proposal,
-                by: under_way.by.clone(),
+                proposal: open_proposal.proposal,
+                by: open_proposal.by.clone(),
             });
         }
-        if let Some(past) = self.finished.iter().find(|p| p.nonce == open.nonce) {
-            return Ok(Reply::Accepted(past.proposal));
+        if let Some(finished) = self.finished.iter().find(|p| p.nonce == open.nonce) {
+            return Ok(Reply::Accepted(finished.proposal));
         }
         if base != self.epoch {
             return Err(Refusal::StaleBase {
@@ -365,7 +369,7 @@
         }
         self.last_proposal += 1;
         open.proposal = self.last_proposal;
-        // Nobody begins anything before the first epoch: there is nothing to wait for.
+        // No member admits requests before the first epoch, so there is no need for votes and confirmations.
         if self.epoch == 0 {
             self.switch(open, out);
         } else {
@@ -378,7 +382,8 @@
         Ok(Reply::Accepted(self.last_proposal))
     }
 
-    /// Goes on as far as the live_members members' words allow; also to be called when a life has ended.
+    /// Advances the open proposal as far as the votes and confirmations of the live members allow. Has to be called also
+    /// when a session has ended.
     pub fn settle(&mut self, live_members: &BTreeSet<MemberInstance>, out: &mut Vec<Notice>) {
         let Some(mut open) = self.open.take() else {
             return;
@@ -417,8 +422,8 @@
         });
         let (epoch, digest) = (self.epoch, digest(&self.content));
         self.remember(open, Outcome::InForce(epoch));
-        if let Some(past) = self.finished.back_mut() {
-            past.digest = digest;
+        if let Some(finished) = self.finished.back_mut() {
+            finished.digest = digest;
         }
     }
 
@@ -456,8 +461,8 @@
     }
 }
 
-/// A text within its bound.
-fn cut(mut text: String) -> String {
+/// Cuts a text to [`MAX_TEXT_BYTES`], at a character boundary.
+fn truncated(mut text: String) -> String {
     let mut at = text.len().min(MAX_TEXT_BYTES);
     while !text.is_char_boundary(at) {
         at -= 1;
--- a/src/fleet/transport/admin.rs
+++ b/src/fleet/transport/admin.rs
@@ -1,4 +1,4 @@
-//! What an administrator asks a conductor of its fleet, and how.
+//! Requests of operators to a router about its fleet: the messages, the client side, and the status table.
 
 use super::seal::{
     ConnectionNonce, FrameLimits, Inbound, Keys, Opener, StreamSealer, frame_length, length_prefix,
@@ -18,68 +18,68 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// The name under which administrators speak; no member may have it.
+/// The sender's name in operators' frames. No member may have this name.
 pub const ADMINISTRATOR: &str = "admin";
-/// A conductor has this long to answer.
-const ANSWER: Duration = Duration::from_secs(3);
+/// Time limit for one router's answer, connecting included.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// What can be asked. Variants are only ever added at the end.
+/// An operator's request. Encoded by postcard: new variants are added at the end only.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Request {
-    /// How the conductor sees its fleet.
+    /// Return the fleet's status as this router knows it.
     Status,
-    /// These members shall vote; the leader goes there one voter at a time.
+    /// Make these members the voters; the leader changes one voter at a time.
     Voters(BTreeSet<MemberName>),
-    /// Something about the policy, put into the log.
+    /// Propose a policy command to the log.
     Policy(policy_epoch::Command),
-    /// The policy's epochs and proposals.
+    /// Return the policy's epoch and proposals.
     PolicyStatus,
 }
 
-/// What is answered. Variants are only ever added at the end.
+/// A router's reply. Encoded by postcard: new variants are added at the end only.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reply {
-    /// To [`Request::Status`].
+    /// Reply to [`Request::Status`].
     Status(Box<StatusReport>),
-    /// It can't be done, and why.
+    /// The request was refused, with the reason for the operator.
     Refused(String),
-    /// It was handed on; the status tells what comes of it.
+    /// The request was accepted and is in progress; the status shows its effect.
     Accepted,
-    /// To [`Request::Policy`].
+    /// Reply to [`Request::Policy`].
     Policy(policy_epoch::Reply),
-    /// To [`Request::PolicyStatus`].
+    /// Reply to [`Request::PolicyStatus`].
     PolicyStatus(Box<PolicyStatus>),
 }
 
-/// The policy as a member has it from the log.
+/// The policy's state as a member has applied it from the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PolicyStatus {
-    /// Who tells.
+    /// The member that replies.
     pub member: MemberInstance,
-    /// Epochs and proposals.
+    /// The epoch in force and the proposals.
     pub table: policy_epoch::Table,
-    /// Members that may act.
+    /// Members whose session leases are valid.
     pub live_members: BTreeSet<MemberInstance>,
 }
 
-/// A member's status, and its place in the group.
+/// A member's status and its role in the Raft group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StatusReport {
-    /// What the member shows.
+    /// The member's status.
     pub status: NodeStatus,
     /// `leader`, `candidate`, `follower` or `learner`.
     pub role: String,
-    /// The voters, with the numbers of their stores; none before the group has begun.
+    /// The voters with the numbers of their stores. Empty before the group has started.
     pub voters: Vec<VoterId>,
-    /// Who shall vote.
+    /// The members that shall become the voters.
     pub target_voters: Vec<MemberName>,
 }
 
 impl StatusReport {
-    /// As one JSON object.
+    /// The report as one JSON object.
     pub fn to_json(&self) -> serde_json::Value {
-        let mut all = serde_json::to_value(&self.status).unwrap_or_default();
-        if let Some(fields) = all.as_object_mut() {
+        let mut object = serde_json::to_value(&self.status).unwrap_or_default();
+        if let Some(fields) = object.as_object_mut() {
             fields.insert("role".into(), self.role.as_str().into());
             fields.insert(
                 "voters".into(),
@@ -90,11 +90,11 @@
                 serde_json::to_value(&self.target_voters).unwrap_or_default(),
             );
         }
-        all
+        object
     }
 }
 
-/// A request with what the reply is sealed for.
+/// A request, with the nonce that the reply has to be sealed with.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct RequestEnvelope {
     pub nonce: [u8; 16],
@@ -105,10 +105,11 @@
     postcard::to_stdvec(value).unwrap_or_default()
 }
 
-/// Asks the conductor of `config`, or where it does not answer one of its peers, in the order of their names.
+/// Sends a request to the router of `config`. If it does not answer, tries the configured peers in the order of their
+/// names.
 ///
 /// # Errors
-/// Why nobody answered, each with its address.
+/// The key file can't be used, or no router answered: the failure of each with its address.
 pub async fn query(config: &FleetConfig, request: Request) -> Result<Reply, String> {
     let (keys, _) =
         Keys::read(&config.key_file).map_err(|e| format!("{}: {e}", config.key_file.display()))?;
@@ -120,16 +121,16 @@
         .filter(|(name, _)| **name != config.name);
     let mut failures = String::new();
     for (name, address) in std::iter::once(own).chain(peers) {
-        let asked = query_one(name, *address, &keys, &limits, request.clone());
-        match with_timeout(ANSWER, asked).await {
+        let attempt = query_one(name, *address, &keys, &limits, request.clone());
+        match with_timeout(ANSWER_TIMEOUT, attempt).await {
             Ok(reply) => return Ok(reply),
             Err(error) => {
-                let gap = if failures.is_empty() { "" } else { "; " };
-                let _ = write!(failures, "{gap}{name} at {address}: {error}");
+                let separator = if failures.is_empty() { "" } else { "; " };
+                let _ = write!(failures, "{separator}{name} at {address}: {error}");
             }
         }
     }
-    Err(format!("nobody answered: {failures}"))
+    Err(format!("no router answered: {failures}"))
 }
 
 async fn query_one(
@@ -140,8 +141,8 @@
     request: Request,
 ) -> io::Result<Reply> {
     let mut stream = SteadyStream(TcpStream::connect(address).await?);
-    let mut session = [0; 16];
-    stream.read_exact(&mut session).await?;
+    let mut nonce = [0; 16];
+    stream.read_exact(&mut nonce).await?;
     let own = MemberName::try_from(ADMINISTRATOR).map_err(io::Error::other)?;
     let me = MemberInstance {
         name: own.clone(),
@@ -152,14 +153,14 @@
         name.clone(),
         keys.clone(),
         limits,
-        ConnectionNonce(session),
+        ConnectionNonce(nonce),
     );
-    let answer = random_bytes()?;
+    let reply_nonce = random_bytes()?;
     let frame = sealer
         .seal(
             ADMIN_FRAME,
             &encode(&RequestEnvelope {
-                nonce: answer,
+                nonce: reply_nonce,
                 request,
             }),
         )
@@ -172,24 +173,27 @@
         .await
         .map_err(|error| match error.kind() {
             io::ErrorKind::UnexpectedEof | io::ErrorKind::ConnectionReset => {
-                io::Error::other("closed without an answer: not the same key, or another member")
+                io::Error::other("the connection was closed without an answer: not the same key in its key file, or another member at this address")
             }
             _ => error,
         })?;
     let mut frame = vec![0; frame_length(prefix, limits).map_err(io::Error::other)?];
     stream.read_exact(&mut frame).await?;
     let mut opener = Opener::new(own, keys.clone(), limits.clone());
-    let mut inbound = Inbound::new(ConnectionNonce(answer));
+    let mut inbound = Inbound::new(ConnectionNonce(reply_nonce));
     let opened = opener
         .open_stream_frame(0, &mut inbound, &frame)
         .map_err(io::Error::other)?;
     if opened.from.name != *name {
-        return Err(io::Error::other("another member answered"));
+        return Err(io::Error::other(format!(
+            "member {} answered instead; check the address in fleet.peers",
+            opened.from.name
+        )));
     }
     postcard::from_bytes(opened.payload).map_err(io::Error::other)
 }
 
-/// A status as tables for people.
+/// Formats a status report as text tables.
 pub fn status_table(report: &StatusReport) -> String {
     let StatusReport {
         status,
@@ -198,9 +202,9 @@
         target_voters,
     } = report;
     let NodeStatus {
-        local: me,
+        local: member,
         site,
-        session: life,
+        session,
         leader,
         term,
         commit,
@@ -208,18 +212,18 @@
         epoch,
         ..
     } = status;
-    let leader = leader.as_ref().map_or("nobody", MemberName::as_str);
+    let leader = leader.as_ref().map_or("none", MemberName::as_str);
     let mut text = format!(
-        "as {me} at site {site} sees it, {role}, life {life}\nleader {leader}, term {}, commit {}, applied {}, epoch {epoch}\n\n",
+        "fleet as seen by {member} at site {site}, role {role}, session {session}\nleader {leader}, term {}, commit {}, applied {}, epoch {epoch}\n\n",
         term.0, commit.0, applied.0
     );
-    let group = |name: &MemberName| match (
+    let group_role = |name: &MemberName| match (
         voters.iter().any(|v| v.name == *name),
         target_voters.contains(name),
     ) {
         (true, true) => "voter",
-        (true, false) => "to go",
-        (false, true) => "to vote",
+        (true, false) => "voter, to be removed",
+        (false, true) => "learner, to be a voter",
         (false, false) => "learner",
     };
     let header = [
@@ -238,11 +242,11 @@
             m.site.to_string(),
             m.incarnation.0.to_string(),
             m.status.clone(),
-            group(&m.name).to_owned(),
+            group_role(&m.name).to_owned(),
             m.address.to_string(),
         ]
     });
-    text += &columns(std::iter::once(header).chain(members).collect());
+    text += &format_table(std::iter::once(header).chain(members).collect());
     let header = ["lease", "holder", "token", "renewals", "waiting"]
         .map(str::to_owned)
         .to_vec();
@@ -261,10 +265,10 @@
         ]
     });
     text.push('\n');
-    text + &columns(std::iter::once(header).chain(leases).collect())
+    text + &format_table(std::iter::once(header).chain(leases).collect())
 }
 
-fn columns(rows: Vec<Vec<String>>) -> String {
+fn format_table(rows: Vec<Vec<String>>) -> String {
     let width = |at: usize| rows.iter().map(|row| row[at].len()).max().unwrap_or(0);
     let widths: Vec<usize> = (0..rows.first().map_or(0, Vec::len)).map(width).collect();
     let mut text = String::new();
--- a/src/fleet/transport/policy.rs
+++ b/src/fleet/transport/policy.rs
@@ -1,8 +1,8 @@
-//! The policy's epoch at this conductor: which requests may begin, votes, and going over.
+//! The policy epoch at this router: admits requests under it, votes on proposals, and switches epochs.
 //!
-//! [`PolicyGate`] follows the log. A request begins when [`PolicyGate::begin`] lets it through, under the epoch that stands then.
-//! While a change is closing, new requests wait; this conductor's word that it begins none goes out once those let
-//! through have reached the dispatcher, so that the dispatcher takes them under the settings they began with.
+//! [`PolicyGate`] follows the log. [`PolicyGate::admit`] admits a request under the epoch in force at that moment. While
+//! a proposal is closing, new requests wait. This router confirms that it admits none only once all admitted requests
+//! have reached the dispatcher, so that the dispatcher handles them under the settings they were admitted with.
 
 use super::history::{History, unix_us};
 use super::{Fleet, FleetEvent};
@@ -21,91 +21,91 @@
 use tokio::sync::Notify;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Before what was not answered is proposed anew.
-const AGAIN: Duration = Duration::from_millis(200);
-/// The span from which each member draws how long it waits before it proposes the first epoch, in microseconds.
-const FIRST_SPAN_US: u64 = 50_000;
+/// Delay before a command without an answer is proposed again.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
+/// Each member proposes the first epoch after a random delay below this, in microseconds, so that mostly one does.
+const MAX_FIRST_PROPOSAL_DELAY_US: u64 = 50_000;
 
-/// The proposal under way, as far as this member has followed the log.
+/// The open proposal, as far as this member has applied the log.
 struct Staged {
     proposal: u64,
     content: String,
     closing: bool,
 }
 
-/// What lets requests begin.
+/// Admits requests under the policy epoch in force, and takes this router's part in changing it.
 pub struct PolicyGate {
     fleet: Fleet,
     dispatcher: DispatcherHandle,
     live: Rc<LiveSettings>,
     config: PolicyConfig,
-    own: Value,
+    own_settings: Value,
     own_content: String,
-    /// Where its own file differs from the epoch in force, until it is said.
-    differences: RefCell<Vec<String>>,
+    /// Fields in which this router's file differs from the epoch in force, until they are logged.
+    unlogged_differences: RefCell<Vec<String>>,
     epoch: Cell<u64>,
-    /// Whether the epoch in force is held here.
-    held: Cell<bool>,
+    /// Whether this router runs with the settings of the epoch in force.
+    current: Cell<bool>,
     staged: RefCell<Option<Staged>>,
-    /// Requests let through that are not at the dispatcher yet.
-    passing: Cell<usize>,
-    waiting: Cell<usize>,
+    /// Number of admitted requests that have not reached the dispatcher yet.
+    in_transit: Cell<usize>,
+    waiting_requests: Cell<usize>,
     changed: Notify,
-    /// The life and proposal that this member has voted on, and closed for.
-    voted: RefCell<Option<(MemberInstance, u64)>>,
-    closed: RefCell<Option<(MemberInstance, u64)>>,
+    /// The incarnation and proposal of this member's last vote, and of its last confirmation that it admits no requests.
+    last_vote: RefCell<Option<(MemberInstance, u64)>>,
+    last_confirmation: RefCell<Option<(MemberInstance, u64)>>,
 }
 
-/// A request let through. To be dropped once the dispatcher has the request.
+/// Permit of an admitted request. The caller drops it once the dispatcher has the request.
 pub struct PolicyPermit(Rc<PolicyGate>);
 
 impl Drop for PolicyPermit {
     fn drop(&mut self) {
         let PolicyPermit(gate) = self;
-        gate.passing.set(gate.passing.get() - 1);
-        gate.go_on();
+        gate.in_transit.set(gate.in_transit.get() - 1);
+        gate.respond_to_proposal();
     }
 }
 
-/// Why a request can't begin now.
+/// Why a request can't be admitted now. Trying again later is harmless.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionError {
-    /// This conductor may not act, or does not hold the epoch in force.
+    /// This router may not act, or does not run with the epoch in force.
     NotServing,
-    /// A change of policy takes too long, or too many wait for it.
+    /// The wait for a policy change exceeded its limit, or too many requests wait for it already.
     TimedOut,
 }
 
 impl PolicyGate {
-    /// Begins to follow the log. `own` is the table `[settings]` of this conductor's file; the settings of each epoch go
-    /// to `live`.
+    /// Starts to follow the log. `own_settings` is the `[settings]` table of this router's file; `live` receives the
+    /// settings of each epoch.
     ///
     /// # Errors
-    /// What is wrong with the policy in that table.
+    /// `own_settings` is not a table.
     pub fn start(
         fleet: Fleet,
         dispatcher: DispatcherHandle,
         live: Rc<LiveSettings>,
         config: PolicyConfig,
-        own: Value,
+        own_settings: Value,
     ) -> Result<Rc<Self>, String> {
-        let (own_content, _) = content::extract_policy(&own)?;
+        let (own_content, _) = content::extract_policy(&own_settings)?;
         let gate = Rc::new(PolicyGate {
             fleet: fleet.clone(),
             dispatcher,
             live,
             config,
-            own,
+            own_settings,
             own_content,
-            differences: RefCell::default(),
+            unlogged_differences: RefCell::default(),
             epoch: Cell::new(0),
-            held: Cell::new(false),
+            current: Cell::new(false),
             staged: RefCell::default(),
-            passing: Cell::new(0),
-            waiting: Cell::new(0),
+            in_transit: Cell::new(0),
+            waiting_requests: Cell::new(0),
             changed: Notify::new(),
-            voted: RefCell::default(),
-            closed: RefCell::default(),
+            last_vote: RefCell::default(),
+            last_confirmation: RefCell::default(),
         });
         let listener = Rc::downgrade(&gate);
         fleet.add_listener(Box::new(move |event| {
@@ -116,39 +116,40 @@
         Ok(gate)
     }
 
-    /// Whether this conductor holds the epoch in force, as far as it knows the log.
+    /// Whether this router runs with the epoch in force, as far as it has applied the log.
     pub fn is_ready(&self) -> bool {
-        self.held.get()
+        self.current.get()
     }
 
     fn is_open(&self) -> bool {
-        self.held.get() && self.staged.borrow().as_ref().is_none_or(|s| !s.closing)
+        self.current.get() && self.staged.borrow().as_ref().is_none_or(|s| !s.closing)
     }
 
-    /// Lets a request begin, at once or when the change under way is decided, until `deadline` at the latest.
+    /// Admits a request, at once or when the open proposal is decided. Waits at most the configured time, and not past
+    /// `deadline`.
     ///
     /// # Errors
-    /// It can't begin; trying again is harmless.
+    /// The request can't be admitted; trying again is harmless.
     pub async fn admit(self: &Rc<Self>, deadline: Micros) -> Result<PolicyPermit, AdmissionError> {
-        let until = self.dispatcher.clock.now() + self.config.hold_ms * 1_000;
-        let until = self.dispatcher.clock.instant(until.min(deadline));
+        let wait_end = self.dispatcher.clock.now() + self.config.hold_ms * 1_000;
+        let wait_end = self.dispatcher.clock.instant(wait_end.min(deadline));
         loop {
             let at = unix_us();
-            // Read at this moment, and nothing waits between this and the pass.
-            if !self.fleet.may_serve() || !self.held.get() {
+            // There is no await point between this check and the permit.
+            if !self.fleet.may_serve() || !self.current.get() {
                 return Err(AdmissionError::NotServing);
             }
             if self.is_open() {
-                self.passing.set(self.passing.get() + 1);
+                self.in_transit.set(self.in_transit.get() + 1);
                 History(self.fleet.instance()).policy_begin(at, self.epoch.get());
                 return Ok(PolicyPermit(self.clone()));
             }
-            if self.waiting.get() >= self.config.most_held {
+            if self.waiting_requests.get() >= self.config.most_held {
                 return Err(AdmissionError::TimedOut);
             }
-            let _place = Waiting::new(self);
+            let _waiting = Waiting::new(self);
             let changed = self.changed.notified();
-            if tokio::time::timeout_at(until, changed).await.is_err() {
+            if tokio::time::timeout_at(wait_end, changed).await.is_err() {
                 return Err(AdmissionError::TimedOut);
             }
         }
@@ -157,29 +158,29 @@
     fn on_fleet_event(self: &Rc<Self>, event: &FleetEvent) {
         match event {
             FleetEvent::IncarnationStarted(_) => {
-                // The log is read anew from its beginning.
-                self.held.set(false);
+                // The new incarnation applies the log from its start or from a snapshot.
+                self.current.set(false);
                 self.epoch.set(0);
                 self.staged.take();
             }
-            FleetEvent::SessionValid(true) => self.begin_life(),
+            FleetEvent::SessionValid(true) => self.on_session_valid(),
             FleetEvent::SessionValid(false) => {}
-            FleetEvent::StateChanged(_, StateChange::Policy(notice)) => self.notice(notice),
+            FleetEvent::StateChanged(_, StateChange::Policy(notice)) => self.on_notice(notice),
             FleetEvent::SnapshotRestored(state) => self.restore(state.policy()),
             FleetEvent::MembershipChanged(_)
             | FleetEvent::LeaderChanged(_)
             | FleetEvent::SitesChanged(_)
             | FleetEvent::StateChanged(..) => return,
         }
-        self.go_on();
+        self.respond_to_proposal();
         self.changed.notify_waiters();
     }
 
-    fn notice(self: &Rc<Self>, notice: &Notice) {
+    fn on_notice(self: &Rc<Self>, notice: &Notice) {
         match notice {
             Notice::Staged { proposal, content } => {
                 let (proposal, content) = (*proposal, content.clone());
-                // What a new life reads anew in the log is told no second time.
+                // Without a session lease this is an old entry, applied again after a start: not logged again.
                 if self.fleet.session_valid() {
                     History(self.fleet.instance()).policy_proposed(proposal, digest(&content));
                 }
@@ -210,7 +211,7 @@
             }
             Notice::InForce { epoch, content } => {
                 self.staged.take();
-                self.go_over(*epoch, content);
+                self.switch_epoch(*epoch, content);
             }
         }
     }
@@ -223,61 +224,62 @@
         });
         self.staged.replace(staged);
         if table.epoch() > self.epoch.get() {
-            self.go_over(table.epoch(), table.content());
+            self.switch_epoch(table.epoch(), table.content());
         }
     }
 
-    fn go_over(self: &Rc<Self>, epoch: u64, content: &str) {
+    fn switch_epoch(self: &Rc<Self>, epoch: u64, content: &str) {
         let history = History(self.fleet.instance());
         self.epoch.set(epoch);
-        match content::parse(content, &self.own) {
+        match content::parse(content, &self.own_settings) {
             Ok(settings) => {
                 self.live.replace(settings);
-                self.held.set(true);
+                self.current.set(true);
                 history.policy_epoch(epoch, digest(content));
-                self.differences
+                self.unlogged_differences
                     .replace(content::differences(content, &self.own_content));
                 if self.fleet.session_valid() {
-                    self.say_differences();
+                    self.log_differences();
                 }
-                self.tell(Command::Switched { epoch });
+                self.propose_until_applied(Command::Switched { epoch });
             }
-            Err(fault) => {
-                self.held.set(false);
+            Err(error) => {
+                self.current.set(false);
                 history.note(&format!(
-                    "epoch {epoch} can't be held here, nothing new is served: {fault}"
+                    "policy epoch {epoch} can't be applied: {error}; this router takes no new requests"
                 ));
             }
         }
     }
 
-    fn say_differences(&self) {
-        let (epoch, differences) = (self.epoch.get(), self.differences.take());
+    fn log_differences(&self) {
+        let (epoch, differences) = (self.epoch.get(), self.unlogged_differences.take());
         if let Some(first) = differences.first() {
             let fields = differences.len();
             log::info!(
-                "policy: this conductor's own file differs from epoch {epoch} in {fields} fields: {first}"
+                "policy: this router's file differs from epoch {epoch} in {fields} fields, the first: {first}; the epoch's values are used"
             );
         }
     }
 
-    /// Says what has not been said in this life; the first to come proposes its own file's policy.
-    fn begin_life(self: &Rc<Self>) {
+    /// When the session lease becomes valid: confirms the epoch in force, or proposes the policy in this router's file
+    /// if there is no epoch yet.
+    fn on_session_valid(self: &Rc<Self>) {
         let epoch = self.epoch.get();
         if epoch > 0 {
-            if self.held.get() {
-                self.say_differences();
-                self.tell(Command::Switched { epoch });
+            if self.current.get() {
+                self.log_differences();
+                self.propose_until_applied(Command::Switched { epoch });
             }
             return;
         }
         let gate = self.clone();
         tokio::task::spawn_local(async move {
             let me = gate.fleet.instance();
-            let mark = xxh3_64(me.to_string().as_bytes());
-            tokio::time::sleep(Duration::from_micros(mark % FIRST_SPAN_US)).await;
+            let nonce = xxh3_64(me.to_string().as_bytes());
+            tokio::time::sleep(Duration::from_micros(nonce % MAX_FIRST_PROPOSAL_DELAY_US)).await;
             let command = Command::Propose {
-                nonce: mark,
+                nonce,
                 content: gate.own_content.clone(),
                 base: 0,
                 only_check: false,
@@ -285,15 +287,16 @@
                 difference: "the first".to_owned(),
             };
             while gate.epoch.get() == 0 && gate.fleet.instance() == me {
-                if gate.say(command.clone()).await.is_none() {
-                    tokio::time::sleep(AGAIN).await;
+                if gate.propose(command.clone()).await.is_none() {
+                    tokio::time::sleep(RETRY_DELAY).await;
                 }
             }
         });
     }
 
-    /// Votes, and says that nothing begins any more, when it is time.
-    fn go_on(self: &Rc<Self>) {
+    /// Sends this member's vote on a staged proposal, or its confirmation for a closing one, if it is due and was not
+    /// sent in this incarnation.
+    fn respond_to_proposal(self: &Rc<Self>) {
         if !self.fleet.session_valid() {
             return;
         }
@@ -308,35 +311,37 @@
             else {
                 return;
             };
-            let word = Some((me, *proposal));
+            let instance_and_proposal = Some((me, *proposal));
             if *closing {
-                if self.passing.get() > 0 || *self.closed.borrow() == word {
+                if self.in_transit.get() > 0
+                    || *self.last_confirmation.borrow() == instance_and_proposal
+                {
                     return;
                 }
-                self.closed.replace(word);
+                self.last_confirmation.replace(instance_and_proposal);
                 Command::Closed {
                     proposal: *proposal,
                 }
             } else {
-                if *self.voted.borrow() == word {
+                if *self.last_vote.borrow() == instance_and_proposal {
                     return;
                 }
-                self.voted.replace(word);
-                let refusal = content::parse(content, &self.own).err();
+                self.last_vote.replace(instance_and_proposal);
+                let refusal = content::parse(content, &self.own_settings).err();
                 Command::Vote {
                     proposal: *proposal,
                     refusal,
                 }
             }
         };
-        self.tell(command);
+        self.propose_until_applied(command);
     }
 
-    /// Says it until it is written down, for as long as it is of use.
-    fn tell(self: &Rc<Self>, command: Command) {
+    /// Proposes a command until it is applied, for as long as it matters and this incarnation lasts.
+    fn propose_until_applied(self: &Rc<Self>, command: Command) {
         let (gate, me) = (self.clone(), self.fleet.instance());
         tokio::task::spawn_local(async move {
-            let of_use = |gate: &PolicyGate| match &command {
+            let still_needed = |gate: &PolicyGate| match &command {
                 Command::Vote { proposal, .. } | Command::Closed { proposal } => gate
                     .staged
                     .borrow()
@@ -345,17 +350,17 @@
                 Command::Switched { epoch } => gate.epoch.get() == *epoch,
                 _ => true,
             };
-            while gate.fleet.instance() == me && of_use(&gate) {
-                match gate.say(command.clone()).await {
+            while gate.fleet.instance() == me && still_needed(&gate) {
+                match gate.propose(command.clone()).await {
                     Some(Reply::Refused(Refusal::NoSession)) => return,
                     Some(_) => return,
-                    None => tokio::time::sleep(AGAIN).await,
+                    None => tokio::time::sleep(RETRY_DELAY).await,
                 }
             }
         });
     }
 
-    async fn say(&self, command: Command) -> Option<Reply> {
+    async fn propose(&self, command: Command) -> Option<Reply> {
         match self.fleet.propose(state::Command::Policy(command)).await {
             Ok(ProposalResult::Policy(reply)) => Some(reply),
             _ => None,
@@ -363,29 +368,31 @@
     }
 }
 
-/// A place among the requests that wait, given back when dropped.
+/// Counts a waiting request until it is dropped.
 struct Waiting(Rc<PolicyGate>);
 
 impl Waiting {
     fn new(gate: &Rc<PolicyGate>) -> Self {
-        gate.waiting.set(gate.waiting.get() + 1);
+        gate.waiting_requests.set(gate.waiting_requests.get() + 1);
         Waiting(gate.clone())
     }
 }
 
 impl Drop for Waiting {
     fn drop(&mut self) {
-        self.0.waiting.set(self.0.waiting.get() - 1);
+        self.0
+            .waiting_requests
+            .set(self.0.waiting_requests.get() - 1);
     }
 }
 
-/// Names of the classes in which a request must not run twice.
+/// The classes whose requests must not run twice.
 pub fn non_repeatable_classes(classes: &[RequestClass]) -> impl Iterator<Item = &RequestClass> {
-    use crate::routing::types::{DeduplicationScope, Idempotency as Of};
+    use crate::routing::types::{DeduplicationScope, Idempotency};
     classes.iter().filter(|c| {
         !matches!(
             c.idempotency,
-            Of::Idempotent | Of::WithKey(DeduplicationScope::All)
+            Idempotency::Idempotent | Idempotency::WithKey(DeduplicationScope::All)
         )
     })
 }
--- a/src/fleet/transport/sites.rs
+++ b/src/fleet/transport/sites.rs
@@ -1,9 +1,9 @@
-//! What the fleet makes of its sites, carried out: what this conductor sees goes to
-//! [`Member`], and what that says goes to the group, to the history, and as weights
-//! into the list of hosts that the dispatcher has. New requests are not refused here yet.
+//! Runs this router's part in the fleet's assessment of its sites: passes observations to [`Member`], and its results to
+//! the Raft group, to the history, and as weights to the dispatcher's list of hosts. New requests are not refused here
+//! yet.
 //!
-//! Hosts are tried by small requests of their own, one host of each site in turn: any answer counts, whatever it says,
-//! since a connection alone may be taken by something in between.
+//! Model hosts are probed by small requests, one host of each site in probe_number. Any answer counts, whatever its status. A
+//! connection alone does not count, since an intermediary may have accepted it.
 
 use super::history::History;
 use super::{Fleet, FleetEvent};
@@ -29,61 +29,62 @@
 use tokio::sync::Notify;
 use tokio::time::MissedTickBehavior;
 
-/// What a host is asked to see whether it is there.
-const TRY: &[u8] = b"HEAD / HTTP/1.1\r\nhost: whinhaven\r\nconnection: close\r\n\r\n";
+/// Request that probes a host.
+const PROBE_REQUEST: &[u8] = b"HEAD / HTTP/1.1\r\nhost: whinhaven\r\nconnection: close\r\n\r\n";
 
-/// What the conductor has of its hosts.
+/// Sources of information about the model hosts.
 pub struct ModelHosts {
-    /// Where they are.
+    /// The hosts' zones and addresses, from discovery.
     pub directory: Rc<Directory>,
-    /// Who chooses among them.
+    /// The dispatcher, which receives the hosts' weights.
     pub dispatcher: DispatcherHandle,
-    /// What they do, by their kinds.
+    /// All kinds of workers, with their roles.
     pub kinds: Vec<WorkerKind>,
 }
 
-/// The fleet's sites, as the rest of the program sees them.
+/// This router's part in the fleet's assessment of its sites.
 pub struct Sites {
     fleet: Fleet,
     clock: Clock,
     hosts: ModelHosts,
-    /// The list as it came, without weights of a plan.
+    /// The list of hosts as discovery reported it, without the weights of a plan.
     list: RefCell<BTreeMap<WorkerId, Endpoint>>,
     names: Vec<String>,
-    own: usize,
-    /// The conductors that the file gives each site.
-    of: Vec<u32>,
+    own_site: usize,
+    /// Number of routers that the configuration gives each site.
+    configured_routers: Vec<u32>,
     plans: RefCell<Plans>,
     member: RefCell<Member>,
-    /// Members by name: their site, and whether they are alive or suspect.
-    conductors: RefCell<BTreeMap<MemberName, (usize, bool)>>,
-    /// Most hosts that the list has had of each site at once.
-    had: RefCell<Vec<u32>>,
-    /// Counts tries, so that they go round.
-    tries: Cell<usize>,
-    every: Duration,
-    woken: Notify,
+    /// Routers by name: their site, and whether they count as alive (alive or suspect).
+    routers_by_name: RefCell<BTreeMap<MemberName, (usize, bool)>>,
+    /// Highest number of hosts of each site that the list has max_hosts at once.
+    max_hosts: RefCell<Vec<u32>>,
+    /// Counts probes, so that they go through the hosts in probe_number.
+    probe_count: Cell<usize>,
+    probe_interval: Duration,
+    timer_changed: Notify,
 }
 
 impl Sites {
-    /// Makes all plans, on a thread of its own.
+    /// Computes the plans for all losses of sites, on a blocking thread.
     ///
     /// # Errors
-    /// A loss for which there is no plan.
+    /// There is a loss for which no plan exists.
     pub async fn build_plans(tables: describe::Fleet) -> Result<Plans, PlanError> {
         match tokio::task::spawn_blocking(move || Plans::new(tables)).await {
             Ok(plans) => plans,
-            Err(failed) => std::panic::resume_unwind(failed.into_panic()),
+            Err(error) => std::panic::resume_unwind(error.into_panic()),
         }
     }
 
-    /// Begins to listen to the fleet. `own` is the conductor's site, `seed` spreads what all say at once.
+    /// Starts to follow the fleet's events. `own_site` is the index of this router's site. `seed` gives the jitter of
+    /// proposals, so that the routers do not all propose at once.
     pub fn start(
         fleet: Fleet,
         clock: Clock,
         hosts: ModelHosts,
         plans: Plans,
-        own: usize,
+        own_site: usize,
         seed: u64,
     ) -> Rc<Self> {
         let tables = &plans.fleet().tables;
@@ -92,14 +93,14 @@
             hosts,
             list: RefCell::default(),
             names: tables.site.iter().map(|s| s.name.clone()).collect(),
-            own,
-            of: tables.site.iter().map(|s| s.conductors).collect(),
-            member: RefCell::new(Member::new(&plans, own, seed)),
-            conductors: RefCell::new([(fleet.instance().name, (own, true))].into()),
-            had: RefCell::new(vec![0; tables.site.len()]),
-            tries: Cell::new(0),
-            every: Duration::from_millis(tables.watch.reached_ms.max(1)),
-            woken: Notify::new(),
+            own_site,
+            configured_routers: tables.site.iter().map(|s| s.conductors).collect(),
+            member: RefCell::new(Member::new(&plans, own_site, seed)),
+            routers_by_name: RefCell::new([(fleet.instance().name, (own_site, true))].into()),
+            max_hosts: RefCell::new(vec![0; tables.site.len()]),
+            probe_count: Cell::new(0),
+            probe_interval: Duration::from_millis(tables.watch.reached_ms.max(1)),
+            timer_changed: Notify::new(),
             plans: RefCell::new(plans),
             fleet: fleet.clone(),
         });
@@ -109,12 +110,12 @@
                 sites.on_fleet_event(event);
             }
         }));
-        tokio::task::spawn_local(sites.clone().keep_time());
-        tokio::task::spawn_local(sites.clone().keep_trying());
+        tokio::task::spawn_local(sites.clone().run_timers());
+        tokio::task::spawn_local(sites.clone().probe_periodically());
         sites
     }
 
-    /// Looks at a list that has come, and writes into it what the orders change.
+    /// Records an update of discovery's list of hosts, and sets the weights in `entries` by the current orders.
     pub fn apply_weights(self: &Rc<Self>, kind: EndpointUpdate, entries: &mut [Endpoint]) {
         {
             let mut list = self.list.borrow_mut();
@@ -126,11 +127,11 @@
             }
             list.retain(|_, entry| entry.status != Status::Gone);
         }
-        self.listed();
-        self.weigh_by_orders(entries);
+        self.report_listed_hosts();
+        self.set_weights(entries);
     }
 
-    fn weigh_by_orders(&self, entries: &mut [Endpoint]) {
+    fn set_weights(&self, entries: &mut [Endpoint]) {
         let role = |kind: &str| -> Option<Role> {
             self.hosts
                 .kinds
@@ -142,10 +143,10 @@
         self.member.borrow().orders().weigh(entries, role, site);
     }
 
-    /// New orders: the module is told of all hosts anew.
-    fn obey(&self) {
+    /// Applies new orders: sends all hosts with their new weights to the dispatcher.
+    fn apply_orders(&self) {
         let mut entries: Vec<Endpoint> = self.list.borrow().values().cloned().collect();
-        self.weigh_by_orders(&mut entries);
+        self.set_weights(&mut entries);
         self.hosts
             .dispatcher
             .tell(DispatcherEvent::EndpointsUpdated {
@@ -154,17 +155,21 @@
             });
     }
 
-    /// Looks at which hosts discovery's list has now.
-    fn listed(self: &Rc<Self>) {
+    /// Reports the number of ready and known hosts of each site.
+    fn report_listed_hosts(self: &Rc<Self>) {
         for (site, name) in self.names.iter().enumerate() {
             let hosts = self.hosts.directory.of_zone(name);
             let ready = hosts.iter().filter(|(_, ready)| *ready).count() as u32;
-            let of = {
-                let mut had = self.had.borrow_mut();
-                had[site] = had[site].max(hosts.len() as u32);
-                had[site]
+            let total = {
+                let mut max_hosts = self.max_hosts.borrow_mut();
+                max_hosts[site] = max_hosts[site].max(hosts.len() as u32);
+                max_hosts[site]
             };
-            self.handle(Event::Seen(watch::Event::Listed { site, ready, of }));
+            self.handle(Event::Seen(watch::Event::Listed {
+                site,
+                ready,
+                of: total,
+            }));
         }
     }
 
@@ -175,7 +180,7 @@
     fn on_fleet_event(self: &Rc<Self>, event: &FleetEvent) {
         match event {
             FleetEvent::IncarnationStarted(_) => self.handle(Event::Pacing(false)),
-            FleetEvent::MembershipChanged(change) => self.seen(change),
+            FleetEvent::MembershipChanged(change) => self.on_membership_change(change),
             FleetEvent::LeaderChanged(leader) => {
                 let me = self.fleet.instance().name;
                 self.handle(Event::Seen(watch::Event::Group {
@@ -194,20 +199,22 @@
                         .site_standing_changed(*epoch, site.as_str(), *from, *to);
                 }
                 epoch::Effect::Settled { epoch } => self.history().site_settled(*epoch),
-                epoch::Effect::Refused(command) => log::debug!("sites: refused: {command:?}"),
+                epoch::Effect::Refused(command) => {
+                    log::debug!("sites: the agreed table rejected a command: {command:?}");
+                }
             },
-            FleetEvent::SitesChanged(table) => self.agreed(table),
-            FleetEvent::SnapshotRestored(state) => self.agreed(state.sites()),
+            FleetEvent::SitesChanged(table) => self.on_agreed_table(table),
+            FleetEvent::SnapshotRestored(state) => self.on_agreed_table(state.sites()),
             FleetEvent::SessionValid(_) | FleetEvent::StateChanged(..) => {}
         }
     }
 
-    fn agreed(self: &Rc<Self>, table: &Table) {
+    fn on_agreed_table(self: &Rc<Self>, table: &Table) {
         self.handle(Event::Table(Box::new(table.clone())));
     }
 
-    /// A belief about a member changed.
-    fn seen(self: &Rc<Self>, change: &membership::StatusChange) {
+    /// Reports the number of live routers of a site after a router's membership status changed.
+    fn on_membership_change(self: &Rc<Self>, change: &membership::StatusChange) {
         let Some(site) = self
             .names
             .iter()
@@ -215,20 +222,24 @@
         else {
             return;
         };
-        let alive = matches!(
+        let is_alive = matches!(
             change.to,
             membership::Status::Alive | membership::Status::Suspect
         );
         let alive = {
-            let mut conductors = self.conductors.borrow_mut();
-            conductors.insert(change.member.clone(), (site, alive));
-            conductors
+            let mut routers_by_name = self.routers_by_name.borrow_mut();
+            routers_by_name.insert(change.member.clone(), (site, is_alive));
+            routers_by_name
                 .values()
                 .filter(|(at, alive)| *at == site && *alive)
                 .count() as u32
         };
-        let of = self.of[site].max(alive);
-        self.handle(Event::Seen(watch::Event::Conductors { site, alive, of }));
+        let total = self.configured_routers[site].max(alive);
+        self.handle(Event::Seen(watch::Event::Conductors {
+            site,
+            alive,
+            of: total,
+        }));
     }
 
     fn handle(self: &Rc<Self>, event: Event) {
@@ -241,68 +252,71 @@
             match action {
                 Action::Propose(command) => {
                     let fleet = self.fleet.clone();
-                    // What is lost is said again by the member, when it still holds.
+                    // A lost proposal is repeated by the `Member` if it still applies.
                     tokio::task::spawn_local(async move {
                         let _ = fleet.propose(Command::Sites(command)).await;
                     });
                 }
-                Action::Probe { site } => self.try_host(site),
+                Action::Probe { site } => self.probe_host(site),
                 Action::Changed(change) => self
                     .history()
                     .site_status_changed(&self.names[change.site], &change),
-                Action::Orders(_) => self.obey(),
+                Action::Orders(_) => self.apply_orders(),
                 Action::NoPlan(why) => self.history().note(&format!("sites: {why}")),
             }
         }
-        self.woken.notify_one();
+        self.timer_changed.notify_one();
     }
 
-    async fn keep_time(self: Rc<Self>) {
+    async fn run_timers(self: Rc<Self>) {
         loop {
-            let next = self.member.borrow().timeout(self.clock.now());
-            let woken = self.woken.notified();
+            let next_timer = self.member.borrow().timeout(self.clock.now());
+            let timer_changed = self.timer_changed.notified();
             tokio::select! {
-                () = self.clock.reach(next) => self.handle(Event::Tick),
-                () = woken => {}
+                () = self.clock.reach(next_timer) => self.handle(Event::Tick),
+                () = timer_changed => {}
             }
         }
     }
 
-    /// Tries one host of each other site again and again: what nothing is sent to would not be missed.
-    async fn keep_trying(self: Rc<Self>) {
-        let mut periods = tokio::time::interval(self.every);
-        periods.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    /// Probes one host of each other site periodically: the failure of a site without traffic would not be noticed.
+    async fn probe_periodically(self: Rc<Self>) {
+        let mut interval = tokio::time::interval(self.probe_interval);
+        interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
-            periods.tick().await;
+            interval.tick().await;
             (0..self.names.len())
-                .filter(|site| *site != self.own)
-                .for_each(|site| self.try_host(site));
+                .filter(|site| *site != self.own_site)
+                .for_each(|site| self.probe_host(site));
         }
     }
 
-    fn try_host(self: &Rc<Self>, site: usize) {
+    fn probe_host(self: &Rc<Self>, site: usize) {
         let hosts = self.hosts.directory.of_zone(&self.names[site]);
         let addresses: Vec<SocketAddr> = hosts
             .into_iter()
             .filter_map(|(address, _)| address)
             .collect();
-        let turn = self.tries.get();
-        self.tries.set(turn.wrapping_add(1));
-        let Some(address) = addresses.get(turn % addresses.len().max(1)).copied() else {
+        let probe_number = self.probe_count.get();
+        self.probe_count.set(probe_number.wrapping_add(1));
+        let Some(address) = addresses
+            .get(probe_number % addresses.len().max(1))
+            .copied()
+        else {
             return;
         };
-        let (sites, patience) = (self.clone(), self.every);
+        let (sites, timeout) = (self.clone(), self.probe_interval);
         tokio::task::spawn_local(async move {
-            let tried = tokio::time::timeout(patience, answers(address)).await;
-            let reached = tried.is_ok_and(|answered| answered.is_ok());
+            let result = tokio::time::timeout(timeout, probe(address)).await;
+            let reached = result.is_ok_and(|probed| probed.is_ok());
             sites.handle(Event::Seen(watch::Event::Host { site, reached }));
         });
     }
 }
 
-/// Whether anything answers there.
-async fn answers(address: SocketAddr) -> std::io::Result<()> {
+/// Connects to `address`, sends a probe, and succeeds once the first byte of an answer arrives.
+async fn probe(address: SocketAddr) -> std::io::Result<()> {
     let mut stream = SteadyStream(TcpStream::connect(address).await?);
-    stream.write_all(TRY).await?;
+    stream.write_all(PROBE_REQUEST).await?;
     stream.read_u8().await.map(|_| ())
 }
--- a/src/fleet/transport/work.rs
+++ b/src/fleet/transport/work.rs
@@ -1,8 +1,9 @@
-//! TakeoverClient in hand, carried out: asks the fleet before something goes out, and releases what ended lives have left.
+//! Records requests and sends in the fleet's log before they are carried out, and releases the KV state that ended
+//! incarnations have left at model hosts.
 //!
-//! [`TakeoverClient`] drives [`WorkRecorder`] with the program's clock and proposals. [`RecordingOutbound`] stands
-//! between the dispatcher and the client side: what goes to a model host is written down first, and taken off the record when
-//! nothing of its request is left.
+//! [`TakeoverClient`] runs [`WorkRecorder`] with this process's clock and proposals. [`RecordingOutbound`] sits between
+//! the dispatcher and the client of the model hosts: it records each send before the send goes out, and completes the
+//! record when its request is finished.
 
 use super::history::History;
 use super::{Fleet, FleetEvent};
@@ -12,7 +13,7 @@
 use crate::exchange::Call;
 use crate::fleet::MemberInstance;
 use crate::fleet::config::TakeoverConfig;
-use crate::fleet::state::{Command, ProposalRejection as Unlooked, ProposalResult, StateChange};
+use crate::fleet::state::{Command, ProposalRejection, ProposalResult, StateChange};
 use crate::fleet::work::recorder::{Action, Decision, Event, OperationId, WorkRecorder};
 use crate::fleet::work::{self, Capacity, MAX_IDS_PER_COMMAND, RecordChange, Rejection, Reply};
 use crate::routing::policy::call_permit::ReleaseHistory;
@@ -25,54 +26,55 @@
 use tokio::sync::{Notify, oneshot};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// How often sends are looked at of which nothing is left.
-const SWEEP: Duration = Duration::from_millis(50);
-/// Before what nobody waits for is proposed anew.
-const AGAIN: Duration = Duration::from_millis(200);
-/// The span from which each member draws how long it waits before it adopts, for each member that there may be.
-const ADOPT_SPAN_US: u64 = 4_000;
-/// Tries at all hosts, of some 0.4 s each.
-const RELEASE_TRIES: u32 = 10;
-/// Releases of adopted sends that are out at once.
-const MOST_RELEASES: usize = 32;
-
-/// FleetEvent the name of a request that another conductor has taken over.
-type Moved = Box<dyn Fn(&str)>;
-
-/// The fleet's records of work in hand, as the rest of the program asks them.
+/// Interval at which finished sends are collected.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(50);
+/// Delay before a command without an answer is proposed again.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
+/// Maximum random delay before a member takes over an ended incarnation's sends, in microseconds per member that the
+/// fleet may have.
+const MAX_TAKEOVER_DELAY_US_PER_MEMBER: u64 = 4_000;
+/// Rounds of attempts to release a send; each tries all hosts and takes about 0.4 s.
+const RELEASE_ROUNDS: u32 = 10;
+/// Maximum number of releases in progress at once, for taken-over sends and for own late ones each.
+const MAX_CONCURRENT_RELEASES: usize = 32;
+
+/// Callback that receives the name of a request that another router has taken over.
+type MovedCallback = Box<dyn Fn(&str)>;
+
+/// Access to the fleet's records of requests and sends for the rest of the program.
 pub struct TakeoverClient {
     fleet: Fleet,
     clock: Clock,
     settings: TakeoverConfig,
-    hands: RefCell<WorkRecorder>,
-    verdicts: RefCell<HashMap<OperationId, oneshot::Sender<Decision>>>,
-    written: RefCell<HashMap<OperationId, oneshot::Sender<()>>>,
-    next: Cell<u64>,
-    woken: Notify,
-    moved: RefCell<Vec<Moved>>,
-    /// Ended lives whose things wait to be adopted, as far as heard.
-    orphaned: RefCell<VecDeque<MemberInstance>>,
-    orphans: Notify,
+    recorder: RefCell<WorkRecorder>,
+    decisions: RefCell<HashMap<OperationId, oneshot::Sender<Decision>>>,
+    write_waiters: RefCell<HashMap<OperationId, oneshot::Sender<()>>>,
+    next_operation: Cell<u64>,
+    timer_changed: Notify,
+    moved_callbacks: RefCell<Vec<MovedCallback>>,
+    /// Ended incarnations whose sends nobody has taken over yet, as far as this member has applied the log.
+    orphaned_incarnations: RefCell<VecDeque<MemberInstance>>,
+    orphan_added: Notify,
 }
 
 impl TakeoverClient {
-    /// Begins to listen to the fleet.
+    /// Starts to follow the fleet's events.
     pub fn start(fleet: Fleet, clock: Clock, settings: TakeoverConfig) -> Rc<Self> {
-        let hands = WorkRecorder::new(fleet.instance(), settings.most_waiting);
+        let recorder = WorkRecorder::new(fleet.instance(), settings.most_waiting);
         let work = Rc::new(TakeoverClient {
             fleet: fleet.clone(),
             clock,
             settings,
-            hands: RefCell::new(hands),
-            verdicts: RefCell::default(),
-            written: RefCell::default(),
-            next: Cell::new(1),
-            woken: Notify::new(),
-            moved: RefCell::default(),
-            orphaned: RefCell::default(),
-            orphans: Notify::new(),
+            recorder: RefCell::new(recorder),
+            decisions: RefCell::default(),
+            write_waiters: RefCell::default(),
+            next_operation: Cell::new(1),
+            timer_changed: Notify::new(),
+            moved_callbacks: RefCell::default(),
+            orphaned_incarnations: RefCell::default(),
+            orphan_added: Notify::new(),
         });
-        // What happened before this could listen.
+        // The session lease may have become valid before the listener was added.
         work.handle(Event::LeaseValid(fleet.session_valid()));
         let listener = Rc::downgrade(&work);
         fleet.add_listener(Box::new(move |event| {
@@ -80,11 +82,11 @@
                 work.on_fleet_event(event);
             }
         }));
-        tokio::task::spawn_local(work.clone().keep_time());
+        tokio::task::spawn_local(work.clone().run_timers());
         work
     }
 
-    /// Room, as this conductor's settings allow it.
+    /// The numbers and bytes of records that this router's settings allow.
     pub fn capacity(&self) -> Capacity {
         Capacity {
             records: self.settings.most_records,
@@ -92,184 +94,183 @@
         }
     }
 
-    /// The settings.
+    /// The `[takeover]` settings of this router.
     pub fn settings(&self) -> &TakeoverConfig {
         &self.settings
     }
 
-    /// Whether this conductor may act at this very moment.
+    /// Whether this router's session lease is valid now, by a fresh reading of the clock.
     pub fn session_valid(&self) -> bool {
         self.fleet.session_valid()
     }
 
-    /// This conductor's history.
+    /// The history of this router's current incarnation.
     pub fn history(&self) -> History {
         History(self.fleet.instance())
     }
 
-    /// Has a function called with the name of each request that another conductor has taken over.
+    /// Registers a callback that receives the name of each request that another router has taken over.
     pub fn on_request_moved(&self, moved: impl Fn(&str) + 'static) {
-        self.moved.borrow_mut().push(Box::new(moved));
+        self.moved_callbacks.borrow_mut().push(Box::new(moved));
     }
 
-    /// Asks whether something may go out, and waits for the answer until `until` at the latest.
-    pub async fn request_until(self: &Rc<Self>, command: work::Command, until: Micros) -> Decision {
-        let ticket = self.ticket();
-        let (answer, answered) = oneshot::channel();
-        self.verdicts.borrow_mut().insert(ticket, answer);
+    /// Records `command` in the log and returns whether the caller may proceed. Waits until `deadline` at the latest.
+    pub async fn request_until(
+        self: &Rc<Self>,
+        command: work::Command,
+        deadline: Micros,
+    ) -> Decision {
+        let operation = self.new_operation();
+        let (answer, answer_receiver) = oneshot::channel();
+        self.decisions.borrow_mut().insert(operation, answer);
         self.handle(Event::Request {
-            operation: ticket,
+            operation,
             command,
-            deadline: until,
+            deadline,
         });
-        let verdict = answered.await.unwrap_or(Decision::LeaseLost);
-        // The machine's word may be as old as the last event: the clock is read anew before anything is let out.
-        if verdict == Decision::Proceed && !self.session_valid() {
+        let decision = answer_receiver.await.unwrap_or(Decision::LeaseLost);
+        // The recorder knows the time only as of its last event, so the lease is checked against the clock again.
+        if decision == Decision::Proceed && !self.session_valid() {
             Decision::LeaseLost
         } else {
-            verdict
+            decision
         }
     }
 
-    /// Asks, with the time that the settings give a record to be written.
+    /// Like [`Self::request_until`], within the configured time for writing a record.
     pub async fn request_record(self: &Rc<Self>, command: work::Command) -> Decision {
-        let until = self.clock.now() + self.settings.record_within_ms * 1_000;
-        self.request_until(command, until).await
+        let deadline = self.clock.now() + self.settings.record_within_ms * 1_000;
+        self.request_until(command, deadline).await
     }
 
-    /// Asks, with the time that a client may wait for a conductor that may be dying, and not past its deadline.
+    /// Like [`Self::request_until`], within the configured time for claiming a request, which allows for the end of the
+    /// incarnation of a router that may have failed; not past the client's `deadline`.
     pub async fn request_claim(
         self: &Rc<Self>,
         command: work::Command,
         deadline: Micros,
     ) -> Decision {
-        let within = self.clock.now() + self.settings.claim_within_ms * 1_000;
-        self.request_until(command, within.min(deadline)).await
+        let claim_deadline = self.clock.now() + self.settings.claim_within_ms * 1_000;
+        self.request_until(command, claim_deadline.min(deadline))
+            .await
     }
 
-    /// Asks, with a wait of the asker's beside the time that a record takes.
+    /// Like [`Self::request_record`], with additional time given by the caller.
     pub async fn request_with_extra_wait(
         self: &Rc<Self>,
         command: work::Command,
-        patience: Duration,
+        extra_wait: Duration,
     ) -> Decision {
-        let record = Duration::from_millis(self.settings.record_within_ms);
-        let until = self.clock.now() + (record + patience).as_micros() as Micros;
-        self.request_until(command, until).await
+        let record_time = Duration::from_millis(self.settings.record_within_ms);
+        let deadline = self.clock.now() + (record_time + extra_wait).as_micros() as Micros;
+        self.request_until(command, deadline).await
     }
 
-    /// Tells the group until it is written, and waits for that no longer than a record may take.
+    /// Reports `command` until it is in the log. Waits for that within the configured time for writing a record.
     pub async fn report_and_wait(self: &Rc<Self>, command: work::Command) {
-        let (written, told) = oneshot::channel();
-        let ticket = self.ticket();
-        self.written.borrow_mut().insert(ticket, written);
-        self.handle(Event::Report {
-            operation: ticket,
-            command,
-        });
-        let patience = Duration::from_millis(self.settings.record_within_ms);
-        let _ = tokio::time::timeout(patience, told).await;
-        self.written.borrow_mut().remove(&ticket);
+        let (sender, receiver) = oneshot::channel();
+        let operation = self.new_operation();
+        self.write_waiters.borrow_mut().insert(operation, sender);
+        self.handle(Event::Report { operation, command });
+        let time_limit = Duration::from_millis(self.settings.record_within_ms);
+        let _ = tokio::time::timeout(time_limit, receiver).await;
+        self.write_waiters.borrow_mut().remove(&operation);
     }
 
-    /// Tells the group; nobody waits.
+    /// Reports `command` until it is in the log, without waiting.
     pub fn report(self: &Rc<Self>, command: work::Command) {
-        let ticket = self.ticket();
-        self.handle(Event::Report {
-            operation: ticket,
-            command,
-        });
+        let operation = self.new_operation();
+        self.handle(Event::Report { operation, command });
     }
 
-    fn ticket(&self) -> OperationId {
-        let ticket = self.next.get();
-        self.next.set(ticket + 1);
-        OperationId(ticket)
+    fn new_operation(&self) -> OperationId {
+        let id = self.next_operation.get();
+        self.next_operation.set(id + 1);
+        OperationId(id)
     }
 
     fn handle(self: &Rc<Self>, event: Event) {
         let mut actions = Vec::new();
-        self.hands
+        self.recorder
             .borrow_mut()
             .handle(self.clock.now(), event, &mut actions);
         for action in actions {
             match action {
-                Action::Propose {
-                    operation: ticket,
-                    command,
-                } => self.propose(ticket, command),
+                Action::Propose { operation, command } => self.propose(operation, command),
                 Action::Decided {
-                    operation: ticket,
-                    decision: verdict,
+                    operation,
+                    decision,
                 } => {
-                    if let Some(answer) = self.verdicts.borrow_mut().remove(&ticket) {
-                        let _ = answer.send(verdict);
+                    if let Some(answer) = self.decisions.borrow_mut().remove(&operation) {
+                        let _ = answer.send(decision);
                     }
                 }
                 Action::RequestMoved { name } => {
                     self.history().request_moved(&name);
-                    self.moved.borrow().iter().for_each(|moved| moved(&name));
+                    self.moved_callbacks
+                        .borrow()
+                        .iter()
+                        .for_each(|moved| moved(&name));
                 }
             }
         }
-        self.woken.notify_one();
+        self.timer_changed.notify_one();
     }
 
-    fn propose(self: &Rc<Self>, ticket: OperationId, command: work::Command) {
+    fn propose(self: &Rc<Self>, operation: OperationId, command: work::Command) {
         let work = self.clone();
         let me = self.fleet.instance();
         tokio::task::spawn_local(async move {
             let reply = match work.fleet.propose(Command::Takeover(command)).await {
                 Ok(ProposalResult::Takeover(reply)) => Some(reply),
-                // The log knows nothing more of it: this life is over.
+                // The log rejects all commands of this incarnation: it has ended.
                 Ok(ProposalResult::Rejected(
-                    Unlooked::StaleIncarnation | Unlooked::TooManyMembers,
+                    ProposalRejection::StaleIncarnation | ProposalRejection::TooManyMembers,
                 )) => Some(Reply::Rejected(Rejection::IncarnationEnded)),
                 _ => None,
             };
             if reply.is_none() {
-                tokio::time::sleep(AGAIN).await;
+                tokio::time::sleep(RETRY_DELAY).await;
             }
-            // Another life's machine has other questions.
+            // The recorder of a newer incarnation does not know this operation.
             if work.fleet.instance() == me {
                 if reply.is_some()
-                    && let Some(written) = work.written.borrow_mut().remove(&ticket)
+                    && let Some(waiter) = work.write_waiters.borrow_mut().remove(&operation)
                 {
-                    let _ = written.send(());
+                    let _ = waiter.send(());
                 }
-                work.handle(Event::Reply {
-                    operation: ticket,
-                    reply,
-                });
+                work.handle(Event::Reply { operation, reply });
             }
         });
     }
 
     fn on_fleet_event(self: &Rc<Self>, event: &FleetEvent) {
         match event {
-            FleetEvent::IncarnationStarted(who) => {
-                *self.hands.borrow_mut() =
-                    WorkRecorder::new((*who).clone(), self.settings.most_waiting);
-                // Dropped unanswered: whoever asked in the life before hears that it may not act.
-                self.verdicts.borrow_mut().clear();
+            FleetEvent::IncarnationStarted(instance) => {
+                *self.recorder.borrow_mut() =
+                    WorkRecorder::new((*instance).clone(), self.settings.most_waiting);
+                // Dropping the senders tells callers of the previous incarnation that the lease is lost.
+                self.decisions.borrow_mut().clear();
             }
-            FleetEvent::SessionValid(may) => self.handle(Event::LeaseValid(*may)),
-            FleetEvent::StateChanged(_, StateChange::Takeover(notice)) => {
-                match notice {
-                    RecordChange::Orphaned { ended: dead, .. } => self.orphan(dead.clone()),
-                    RecordChange::TakenOver { ended: dead, .. } => {
-                        self.orphaned.borrow_mut().retain(|d| d != dead);
+            FleetEvent::SessionValid(valid) => self.handle(Event::LeaseValid(*valid)),
+            FleetEvent::StateChanged(_, StateChange::Takeover(change)) => {
+                match change {
+                    RecordChange::Orphaned { ended, .. } => self.add_orphan(ended.clone()),
+                    RecordChange::TakenOver { ended, .. } => {
+                        self.orphaned_incarnations
+                            .borrow_mut()
+                            .retain(|instance| instance != ended);
                     }
                     _ => {}
                 }
-                self.handle(Event::RecordChanged(notice.clone()));
+                self.handle(Event::RecordChanged(change.clone()));
             }
             FleetEvent::SnapshotRestored(state) => {
                 let work = state.work();
-                self.orphaned.borrow_mut().clear();
+                self.orphaned_incarnations.borrow_mut().clear();
                 work.orphaned_incarnations()
-                    .for_each(|dead| self.orphan(dead.clone()));
-                // What is waited for may have happened under the snapshot.
+                    .for_each(|ended| self.add_orphan(ended.clone()));
+                // Awaited changes may have happened in the log entries that the snapshot replaces.
                 self.handle(Event::SnapshotRestored);
             }
             FleetEvent::MembershipChanged(_)
@@ -279,57 +280,61 @@
         }
     }
 
-    async fn keep_time(self: Rc<Self>) {
+    async fn run_timers(self: Rc<Self>) {
         loop {
-            let next = self.hands.borrow().timeout();
-            let woken = self.woken.notified();
+            let next_timer = self.recorder.borrow().timeout();
+            let timer_changed = self.timer_changed.notified();
             tokio::select! {
-                () = self.clock.reach(next) => self.handle(Event::Tick),
-                () = woken => {}
+                () = self.clock.reach(next_timer) => self.handle(Event::Tick),
+                () = timer_changed => {}
             }
         }
     }
 
-    fn orphan(&self, dead: MemberInstance) {
-        let mut orphaned = self.orphaned.borrow_mut();
-        if !orphaned.contains(&dead) {
-            orphaned.push_back(dead);
-            self.orphans.notify_one();
+    fn add_orphan(&self, ended: MemberInstance) {
+        let mut orphaned_incarnations = self.orphaned_incarnations.borrow_mut();
+        if !orphaned_incarnations.contains(&ended) {
+            orphaned_incarnations.push_back(ended);
+            self.orphan_added.notify_one();
         }
     }
 
-    /// Adopts what ended lives have left at model hosts, and has it released. Each member waits for a time of its own
-    /// first, so that mostly one asks; the log lets one have it.
+    /// Takes over the sends that ended incarnations have left at model hosts, and releases them. Each member first waits
+    /// for a different delay, so that mostly one of them proposes the takeover; the log grants it to one only.
     pub async fn adopt_orphans(self: Rc<Self>, members: usize, outbound: Rc<dyn Outbound>) {
         loop {
-            let next = self.orphaned.borrow().front().cloned();
-            let Some(dead) = next else {
-                self.orphans.notified().await;
+            let oldest = self.orphaned_incarnations.borrow().front().cloned();
+            let Some(ended) = oldest else {
+                self.orphan_added.notified().await;
                 continue;
             };
             let me = self.fleet.instance();
-            let drawn = xxh3_64(format!("{me} {dead}").as_bytes())
-                % (ADOPT_SPAN_US * members.max(1) as u64);
-            tokio::time::sleep(Duration::from_micros(drawn)).await;
-            if !self.orphaned.borrow().contains(&dead) {
+            let delay = xxh3_64(format!("{me} {ended}").as_bytes())
+                % (MAX_TAKEOVER_DELAY_US_PER_MEMBER * members.max(1) as u64);
+            tokio::time::sleep(Duration::from_micros(delay)).await;
+            if !self.orphaned_incarnations.borrow().contains(&ended) {
                 continue;
             }
             let answer = self
                 .fleet
                 .propose(Command::Takeover(work::Command::TakeOver {
-                    ended: dead.clone(),
+                    ended: ended.clone(),
                 }))
                 .await;
             match answer {
                 Ok(ProposalResult::Takeover(Reply::TakenOver(sends))) => {
-                    self.orphaned.borrow_mut().retain(|d| *d != dead);
-                    History(me).orphans_adopted(&dead, sends.len());
+                    self.orphaned_incarnations
+                        .borrow_mut()
+                        .retain(|instance| *instance != ended);
+                    History(me).orphans_adopted(&ended, sends.len());
                     self.release_all(sends, &outbound).await;
                 }
                 Ok(ProposalResult::Takeover(Reply::Rejected(Rejection::NothingToTakeOver))) => {
-                    self.orphaned.borrow_mut().retain(|d| *d != dead);
+                    self.orphaned_incarnations
+                        .borrow_mut()
+                        .retain(|instance| *instance != ended);
                 }
-                _ => tokio::time::sleep(AGAIN).await,
+                _ => tokio::time::sleep(RETRY_DELAY).await,
             }
         }
     }
@@ -341,9 +346,9 @@
     ) {
         let mut waiting: VecDeque<_> = sends.into();
         let mut running = tokio::task::JoinSet::new();
-        let mut over = Vec::new();
+        let mut finished = Vec::new();
         loop {
-            while running.len() < MOST_RELEASES
+            while running.len() < MAX_CONCURRENT_RELEASES
                 && let Some((id, worker)) = waiting.pop_front()
             {
                 let (work, outbound) = (self.clone(), outbound.clone());
@@ -353,27 +358,30 @@
                 });
             }
             match running.join_next().await {
-                Some(Ok(id)) => over.push(id),
+                Some(Ok(id)) => finished.push(id),
                 Some(Err(_)) => {}
                 None => break,
             }
         }
-        for ids in over.chunks(MAX_IDS_PER_COMMAND) {
+        for ids in finished.chunks(MAX_IDS_PER_COMMAND) {
             self.report(work::Command::CompleteSends { ids: ids.to_vec() });
         }
     }
 
-    /// Asks hosts until one has taken it; a host that runs drops by itself what nobody asks for in the end.
+    /// Tries model hosts until one accepts the release. If none does, the host that holds the state drops it by itself
+    /// after some time without requests for it.
     async fn release(&self, id: &str, worker: &str, outbound: &dyn Outbound) {
-        for _ in 0..RELEASE_TRIES {
+        for _ in 0..RELEASE_ROUNDS {
             if self.release_once(id, worker, outbound).await {
                 return;
             }
         }
-        log::warn!("takeover: no model host took the release of {id}, last sent to {worker}");
+        log::warn!(
+            "takeover: no model host accepted the release of {id}, last sent to {worker}; leaving it to the host's own timeout"
+        );
     }
 
-    /// Whether a host took it within the client side's patience.
+    /// Tries the release once at all hosts. Returns whether one accepted it within the time limits of the client.
     async fn release_once(&self, id: &str, worker: &str, outbound: &dyn Outbound) -> bool {
         let (target, body) = (String::new(), Bytes::new());
         let call = Call {
@@ -384,94 +392,95 @@
             keeps: None,
             name: None,
         };
-        let releasing = Rc::new(ReleaseProgress::default());
+        let release = Rc::new(ReleaseProgress::default());
         let Ok(permit) = ReleaseHistory::default().permit(ReleaseReason::RouterFailed, false)
         else {
             return false;
         };
-        outbound.release(Rc::new(call), permit, releasing.clone());
-        releasing.over().await;
-        let taken = !releasing.is_cut_short();
-        if taken {
+        outbound.release(Rc::new(call), permit, release.clone());
+        release.over().await;
+        let released = !release.is_cut_short();
+        if released {
             self.history().send_released(id, worker);
         }
-        taken
+        released
     }
 }
 
-/// An [`Outbound`] that writes each send down before it goes out.
+/// An [`Outbound`] that records each send in the log before it goes out.
 pub struct RecordingOutbound {
     inner: Rc<dyn Outbound>,
     work: Rc<TakeoverClient>,
     dispatcher: DispatcherHandle,
-    reads: Box<dyn Fn(&WorkerId) -> bool>,
-    /// What is on record, by id.
-    noted: RefCell<HashMap<String, Noted>>,
+    prefills_only: Box<dyn Fn(&WorkerId) -> bool>,
+    /// Recorded sends by id.
+    recorded: RefCell<HashMap<String, RecordedSend>>,
 }
 
-/// A send on record.
-struct Noted {
-    /// Its end takes it off the record.
+/// A recorded send.
+struct RecordedSend {
+    /// The request; the record is completed once it is dropped.
     call: Weak<Call>,
-    /// Where it went last.
+    /// The worker that it was last sent to.
     worker: WorkerId,
-    /// The release since then, if there was one.
-    releasing: Option<Rc<ReleaseProgress>>,
+    /// The release since that send, if there was one.
+    release: Option<Rc<ReleaseProgress>>,
 }
 
 impl RecordingOutbound {
-    /// Stands before `inner`; `reads` says whether a host only reads.
+    /// Creates a wrapper around `inner` and starts to collect finished sends. `prefills_only` returns whether a worker
+    /// is a prefill worker.
     pub fn start(
         inner: Rc<dyn Outbound>,
         work: Rc<TakeoverClient>,
         dispatcher: DispatcherHandle,
-        reads: Box<dyn Fn(&WorkerId) -> bool>,
+        prefills_only: Box<dyn Fn(&WorkerId) -> bool>,
     ) -> Rc<Self> {
-        let noted = RefCell::default();
+        let recorded = RefCell::default();
         let recording = Rc::new(RecordingOutbound {
             inner,
             work,
             dispatcher,
-            reads,
-            noted,
+            prefills_only,
+            recorded,
         });
-        tokio::task::spawn_local(recording.clone().sweep());
+        tokio::task::spawn_local(recording.clone().complete_finished_sends());
         recording
     }
 
-    /// Takes off the record what has ended. What no host has let go of yet stays on it, is asked for again until one
-    /// has, and is adopted should this life end before.
-    async fn sweep(self: Rc<Self>) {
-        let (mut late, mut running) = (VecDeque::new(), tokio::task::JoinSet::new());
+    /// Completes the records of finished requests. A send whose release no host has accepted stays recorded and its
+    /// release is repeated until a host accepts it; if this incarnation ends first, another member takes it over.
+    async fn complete_finished_sends(self: Rc<Self>) {
+        let (mut to_release, mut running) = (VecDeque::new(), tokio::task::JoinSet::new());
         loop {
-            tokio::time::sleep(SWEEP).await;
-            let mut over = Vec::new();
-            self.noted.borrow_mut().retain(|id, noted| {
-                let kept = noted.call.strong_count() > 0;
-                if !kept && noted.releasing.as_ref().is_some_and(|r| r.is_cut_short()) {
-                    late.push_back((id.clone(), noted.worker.0.to_string()));
-                } else if !kept {
-                    over.push(id.clone());
+            tokio::time::sleep(SWEEP_INTERVAL).await;
+            let mut finished = Vec::new();
+            self.recorded.borrow_mut().retain(|id, recorded| {
+                let unfinished = recorded.call.strong_count() > 0;
+                if !unfinished && recorded.release.as_ref().is_some_and(|r| r.is_cut_short()) {
+                    to_release.push_back((id.clone(), recorded.worker.0.to_string()));
+                } else if !unfinished {
+                    finished.push(id.clone());
                 }
-                kept
+                unfinished
             });
-            while let Some(done) = running.try_join_next() {
-                match done {
-                    Ok((id, _, true)) => over.push(id),
-                    Ok((id, worker, false)) => late.push_back((id, worker)),
+            while let Some(outcome) = running.try_join_next() {
+                match outcome {
+                    Ok((id, _, true)) => finished.push(id),
+                    Ok((id, worker, false)) => to_release.push_back((id, worker)),
                     Err(_) => {}
                 }
             }
-            while running.len() < MOST_RELEASES
-                && let Some((id, worker)) = late.pop_front()
+            while running.len() < MAX_CONCURRENT_RELEASES
+                && let Some((id, worker)) = to_release.pop_front()
             {
                 let (work, inner) = (self.work.clone(), self.inner.clone());
                 running.spawn_local(async move {
-                    let taken = work.release_once(&id, &worker, &*inner).await;
-                    (id, worker, taken)
+                    let released = work.release_once(&id, &worker, &*inner).await;
+                    (id, worker, released)
                 });
             }
-            for ids in over.chunks(MAX_IDS_PER_COMMAND) {
+            for ids in finished.chunks(MAX_IDS_PER_COMMAND) {
                 self.work
                     .report(work::Command::CompleteSends { ids: ids.to_vec() });
             }
@@ -479,27 +488,28 @@
     }
 }
 
-/// A handle on itself, for what goes on after a call has returned.
-struct Going {
+/// What a send needs after [`Outbound::send`] has returned.
+struct PendingSend {
     inner: Rc<dyn Outbound>,
     work: Rc<TakeoverClient>,
     dispatcher: DispatcherHandle,
 }
 
-impl Going {
+impl PendingSend {
     async fn send(self, mut attempt: Attempt, command: work::Command) {
-        let most = attempt.until;
-        let within = self.dispatcher.clock.now() + self.work.settings.record_within_ms * 1_000;
-        let verdict = tokio::select! {
+        let attempt_deadline = attempt.until;
+        let record_deadline =
+            self.dispatcher.clock.now() + self.work.settings.record_within_ms * 1_000;
+        let decision = tokio::select! {
             biased;
             _ = &mut attempt.cancelled => return self.not_sent(&attempt, AttemptOutcome::Cancelled),
-            verdict = self.work.request_until(command, within.min(most)) => verdict,
+            decision = self.work.request_until(command, record_deadline.min(attempt_deadline)) => decision,
         };
-        match verdict {
+        match decision {
             Decision::Proceed => self.inner.send(attempt),
             other => {
                 log::info!(
-                    "request {}: not sent, not on record: {other:?}",
+                    "request {}: not sent, because the send could not be recorded: {other:?}",
                     attempt.call.id
                 );
                 self.not_sent(&attempt, AttemptOutcome::NotSent);
@@ -522,42 +532,42 @@
 impl Outbound for RecordingOutbound {
     fn send(&self, attempt: Attempt) {
         let call = &attempt.call;
-        let (worker, releasing) = (attempt.worker.clone(), None);
-        let now = Noted {
+        let (worker, release) = (attempt.worker.clone(), None);
+        let new_record = RecordedSend {
             call: Rc::downgrade(call),
             worker,
-            releasing,
+            release,
         };
-        let noted = self
-            .noted
+        let was_recorded = self
+            .recorded
             .borrow_mut()
-            .insert(call.id.clone(), now)
+            .insert(call.id.clone(), new_record)
             .is_some();
-        // One record holds for all sends under an id, unless its name has them counted.
-        if noted && call.name.is_none() {
+        // One record covers all sends under an id, unless the request has a name: its sends are counted.
+        if was_recorded && call.name.is_none() {
             return self.inner.send(attempt);
         }
         let command = work::Command::StartSend {
             id: call.id.clone(),
             worker: attempt.worker.0.to_string(),
             name: call.name.clone(),
-            read_only: (self.reads)(&attempt.worker),
+            read_only: (self.prefills_only)(&attempt.worker),
             max_attempts: attempt.max_attempts,
             capacity: self.work.capacity(),
         };
-        let going = Going {
+        let pending = PendingSend {
             inner: self.inner.clone(),
             work: self.work.clone(),
             dispatcher: self.dispatcher.clone(),
         };
-        tokio::task::spawn_local(going.send(attempt, command));
+        tokio::task::spawn_local(pending.send(attempt, command));
     }
 
-    fn release(&self, call: Rc<Call>, permit: ReleasePermit, releasing: Rc<ReleaseProgress>) {
-        if let Some(noted) = self.noted.borrow_mut().get_mut(&call.id) {
-            noted.releasing = Some(releasing.clone());
+    fn release(&self, call: Rc<Call>, permit: ReleasePermit, release: Rc<ReleaseProgress>) {
+        if let Some(recorded) = self.recorded.borrow_mut().get_mut(&call.id) {
+            recorded.release = Some(release.clone());
         }
-        self.inner.release(call, permit, releasing);
+        self.inner.release(call, permit, release);
     }
 
     fn subscribe(&self) {
