--- a/src/fleet/transport/drive.rs
+++ b/src/fleet/transport/drive.rs
@@ -15,7 +15,7 @@
 use crate::fleet::message::Message;
 use crate::fleet::node::{Action, Event, Node, NodeStart, ProposalError};
 use crate::fleet::raft::{MAX_VOTERS, Role};
-use crate::fleet::sites::epoch::Table;
+use crate::fleet::sites::epoch::SiteTable;
 use crate::fleet::state::{Command, FleetState, ProposalResult, StateChange};
 use crate::fleet::{Index, LeaseName, MemberInstance, MemberName, membership, policy_epoch, raft};
 use crate::routing::types::Micros;
@@ -71,7 +71,7 @@
     /// The known leader changed; `None`: no leader is known.
     LeaderChanged(Option<&'a MemberName>),
     /// The agreed table of sites changed. Holds the current table, which may be newer than the change.
-    SitesChanged(&'a Table),
+    SitesChanged(&'a SiteTable),
     /// A snapshot replaced the replicated state. Holds the current state, which may be newer than the snapshot.
     SnapshotRestored(&'a FleetState),
 }
--- a/src/fleet/transport/history.rs
+++ b/src/fleet/transport/history.rs
@@ -5,7 +5,7 @@
 //! `docs/fleet.md`.
 
 use crate::fleet::lease::{LeaseStatus, LeaseStatusChange, StatusChangeCause};
-use crate::fleet::sites::{epoch::Standing as AgreedStanding, watch};
+use crate::fleet::sites::{epoch::SiteState as AgreedState, watch};
 use crate::fleet::{Index, LeaseName, MemberInstance, MemberName, Term, Token, membership};
 use crate::routing::types::Micros;
 use std::net::SocketAddr;
@@ -243,15 +243,10 @@
 
     /// This member's assessment of a site changed.
     pub fn site_status_changed(&self, site: &str, change: &watch::Change) {
-        let [from, to] =
-            [change.from, change.to].map(|status| format!("{status:?}").to_lowercase());
-        let (missing, cause) = (
-            format!("{:?}", change.missing),
-            format!("{:?}", change.cause),
-        );
-        let (missing, cause) = (missing.to_lowercase(), cause.to_lowercase());
+        let (from, to) = (change.from.as_str(), change.to.as_str());
+        let (missing, cause) = (change.missing.as_str(), change.cause.as_str());
         event!(self, info, TARGET, "site.state", at unix_us(),
-            { site = site, from = from.as_str(), to = to.as_str(), missing = missing.as_str(), cause = cause.as_str() },
+            { site = site, from = from, to = to, missing = missing, cause = cause },
             "sites: {site} changed from {from} to {to}, missing {missing} ({cause})");
     }
 
@@ -260,13 +255,13 @@
         &self,
         epoch: u64,
         site: &str,
-        from: AgreedStanding,
-        to: AgreedStanding,
+        from: AgreedState,
+        to: AgreedState,
     ) {
         let [(from, _), (to, step)] = [from, to].map(|standing| match standing {
-            AgreedStanding::Sound => ("sound", None),
-            AgreedStanding::Lost(_) => ("lost", None),
-            AgreedStanding::Returning { step, .. } => ("returning", Some(step)),
+            AgreedState::Healthy => ("sound", None),
+            AgreedState::Lost(_) => ("lost", None),
+            AgreedState::Returning { step, .. } => ("returning", Some(step)),
         });
         event!(self, info, TARGET, "site.epoch", at unix_us(),
             { epoch = epoch, site = site, from = from, to = to, step = step },
--- a/src/fleet/transport/links.rs
+++ b/src/fleet/transport/links.rs
@@ -7,7 +7,7 @@
 use super::{MESSAGE_FRAME, with_timeout};
 use crate::counters::FleetCounters;
 use crate::fleet::{MemberInstance, MemberName};
-use crate::net::stream::SteadyStream;
+use crate::net::stream::RetryingStream;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
 use std::io;
@@ -184,10 +184,10 @@
     }
 }
 
-async fn connect(link: &Link) -> io::Result<(SteadyStream, ConnectionNonce)> {
+async fn connect(link: &Link) -> io::Result<(RetryingStream, ConnectionNonce)> {
     let stream = with_timeout(CONNECT_TIMEOUT, TcpStream::connect(link.address.get())).await?;
     stream.set_nodelay(true)?;
-    let mut stream = SteadyStream(stream);
+    let mut stream = RetryingStream(stream);
     let mut nonce = [0; 16];
     with_timeout(CONNECT_TIMEOUT, stream.read_exact(&mut nonce)).await?;
     Ok((stream, ConnectionNonce(nonce)))
@@ -197,7 +197,7 @@
 /// so a read that returns means that the connection is closed or broken.
 async fn send_queued(
     link: &Link,
-    stream: SteadyStream,
+    stream: RetryingStream,
     mut sealer: StreamSealer,
     counters: &FleetCounters,
 ) -> io::Result<()> {
--- a/src/fleet/transport/reception.rs
+++ b/src/fleet/transport/reception.rs
@@ -13,8 +13,8 @@
 use crate::dispatch::Clock;
 use crate::fleet::message::Message;
 use crate::fleet::{MemberInstance, MemberName};
-use crate::net::fault::pause_after_accept;
-use crate::net::stream::SteadyStream;
+use crate::net::fault::accept_retry_delay;
+use crate::net::stream::RetryingStream;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::io;
@@ -102,7 +102,7 @@
                 Ok(accepted) => accepted,
                 Err(error) => {
                     log::warn!("fleet: accepting a peer connection failed: {error}; trying again");
-                    if let Some(pause) = pause_after_accept(&error) {
+                    if let Some(pause) = accept_retry_delay(&error) {
                         tokio::time::sleep(pause).await;
                     }
                     continue;
@@ -137,7 +137,7 @@
         registration: &Registration,
     ) -> io::Result<()> {
         stream.set_nodelay(true)?;
-        let mut stream = SteadyStream(stream);
+        let mut stream = RetryingStream(stream);
         let nonce = ConnectionNonce(random_bytes()?);
         stream.write_all(&nonce.0).await?;
         let mut inbound = Inbound::new(nonce);
@@ -198,7 +198,7 @@
         }
     }
 
-    async fn read_frame(&self, stream: &mut SteadyStream, from: IpAddr) -> io::Result<Vec<u8>> {
+    async fn read_frame(&self, stream: &mut RetryingStream, from: IpAddr) -> io::Result<Vec<u8>> {
         let mut prefix = [0; 4];
         stream.read_exact(&mut prefix).await?;
         let length = frame_length(prefix, &self.limits).map_err(|reason| {
@@ -218,7 +218,7 @@
     /// take a place in the table of senders.
     async fn answer_operator(
         &self,
-        stream: &mut SteadyStream,
+        stream: &mut RetryingStream,
         from: IpAddr,
         mut inbound: Inbound,
         frame: &[u8],
--- a/src/fleet/transport/sites.rs
+++ b/src/fleet/transport/sites.rs
@@ -11,13 +11,13 @@
 use crate::fleet::MemberName;
 use crate::fleet::membership;
 use crate::fleet::sites::describe;
-use crate::fleet::sites::epoch::{self, Table};
+use crate::fleet::sites::epoch::{self, SiteTable};
 use crate::fleet::sites::member::{Action, Event, Member};
 use crate::fleet::sites::plan::{PlanError, Plans};
 use crate::fleet::sites::watch;
 use crate::fleet::state::{Command, StateChange};
 use crate::net::discovery::Directory;
-use crate::net::stream::SteadyStream;
+use crate::net::stream::RetryingStream;
 use crate::routing::types::{Endpoint, EndpointUpdate, Role, Status, WorkerId, WorkerKind};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -94,7 +94,7 @@
             list: RefCell::default(),
             names: tables.site.iter().map(|s| s.name.clone()).collect(),
             own_site,
-            configured_routers: tables.site.iter().map(|s| s.conductors).collect(),
+            configured_routers: tables.site.iter().map(|s| s.routers).collect(),
             member: RefCell::new(Member::new(&plans, own_site, seed)),
             routers_by_name: RefCell::new([(fleet.instance().name, (own_site, true))].into()),
             max_hosts: RefCell::new(vec![0; tables.site.len()]),
@@ -115,7 +115,7 @@
         sites
     }
 
-    /// Records an update of discovery's list of hosts, and sets the weights in `entries` by the current orders.
+    /// Records an update of discovery's list of hosts, and sets the weights in `entries` by the current allocation.
     pub fn apply_weights(self: &Rc<Self>, kind: EndpointUpdate, entries: &mut [Endpoint]) {
         {
             let mut list = self.list.borrow_mut();
@@ -140,16 +140,19 @@
                 .map(|k| k.role)
         };
         let site = |zone: &str| self.names.iter().position(|name| name == zone);
-        self.member.borrow().orders().weigh(entries, role, site);
+        self.member
+            .borrow()
+            .allocation()
+            .apply_weights(entries, role, site);
     }
 
-    /// Applies new orders: sends all hosts with their new weights to the dispatcher.
-    fn apply_orders(&self) {
+    /// Applies a new allocation: sends all hosts with their new weights to the dispatcher.
+    fn apply_allocation(&self) {
         let mut entries: Vec<Endpoint> = self.list.borrow().values().cloned().collect();
         self.set_weights(&mut entries);
         self.hosts
             .dispatcher
-            .tell(DispatcherEvent::EndpointsUpdated {
+            .send(DispatcherEvent::EndpointsUpdated {
                 update: EndpointUpdate::Incremental,
                 endpoints: entries,
             });
@@ -158,18 +161,14 @@
     /// Reports the number of ready and known hosts of each site.
     fn report_listed_hosts(self: &Rc<Self>) {
         for (site, name) in self.names.iter().enumerate() {
-            let hosts = self.hosts.directory.of_zone(name);
+            let hosts = self.hosts.directory.hosts_in_zone(name);
             let ready = hosts.iter().filter(|(_, ready)| *ready).count() as u32;
             let total = {
                 let mut max_hosts = self.max_hosts.borrow_mut();
                 max_hosts[site] = max_hosts[site].max(hosts.len() as u32);
                 max_hosts[site]
             };
-            self.handle(Event::Seen(watch::Event::Listed {
-                site,
-                ready,
-                of: total,
-            }));
+            self.handle(Event::Observed(watch::Event::Listed { site, ready, total }));
         }
     }
 
@@ -183,13 +182,13 @@
             FleetEvent::MembershipChanged(change) => self.on_membership_change(change),
             FleetEvent::LeaderChanged(leader) => {
                 let me = self.fleet.instance().name;
-                self.handle(Event::Seen(watch::Event::Group {
-                    in_touch: leader.is_some(),
+                self.handle(Event::Observed(watch::Event::Leader {
+                    known: leader.is_some(),
                 }));
                 self.handle(Event::Pacing(*leader == Some(&me)));
             }
             FleetEvent::StateChanged(_, StateChange::Sites(effect)) => match effect {
-                epoch::Effect::Standing {
+                epoch::Effect::SiteChanged {
                     epoch,
                     site,
                     from,
@@ -209,7 +208,7 @@
         }
     }
 
-    fn on_agreed_table(self: &Rc<Self>, table: &Table) {
+    fn on_agreed_table(self: &Rc<Self>, table: &SiteTable) {
         self.handle(Event::Table(Box::new(table.clone())));
     }
 
@@ -235,10 +234,10 @@
                 .count() as u32
         };
         let total = self.configured_routers[site].max(alive);
-        self.handle(Event::Seen(watch::Event::Conductors {
+        self.handle(Event::Observed(watch::Event::Routers {
             site,
             alive,
-            of: total,
+            total,
         }));
     }
 
@@ -261,7 +260,7 @@
                 Action::Changed(change) => self
                     .history()
                     .site_status_changed(&self.names[change.site], &change),
-                Action::Orders(_) => self.apply_orders(),
+                Action::Allocation(_) => self.apply_allocation(),
                 Action::NoPlan(why) => self.history().note(&format!("sites: {why}")),
             }
         }
@@ -273,7 +272,7 @@
             let next_timer = self.member.borrow().timeout(self.clock.now());
             let timer_changed = self.timer_changed.notified();
             tokio::select! {
-                () = self.clock.reach(next_timer) => self.handle(Event::Tick),
+                () = self.clock.sleep_until(next_timer) => self.handle(Event::Tick),
                 () = timer_changed => {}
             }
         }
@@ -292,7 +291,7 @@
     }
 
     fn probe_host(self: &Rc<Self>, site: usize) {
-        let hosts = self.hosts.directory.of_zone(&self.names[site]);
+        let hosts = self.hosts.directory.hosts_in_zone(&self.names[site]);
         let addresses: Vec<SocketAddr> = hosts
             .into_iter()
             .filter_map(|(address, _)| address)
@@ -309,14 +308,14 @@
         tokio::task::spawn_local(async move {
             let result = tokio::time::timeout(timeout, probe(address)).await;
             let reached = result.is_ok_and(|probed| probed.is_ok());
-            sites.handle(Event::Seen(watch::Event::Host { site, reached }));
+            sites.handle(Event::Observed(watch::Event::Host { site, reached }));
         });
     }
 }
 
 /// Connects to `address`, sends a probe, and succeeds once the first byte of an answer arrives.
 async fn probe(address: SocketAddr) -> std::io::Result<()> {
-    let mut stream = SteadyStream(TcpStream::connect(address).await?);
+    let mut stream = RetryingStream(TcpStream::connect(address).await?);
     stream.write_all(PROBE_REQUEST).await?;
     stream.read_u8().await.map(|_| ())
 }
--- a/src/fleet/transport/work.rs
+++ b/src/fleet/transport/work.rs
@@ -10,7 +10,7 @@
 use crate::dispatch::{
     Attempt, Clock, DispatcherEvent, DispatcherHandle, Outbound, ReleaseProgress,
 };
-use crate::exchange::Call;
+use crate::exchange::UpstreamRequest;
 use crate::fleet::MemberInstance;
 use crate::fleet::config::TakeoverConfig;
 use crate::fleet::state::{Command, ProposalRejection, ProposalResult, StateChange};
@@ -285,7 +285,7 @@
             let next_timer = self.recorder.borrow().timeout();
             let timer_changed = self.timer_changed.notified();
             tokio::select! {
-                () = self.clock.reach(next_timer) => self.handle(Event::Tick),
+                () = self.clock.sleep_until(next_timer) => self.handle(Event::Tick),
                 () = timer_changed => {}
             }
         }
@@ -384,13 +384,13 @@
     /// Tries the release once at all hosts. Returns whether one accepted it within the time limits of the client.
     async fn release_once(&self, id: &str, worker: &str, outbound: &dyn Outbound) -> bool {
         let (target, body) = (String::new(), Bytes::new());
-        let call = Call {
+        let call = UpstreamRequest {
             id: id.into(),
             target,
             headers: hyper::HeaderMap::new(),
             body,
-            keeps: None,
-            name: None,
+            lifetime_guards: None,
+            claim_key: None,
         };
         let release = Rc::new(ReleaseProgress::default());
         let Ok(permit) = ReleaseHistory::default().permit(ReleaseReason::RouterFailed, false)
@@ -398,8 +398,8 @@
             return false;
         };
         outbound.release(Rc::new(call), permit, release.clone());
-        release.over().await;
-        let released = !release.is_cut_short();
+        release.ended().await;
+        let released = !release.was_stopped_early();
         if released {
             self.history().send_released(id, worker);
         }
@@ -420,7 +420,7 @@
 /// A recorded send.
 struct RecordedSend {
     /// The request; the record is completed once it is dropped.
-    call: Weak<Call>,
+    call: Weak<UpstreamRequest>,
     /// The worker that it was last sent to.
     worker: WorkerId,
     /// The release since that send, if there was one.
@@ -457,7 +457,12 @@
             let mut finished = Vec::new();
             self.recorded.borrow_mut().retain(|id, recorded| {
                 let unfinished = recorded.call.strong_count() > 0;
-                if !unfinished && recorded.release.as_ref().is_some_and(|r| r.is_cut_short()) {
+                if !unfinished
+                    && recorded
+                        .release
+                        .as_ref()
+                        .is_some_and(|r| r.was_stopped_early())
+                {
                     to_release.push_back((id.clone(), recorded.worker.0.to_string()));
                 } else if !unfinished {
                     finished.push(id.clone());
@@ -497,7 +502,7 @@
 
 impl PendingSend {
     async fn send(self, mut attempt: Attempt, command: work::Command) {
-        let attempt_deadline = attempt.until;
+        let attempt_deadline = attempt.first_event_deadline;
         let record_deadline =
             self.dispatcher.clock.now() + self.work.settings.record_within_ms * 1_000;
         let decision = tokio::select! {
@@ -510,7 +515,7 @@
             other => {
                 log::info!(
                     "request {}: not sent, because the send could not be recorded: {other:?}",
-                    attempt.call.id
+                    attempt.upstream_request.id
                 );
                 self.not_sent(&attempt, AttemptOutcome::NotSent);
             }
@@ -519,19 +524,19 @@
 
     fn not_sent(&self, attempt: &Attempt, outcome: AttemptOutcome) {
         let (request, attempt) = (attempt.request, attempt.attempt);
-        self.dispatcher.tell(DispatcherEvent::AttemptCompleted {
+        self.dispatcher.send(DispatcherEvent::AttemptCompleted {
             request,
             attempt,
             outcome,
             cached_tokens: 0,
-            load: None,
+            load_report: None,
         });
     }
 }
 
 impl Outbound for RecordingOutbound {
     fn send(&self, attempt: Attempt) {
-        let call = &attempt.call;
+        let call = &attempt.upstream_request;
         let (worker, release) = (attempt.worker.clone(), None);
         let new_record = RecordedSend {
             call: Rc::downgrade(call),
@@ -543,14 +548,14 @@
             .borrow_mut()
             .insert(call.id.clone(), new_record)
             .is_some();
-        // One record covers all sends under an id, unless the request has a name: its sends are counted.
-        if was_recorded && call.name.is_none() {
+        // One record covers all sends under an id, unless the request has a claim key: its sends are counted.
+        if was_recorded && call.claim_key.is_none() {
             return self.inner.send(attempt);
         }
         let command = work::Command::StartSend {
             id: call.id.clone(),
             worker: attempt.worker.0.to_string(),
-            name: call.name.clone(),
+            name: call.claim_key.clone(),
             read_only: (self.prefills_only)(&attempt.worker),
             max_attempts: attempt.max_attempts,
             capacity: self.work.capacity(),
@@ -563,7 +568,12 @@
         tokio::task::spawn_local(pending.send(attempt, command));
     }
 
-    fn release(&self, call: Rc<Call>, permit: ReleasePermit, release: Rc<ReleaseProgress>) {
+    fn release(
+        &self,
+        call: Rc<UpstreamRequest>,
+        permit: ReleasePermit,
+        release: Rc<ReleaseProgress>,
+    ) {
         if let Some(recorded) = self.recorded.borrow_mut().get_mut(&call.id) {
             recorded.release = Some(release.clone());
         }
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -1,14 +1,14 @@
 //! The server side: accepts clients, takes requests in, passes answers on.
 
-use super::Local;
+use super::LocalBoxFuture;
 use super::client_connection::{Answerer, Answering, serve};
 use super::connections::Connections;
-use super::fault::pause_after_accept;
+use super::fault::accept_retry_delay;
 use super::framing::Watch;
 use super::upgrade::socket::turn_away_new;
 use crate::admin::metrics::RequestMetrics;
 use crate::counters::Counters;
-use crate::exchange::Call;
+use crate::exchange::UpstreamRequest;
 use crate::front::jsonrpc;
 use crate::front::platform::{self, AnswerBody, end_to_end, plain};
 use crate::front::shared::{COME_BACK, CUT_OFF, Held, InHand, MOST_BODY, Shared};
@@ -176,14 +176,14 @@
             .path_and_query()
             .map_or(platform::PATH, |p| p.as_str())
             .to_owned();
-        let keeps: Option<Rc<dyn Any>> = Some(Rc::new((in_hand, held)));
-        let call = Call {
+        let lifetime_guards: Option<Rc<dyn Any>> = Some(Rc::new((in_hand, held)));
+        let call = UpstreamRequest {
             id: intake.id,
             target,
             headers,
             body,
-            keeps,
-            name: None,
+            lifetime_guards,
+            claim_key: None,
         };
         let asked = shared.dispatcher.submit(intake.ask, call, permit);
         drop(pass);
@@ -237,7 +237,7 @@
 impl Service<Arrival> for Edge {
     type Response = Response<AnswerBody>;
     type Error = Infallible;
-    type Future = Local<Result<Self::Response, Infallible>>;
+    type Future = LocalBoxFuture<Result<Self::Response, Infallible>>;
 
     fn poll_ready(&mut self, _: &mut Context<'_>) -> Poll<Result<(), Infallible>> {
         Poll::Ready(Ok(()))
@@ -375,7 +375,7 @@
     /// Counts a failed accept, and waits where another one at once would fail as well.
     async fn accept_failed(&self, error: &std::io::Error) {
         let counters = &self.edge.shared.counters;
-        let Some(pause) = pause_after_accept(error) else {
+        let Some(pause) = accept_retry_delay(error) else {
             counters.accepts_of_one_failed.up();
             return log::debug!("accept: {error}");
         };
--- a/tests/releases.rs
+++ b/tests/releases.rs
@@ -13,8 +13,8 @@
 use tokio::sync::oneshot;
 use whinhaven::counters::Counters as Counts;
 use whinhaven::dispatch::{Attempt, Clock, DispatcherEvent, DispatcherHandle, Outbound};
-use whinhaven::exchange::Call;
-use whinhaven::net::client::Hosts;
+use whinhaven::exchange::UpstreamRequest;
+use whinhaven::net::client::HostClient;
 use whinhaven::net::discovery::{Directory, Listing};
 use whinhaven::net::pool::Pool;
 use whinhaven::routing::types::*;
@@ -166,17 +166,17 @@
         };
         directory.apply(&Listing {
             seq: 1,
-            whole: true,
+            is_full: true,
             entries: vec![(entry.clone(), Some(peer.address))],
         });
         let wait = Duration::from_secs(5);
-        let hosts = Hosts {
+        let hosts = HostClient {
             directory,
             pool: Pool::new(64, wait, wait, counters.clone()),
             dispatcher: dispatcher.clone(),
             counters,
-            watch_again: Rc::default(),
-            pending: Rc::default(),
+            resubscribe: Rc::default(),
+            pending_releases: Rc::default(),
             late_arrivals: Rc::default(),
         };
         let (id, target, body) = (
@@ -189,20 +189,20 @@
             request: RequestId(1),
             attempt: AttemptIndex(0),
             worker,
-            call: Rc::new(Call {
+            upstream_request: Rc::new(UpstreamRequest {
                 id,
                 target,
                 headers: hyper::HeaderMap::new(),
                 body,
-                keeps: None,
-                name: None,
+                lifetime_guards: None,
+                claim_key: None,
             }),
             max_attempts: 6,
-            until: dispatcher.clock.now() + 60_000_000,
+            first_event_deadline: dispatcher.clock.now() + 60_000_000,
             permit: permit_to_send_to(entry),
-            after: None,
+            wait_for_release: None,
             cancelled,
-            gone: Rc::new(Cell::new(left)),
+            client_disconnected: Rc::new(Cell::new(left)),
         });
         match queue.recv().await {
             Some(DispatcherEvent::AttemptCompleted { outcome, .. }) => outcome,
