--- a/src/fleet/policy_epoch.rs
+++ b/src/fleet/policy_epoch.rs
@@ -1,246 +1,249 @@
-//! Policy epochs: a change of policy that takes hold everywhere or nowhere.
+//! Policy epochs: a change of policy takes effect at all members or at none.
 //!
-//! [`Table`] is made by the log alone, so every member decides the same. One proposal is looked at at a time: every
-//! living member votes; when all have voted yes it is *closing*, and each member begins no request any more and says
-//! so; when all living members have said so, the entry that brings the last word is the switch. A member whose life the
-//! log has ended is waited for no longer: it had stopped acting before. So none begins a request under the old epoch
-//! after any other has begun one under the new.
+//! [`Table`] is computed from the log alone, so all members decide the same. At most one proposal is open. First every
+//! live member votes on it. When all have voted yes, the proposal is *closing*: each member stops admitting requests and
+//! confirms that in the log. The log entry with the last confirmation is the switch to the new epoch. A member whose
+//! session the log has ended is not waited for, since it stopped acting before that. So no member admits a request under
+//! the old epoch after another has admitted one under the new epoch.
 
 use super::MemberInstance;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeSet, VecDeque};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The longest content: it has to fit into an entry of the log.
-pub const MOST_CONTENT: usize = 64 * 1024;
-/// The longest text that says why, or what differs.
-pub const MOST_TEXT: usize = 2 * 1024;
-/// Proposals that are remembered.
-const MOST_PAST: usize = 32;
+/// Maximum length of a policy's text in bytes. It has to fit into a log entry.
+pub const MAX_CONTENT_BYTES: usize = 64 * 1024;
+/// Maximum length in bytes of a reason or of a list of differences; longer texts are truncated.
+pub const MAX_TEXT_BYTES: usize = 2 * 1024;
+/// Number of finished proposals that the table keeps.
+const MAX_FINISHED_PROPOSALS: usize = 32;
 
-/// What a member may ask of the table.
+/// A command to the table. Encoded by postcard and stored in the log: the order of variants and fields is fixed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Command {
-    /// Put this content in force. Over no epoch at all it is in force at once.
+    /// Propose this content as the next epoch. Before the first epoch it is in force at once.
     Propose {
-        /// Drawn by whoever asks, to know the proposal again.
-        mark: u64,
-        /// The content.
+        /// Random number chosen by the proposer. A command with the nonce of an earlier proposal is a repetition of it.
+        nonce: u64,
+        /// The policy, in canonical form.
         content: String,
-        /// The epoch over which it was made.
+        /// The epoch in force when the proposal was made; it is refused if another one is in force.
         base: u64,
-        /// Only ask all members whether they could.
+        /// Only let all members vote, and change nothing.
         only_check: bool,
-        /// When it was made, in microseconds since 1970 by the proposer's clock. For people to read.
+        /// Time of the proposal in microseconds since 1970 by the proposer's clock, for people only.
         at_us: u64,
-        /// What differs from the epoch in force, for people to read.
+        /// Differences from the epoch in force, for people only.
         difference: String,
     },
-    /// This member can go over, or says why it can't.
+    /// This member's vote: whether it can apply the proposed content.
     Vote {
-        /// Which proposal.
+        /// Number of the proposal.
         proposal: u64,
-        /// Why not; `None`: it can.
+        /// Why the member can't apply it; `None`: it can.
         refusal: Option<String>,
     },
-    /// This member begins nothing any more until the proposal is decided.
+    /// This member admits no requests until the proposal is decided.
     Closed {
-        /// Which proposal.
+        /// Number of the proposal.
         proposal: u64,
     },
-    /// This member has gone over.
-    Over {
-        /// To which epoch.
+    /// This member has switched to an epoch.
+    Switched {
+        /// The epoch.
         epoch: u64,
     },
-    /// Nowhere, whatever was said so far.
+    /// Reject the proposal, whatever the votes and confirmations so far.
     Abort {
-        /// Which proposal.
+        /// Number of the proposal.
         proposal: u64,
-        /// Why.
+        /// The reason, for people.
         cause: String,
     },
 }
 
-/// What became of a command.
+/// The result of a command. Encoded by postcard: the order of variants is fixed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Reply {
-    /// The proposal is looked at under this number.
-    Taken(u64),
-    /// Noted.
+    /// The proposal is accepted for a vote under this number, or was accepted before.
+    Accepted(u64),
+    /// The command is applied.
     Done,
-    /// It changed nothing.
+    /// The command is refused and has changed nothing.
     Refused(Refusal),
 }
 
-/// Why a command changed nothing.
+/// Why a command is refused. Encoded by postcard: the order of variants and fields is fixed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, thiserror::Error)]
 pub enum Refusal {
-    /// Only members that may act have a say.
-    #[error("the asked conductor may not act")]
-    NoLife,
-    /// One proposal at a time.
-    #[error("proposal {proposal} of {by} is under way")]
+    /// The member that sent the command has no valid session lease.
+    #[error(
+        "the router that handled the command has no valid session lease; try again through another router"
+    )]
+    NoSession,
+    /// Another proposal is open; only one can be at a time.
+    #[error("proposal {proposal} of {by} is in progress; wait until it is decided, or abort it")]
     Busy {
-        /// Its number.
+        /// Number of the open proposal.
         proposal: u64,
-        /// Whose it is.
+        /// Its proposer.
         by: MemberInstance,
     },
-    /// It was made over another epoch.
-    #[error("it was made over epoch {base}, and epoch {epoch} is in force")]
-    Stale {
-        /// The proposal's.
+    /// The proposal was made for another epoch than the one in force.
+    #[error("the proposal was made for epoch {base}, but epoch {epoch} is in force; propose again")]
+    StaleBase {
+        /// The epoch that the proposal names.
         base: u64,
-        /// The one in force.
+        /// The epoch in force.
         epoch: u64,
     },
-    /// It is empty, or a text is too long.
-    #[error("empty, or longer than {MOST_CONTENT} bytes")]
+    /// The content is empty or longer than [`MAX_CONTENT_BYTES`].
+    #[error("the policy is empty, or longer than {MAX_CONTENT_BYTES} bytes")]
     Size,
-    /// It is in force as it is.
-    #[error("nothing differs from epoch {0}")]
-    Same(u64),
-    /// No such proposal is under way.
-    #[error("it is not under way")]
-    NotOpen,
+    /// The content is that of the epoch in force, whose number is given.
+    #[error("the policy does not differ from epoch {0}")]
+    Unchanged(u64),
+    /// The named proposal is not open, or not in the stage that the command needs.
+    #[error("the proposal is not in progress")]
+    NotInProgress,
 }
 
-/// What all members hear of.
+/// A change of the table that all members act on.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Notice {
-    /// Vote on this.
+    /// A proposal was staged: vote on it.
     Staged {
-        /// Its number.
+        /// Number of the proposal.
         proposal: u64,
-        /// The content.
+        /// The proposed content.
         content: String,
     },
-    /// All have voted yes: begin nothing any more, and say so.
+    /// All live members have voted yes: stop admitting requests, and confirm that.
     Closing {
-        /// Its number.
+        /// Number of the proposal.
         proposal: u64,
     },
-    /// It is over and changed nothing: refused, given up, or only checked.
-    Nowhere {
-        /// Its number.
+    /// The proposal ended without effect: refused, aborted, or only checked.
+    Rejected {
+        /// Number of the proposal.
         proposal: u64,
-        /// Why.
+        /// The reason, for people.
         why: String,
     },
-    /// From here on this is in force.
+    /// A new epoch is in force.
     InForce {
-        /// The epoch.
+        /// Number of the epoch.
         epoch: u64,
-        /// Its content.
+        /// The policy in force.
         content: String,
     },
 }
 
-/// The proposal that is looked at.
+/// The open proposal. Encoded by postcard: the order of fields is fixed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Open {
-    /// Its number.
+pub struct OpenProposal {
+    /// Number of the proposal.
     pub proposal: u64,
-    /// Drawn by whoever asked.
-    pub mark: u64,
-    /// Who proposed.
+    /// Random number chosen by the proposer.
+    pub nonce: u64,
+    /// The proposer.
     pub by: MemberInstance,
-    /// When, in microseconds since 1970 by the proposer's clock.
+    /// Time of the proposal in microseconds since 1970 by the proposer's clock.
     pub at_us: u64,
-    /// The content.
+    /// The proposed policy, in canonical form.
     pub content: String,
-    /// What differs.
+    /// Differences from the epoch in force, for people.
     pub difference: String,
-    /// Whether it is only checked.
+    /// Whether the members only vote and nothing changes.
     pub only_check: bool,
-    /// Whether all have voted yes.
+    /// Whether all live members have voted yes, so that they stop admitting requests.
     pub closing: bool,
-    /// Who has voted yes.
+    /// Members that have voted yes.
     pub votes: BTreeSet<MemberInstance>,
-    /// Who begins nothing any more.
+    /// Members that have confirmed that they admit no requests.
     pub closed: BTreeSet<MemberInstance>,
 }
 
-/// A proposal that is over.
+/// A finished proposal. Encoded by postcard: the order of fields is fixed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Past {
-    /// Its number.
+pub struct FinishedProposal {
+    /// Number of the proposal.
     pub proposal: u64,
-    /// Drawn by whoever asked.
-    pub mark: u64,
-    /// Who proposed.
+    /// Random number chosen by the proposer.
+    pub nonce: u64,
+    /// The proposer.
     pub by: MemberInstance,
-    /// When, in microseconds since 1970 by the proposer's clock.
+    /// Time of the proposal in microseconds since 1970 by the proposer's clock.
     pub at_us: u64,
-    /// Of its content.
+    /// [`digest`] of the proposed content.
     pub digest: u64,
-    /// What differed.
+    /// Differences from the epoch that was in force, for people.
     pub difference: String,
-    /// What came of it.
+    /// How the proposal ended.
     pub outcome: Outcome,
 }
 
-/// What came of a proposal.
+/// How a proposal ended. Encoded by postcard: the order of variants is fixed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Outcome {
-    /// It is or was in force under this number.
-    Epoch(u64),
-    /// All members could; nothing else was asked.
+    /// It is or was in force as the epoch with this number.
+    InForce(u64),
+    /// All live members voted yes, and the proposal was to be checked only.
     Checked,
-    /// It is in force nowhere, and why.
-    Nowhere(String),
+    /// It ended without effect, for this reason.
+    Rejected(String),
 }
 
-/// What the log has made of policies.
+/// The replicated state of policies, computed from the log alone. Encoded by postcard in snapshots: the order of fields
+/// is fixed.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Table {
     epoch: u64,
     content: String,
-    /// Members that have said that they have gone over.
-    over: BTreeSet<MemberInstance>,
-    last: u64,
-    open: Option<Open>,
-    past: VecDeque<Past>,
+    /// Members that have confirmed the switch to the epoch in force.
+    switched_members: BTreeSet<MemberInstance>,
+    last_proposal: u64,
+    open: Option<OpenProposal>,
+    finished: VecDeque<FinishedProposal>,
 }
 
-/// The number by which contents are told apart.
+/// Hash of a policy's text, by which people and logs identify it.
 pub fn digest(content: &str) -> u64 {
     xxh3_64(content.as_bytes())
 }
 
 impl Table {
-    /// The epoch in force; 0 before the first.
+    /// Number of the epoch in force; 0 before the first.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// The content in force; empty before the first epoch.
+    /// The policy in force; empty before the first epoch.
     pub fn content(&self) -> &str {
         &self.content
     }
 
-    /// Who has said that it has gone over to the epoch in force.
-    pub fn over(&self) -> &BTreeSet<MemberInstance> {
-        &self.over
+    /// Members that have confirmed the switch to the epoch in force.
+    pub fn switched_members(&self) -> &BTreeSet<MemberInstance> {
+        &self.switched_members
     }
 
-    /// The proposal that is looked at.
-    pub fn open(&self) -> Option<&Open> {
+    /// The open proposal, if there is one.
+    pub fn open(&self) -> Option<&OpenProposal> {
         self.open.as_ref()
     }
 
-    /// Proposals that are over, the latest last.
-    pub fn past(&self) -> impl DoubleEndedIterator<Item = &Past> {
-        self.past.iter()
+    /// The latest finished proposals, oldest first.
+    pub fn finished(&self) -> impl DoubleEndedIterator<Item = &FinishedProposal> {
+        self.finished.iter()
     }
 
-    /// Living members whose word is waited for.
-    pub fn missing(&self, living: &BTreeSet<MemberInstance>) -> Vec<MemberInstance> {
+    /// Live members whose vote, or whose confirmation while closing, is missing. Empty if no proposal is open.
+    pub fn awaited_members(&self, live_members: &BTreeSet<MemberInstance>) -> Vec<MemberInstance> {
         let Some(open) = &self.open else {
             return Vec::new();
         };
-        living
+        live_members
             .difference(if open.closing {
                 &open.closed
             } else {
@@ -250,41 +253,41 @@
             .collect()
     }
 
-    /// Applies a command of `who`; `living` are the members whose life leases are in force.
+    /// Applies a command of `member`. `live_members` are the members whose session leases are valid.
     pub fn apply(
         &mut self,
-        who: &MemberInstance,
-        living: &BTreeSet<MemberInstance>,
+        member: &MemberInstance,
+        live_members: &BTreeSet<MemberInstance>,
         command: Command,
         out: &mut Vec<Notice>,
     ) -> Reply {
-        let done = match command {
-            // The leader ends what takes too long, whether or not it may act.
+        let result = match command {
+            // The leader aborts overdue proposals, whether or not its own session lease is valid.
             Command::Abort { proposal, cause } => {
                 match self.open.take_if(|o| o.proposal == proposal) {
                     Some(open) => {
-                        self.nowhere(open, cut(cause), out);
+                        self.reject(open, truncated(cause), out);
                         Ok(Reply::Done)
                     }
-                    None => Err(Refusal::NotOpen),
+                    None => Err(Refusal::NotInProgress),
                 }
             }
-            _ if !living.contains(who) => Err(Refusal::NoLife),
+            _ if !live_members.contains(member) => Err(Refusal::NoSession),
             Command::Propose {
-                mark,
+                nonce,
                 content,
                 base,
                 only_check,
                 at_us,
                 difference,
             } => {
-                let open = Open {
+                let open = OpenProposal {
                     proposal: 0,
-                    mark,
-                    by: who.clone(),
+                    nonce,
+                    by: member.clone(),
                     at_us,
                     content,
-                    difference: cut(difference),
+                    difference: truncated(difference),
                     only_check,
                     closing: false,
                     votes: BTreeSet::new(),
@@ -295,16 +298,17 @@
             Command::Vote { proposal, refusal } => {
                 match self.open.take_if(|o| o.proposal == proposal) {
                     Some(open) if refusal.is_some() && !open.closing => {
-                        let why = format!("{} refuses: {}", who.name, refusal.unwrap_or_default());
-                        self.nowhere(open, cut(why), out);
+                        let why =
+                            format!("{} refuses: {}", member.name, refusal.unwrap_or_default());
+                        self.reject(open, truncated(why), out);
                         Ok(Reply::Done)
                     }
                     Some(mut open) => {
-                        open.votes.insert(who.clone());
+                        open.votes.insert(member.clone());
                         self.open = Some(open);
                         Ok(Reply::Done)
                     }
-                    None => Err(Refusal::NotOpen),
+                    None => Err(Refusal::NotInProgress),
                 }
             }
             Command::Closed { proposal } => {
@@ -314,82 +318,84 @@
                     .filter(|o| o.proposal == proposal && o.closing)
                 {
                     Some(open) => {
-                        open.closed.insert(who.clone());
+                        open.closed.insert(member.clone());
                         Ok(Reply::Done)
                     }
-                    None => Err(Refusal::NotOpen),
+                    None => Err(Refusal::NotInProgress),
                 }
             }
-            Command::Over { epoch } if epoch == self.epoch => {
-                self.over.retain(|w| living.contains(w));
-                self.over.insert(who.clone());
+            Command::Switched { epoch } if epoch == self.epoch => {
+                self.switched_members
+                    .retain(|instance| live_members.contains(instance));
+                self.switched_members.insert(member.clone());
                 Ok(Reply::Done)
             }
-            Command::Over { .. } => Err(Refusal::NotOpen),
+            Command::Switched { .. } => Err(Refusal::NotInProgress),
         };
-        self.settle(living, out);
-        done.unwrap_or_else(Reply::Refused)
+        self.settle(live_members, out);
+        result.unwrap_or_else(Reply::Refused)
     }
 
     fn propose(
         &mut self,
         base: u64,
-        mut open: Open,
+        mut open: OpenProposal,
         out: &mut Vec<Notice>,
     ) -> Result<Reply, Refusal> {
-        if let Some(under_way) = &self.open {
-            // Asked once more, by way of another member: it is the same.
-            if under_way.mark == open.mark {
-                return Ok(Reply::Taken(under_way.proposal));
+        if let Some(open_proposal) = &self.open {
+            // The same command was proposed again, possibly through another member.
+            if open_proposal.nonce == open.nonce {
+                return Ok(Reply::Accepted(open_proposal.proposal));
             }
             return Err(Refusal::Busy {
-                proposal: under_way.proposal,
-                by: under_way.by.clone(),
+                proposal: open_proposal.proposal,
+                by: open_proposal.by.clone(),
             });
         }
-        if let Some(past) = self.past.iter().find(|p| p.mark == open.mark) {
-            return Ok(Reply::Taken(past.proposal));
+        if let Some(finished) = self.finished.iter().find(|p| p.nonce == open.nonce) {
+            return Ok(Reply::Accepted(finished.proposal));
         }
         if base != self.epoch {
-            return Err(Refusal::Stale {
+            return Err(Refusal::StaleBase {
                 base,
                 epoch: self.epoch,
             });
         }
-        if open.content.is_empty() || open.content.len() > MOST_CONTENT {
+        if open.content.is_empty() || open.content.len() > MAX_CONTENT_BYTES {
             return Err(Refusal::Size);
         }
         if open.content == self.content {
-            return Err(Refusal::Same(self.epoch));
+            return Err(Refusal::Unchanged(self.epoch));
         }
-        self.last += 1;
-        open.proposal = self.last;
-        // Nobody begins anything before the first epoch: there is nothing to wait for.
+        self.last_proposal += 1;
+        open.proposal = self.last_proposal;
+        // No member admits requests before the first epoch, so there is no need for votes and confirmations.
         if self.epoch == 0 {
             self.switch(open, out);
         } else {
             out.push(Notice::Staged {
-                proposal: self.last,
+                proposal: self.last_proposal,
                 content: open.content.clone(),
             });
             self.open = Some(open);
         }
-        Ok(Reply::Taken(self.last))
+        Ok(Reply::Accepted(self.last_proposal))
     }
 
-    /// Goes on as far as the living members' words allow; also to be called when a life has ended.
-    pub fn settle(&mut self, living: &BTreeSet<MemberInstance>, out: &mut Vec<Notice>) {
+    /// Advances the open proposal as far as the votes and confirmations of the live members allow. Has to be called also
+    /// when a session has ended.
+    pub fn settle(&mut self, live_members: &BTreeSet<MemberInstance>, out: &mut Vec<Notice>) {
         let Some(mut open) = self.open.take() else {
             return;
         };
-        if !living.contains(&open.by) {
+        if !live_members.contains(&open.by) {
             let why = format!("{}, who proposed it, is gone", open.by.name);
-            return self.nowhere(open, why, out);
+            return self.reject(open, why, out);
         }
-        if !open.closing && living.is_subset(&open.votes) {
+        if !open.closing && live_members.is_subset(&open.votes) {
             if open.only_check {
                 let why = "only checked: all could".to_owned();
-                out.push(Notice::Nowhere {
+                out.push(Notice::Rejected {
                     proposal: open.proposal,
                     why,
                 });
@@ -400,39 +406,39 @@
                 proposal: open.proposal,
             });
         }
-        if open.closing && living.is_subset(&open.closed) {
+        if open.closing && live_members.is_subset(&open.closed) {
             return self.switch(open, out);
         }
         self.open = Some(open);
     }
 
-    fn switch(&mut self, mut open: Open, out: &mut Vec<Notice>) {
+    fn switch(&mut self, mut open: OpenProposal, out: &mut Vec<Notice>) {
         self.epoch += 1;
         self.content = std::mem::take(&mut open.content);
-        self.over.clear();
+        self.switched_members.clear();
         out.push(Notice::InForce {
             epoch: self.epoch,
             content: self.content.clone(),
         });
         let (epoch, digest) = (self.epoch, digest(&self.content));
-        self.remember(open, Outcome::Epoch(epoch));
-        if let Some(past) = self.past.back_mut() {
-            past.digest = digest;
+        self.remember(open, Outcome::InForce(epoch));
+        if let Some(finished) = self.finished.back_mut() {
+            finished.digest = digest;
         }
     }
 
-    fn nowhere(&mut self, open: Open, why: String, out: &mut Vec<Notice>) {
-        out.push(Notice::Nowhere {
+    fn reject(&mut self, open: OpenProposal, why: String, out: &mut Vec<Notice>) {
+        out.push(Notice::Rejected {
             proposal: open.proposal,
             why: why.clone(),
         });
-        self.remember(open, Outcome::Nowhere(why));
+        self.remember(open, Outcome::Rejected(why));
     }
 
-    fn remember(&mut self, open: Open, outcome: Outcome) {
-        let Open {
+    fn remember(&mut self, open: OpenProposal, outcome: Outcome) {
+        let OpenProposal {
             proposal,
-            mark,
+            nonce,
             by,
             at_us,
             content,
@@ -440,24 +446,24 @@
             ..
         } = open;
         let digest = digest(&content);
-        self.past.push_back(Past {
+        self.finished.push_back(FinishedProposal {
             proposal,
-            mark,
+            nonce,
             by,
             at_us,
             digest,
             difference,
             outcome,
         });
-        while self.past.len() > MOST_PAST {
-            self.past.pop_front();
+        while self.finished.len() > MAX_FINISHED_PROPOSALS {
+            self.finished.pop_front();
         }
     }
 }
 
-/// A text within its bound.
-fn cut(mut text: String) -> String {
-    let mut at = text.len().min(MOST_TEXT);
+/// Cuts a text to [`MAX_TEXT_BYTES`], at a character boundary.
+fn truncated(mut text: String) -> String {
+    let mut at = text.len().min(MAX_TEXT_BYTES);
     while !text.is_char_boundary(at) {
         at -= 1;
     }
--- a/src/front/jsonrpc.rs
+++ b/src/front/jsonrpc.rs
@@ -14,7 +14,7 @@
 use crate::exchange::{
     Answer, DisconnectNotifier, Frame, StreamReceiver, UpstreamRequest, is_plain_id,
 };
-use crate::fleet::transport::work::Work;
+use crate::fleet::transport::work::TakeoverClient;
 use crate::fleet::work::FinalResponse;
 use crate::routing::types::{Micros, RequestId, RequestSpec};
 use bytes::{Bytes, BytesMut};
@@ -321,7 +321,7 @@
     next: Cell<u64>,
     seed: u64,
     /// The fleet's records, where other conductors take work over.
-    work: Option<Rc<Work>>,
+    work: Option<Rc<TakeoverClient>>,
     /// Where clients reach it.
     pub path: String,
 }
@@ -424,7 +424,7 @@
         settings: ToolSettings,
         connect_timeout: Duration,
         seed: u64,
-        work: Option<Rc<Work>>,
+        work: Option<Rc<TakeoverClient>>,
     ) -> Rc<Self> {
         let path = settings.listen_path.clone();
         let ledger = Ledger::new(settings, connect_timeout, shared.counters.clone());
@@ -440,7 +440,7 @@
         });
         if let Some(work) = work {
             let moved = Rc::downgrade(&front);
-            work.on_moved(move |name| {
+            work.on_request_moved(move |name| {
                 if let Some(front) = moved.upgrade() {
                     front.end(name, Stop::Moved);
                 }
--- a/tests/golden_fleet.rs
+++ b/tests/golden_fleet.rs
@@ -15,7 +15,7 @@
 use whinhaven::fleet::message::Message;
 use whinhaven::fleet::raft::{HardState, LogEntry, RestoredState, Snapshot};
 use whinhaven::fleet::state::{FleetState, Proposal, ProposalResult, StateChange};
-use whinhaven::fleet::transport::disk::{Disk, Found};
+use whinhaven::fleet::transport::disk::{Disk, OpenedStore};
 use whinhaven::fleet::transport::seal;
 use whinhaven::fleet::{Incarnation, lease, node, policy_epoch, sites, work};
 use whinhaven::storage;
@@ -151,10 +151,10 @@
     seal::Keys::parse(&"0123456789abcdef".repeat(4)).unwrap()
 }
 
-const SESSION: seal::Session = seal::Session([7; 16]);
+const SESSION: seal::ConnectionNonce = seal::ConnectionNonce([7; 16]);
 
 fn frames() -> Vec<golden::Example<Vec<u8>>> {
-    let bounds = seal::Bounds::default();
+    let bounds = seal::FrameLimits::default();
     let (from, to) = (who("c1", 11), member("c2"));
     let mut datagrams = seal::Sealer::new(from.clone(), keys(), &bounds);
     let mut stream = seal::StreamSealer::new(from, to.clone(), keys(), &bounds, SESSION);
@@ -173,18 +173,18 @@
 #[test]
 fn kept_frames_are_opened() {
     let kept = lines(FRAMES);
-    let mut opener = seal::Opener::new(member("c2"), keys(), seal::Bounds::default());
+    let mut opener = seal::Opener::new(member("c2"), keys(), seal::FrameLimits::default());
     let mut inbound = seal::Inbound::new(SESSION);
-    let datagram = opener.datagram(0, &kept[0]).unwrap();
+    let datagram = opener.open_datagram(0, &kept[0]).unwrap();
     assert_eq!(datagram, opened(3, 1, b"payload"));
-    let first = opener.stream(0, &mut inbound, &kept[1]).unwrap();
+    let first = opener.open_stream_frame(0, &mut inbound, &kept[1]).unwrap();
     assert_eq!(first, opened(4, 1, b"first"));
-    let second = opener.stream(0, &mut inbound, &kept[2]).unwrap();
+    let second = opener.open_stream_frame(0, &mut inbound, &kept[2]).unwrap();
     assert_eq!(second, opened(5, 2, b"second"));
 }
 
-fn opened(kind: u8, sequence: u64, payload: &[u8]) -> seal::Opened<'_> {
-    seal::Opened {
+fn opened(kind: u8, sequence: u64, payload: &[u8]) -> seal::OpenedFrame<'_> {
+    seal::OpenedFrame {
         from: who("c1", 11),
         kind,
         sequence,
@@ -209,7 +209,7 @@
         copy
     }
 
-    fn open(&self) -> Found {
+    fn open(&self) -> OpenedStore {
         Disk::open(&self.0, storage::StoreConfig::default(), 0).unwrap()
     }
 }
@@ -231,8 +231,8 @@
     };
     assert_eq!(found.restored, written);
     assert_eq!(found.store_id, STORE_ID);
-    assert!(!found.fresh);
-    assert_eq!(found.torn, None);
+    assert!(!found.newly_formatted);
+    assert_eq!(found.torn_tail, None);
     let next_incarnation = Incarnation(LAST_INCARNATION + 1);
     assert_eq!(found.disk.incarnation(), next_incarnation);
 }
@@ -241,7 +241,7 @@
 fn default_settings_keep_their_names_and_values() {
     assert_eq!(json(&node::Config::default()), SETTINGS);
     assert_eq!(json(&storage::StoreConfig::default()), STORE_SETTINGS);
-    assert_eq!(json(&seal::Bounds::default()), SEAL_BOUNDS);
+    assert_eq!(json(&seal::FrameLimits::default()), SEAL_BOUNDS);
 }
 
 #[test]
@@ -250,8 +250,8 @@
     assert_eq!(settings, node::Config::default());
     let store: storage::StoreConfig = serde_json::from_str(STORE_SETTINGS).unwrap();
     assert_eq!(store, storage::StoreConfig::default());
-    let bounds: seal::Bounds = serde_json::from_str(SEAL_BOUNDS).unwrap();
-    assert_eq!(bounds, seal::Bounds::default());
+    let bounds: seal::FrameLimits = serde_json::from_str(SEAL_BOUNDS).unwrap();
+    assert_eq!(bounds, seal::FrameLimits::default());
 }
 
 fn fleet_of(file: &str) -> FleetConfig {
