--- a/src/fleet/sites/lp.rs
+++ b/src/fleet/sites/lp.rs
@@ -2,34 +2,40 @@
 
 use good_lp::{Expression, ProblemVariables, Solution, SolverModel, variable};
 
-/// Largest `objective * x` with `rows * x <= limits` and `x >= 0`.
+/// Maximizes `objective * x` subject to `rows * x <= limits` and `x >= 0`.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Program {
+    /// Factor of each variable in the objective.
     pub objective: Vec<f64>,
+    /// Constraints: terms of variable and factor, and the limit of their sum.
     pub rows: Vec<(Vec<(usize, f64)>, f64)>,
 }
 
 impl Program {
-    pub fn variable(&mut self, worth: f64) -> usize {
-        self.objective.push(worth);
+    /// Adds a variable with its factor in the objective and returns its index.
+    pub fn variable(&mut self, factor: f64) -> usize {
+        self.objective.push(factor);
         self.objective.len() - 1
     }
 
-    /// Adds a row; the number of it is where its price conditions.
+    /// Adds a constraint and returns its row, which is the index of its shadow price in the solution of the dual.
     pub fn limit(&mut self, terms: Vec<(usize, f64)>, limit: f64) -> usize {
         self.rows.push((terms, limit));
         self.rows.len() - 1
     }
 
-    /// The values of the variables.
+    /// The optimal values of the variables, or the error of the solver.
     pub fn solve(&self) -> Result<Vec<f64>, String> {
         let mut vars = ProblemVariables::new();
         let x = vars.add_vector(variable().min(0.0), self.objective.len());
         let sum = |terms: &mut dyn Iterator<Item = (usize, f64)>| {
-            terms.fold(Expression::with_capacity(8), |mut e, (i, v)| {
-                e.add_mul(v, x[i]);
-                e
-            })
+            terms.fold(
+                Expression::with_capacity(8),
+                |mut sum, (variable, factor)| {
+                    sum.add_mul(factor, x[variable]);
+                    sum
+                },
+            )
         };
         let mut model = vars
             .maximise(sum(&mut self.objective.iter().copied().enumerate()))
@@ -41,12 +47,12 @@
         Ok(x.iter().map(|v| solution.value(*v).max(0.0)).collect())
     }
 
-    /// The program whose best values are the prices of this one's rows.
+    /// The dual program: its optimal values are the shadow prices of this program's rows.
     pub fn dual(&self) -> Program {
         let mut rows: Vec<(Vec<(usize, f64)>, f64)> = self
             .objective
             .iter()
-            .map(|worth| (Vec::new(), -worth))
+            .map(|factor| (Vec::new(), -factor))
             .collect();
         for (row, (terms, _)) in self.rows.iter().enumerate() {
             for (variable, value) in terms {
--- a/src/fleet/sites/svg.rs
+++ b/src/fleet/sites/svg.rs
@@ -1,8 +1,8 @@
-//! A small writer of SVG: boxes, lines and text, no more.
+//! A minimal SVG writer: rectangles, lines, bands and text.
 
 use std::fmt::Write as _;
 
-/// A drawing of a given size.
+/// A drawing of a fixed size in pixels, written in the order of the calls.
 pub(crate) struct Svg {
     size: (f64, f64),
     body: String,
@@ -32,17 +32,17 @@
         );
     }
 
-    /// A band from one point to another that leaves and arrives level.
+    /// A curved band that starts and ends horizontally.
     pub fn band(&mut self, a: (f64, f64), b: (f64, f64), width: f64, colour: &str) {
         let ((ax, ay), (bx, by)) = (a, b);
-        let m = (ax + bx) / 2.0;
+        let middle = (ax + bx) / 2.0;
         let _ = writeln!(
             self.body,
-            r#"<path d="M{ax:.1} {ay:.1} C{m:.1} {ay:.1} {m:.1} {by:.1} {bx:.1} {by:.1}" fill="none" stroke="{colour}" stroke-width="{width:.1}" stroke-opacity="0.6"/>"#
+            r#"<path d="M{ax:.1} {ay:.1} C{middle:.1} {ay:.1} {middle:.1} {by:.1} {bx:.1} {by:.1}" fill="none" stroke="{colour}" stroke-width="{width:.1}" stroke-opacity="0.6"/>"#
         );
     }
 
-    /// `anchor` is `start`, `middle` or `end`.
+    /// Places the `anchor` of the text (`start`, `middle` or `end`) at a point of its baseline.
     pub fn text(&mut self, (x, y): (f64, f64), size: f64, anchor: &str, text: &str) {
         let text = text
             .replace('&', "&amp;")
