--- a/src/fleet/transport/sites.rs
+++ b/src/fleet/transport/sites.rs
@@ -17,7 +17,7 @@
 use crate::fleet::sites::watch;
 use crate::fleet::state::{Command, StateChange};
 use crate::net::discovery::Directory;
-use crate::net::stream::SteadyStream;
+use crate::net::stream::RetryingStream;
 use crate::routing::types::{Endpoint, EndpointUpdate, Role, Status, WorkerId, WorkerKind};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -151,7 +151,7 @@
         self.weigh_by_orders(&mut entries);
         self.hosts
             .dispatcher
-            .tell(DispatcherEvent::EndpointsUpdated {
+            .send(DispatcherEvent::EndpointsUpdated {
                 update: EndpointUpdate::Incremental,
                 endpoints: entries,
             });
@@ -160,7 +160,7 @@
     /// Looks at which hosts discovery's list has now.
     fn listed(self: &Rc<Self>) {
         for (site, name) in self.names.iter().enumerate() {
-            let hosts = self.hosts.directory.of_zone(name);
+            let hosts = self.hosts.directory.hosts_in_zone(name);
             let ready = hosts.iter().filter(|(_, ready)| *ready).count() as u32;
             let of = {
                 let mut had = self.had.borrow_mut();
@@ -270,7 +270,7 @@
             let next = self.member.borrow().timeout(self.clock.now());
             let woken = self.woken.notified();
             tokio::select! {
-                () = self.clock.reach(next) => self.handle(Event::Tick),
+                () = self.clock.sleep_until(next) => self.handle(Event::Tick),
                 () = woken => {}
             }
         }
@@ -289,7 +289,7 @@
     }
 
     fn try_host(self: &Rc<Self>, site: usize) {
-        let hosts = self.hosts.directory.of_zone(&self.names[site]);
+        let hosts = self.hosts.directory.hosts_in_zone(&self.names[site]);
         let addresses: Vec<SocketAddr> = hosts
             .into_iter()
             .filter_map(|(address, _)| address)
@@ -310,7 +310,7 @@
 
 /// Whether anything answers there.
 async fn answers(address: SocketAddr) -> std::io::Result<()> {
-    let mut stream = SteadyStream(TcpStream::connect(address).await?);
+    let mut stream = RetryingStream(TcpStream::connect(address).await?);
     stream.write_all(TRY).await?;
     stream.read_u8().await.map(|_| ())
 }
--- a/src/net/client_connection.rs
+++ b/src/net/client_connection.rs
@@ -1,10 +1,10 @@
 //! One client's connection, from its accept to its close: serves the requests on it, and closes it where
 //! [`crate::routing::policy::close_permit`] permits it.
 
-use super::Local;
+use super::LocalBoxFuture;
 use super::framing::{Standing, Watch, Watched};
 use super::server::{DAWDLES, SILENT_CLIENT, Stage};
-use super::stream::{end_sending, uninterrupted};
+use super::stream::{retry_interrupted, shutdown_write};
 use crate::admin::metrics::{RequestMetrics, RequestOutcome};
 use crate::counters::Counters;
 use crate::front::platform::{self, AnswerBody};
@@ -47,7 +47,7 @@
     b"HTTP/1.1 408 Request Timeout\r\nconnection: close\r\ncontent-length: 0\r\n\r\n";
 
 /// What answers one request.
-pub(super) type Answerer = Local<Result<Response<Answering>, Infallible>>;
+pub(super) type Answerer = LocalBoxFuture<Result<Response<Answering>, Infallible>>;
 
 /// What answers the requests of one connection.
 pub(super) trait RequestService:
@@ -168,14 +168,14 @@
 /// the runtime was not told yet.
 fn state(socket: &TcpStream, watch: &Watch) -> ConnectionState {
     match watch.standing() {
-        Standing::InHand => ConnectionState::InHand,
-        Standing::Arriving(_) => ConnectionState::Arriving,
+        Standing::InHand => ConnectionState::AwaitingResponse,
+        Standing::Arriving(_) => ConnectionState::ReceivingRequest,
         Standing::Idle(_) => {
             let peek = || SockRef::from(socket).peek(&mut [MaybeUninit::uninit()]);
-            let has_bytes = || uninterrupted(peek).is_ok_and(|n| n > 0);
+            let has_bytes = || retry_interrupted(peek).is_ok_and(|n| n > 0);
             // A client that takes nothing of its answer gets no other one.
-            ConnectionState::Resting {
-                has_unread: !watch.is_blocked() && has_bytes(),
+            ConnectionState::Idle {
+                has_unread_bytes: !watch.is_blocked() && has_bytes(),
             }
         }
     }
@@ -222,11 +222,11 @@
     };
     if is_late && !watch.is_blocked() {
         counters.slow_clients.up();
-        let _ = uninterrupted(|| socket.try_write(TOO_SLOW));
+        let _ = retry_interrupted(|| socket.try_write(TOO_SLOW));
     }
     if !matches!(served, Served::Closed(_)) || !watch.is_blocked() {
         watch.finish();
-        let _ = end_sending(&socket);
+        let _ = shutdown_write(&socket);
         tokio::select! {
             biased;
             () = async { while !watch.is_unwanted() { watch.changed().await } } => {}
@@ -266,25 +266,25 @@
             // First: what has come by now is looked at before any deadline is.
             ended = &mut connection => return Served::Itself(ended),
             gone = watch.read_ahead(socket, &mut room), if watch.standing() == Standing::InHand => {
-                if gone && let Ok(permit) = permit_close(CloseCause::ClientGone, state(socket, watch)) {
+                if gone && let Ok(permit) = permit_close(CloseCause::ClientDisconnected, state(socket, watch)) {
                     return Served::ClientGone(permit);
                 }
             }
             () = closing(&mut stage, watch, accepted), if may_close => {
                 let state = state(socket, watch);
                 log::debug!("client connection: it is to close for the end: {state:?}");
-                match permit_close(CloseCause::Ending, state) {
+                match permit_close(CloseCause::ShuttingDown, state) {
                     // With a request in hand: it is closed behind that one's answer.
-                    Ok(_) | Err(CloseDenial::InHand) => {
+                    Ok(_) | Err(CloseDenial::AwaitingResponse) => {
                         stopping = true;
                         Pin::new(&mut connection).graceful_shutdown();
                     }
-                    Err(CloseDenial::Unread | CloseDenial::Arriving) => tokio::task::yield_now().await,
+                    Err(CloseDenial::UnreadBytes | CloseDenial::ReceivingRequest) => tokio::task::yield_now().await,
                 }
             }
             () = watch.changed() => {}
             () = async { tokio::time::sleep_until(due.unwrap_or(accepted)).await }, if due.is_some() => {
-                match permit_close(CloseCause::TimeOver, state(socket, watch)) {
+                match permit_close(CloseCause::TimedOut, state(socket, watch)) {
                     Ok(permit) => {
                         log::debug!("client connection: closed, its time is over: {:?}", watch.standing());
                         return Served::Closed(permit);
@@ -307,7 +307,7 @@
         match socket
             .readable()
             .await
-            .and_then(|()| uninterrupted(|| socket.try_read(&mut scrap)))
+            .and_then(|()| retry_interrupted(|| socket.try_read(&mut scrap)))
         {
             Ok(n) if n > 0 => left = left.saturating_sub(n),
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -13,9 +13,9 @@
 pub mod host_starts;
 pub mod late_arrivals;
 pub mod pool;
-pub mod reach;
-pub mod release;
-pub mod releases;
+pub mod reachability;
+pub mod release_calls;
+pub mod release_fanout;
 pub mod server;
 pub mod shutdown_stages;
 pub mod stream;
@@ -24,4 +24,4 @@
 use std::pin::Pin;
 
 /// A future that stays on its thread.
-pub type Local<T> = Pin<Box<dyn Future<Output = T>>>;
+pub type LocalBoxFuture<T> = Pin<Box<dyn Future<Output = T>>>;
--- a/src/run.rs
+++ b/src/run.rs
@@ -1,10 +1,10 @@
 //! Serving: wiring, signals, reload.
 
-mod orderly_end;
+mod graceful_shutdown;
 
 use crate::reload::Reload;
 use crate::signals::Signals;
-use orderly_end::OrderlyEnd;
+use graceful_shutdown::GracefulShutdown;
 use std::cell::{Cell, RefCell};
 use std::hash::{BuildHasher, RandomState};
 use std::net::SocketAddr;
@@ -27,13 +27,13 @@
 use whinhaven::front::jsonrpc::Front;
 use whinhaven::front::shared::Shared;
 use whinhaven::live_settings::LiveSettings;
-use whinhaven::net::client::{Hosts, Pending};
+use whinhaven::net::client::{HostClient, PendingReleases};
 use whinhaven::net::connections::Connections;
-use whinhaven::net::discovery::{Directory, Follower, Weigh};
+use whinhaven::net::discovery::{AdjustEndpoints, Directory, DiscoveryWatcher};
 use whinhaven::net::drain::{self, DrainSwitch};
 use whinhaven::net::pool::Pool;
 use whinhaven::net::server::{Edge, Listener, OVER, Stage};
-use whinhaven::net::upgrade::seat::Phase;
+use whinhaven::net::upgrade::lock_file::Phase;
 use whinhaven::net::upgrade::share::{Shares, Split};
 use whinhaven::net::upgrade::slow_start::SlowStartRight;
 use whinhaven::net::upgrade::{self, Place, Sharing};
@@ -52,20 +52,20 @@
 ///
 /// # Errors
 /// Names the file.
-pub fn read(file: &Path) -> Result<String, ConfigError> {
+pub fn read_file(file: &Path) -> Result<String, ConfigError> {
     std::fs::read_to_string(file).map_err(|e| ConfigError(format!("{}: {e}", file.display())))
 }
 
 /// Where the configuration is read, at start and at each SIGHUP.
-pub struct Source {
+pub struct ConfigSource {
     file: PathBuf,
     platform: bool,
 }
 
-impl Source {
+impl ConfigSource {
     /// An operator's file.
-    pub fn operator(file: PathBuf) -> Self {
-        Source {
+    pub fn operator_file(file: PathBuf) -> Self {
+        ConfigSource {
             file,
             platform: false,
         }
@@ -75,10 +75,10 @@
     ///
     /// # Errors
     /// NODE_CONFIG is not set.
-    pub fn platform() -> Result<Self, ConfigError> {
+    pub fn platform_file() -> Result<Self, ConfigError> {
         let file = std::env::var("NODE_CONFIG")
             .map_err(|_| ConfigError("NODE_CONFIG is not set".into()))?;
-        Ok(Source {
+        Ok(ConfigSource {
             file: file.into(),
             platform: true,
         })
@@ -89,7 +89,7 @@
     /// # Errors
     /// Names the field at fault.
     pub fn load(&self) -> Result<Config, ConfigError> {
-        let text = read(&self.file)?;
+        let text = read_file(&self.file)?;
         if self.platform {
             Config::from_json(&text, |name| {
                 std::env::var(name).ok().filter(|v| !v.is_empty())
@@ -113,7 +113,7 @@
 ///
 /// # Errors
 /// Why it could not begin.
-pub fn serve(source: Source) -> Result<(), ConfigError> {
+pub fn serve(source: ConfigSource) -> Result<(), ConfigError> {
     // Before anything else: until it is taken over, SIGHUP ends the process.
     let signals = Signals::take_over().map_err(|e| ConfigError(format!("signals: {e}")))?;
     let config = source.load()?;
@@ -152,7 +152,11 @@
         .map_err(|e| ConfigError(format!("ops {address}: {e}")))
 }
 
-async fn run(mut config: Config, source: Source, signals: Signals) -> Result<(), ConfigError> {
+async fn run(
+    mut config: Config,
+    source: ConfigSource,
+    signals: Signals,
+) -> Result<(), ConfigError> {
     // A member of a fleet is known to the others by its peer address, which two processes can't share.
     let place = match config.fleet {
         None => Place::take(&std::env::temp_dir(), config.listen).await?,
@@ -204,15 +208,15 @@
         counters.clone(),
     );
     let directory = Rc::new(Directory::default());
-    let (watch_again, fetch_list) = (Rc::new(Notify::new()), Rc::new(Notify::new()));
-    let pending = Rc::<Pending>::default();
-    let hosts = Hosts {
+    let (resubscribe, fetch_list) = (Rc::new(Notify::new()), Rc::new(Notify::new()));
+    let pending_releases = Rc::<PendingReleases>::default();
+    let hosts = HostClient {
         directory: directory.clone(),
         pool: pool.clone(),
         dispatcher: dispatcher.clone(),
         counters: counters.clone(),
-        watch_again: watch_again.clone(),
-        pending: pending.clone(),
+        resubscribe: resubscribe.clone(),
+        pending_releases: pending_releases.clone(),
         late_arrivals: Rc::default(),
     };
     // Before the fleet begins: it would wait for this member meanwhile.
@@ -289,20 +293,22 @@
         outbound,
         counters.clone(),
     );
-    let follower = Follower {
+    let watcher = DiscoveryWatcher {
         directory: directory.clone(),
         dispatcher: dispatcher.clone(),
-        hang_up: Box::new({
+        close_idle: Box::new({
             let pool = pool.clone();
-            move |worker| pool.hang_up(worker)
+            move |worker| pool.close_idle(worker)
         }),
-        ask: settings.endpoints_on_request.then_some(watch_again),
+        subscribe_request: settings
+            .endpoints_require_subscription
+            .then_some(resubscribe),
         fetch_list: fetch_list.clone(),
         counters: counters.clone(),
-        weigh: sites.clone().map(|sites| {
-            Box::new(move |kind, entries: &mut [_]| sites.weigh(kind, entries)) as Weigh
+        adjust_endpoints: sites.clone().map(|sites| {
+            Box::new(move |kind, entries: &mut [_]| sites.weigh(kind, entries)) as AdjustEndpoints
         }),
-        starts: RefCell::default(),
+        host_starts: RefCell::default(),
     };
     let refresh_list = {
         let discovery = config.discovery.is_some();
@@ -312,16 +318,16 @@
             }
         }
     };
-    follower.take(std::mem::take(&mut config.known), EndpointUpdate::Restored);
+    watcher.apply(std::mem::take(&mut config.known), EndpointUpdate::Restored);
     tokio::task::spawn_local(driver.run(queue));
     let (discovery, address_told) = watch::channel(config.discovery);
-    tokio::task::spawn_local(follower.follow(address_told));
+    tokio::task::spawn_local(watcher.run(address_told));
     let drain = Rc::new(DrainSwitch::default());
     let stopping = Rc::new(Cell::new(false));
     let (listening, other_serves) = (Rc::new(Cell::new(false)), Rc::new(Cell::new(false)));
     let able = {
         let (directory, kinds) = (directory.clone(), settings.kinds.clone());
-        Rc::new(move || directory.can_serve(&kinds))
+        Rc::new(move || directory.covers_both_stages(&kinds))
     };
     let holds = {
         let (able, listening, gate) = (able.clone(), listening.clone(), gate.clone());
@@ -454,7 +460,7 @@
             () = signals.report.notified() => report(&counters, fleet.as_ref()),
             () = signals.reload.notified() => reload.run(),
             _ = retire.tick() => {
-                pool.retire();
+                pool.evict_stale();
                 if let Some(front) = &front {
                     front.tidy();
                 }
@@ -472,14 +478,14 @@
         );
     }
     stopping.set(true);
-    let ending = OrderlyEnd {
+    let ending = GracefulShutdown {
         shutdown,
         other_serves,
         connections: open,
         stage,
         accepting,
         pool,
-        pending,
+        pending_releases,
         fleet: fleet.clone(),
         work,
         front,
