--- a/src/live_settings.rs
+++ b/src/live_settings.rs
@@ -7,12 +7,12 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-type Follower = Box<dyn Fn(&RoutingConfig)>;
+type Subscriber = Box<dyn Fn(&RoutingConfig)>;
 
 /// Tells every part that follows the settings of new ones.
 pub struct LiveSettings {
     dispatcher: DispatcherHandle,
-    followers: RefCell<Vec<Follower>>,
+    subscribers: RefCell<Vec<Subscriber>>,
 }
 
 impl LiveSettings {
@@ -20,22 +20,22 @@
     pub fn new(dispatcher: DispatcherHandle) -> Rc<Self> {
         Rc::new(LiveSettings {
             dispatcher,
-            followers: RefCell::default(),
+            subscribers: RefCell::default(),
         })
     }
 
     /// Has a function called with all settings to come.
-    pub fn on_change(&self, follower: impl Fn(&RoutingConfig) + 'static) {
-        self.followers.borrow_mut().push(Box::new(follower));
+    pub fn on_change(&self, subscriber: impl Fn(&RoutingConfig) + 'static) {
+        self.subscribers.borrow_mut().push(Box::new(subscriber));
     }
 
     /// Puts new settings into force. The core reads its inputs in order: requests handed to it before this
     /// keep their rules, those handed to it afterwards begin under the new ones.
     pub fn replace(&self, settings: RoutingConfig) {
-        self.followers
+        self.subscribers
             .borrow()
             .iter()
-            .for_each(|follower| follower(&settings));
+            .for_each(|subscriber| subscriber(&settings));
         self.dispatcher
             .tell(DispatcherEvent::ConfigChanged(Box::new(settings)));
     }
--- a/src/net/client_connection.rs
+++ b/src/net/client_connection.rs
@@ -2,8 +2,8 @@
 //! [`crate::routing::policy::close_permit`] permits it.
 
 use super::LocalBoxFuture;
-use super::framing::{Standing, Watch, Watched};
-use super::server::{DAWDLES, SILENT_CLIENT, Stage};
+use super::framing::{ConnectionTracker, RequestPhase, TrackedStream};
+use super::server::{FIRST_REQUEST_TIMEOUT, MIN_ARRIVAL_BEFORE_EVICTION, Stage};
 use super::stream::{end_sending, uninterrupted};
 use crate::admin::metrics::{RequestMetrics, RequestOutcome};
 use crate::counters::Counters;
@@ -31,31 +31,31 @@
 
 /// A request has this long to come whole, from its first byte and, the first on a connection, from the accept on.
 /// Progress doesn't renew it: half a head, half a body and a drip without end all hold a place.
-const ARRIVE: Duration = Duration::from_millis(2_400);
+const REQUEST_ARRIVAL_TIMEOUT: Duration = Duration::from_millis(2_400);
 /// One that was answered before may come again: a session's next turn, and this conductor knows where its text is
 /// kept. It is let go after this, or as soon as its place is wanted.
-const IDLE_CLIENT: Duration = Duration::from_secs(30);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 /// A client that takes nothing of its answer for this long is gone.
-const CLIENT_STALLED: Duration = Duration::from_secs(30);
+const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(30);
 /// After the conductor has ended its sending, the client has this long to take its last answer and to close: a socket
 /// closed over unread bytes is reset, and what the client has not read is lost with it.
-pub(super) const LINGER: Duration = Duration::from_secs(1);
+pub(super) const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
 /// Bytes that are read and forgotten meanwhile.
-const MOST_LINGER: usize = 2 * MOST_BODY;
+const MAX_LINGER_BYTES: usize = 2 * MOST_BODY;
 /// For a request that did not come in time.
-const TOO_SLOW: &[u8] =
+const REQUEST_TIMEOUT_RESPONSE: &[u8] =
     b"HTTP/1.1 408 Request Timeout\r\nconnection: close\r\ncontent-length: 0\r\n\r\n";
 
 /// What answers one request.
-pub(super) type Answerer = LocalBoxFuture<Result<Response<Answering>, Infallible>>;
+pub(super) type ResponseFuture = LocalBoxFuture<Result<Response<TrackedBody>, Infallible>>;
 
 /// What answers the requests of one connection.
 pub(super) trait RequestService:
     hyper::service::Service<
         Request<Incoming>,
-        Response = Response<Answering>,
+        Response = Response<TrackedBody>,
         Error = Infallible,
-        Future = Answerer,
+        Future = ResponseFuture,
     > + Unpin
 {
 }
@@ -63,44 +63,44 @@
 impl<S> RequestService for S where
     S: hyper::service::Service<
             Request<Incoming>,
-            Response = Response<Answering>,
+            Response = Response<TrackedBody>,
             Error = Infallible,
-            Future = Answerer,
+            Future = ResponseFuture,
         > + Unpin
 {
 }
 
 /// An answer's body that tells its connection when it is over, and the figures how it ended.
-pub(super) struct Answering {
+pub(super) struct TrackedBody {
     body: AnswerBody,
-    watch: Rc<Watch>,
+    tracker: Rc<ConnectionTracker>,
     request_metrics: Rc<RequestMetrics>,
 }
 
-impl Answering {
+impl TrackedBody {
     pub fn new(
         response: Response<AnswerBody>,
-        watch: Rc<Watch>,
+        tracker: Rc<ConnectionTracker>,
         request_metrics: Rc<RequestMetrics>,
     ) -> Response<Self> {
         if let AnswerBody::Fixed(_) = response.body() {
             request_metrics.end(RequestOutcome::of_status(response.status()));
         }
-        response.map(|body| Answering {
+        response.map(|body| TrackedBody {
             body,
-            watch,
+            tracker,
             request_metrics,
         })
     }
 }
 
-impl Drop for Answering {
+impl Drop for TrackedBody {
     fn drop(&mut self) {
-        self.watch.finish();
+        self.tracker.response_finished();
     }
 }
 
-impl Body for Answering {
+impl Body for TrackedBody {
     type Data = Bytes;
     type Error = platform::Broken;
 
@@ -109,7 +109,7 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<hyper::body::Frame<Bytes>, platform::Broken>>> {
         // hyper drops what a slow client has not taken yet when a body fails; it asks again once that is written.
-        if matches!(self.body, AnswerBody::Breaking) && self.watch.is_blocked() {
+        if matches!(self.body, AnswerBody::Breaking) && self.tracker.is_write_blocked() {
             return Poll::Pending;
         }
         let next = Pin::new(&mut self.body).poll_frame(cx);
@@ -131,34 +131,42 @@
 }
 
 /// When a connection is to be closed as it stands.
-fn due(watch: &Watch, accepted: Instant) -> Option<Instant> {
-    match watch.standing() {
-        Standing::InHand => None,
-        Standing::Idle(since) | Standing::Arriving(since) if watch.is_blocked() => {
-            Some(since + CLIENT_STALLED)
+fn close_deadline(tracker: &ConnectionTracker, accepted: Instant) -> Option<Instant> {
+    match tracker.phase() {
+        RequestPhase::InProgress => None,
+        RequestPhase::Idle(since) | RequestPhase::Arriving(since) if tracker.is_write_blocked() => {
+            Some(since + WRITE_STALL_TIMEOUT)
         }
-        Standing::Idle(_) if watch.is_unwanted() => Some(accepted),
+        RequestPhase::Idle(_) if tracker.is_evicted() => Some(accepted),
         // It was to go while it rested, and just then a request came.
-        Standing::Arriving(since) if watch.is_unwanted() => Some(since + DAWDLES),
-        Standing::Idle(since) if watch.has_answered() => Some(since + IDLE_CLIENT),
-        Standing::Idle(since) => Some(since + SILENT_CLIENT),
-        Standing::Arriving(_) if !watch.has_answered() => Some(accepted + ARRIVE),
-        Standing::Arriving(since) => Some(since + ARRIVE),
+        RequestPhase::Arriving(since) if tracker.is_evicted() => {
+            Some(since + MIN_ARRIVAL_BEFORE_EVICTION)
+        }
+        RequestPhase::Idle(since) if tracker.has_answered() => Some(since + IDLE_TIMEOUT),
+        RequestPhase::Idle(since) => Some(since + FIRST_REQUEST_TIMEOUT),
+        RequestPhase::Arriving(_) if !tracker.has_answered() => {
+            Some(accepted + REQUEST_ARRIVAL_TIMEOUT)
+        }
+        RequestPhase::Arriving(since) => Some(since + REQUEST_ARRIVAL_TIMEOUT),
     }
 }
 
 /// Resolves when a connection is to be closed for a drain or for the conductor's own end. One that was just accepted
 /// may have its first request on the way.
-async fn closing(stage: &mut watch::Receiver<Stage>, watch: &Watch, accepted: Instant) {
+async fn wait_for_closing_stage(
+    stage: &mut watch::Receiver<Stage>,
+    tracker: &ConnectionTracker,
+    accepted: Instant,
+) {
     loop {
-        let Ok(now) = stage.wait_for(|s| s.closes_resting()).await.map(|s| *s) else {
+        let Ok(stage_now) = stage.wait_for(|s| s.closes_idle()).await.map(|s| *s) else {
             return;
         };
-        if watch.has_answered() {
+        if tracker.has_answered() {
             return;
         }
         tokio::select! {
-            () = tokio::time::sleep_until(accepted + now.first_request_within()) => return,
+            () = tokio::time::sleep_until(accepted + stage_now.first_request_timeout()) => return,
             Ok(()) = stage.changed() => {}
         }
     }
@@ -166,25 +174,25 @@
 
 /// What the connection's socket says now. A request may have come on a resting connection that the system has and of which
 /// the runtime was not told yet.
-fn state(socket: &TcpStream, watch: &Watch) -> ConnectionState {
-    match watch.standing() {
-        Standing::InHand => ConnectionState::InHand,
-        Standing::Arriving(_) => ConnectionState::Arriving,
-        Standing::Idle(_) => {
+fn connection_state(socket: &TcpStream, tracker: &ConnectionTracker) -> ConnectionState {
+    match tracker.phase() {
+        RequestPhase::InProgress => ConnectionState::InHand,
+        RequestPhase::Arriving(_) => ConnectionState::Arriving,
+        RequestPhase::Idle(_) => {
             let peek = || SockRef::from(socket).peek(&mut [MaybeUninit::uninit()]);
             let has_bytes = || uninterrupted(peek).is_ok_and(|n| n > 0);
             // A client that takes nothing of its answer gets no other one.
             ConnectionState::Resting {
-                has_unread: !watch.is_blocked() && has_bytes(),
+                has_unread: !tracker.is_write_blocked() && has_bytes(),
             }
         }
     }
 }
 
 /// How the serving of a connection ended.
-enum Served {
+enum ServeOutcome {
     /// hyper has ended it: in order, or since the client has gone or sent what can't be read.
-    Itself(hyper::Result<()>),
+    HyperFinished(hyper::Result<()>),
     /// The client has closed it under its request.
     ClientGone(ClosePermit),
     /// It is closed as it stands.
@@ -196,7 +204,7 @@
     stream: TcpStream,
     service: S,
     stage: watch::Receiver<Stage>,
-    watch: &Rc<Watch>,
+    tracker: &Rc<ConnectionTracker>,
     room: Held,
     counters: &Counters,
 ) where
@@ -204,13 +212,13 @@
 {
     let _ = stream.set_nodelay(true);
     let socket = Rc::new(stream);
-    let served = serve_requests(&socket, service, stage, watch, room).await;
-    let is_late = match &served {
-        Served::ClientGone(_) => {
+    let outcome = serve_requests(&socket, service, stage, tracker, room).await;
+    let is_late = match &outcome {
+        ServeOutcome::ClientGone(_) => {
             return log::debug!("client connection: closed under its request");
         }
-        Served::Itself(Ok(())) => false,
-        Served::Itself(Err(error)) => {
+        ServeOutcome::HyperFinished(Ok(())) => false,
+        ServeOutcome::HyperFinished(Err(error)) => {
             log::debug!("client connection: {error}");
             // hyper has answered what was no HTTP with a 4xx of its own.
             if error.is_parse() || error.is_parse_too_large() {
@@ -218,19 +226,21 @@
             }
             false
         }
-        Served::Closed(_) => watch.is_spent() || matches!(watch.standing(), Standing::Arriving(_)),
+        ServeOutcome::Closed(_) => {
+            tracker.must_close() || matches!(tracker.phase(), RequestPhase::Arriving(_))
+        }
     };
-    if is_late && !watch.is_blocked() {
+    if is_late && !tracker.is_write_blocked() {
         counters.slow_clients.up();
-        let _ = uninterrupted(|| socket.try_write(TOO_SLOW));
+        let _ = uninterrupted(|| socket.try_write(REQUEST_TIMEOUT_RESPONSE));
     }
-    if !matches!(served, Served::Closed(_)) || !watch.is_blocked() {
-        watch.finish();
+    if !matches!(outcome, ServeOutcome::Closed(_)) || !tracker.is_write_blocked() {
+        tracker.response_finished();
         let _ = end_sending(&socket);
         tokio::select! {
             biased;
-            () = async { while !watch.is_unwanted() { watch.changed().await } } => {}
-            _ = tokio::time::timeout(LINGER, linger(&socket)) => {}
+            () = async { while !tracker.is_evicted() { tracker.changed().await } } => {}
+            _ = tokio::time::timeout(LINGER_TIMEOUT, linger(&socket)) => {}
         }
     }
 }
@@ -240,9 +250,9 @@
     socket: &Rc<TcpStream>,
     service: S,
     mut stage: watch::Receiver<Stage>,
-    watch: &Rc<Watch>,
+    tracker: &Rc<ConnectionTracker>,
     mut room: Held,
-) -> Served
+) -> ServeOutcome
 where
     S: RequestService,
 {
@@ -252,45 +262,45 @@
         .header_read_timeout(None)
         .max_buf_size(64 * 1024)
         .serve_connection(
-            TokioIo::new(Watched::new(socket.clone(), watch.clone())),
+            TokioIo::new(TrackedStream::new(socket.clone(), tracker.clone())),
             service,
         );
-    let mut stopping = false;
+    let mut is_closing = false;
     loop {
-        room.shrink_to(watch.kept_ahead());
-        let due = due(watch, accepted);
+        room.shrink_to(tracker.buffered_bytes());
+        let deadline = close_deadline(tracker, accepted);
         // hyper takes a kept connection for idle until a head is whole. What has begun to come gets its answer first.
-        let may_close = !stopping && !matches!(watch.standing(), Standing::Arriving(_));
+        let may_close = !is_closing && !matches!(tracker.phase(), RequestPhase::Arriving(_));
         tokio::select! {
             biased;
             // First: what has come by now is looked at before any deadline is.
-            ended = &mut connection => return Served::Itself(ended),
-            gone = watch.read_ahead(socket, &mut room), if watch.standing() == Standing::InHand => {
-                if gone && let Ok(permit) = permit_close(CloseCause::ClientGone, state(socket, watch)) {
-                    return Served::ClientGone(permit);
+            result = &mut connection => return ServeOutcome::HyperFinished(result),
+            has_closed = tracker.read_ahead(socket, &mut room), if tracker.phase() == RequestPhase::InProgress => {
+                if has_closed && let Ok(permit) = permit_close(CloseCause::ClientGone, connection_state(socket, tracker)) {
+                    return ServeOutcome::ClientGone(permit);
                 }
             }
-            () = closing(&mut stage, watch, accepted), if may_close => {
-                let state = state(socket, watch);
+            () = wait_for_closing_stage(&mut stage, tracker, accepted), if may_close => {
+                let state = connection_state(socket, tracker);
                 log::debug!("client connection: it is to close for the end: {state:?}");
                 match permit_close(CloseCause::Ending, state) {
                     // With a request in hand: it is closed behind that one's answer.
                     Ok(_) | Err(CloseDenial::InHand) => {
-                        stopping = true;
+                        is_closing = true;
                         Pin::new(&mut connection).graceful_shutdown();
                     }
                     Err(CloseDenial::Unread | CloseDenial::Arriving) => tokio::task::yield_now().await,
                 }
             }
-            () = watch.changed() => {}
-            () = async { tokio::time::sleep_until(due.unwrap_or(accepted)).await }, if due.is_some() => {
-                match permit_close(CloseCause::TimeOver, state(socket, watch)) {
+            () = tracker.changed() => {}
+            () = async { tokio::time::sleep_until(deadline.unwrap_or(accepted)).await }, if deadline.is_some() => {
+                match permit_close(CloseCause::TimeOver, connection_state(socket, tracker)) {
                     Ok(permit) => {
-                        log::debug!("client connection: closed, its time is over: {:?}", watch.standing());
-                        return Served::Closed(permit);
+                        log::debug!("client connection: closed, its time is over: {:?}", tracker.phase());
+                        return ServeOutcome::Closed(permit);
                     }
-                    Err(refusal) => {
-                        log::debug!("client connection: not closed: {refusal}");
+                    Err(denial) => {
+                        log::debug!("client connection: not closed: {denial}");
                         tokio::task::yield_now().await;
                     }
                 }
@@ -302,12 +312,12 @@
 /// Reads and forgets, so that a client can take its last answer though more of its bytes come: until it has closed,
 /// too. A socket closed over unread bytes is reset.
 async fn linger(socket: &TcpStream) {
-    let (mut scrap, mut left) = (vec![0; 8 * 1024], MOST_LINGER);
+    let (mut discarded, mut left) = (vec![0; 8 * 1024], MAX_LINGER_BYTES);
     while left > 0 {
         match socket
             .readable()
             .await
-            .and_then(|()| uninterrupted(|| socket.try_read(&mut scrap)))
+            .and_then(|()| uninterrupted(|| socket.try_read(&mut discarded)))
         {
             Ok(n) if n > 0 => left = left.saturating_sub(n),
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
--- a/src/net/connections.rs
+++ b/src/net/connections.rs
@@ -1,7 +1,7 @@
 //! The client connections that are open, and which of them go where places are short.
 
-use super::framing::{Standing, Watch};
-use super::server::{DAWDLES, SETTLED};
+use super::framing::{ConnectionTracker, RequestPhase};
+use super::server::{MIN_ARRIVAL_BEFORE_EVICTION, MIN_IDLE_BEFORE_EVICTION};
 use crate::counters::Counters;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -32,23 +32,23 @@
 /// The client connections that are open.
 #[derive(Default)]
 pub struct Connections {
-    all: RefCell<BTreeMap<u64, Rc<Watch>>>,
-    next: Cell<u64>,
+    by_id: RefCell<BTreeMap<u64, Rc<ConnectionTracker>>>,
+    next_id: Cell<u64>,
     /// The most that there may be now, where that is less than the listener's own bound.
-    pub(super) most: Cell<Option<usize>>,
+    pub(super) limit: Cell<Option<usize>>,
 }
 
 impl Connections {
     /// How many there are.
     pub fn count(&self) -> usize {
-        self.all.borrow().len()
+        self.by_id.borrow().len()
     }
 
     /// Moves the bound, never above the listener's own. What is idle goes at once, as far as it is over the bound.
-    pub fn bound_to(&self, most: usize, counters: &Counters) {
-        self.most.set(Some(most));
-        for _ in most..self.count() {
-            if !self.make_room(counters) {
+    pub fn set_limit(&self, limit: usize, counters: &Counters) {
+        self.limit.set(Some(limit));
+        for _ in limit..self.count() {
+            if !self.evict_one(counters) {
                 return;
             }
         }
@@ -57,49 +57,55 @@
     /// How many stand how.
     pub fn summary(&self) -> ConnectionSummary {
         let mut summary = ConnectionSummary::default();
-        for watch in self.all.borrow().values() {
-            match watch.standing() {
-                Standing::Idle(_) => summary.idle += 1,
-                Standing::Arriving(_) => summary.arriving += 1,
-                Standing::InHand => summary.in_hand += 1,
+        for tracker in self.by_id.borrow().values() {
+            match tracker.phase() {
+                RequestPhase::Idle(_) => summary.idle += 1,
+                RequestPhase::Arriving(_) => summary.arriving += 1,
+                RequestPhase::InProgress => summary.in_hand += 1,
             }
         }
         summary
     }
 
-    pub(super) fn enter(self: &Rc<Self>, watch: Rc<Watch>) -> Place {
-        let number = self.next.get();
-        self.next.set(number + 1);
-        self.all.borrow_mut().insert(number, watch);
-        Place(self.clone(), number)
+    pub(super) fn register(self: &Rc<Self>, tracker: Rc<ConnectionTracker>) -> ConnectionEntry {
+        let id = self.next_id.get();
+        self.next_id.set(id + 1);
+        self.by_id.borrow_mut().insert(id, tracker);
+        ConnectionEntry(self.clone(), id)
     }
 
     /// Makes room: the longest idle connection goes, else the one that takes longest to send its request. Guards
     /// against clients that connect by the hundred and say nothing, or never all.
-    pub(super) fn make_room(&self, counters: &Counters) -> bool {
-        let all = self.all.borrow();
-        let idle = |w: &Watch| match w.standing() {
-            Standing::Idle(since) => Some((0, since)).filter(|_| since.elapsed() >= SETTLED),
-            Standing::Arriving(since) => Some((1, since)).filter(|_| since.elapsed() >= DAWDLES),
-            Standing::InHand => None,
+    pub(super) fn evict_one(&self, counters: &Counters) -> bool {
+        let trackers = self.by_id.borrow();
+        let eviction_order = |tracker: &ConnectionTracker| match tracker.phase() {
+            RequestPhase::Idle(since) => {
+                Some((0, since)).filter(|_| since.elapsed() >= MIN_IDLE_BEFORE_EVICTION)
+            }
+            RequestPhase::Arriving(since) => {
+                Some((1, since)).filter(|_| since.elapsed() >= MIN_ARRIVAL_BEFORE_EVICTION)
+            }
+            RequestPhase::InProgress => None,
         };
-        let found = all.values().filter(|w| !w.is_unwanted() && !w.is_blocked());
-        let found = found
-            .filter_map(|w| idle(w).map(|since| (since, w)))
-            .min_by_key(|(since, _)| *since);
-        let found = found.inspect(|(_, w)| w.evict());
-        if found.is_some() {
+        let victim = trackers
+            .values()
+            .filter(|tracker| !tracker.is_evicted() && !tracker.is_write_blocked());
+        let victim = victim
+            .filter_map(|tracker| eviction_order(tracker).map(|order| (order, tracker)))
+            .min_by_key(|(order, _)| *order);
+        let victim = victim.inspect(|(_, tracker)| tracker.evict());
+        if victim.is_some() {
             counters.connections_evicted.up();
         }
-        found.is_some()
+        victim.is_some()
     }
 }
 
 /// A connection's place among them, given back when dropped.
-pub(super) struct Place(Rc<Connections>, u64);
+pub(super) struct ConnectionEntry(Rc<Connections>, u64);
 
-impl Drop for Place {
+impl Drop for ConnectionEntry {
     fn drop(&mut self) {
-        self.0.all.borrow_mut().remove(&self.1);
+        self.0.by_id.borrow_mut().remove(&self.1);
     }
 }
--- a/src/net/drain.rs
+++ b/src/net/drain.rs
@@ -6,7 +6,7 @@
 
 /// Connections that were closed sooner would come straight back: a front asks for the health every 0.1 s, and new
 /// connections keep coming for 0.2 s after its first no.
-const FRONT_NOTICES: Duration = Duration::from_millis(400);
+const CLOSE_DELAY: Duration = Duration::from_millis(400);
 
 /// Whether the conductor drains, for whoever switches it and for whoever has to act on it.
 #[derive(Debug)]
@@ -45,31 +45,31 @@
     }
 }
 
-/// Has client connections follow the switch: they are closed in order from `FRONT_NOTICES` after the start of a
+/// Has client connections follow the switch: they are closed in order from `CLOSE_DELAY` after the start of a
 /// drain on, and kept again from its stop on. Nothing moves once the conductor itself ends.
-pub async fn follow(mut switch: watch::Receiver<bool>, stage: watch::Sender<Stage>) {
+pub async fn apply_to_connections(mut switch: watch::Receiver<bool>, stage: watch::Sender<Stage>) {
     while switch.wait_for(|draining| *draining).await.is_ok() {
         log::info!(
             "drain: not ready any more; connections close in {} ms",
-            FRONT_NOTICES.as_millis()
+            CLOSE_DELAY.as_millis()
         );
         let stopped = async |switch: &mut watch::Receiver<bool>| {
             _ = switch.wait_for(|draining| !*draining).await;
         };
-        if tokio::time::timeout(FRONT_NOTICES, stopped(&mut switch))
+        if tokio::time::timeout(CLOSE_DELAY, stopped(&mut switch))
             .await
             .is_err()
         {
-            advance(&stage, Stage::Open, Stage::Draining);
+            advance_stage(&stage, Stage::Open, Stage::Draining);
             stopped(&mut switch).await;
-            advance(&stage, Stage::Draining, Stage::Open);
+            advance_stage(&stage, Stage::Draining, Stage::Open);
         }
         log::info!("drain: over, connections are kept again");
     }
 }
 
 /// Sets the stage, unless it has moved on meanwhile.
-fn advance(stage: &watch::Sender<Stage>, from: Stage, to: Stage) {
+fn advance_stage(stage: &watch::Sender<Stage>, from: Stage, to: Stage) {
     stage.send_if_modified(|now| {
         let is_due = *now == from;
         if is_due {
--- a/src/net/drain/tests.rs
+++ b/src/net/drain/tests.rs
@@ -25,7 +25,10 @@
             switch: DrainSwitch::default(),
             stage: watch::Sender::new(Stage::Open),
         };
-        tokio::task::spawn_local(follow(followed.switch.subscribe(), followed.stage.clone()));
+        tokio::task::spawn_local(apply_to_connections(
+            followed.switch.subscribe(),
+            followed.stage.clone(),
+        ));
         followed
     }
 
@@ -49,7 +52,7 @@
             assert_eq!(followed.stage_after(MOMENT).await, Stage::Open);
             followed.switch.start();
             assert_eq!(
-                followed.stage_after(FRONT_NOTICES - MOMENT).await,
+                followed.stage_after(CLOSE_DELAY - MOMENT).await,
                 Stage::Open
             );
             // A second start doesn't put it off.
@@ -69,14 +72,14 @@
         let followed = Followed::start();
         let mut seen = followed.stage.subscribe();
         followed.switch.start();
-        assert_eq!(followed.stage_after(FRONT_NOTICES / 2).await, Stage::Open);
+        assert_eq!(followed.stage_after(CLOSE_DELAY / 2).await, Stage::Open);
         followed.switch.stop();
-        assert_eq!(followed.stage_after(2 * FRONT_NOTICES).await, Stage::Open);
+        assert_eq!(followed.stage_after(2 * CLOSE_DELAY).await, Stage::Open);
         assert!(!seen.has_changed().unwrap());
         // The next one has its whole time.
         followed.switch.start();
         assert_eq!(
-            followed.stage_after(FRONT_NOTICES - MOMENT).await,
+            followed.stage_after(CLOSE_DELAY - MOMENT).await,
             Stage::Open
         );
         seen.wait_for(|stage| *stage == Stage::Draining)
@@ -88,7 +91,7 @@
 
 /// Guards against a conductor that accepts on though it ends.
 #[rstest::rstest]
-#[case::in_a_drain(true, 2 * FRONT_NOTICES)]
+#[case::in_a_drain(true, 2 * CLOSE_DELAY)]
 #[case::as_a_drain_begins(true, MOMENT)]
 #[case::ahead_of_it(false, MOMENT)]
 #[tokio::test(start_paused = true)]
@@ -101,16 +104,10 @@
         followed.stage_after(since).await;
         followed.stage.send_replace(Stage::Closing);
         for switch in [DrainSwitch::stop, DrainSwitch::start, DrainSwitch::stop] {
-            assert_eq!(
-                followed.stage_after(2 * FRONT_NOTICES).await,
-                Stage::Closing
-            );
+            assert_eq!(followed.stage_after(2 * CLOSE_DELAY).await, Stage::Closing);
             switch(&followed.switch);
         }
-        assert_eq!(
-            followed.stage_after(2 * FRONT_NOTICES).await,
-            Stage::Closing
-        );
+        assert_eq!(followed.stage_after(2 * CLOSE_DELAY).await, Stage::Closing);
     })
     .await;
 }
--- a/src/net/framing/tests.rs
+++ b/src/net/framing/tests.rs
@@ -19,9 +19,9 @@
 ) {
     let wire = format!("\r\nPOST /a:b HTTP/1.1\r\nHost: a\r\n{rest}");
     for cut in 0..wire.len() {
-        let mut scan = Scan::default();
-        scan.take(&wire.as_bytes()[..cut]);
-        scan.take(&wire.as_bytes()[cut..]);
+        let mut scan = FramingScan::default();
+        scan.scan(&wire.as_bytes()[..cut]);
+        scan.scan(&wire.as_bytes()[cut..]);
         assert_eq!(scan.verdicts, wanted, "cut at {cut}");
     }
 }
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -1,11 +1,11 @@
 //! The server side: accepts clients, takes requests in, passes answers on.
 
 use super::LocalBoxFuture;
-use super::client_connection::{Answerer, Answering, serve};
+use super::client_connection::{ResponseFuture, TrackedBody, serve};
 use super::connections::Connections;
 use super::fault::pause_after_accept;
-use super::framing::Watch;
-use super::upgrade::socket::turn_away_new;
+use super::framing::ConnectionTracker;
+use super::upgrade::socket::drop_new_connections;
 use crate::admin::metrics::RequestMetrics;
 use crate::counters::Counters;
 use crate::exchange::Call;
@@ -30,32 +30,32 @@
 use tower::{Service, ServiceBuilder, ServiceExt};
 
 /// Accepts that may fail while what waits is taken at the end.
-const ACCEPTS_AFTER_FAULTS: usize = 64;
+const MAX_ACCEPT_ERRORS_AT_CLOSE: usize = 64;
 /// A client that has said nothing since it connected is let go after this.
-pub(super) const SILENT_CLIENT: Duration = Duration::from_millis(2_200);
+pub(super) const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(2_200);
 /// The same during a drain, where no place is wanted but none may be held for long.
-const LATE_CLIENT: Duration = Duration::from_millis(500);
+const DRAINING_FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
 /// Where places are short, a connection may have to go that has been idle for this long: a client that has just
 /// connected gets to send its request.
-pub(super) const SETTLED: Duration = Duration::from_millis(50);
-/// The same for a request that is still not whole.
-pub(super) const DAWDLES: Duration = Duration::from_millis(400);
+pub(super) const MIN_IDLE_BEFORE_EVICTION: Duration = Duration::from_millis(50);
+/// The same for a request that is still not received.
+pub(super) const MIN_ARRIVAL_BEFORE_EVICTION: Duration = Duration::from_millis(400);
 /// Connections over the bound that are still told so; beyond them, new ones wait in the system's queue.
-pub const OVER: usize = 16;
+pub const MAX_REFUSED_CONNECTIONS: usize = 16;
 /// How long a listener that leaves an address to another one waits for the end of handshakes that had begun.
-const HANDSHAKE: Duration = Duration::from_millis(2);
+const HANDSHAKE_GRACE: Duration = Duration::from_millis(2);
 
 /// The tower service that clients reach.
 #[derive(Clone)]
-pub struct Edge {
+pub struct ClientService {
     /// What all connections share.
     pub shared: Rc<Shared>,
     /// The tool-call front, if configured.
     pub tools: Option<Rc<jsonrpc::Front>>,
 }
 
-impl Edge {
-    fn bad(&self, status: StatusCode, text: &'static str) -> Response<AnswerBody> {
+impl ClientService {
+    fn bad_request(&self, status: StatusCode, text: &'static str) -> Response<AnswerBody> {
         self.shared.counters.bad_requests.up();
         log::debug!("bad request: {text}");
         plain(status, text)
@@ -63,23 +63,24 @@
 
     /// Begins the request_metrics of a request whose head has come; ahead of all that may refuse it.
     fn request_metrics(&self, request: &Request<Incoming>) -> Rc<RequestMetrics> {
-        let asks = request.uri().path() == platform::PATH && request.method() == Method::POST;
-        let class = request.headers().get("x-class").filter(|_| asks);
+        let is_completion =
+            request.uri().path() == platform::PATH && request.method() == Method::POST;
+        let class = request.headers().get("x-class").filter(|_| is_completion);
         let class = class.and_then(|value| value.to_str().ok()).map(str::trim);
         self.shared
             .metrics
             .begin(class, &self.shared.classes.borrow())
     }
 
-    async fn respond(self, arrival: Arrival) -> Response<AnswerBody> {
-        let Arrival {
+    async fn respond(self, arrival: IncomingRequest) -> Response<AnswerBody> {
+        let IncomingRequest {
             request,
-            watch,
+            tracker,
             request_metrics,
         } = arrival;
-        let head = watch.head();
+        let head = tracker.take_head();
         if !head.is_sound {
-            return self.bad(StatusCode::BAD_REQUEST, "ambiguous framing\n");
+            return self.bad_request(StatusCode::BAD_REQUEST, "ambiguous framing\n");
         }
         let waited = head.arrived.elapsed().as_micros() as Micros;
         let arrived = self.shared.dispatcher.clock.now().saturating_sub(waited);
@@ -94,30 +95,30 @@
         }
         if let Some(front) = self.tools.clone().filter(|f| f.path == path) {
             if request.method() != Method::POST {
-                return self.bad(StatusCode::METHOD_NOT_ALLOWED, "wrong method\n");
+                return self.bad_request(StatusCode::METHOD_NOT_ALLOWED, "wrong method\n");
             }
-            return match self.body(request.into_body(), &watch).await {
+            return match self.read_body(request.into_body(), &tracker).await {
                 Ok((body, _held)) => front.respond(body, arrived).await,
                 Err(response) => response,
             };
         }
         match (path, request.method()) {
             (platform::PATH, &Method::POST) => {
-                self.platform(request, arrived, &watch, &request_metrics)
+                self.handle_completion(request, arrived, &tracker, &request_metrics)
                     .await
             }
             (platform::PATH | "/healthz", _) => {
-                self.bad(StatusCode::METHOD_NOT_ALLOWED, "wrong method\n")
+                self.bad_request(StatusCode::METHOD_NOT_ALLOWED, "wrong method\n")
             }
-            _ => self.bad(StatusCode::NOT_FOUND, "no such path\n"),
+            _ => self.bad_request(StatusCode::NOT_FOUND, "no such path\n"),
         }
     }
 
-    async fn platform(
+    async fn handle_completion(
         self,
         request: Request<Incoming>,
         arrived: Micros,
-        watch: &Watch,
+        tracker: &ConnectionTracker,
         request_metrics: &RequestMetrics,
     ) -> Response<AnswerBody> {
         let shared = self.shared.clone();
@@ -128,12 +129,12 @@
         let (head, body) = request.into_parts();
         let mut intake = match platform::decode(&head.headers, arrived) {
             Ok(intake) => intake,
-            Err(what) => return self.bad(StatusCode::BAD_REQUEST, what),
+            Err(what) => return self.bad_request(StatusCode::BAD_REQUEST, what),
         };
         if shared.gate.is_none() && !shared.knows(&intake.ask.class) {
-            return self.bad(StatusCode::BAD_REQUEST, "unknown class\n");
+            return self.bad_request(StatusCode::BAD_REQUEST, "unknown class\n");
         }
-        let (body, mut held) = match self.body(body, watch).await {
+        let (body, mut held) = match self.read_body(body, tracker).await {
             Ok(body) => body,
             Err(response) => return response,
         };
@@ -162,13 +163,13 @@
         };
         // Only now: the classes are those of the epoch it begins under.
         if !shared.knows(&intake.ask.class) {
-            return self.bad(StatusCode::BAD_REQUEST, "unknown class\n");
+            return self.bad_request(StatusCode::BAD_REQUEST, "unknown class\n");
         }
         // Model hosts tell requests apart by their ids: two at once under one would share what is held. An id is in
         // hand until the last attempt and release of its request are over, or another client could send a second
         // copy of a request whose stream still runs.
         if !shared.ids.borrow_mut().insert(intake.id.clone()) {
-            return self.bad(StatusCode::CONFLICT, "a request with this id is in hand\n");
+            return self.bad_request(StatusCode::CONFLICT, "a request with this id is in hand\n");
         }
         let in_hand = InHand::new(shared.clone(), intake.id.clone());
         let target = head
@@ -193,48 +194,50 @@
 
     /// Reads a body whole, within the bounds of its length and of what all bodies may take. Its time is bounded
     /// by the connection's supervisor.
-    async fn body(
+    async fn read_body(
         &self,
         mut body: Incoming,
-        watch: &Watch,
+        tracker: &ConnectionTracker,
     ) -> Result<(Bytes, Held), Response<AnswerBody>> {
-        let too_long = || self.bad(StatusCode::PAYLOAD_TOO_LARGE, "body too long\n");
+        let too_long = || self.bad_request(StatusCode::PAYLOAD_TOO_LARGE, "body too long\n");
         if body.size_hint().lower() > MOST_BODY as u64 {
             return Err(too_long());
         }
-        let (mut whole, mut held) = (BytesMut::new(), Held::new(self.shared.clone()));
+        let (mut received, mut held) = (BytesMut::new(), Held::new(self.shared.clone()));
         while let Some(frame) = body.frame().await {
             let Ok(frame) = frame else {
-                return Err(self.bad(StatusCode::BAD_REQUEST, "body broken\n"));
+                return Err(self.bad_request(StatusCode::BAD_REQUEST, "body broken\n"));
             };
             let Ok(data) = frame.into_data() else {
                 continue;
             };
-            if whole.len() + data.len() > MOST_BODY {
+            if received.len() + data.len() > MOST_BODY {
                 return Err(too_long());
             }
             if !held.grow(data.len()) {
                 self.shared.counters.over_bound.up();
                 return Err(platform::refusal(Some(COME_BACK)));
             }
-            whole.extend_from_slice(&data);
+            received.extend_from_slice(&data);
         }
-        if watch.has_excess() {
-            return Err(self.bad(StatusCode::BAD_REQUEST, "more bytes than the length says\n"));
+        if tracker.has_excess_bytes() {
+            return Err(
+                self.bad_request(StatusCode::BAD_REQUEST, "more bytes than the length says\n")
+            );
         }
-        watch.whole();
-        Ok((whole.freeze(), held))
+        tracker.request_received();
+        Ok((received.freeze(), held))
     }
 }
 
 /// A request whose head has come, and the connection it comes on.
-pub struct Arrival {
+pub struct IncomingRequest {
     request: Request<Incoming>,
-    watch: Rc<Watch>,
+    tracker: Rc<ConnectionTracker>,
     request_metrics: Rc<RequestMetrics>,
 }
 
-impl Service<Arrival> for Edge {
+impl Service<IncomingRequest> for ClientService {
     type Response = Response<AnswerBody>;
     type Error = Infallible;
     type Future = LocalBoxFuture<Result<Self::Response, Infallible>>;
@@ -243,9 +246,9 @@
         Poll::Ready(Ok(()))
     }
 
-    fn call(&mut self, arrival: Arrival) -> Self::Future {
-        let edge = self.clone();
-        Box::pin(async move { Ok(edge.respond(arrival).await) })
+    fn call(&mut self, arrival: IncomingRequest) -> Self::Future {
+        let service = self.clone();
+        Box::pin(async move { Ok(service.respond(arrival).await) })
     }
 }
 
@@ -271,7 +274,7 @@
     }
 
     /// Whether connections that rest are closed.
-    pub(super) fn closes_resting(self) -> bool {
+    pub(super) fn closes_idle(self) -> bool {
         matches!(self, Stage::Draining | Stage::Rejecting | Stage::Closing)
     }
 
@@ -281,11 +284,11 @@
     }
 
     /// How long a connection that has just been accepted is left open without a request.
-    pub(super) fn first_request_within(self) -> Duration {
+    pub(super) fn first_request_timeout(self) -> Duration {
         match self {
-            Stage::Open | Stage::Leaving => SILENT_CLIENT,
-            Stage::Draining | Stage::Rejecting => LATE_CLIENT,
-            Stage::Closing => SETTLED,
+            Stage::Open | Stage::Leaving => FIRST_REQUEST_TIMEOUT,
+            Stage::Draining | Stage::Rejecting => DRAINING_FIRST_REQUEST_TIMEOUT,
+            Stage::Closing => MIN_IDLE_BEFORE_EVICTION,
         }
     }
 }
@@ -293,17 +296,17 @@
 /// Accepts clients until told to stop, at most `bound` at once.
 pub struct Listener {
     /// The service.
-    pub edge: Edge,
-    /// Most client connections; [`OVER`] more are told that there is no room.
-    pub bound: usize,
+    pub service: ClientService,
+    /// Most client connections; [`MAX_REFUSED_CONNECTIONS`] more are told that there is no room.
+    pub max_connections: usize,
     /// Most requests that wait for their first event.
-    pub waiting: usize,
+    pub max_waiting_requests: usize,
     /// Whether connections are kept.
     pub stage: watch::Receiver<Stage>,
     /// Connections that are open.
-    pub open: Rc<Connections>,
+    pub connections: Rc<Connections>,
     /// Whether another process serves the address.
-    pub other_serves: Rc<Cell<bool>>,
+    pub other_process_serves: Rc<Cell<bool>>,
 }
 
 impl Listener {
@@ -313,16 +316,16 @@
         // Over its bound the service refuses: tower's shed turns a full limit into an error, answered below.
         let service = ServiceBuilder::new()
             .load_shed()
-            .concurrency_limit(self.waiting)
-            .service(self.edge.clone());
+            .concurrency_limit(self.max_waiting_requests)
+            .service(self.service.clone());
         let mut stage = self.stage.clone();
         loop {
-            self.room().await;
+            self.wait_for_room().await;
             tokio::select! {
                 biased;
                 _ = stage.wait_for(|s| !s.accepts()) => break,
                 accepted = listener.accept() => match accepted {
-                    Ok((stream, _)) => self.begin(stream, service.clone()),
+                    Ok((stream, _)) => self.serve_connection(stream, service.clone()),
                     Err(error) => self.accept_failed(&error).await,
                 }
             }
@@ -331,33 +334,33 @@
             return;
         };
         // Not by the stage: one that was passed at once is not seen.
-        if self.other_serves.get() {
-            if let Err(error) = turn_away_new(&listener) {
+        if self.other_process_serves.get() {
+            if let Err(error) = drop_new_connections(&listener) {
                 log::warn!("accept: new connections can't be turned away: {error}");
             }
-            self.empty(&listener, &service).await;
+            self.accept_backlog(&listener, &service).await;
             // A handshake that had begun may still end.
-            tokio::time::sleep(HANDSHAKE).await;
+            tokio::time::sleep(HANDSHAKE_GRACE).await;
         }
-        self.empty(&listener, &service).await;
+        self.accept_backlog(&listener, &service).await;
     }
 
     /// Accepts what waits. The system is asked itself: the runtime may not have been told yet of what has come. Not for
     /// ever, though: clients may come without end.
-    async fn empty<S>(&self, listener: &std::net::TcpListener, service: &S)
+    async fn accept_backlog<S>(&self, listener: &std::net::TcpListener, service: &S)
     where
-        S: Service<Arrival, Response = Response<AnswerBody>> + Clone + Unpin + 'static,
+        S: Service<IncomingRequest, Response = Response<AnswerBody>> + Clone + Unpin + 'static,
         S::Future: 'static,
     {
-        let mut attempts_after_faults = ACCEPTS_AFTER_FAULTS;
-        for _ in 0..self.bound + OVER {
-            self.room().await;
+        let mut errors_left = MAX_ACCEPT_ERRORS_AT_CLOSE;
+        for _ in 0..self.max_connections + MAX_REFUSED_CONNECTIONS {
+            self.wait_for_room().await;
             let stream = match listener.accept() {
                 Ok((stream, _)) => stream,
                 Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => return,
                 // Others may wait behind the one that this is about, or there may be room for them in a moment.
-                Err(error) if attempts_after_faults > 0 => {
-                    attempts_after_faults -= 1;
+                Err(error) if errors_left > 0 => {
+                    errors_left -= 1;
                     self.accept_failed(&error).await;
                     continue;
                 }
@@ -367,14 +370,14 @@
                 .set_nonblocking(true)
                 .and_then(|()| TcpStream::from_std(stream))
             {
-                self.begin(stream, service.clone());
+                self.serve_connection(stream, service.clone());
             }
         }
     }
 
     /// Counts a failed accept, and waits where another one at once would fail as well.
     async fn accept_failed(&self, error: &std::io::Error) {
-        let counters = &self.edge.shared.counters;
+        let counters = &self.service.shared.counters;
         let Some(pause) = pause_after_accept(error) else {
             counters.accepts_of_one_failed.up();
             return log::debug!("accept: {error}");
@@ -385,71 +388,81 @@
         tokio::time::sleep(pause).await;
     }
 
-    /// The most connections now, [`OVER`] aside.
-    fn most(&self) -> usize {
-        self.open
-            .most
+    /// The most connections now, [`MAX_REFUSED_CONNECTIONS`] aside.
+    fn current_limit(&self) -> usize {
+        self.connections
+            .limit
             .get()
-            .map_or(self.bound, |most| most.min(self.bound))
+            .map_or(self.max_connections, |limit| {
+                limit.min(self.max_connections)
+            })
     }
 
     /// Waits until there is room for one more connection, if only to be refused.
-    async fn room(&self) {
-        while self.open.count() >= self.most() + OVER {
-            self.open.make_room(&self.edge.shared.counters);
+    async fn wait_for_room(&self) {
+        while self.connections.count() >= self.current_limit() + MAX_REFUSED_CONNECTIONS {
+            self.connections.evict_one(&self.service.shared.counters);
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     }
 
-    fn begin<S>(&self, stream: TcpStream, service: S)
+    fn serve_connection<S>(&self, stream: TcpStream, service: S)
     where
-        S: Service<Arrival, Response = Response<AnswerBody>> + Clone + Unpin + 'static,
+        S: Service<IncomingRequest, Response = Response<AnswerBody>> + Clone + Unpin + 'static,
         S::Future: 'static,
     {
-        let counters = self.edge.shared.counters.clone();
+        let counters = self.service.shared.counters.clone();
         counters.connections_in.up();
-        let watch = Watch::new();
-        let place = self.open.enter(watch.clone());
+        let tracker = ConnectionTracker::new();
+        let entry = self.connections.register(tracker.clone());
         // Room is made before there is none: clients that keep their connections for good must not leave a burst
         // to those that are refused.
-        let crowded = self.open.count() > self.most() * 3 / 4;
-        let over = crowded && !self.open.make_room(&counters) && self.open.count() > self.most();
-        if over {
+        let is_nearly_full = self.connections.count() > self.current_limit() * 3 / 4;
+        let is_over_limit = is_nearly_full
+            && !self.connections.evict_one(&counters)
+            && self.connections.count() > self.current_limit();
+        if is_over_limit {
             counters.connections_over_bound.up();
         }
-        let (stage, room) = (self.stage.clone(), Held::new(self.edge.shared.clone()));
-        let edge = self.edge.clone();
+        let (stage, room) = (self.stage.clone(), Held::new(self.service.shared.clone()));
+        let edge = self.service.clone();
         tokio::task::spawn_local(async move {
-            let _place = place;
-            let (seen, count, now) = (watch.clone(), counters.clone(), stage.clone());
-            let answer = move |request: Request<Incoming>| -> Answerer {
-                let (service, watch, counters, stage) =
-                    (service.clone(), seen.clone(), count.clone(), now.clone());
+            let _entry = entry;
+            let (request_tracker, request_counters, request_stage) =
+                (tracker.clone(), counters.clone(), stage.clone());
+            let answer = move |request: Request<Incoming>| -> ResponseFuture {
+                let (service, tracker, counters, stage) = (
+                    service.clone(),
+                    request_tracker.clone(),
+                    request_counters.clone(),
+                    request_stage.clone(),
+                );
                 let edge = edge.clone();
                 Box::pin(async move {
                     let request_metrics = edge.request_metrics(&request);
-                    let arrival = Arrival {
+                    let arrival = IncomingRequest {
                         request,
-                        watch: watch.clone(),
+                        tracker: tracker.clone(),
                         request_metrics: request_metrics.clone(),
                     };
-                    let mut response = if over {
+                    let mut response = if is_over_limit {
                         platform::refusal(Some(COME_BACK))
                     } else {
-                        answer_always(service.oneshot(arrival), &counters).await
+                        respond_always(service.oneshot(arrival), &counters).await
                     };
-                    if over || watch.is_spent() || !stage.borrow().keeps_connections() {
+                    if is_over_limit || tracker.must_close() || !stage.borrow().keeps_connections()
+                    {
                         let close = hyper::header::HeaderValue::from_static("close");
                         response.headers_mut().insert("connection", close);
                     }
-                    Ok(Answering::new(response, watch, request_metrics))
+                    Ok(TrackedBody::new(response, tracker, request_metrics))
                 })
             };
             serve(
                 stream,
                 hyper::service::service_fn(answer),
                 stage,
-                &watch,
+                &tracker,
                 room,
                 &counters,
             )
@@ -460,7 +473,7 @@
 
 /// The service's answer; a refusal where it has no room, and a failure where it panics: a request that was read is
 /// never left without an answer.
-async fn answer_always<E>(
+async fn respond_always<E>(
     answering: impl Future<Output = Result<Response<AnswerBody>, E>>,
     counters: &Counters,
 ) -> Response<AnswerBody> {
--- a/src/net/shutdown_stages.rs
+++ b/src/net/shutdown_stages.rs
@@ -2,19 +2,19 @@
 
 use super::connections::Connections;
 use super::server::Stage;
-use crate::shutdown::{ACCEPT_FOR, ADMIT_FOR, Shutdown};
+use crate::shutdown::{ACCEPT_PERIOD, ADMISSION_PERIOD, Shutdown};
 use std::cell::Cell;
 use std::time::Duration;
 use tokio::sync::watch;
 
 /// How often another process at the address is looked for.
-const LOOK_FOR_SUCCESSOR: Duration = Duration::from_millis(10);
+const SUCCESSOR_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Moves connections on from the request to stop up to [`Stage::Closing`]. A listener is left at once where another process
 /// serves its address.
-pub async fn follow(
+pub async fn advance_stages(
     shutdown: &Shutdown,
-    other_serves: &Cell<bool>,
+    other_process_serves: &Cell<bool>,
     connections: &Connections,
     stage: &watch::Sender<Stage>,
 ) {
@@ -29,15 +29,15 @@
     };
     tokio::select! {
         biased;
-        () = successor(other_serves) => {
+        () = wait_for_successor(other_process_serves) => {
             enter(Stage::Leaving);
-            shutdown.reach(ADMIT_FOR).await;
+            shutdown.wait_until(ADMISSION_PERIOD).await;
         }
-        () = shutdown.reach(ADMIT_FOR) => {
+        () = shutdown.wait_until(ADMISSION_PERIOD) => {
             enter(Stage::Rejecting);
             tokio::select! {
-                () = shutdown.reach(ACCEPT_FOR) => {}
-                () = successor(other_serves) => {}
+                () = shutdown.wait_until(ACCEPT_PERIOD) => {}
+                () = wait_for_successor(other_process_serves) => {}
             }
         }
     }
@@ -45,9 +45,9 @@
 }
 
 /// Waits until another process serves the address.
-async fn successor(other_serves: &Cell<bool>) {
-    while !other_serves.get() {
-        tokio::time::sleep(LOOK_FOR_SUCCESSOR).await;
+async fn wait_for_successor(other_process_serves: &Cell<bool>) {
+    while !other_process_serves.get() {
+        tokio::time::sleep(SUCCESSOR_POLL_INTERVAL).await;
     }
 }
 
--- a/src/net/shutdown_stages/tests.rs
+++ b/src/net/shutdown_stages/tests.rs
@@ -9,11 +9,11 @@
 async fn stages(successor_after: Option<Duration>, seen_after: Duration) -> Vec<(Stage, u128)> {
     let request = StopRequest::default();
     let began = Instant::now();
-    request.note(began.into_std());
+    request.record(began.into_std());
     let shutdown = Shutdown::new(request, Clock::start());
     tokio::time::advance(seen_after).await;
     let (stage, mut stages) = watch::channel(Stage::Open);
-    let other_serves = Cell::new(false);
+    let other_process_serves = Cell::new(false);
     let connections = Connections::default();
     let mut entered = Vec::new();
     let record = async {
@@ -28,11 +28,11 @@
     let start_successor = async {
         if let Some(after) = successor_after {
             tokio::time::sleep_until(began + after).await;
-            other_serves.set(true);
+            other_process_serves.set(true);
         }
     };
     tokio::join!(
-        follow(&shutdown, &other_serves, &connections, &stage),
+        advance_stages(&shutdown, &other_process_serves, &connections, &stage),
         record,
         start_successor
     );
--- a/src/net/upgrade.rs
+++ b/src/net/upgrade.rs
@@ -11,13 +11,13 @@
 
 use super::connections::Connections;
 use super::pool::Pool;
-use super::server::OVER;
+use super::server::MAX_REFUSED_CONNECTIONS;
 use crate::config::ConfigError;
 use crate::dispatch::DispatcherEvent;
 use crate::front::shared::{Held, Shared};
-use lock_file::{Claim, Phase, Seat, SeatError};
-use share::{Shares, Split};
-use slow_start::SlowStartRight;
+use lock_file::{LockFile, LockFileError, ProcessPhase, ProcessStatus};
+use share::{DescriptorLimit, SocketSplit};
+use slow_start::SlowStartPermission;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::path::Path;
@@ -27,45 +27,48 @@
 use tokio::time::Instant;
 
 /// How often the other process is looked at.
-const LOOK: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// The same while this process waits for something of the other one.
-const LOOK_CLOSELY: Duration = Duration::from_millis(10);
+const WAIT_POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// How long a start waits for a seat, and then for descriptors, that an earlier upgrade still holds.
-const SEAT_WAIT: Duration = Duration::from_secs(5);
+const STARTUP_WAIT: Duration = Duration::from_secs(5);
 /// How long a start waits for discovery's list where the list of its configuration would do. Discovery's agent is on the
 /// same machine and answers at once; it tells nothing where nothing has changed.
-const LIST_WAIT: Duration = Duration::from_millis(300);
+const DISCOVERY_LIST_WAIT: Duration = Duration::from_millis(300);
 
 /// This process's part in the service of an address.
-pub enum Place {
+pub enum AddressOwnership {
     /// No second process can serve the address.
     Exclusive,
     /// Another process can come, or is there.
-    Shared(Seat),
+    Shared(LockFile),
 }
 
-impl Place {
+impl AddressOwnership {
     /// Takes a seat for an address. Port 0 is a new address each time, so there is nothing to share.
     ///
     /// # Errors
     /// Two other processes hold the seats, for longer than an upgrade takes.
-    pub async fn take(folder: &Path, address: SocketAddr) -> Result<Place, ConfigError> {
+    pub async fn acquire(
+        folder: &Path,
+        address: SocketAddr,
+    ) -> Result<AddressOwnership, ConfigError> {
         if address.port() == 0 {
-            return Ok(Place::Exclusive);
+            return Ok(AddressOwnership::Exclusive);
         }
         let begun = Instant::now();
         loop {
-            match Seat::take(folder, address) {
-                Ok(seat) => return Ok(Place::Shared(seat)),
-                Err(SeatError::Taken) if begun.elapsed() < SEAT_WAIT => {
-                    tokio::time::sleep(LOOK_CLOSELY).await;
+            match LockFile::acquire(folder, address) {
+                Ok(lock_file) => return Ok(AddressOwnership::Shared(lock_file)),
+                Err(LockFileError::AllHeld) if begun.elapsed() < STARTUP_WAIT => {
+                    tokio::time::sleep(WAIT_POLL_INTERVAL).await;
                 }
-                Err(error @ SeatError::Taken) => {
+                Err(error @ LockFileError::AllHeld) => {
                     return Err(ConfigError(format!("listen {address}: {error}")));
                 }
                 Err(error) => {
                     log::warn!("upgrade: {error}; no second process can serve {address}");
-                    return Ok(Place::Exclusive);
+                    return Ok(AddressOwnership::Exclusive);
                 }
             }
         }
@@ -75,25 +78,28 @@
     ///
     /// # Errors
     /// The other process leaves too few.
-    pub async fn first_share(&self, shares: Shares) -> Result<(usize, bool), ConfigError> {
-        let Place::Shared(seat) = self else {
-            return Ok((shares.whole(), false));
+    pub async fn initial_share(
+        &self,
+        limit: DescriptorLimit,
+    ) -> Result<(usize, bool), ConfigError> {
+        let AddressOwnership::Shared(lock_file) = self else {
+            return Ok((limit.total(), false));
         };
         let begun = Instant::now();
         loop {
-            let other = seat.other();
-            if let Some(first) = shares.first(other) {
-                seat.tell(Claim {
-                    phase: Phase::Starting,
+            let other = lock_file.other_process();
+            if let Some(first) = limit.initial_share(other) {
+                lock_file.publish(ProcessStatus {
+                    phase: ProcessPhase::Starting,
                     sockets: first,
                 });
                 return Ok((first, other.is_some()));
             }
-            if begun.elapsed() >= SEAT_WAIT {
+            if begun.elapsed() >= STARTUP_WAIT {
                 let what = "the process that serves already holds nearly all descriptors";
                 return Err(ConfigError(format!("limits.sockets: {what}")));
             }
-            tokio::time::sleep(LOOK_CLOSELY).await;
+            tokio::time::sleep(WAIT_POLL_INTERVAL).await;
         }
     }
 
@@ -104,55 +110,55 @@
     pub fn listen_alone(&self, address: SocketAddr) -> std::io::Result<TcpListener> {
         let alone = socket::listen(address, false)?;
         match self {
-            Place::Exclusive => Ok(alone),
-            Place::Shared(_) => {
-                // Whoever shares no seats with this process must not be joined.
+            AddressOwnership::Exclusive => Ok(alone),
+            AddressOwnership::Shared(_) => {
+                // Whoever limit no seats with this process must not be joined.
                 drop(alone);
                 socket::listen(address, true)
             }
         }
     }
 
-    /// What the other process says of itself, while it holds its seat.
-    pub fn other(&self) -> Option<Claim> {
+    /// What the other process says of itself, while it holds its lock_file.
+    pub fn other_process(&self) -> Option<ProcessStatus> {
         match self {
-            Place::Exclusive => None,
-            Place::Shared(seat) => seat.other(),
+            AddressOwnership::Exclusive => None,
+            AddressOwnership::Shared(lock_file) => lock_file.other_process(),
         }
     }
 }
 
 /// What two processes share out between them, as far as this one holds it.
-pub struct Sharing {
-    /// The seat.
-    pub place: Place,
+pub struct LimitSharing {
+    /// The lock_file.
+    pub ownership: AddressOwnership,
     /// The limits of both.
-    pub shares: Shares,
+    pub limit: DescriptorLimit,
     /// Descriptors for everything that is neither a client nor a model host.
-    pub spare: usize,
+    pub reserved: usize,
     /// Connections to model hosts.
     pub pool: Pool,
     /// Connections of clients.
-    pub open: Rc<Connections>,
+    pub connections: Rc<Connections>,
     /// The budget of bodies.
     pub shared: Rc<Shared>,
     /// Bytes of bodies that are left to the other process while there is one.
-    pub left_to_other: usize,
+    pub body_bytes_for_other: usize,
     /// How far this process is.
-    pub phase: Cell<Phase>,
+    pub phase: Cell<ProcessPhase>,
     /// Whether the other process serves.
-    pub other_serves: Rc<Cell<bool>>,
+    pub other_process_serves: Rc<Cell<bool>>,
     /// Whether this process may send to model hosts in slow start.
-    pub slow_start: RefCell<SlowStartRight>,
+    pub slow_start: RefCell<SlowStartPermission>,
 }
 
-impl Sharing {
-    /// Looks after the shares for good.
-    pub async fn look_after(self: Rc<Self>) {
+impl LimitSharing {
+    /// Looks after the limit for good.
+    pub async fn run(self: Rc<Self>) {
         let mut budget: Option<Held> = None;
         let mut had_other = false;
         loop {
-            let has_other = self.look();
+            let has_other = self.update();
             if std::mem::replace(&mut had_other, has_other) != has_other {
                 self.report(has_other);
             }
@@ -160,56 +166,63 @@
                 budget = None;
             } else if budget.is_none() {
                 let mut part = Held::new(self.shared.clone());
-                budget = part.grow(self.left_to_other).then_some(part);
+                budget = part.grow(self.body_bytes_for_other).then_some(part);
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
     /// Says how far this process is, and looks at the other one at once.
-    pub fn enter(&self, phase: Phase) {
+    pub fn enter_phase(&self, phase: ProcessPhase) {
         self.phase.set(phase);
-        self.look();
+        self.update();
     }
 
     /// Waits until this process can serve beside the other one: hosts are known and, for a while, until discovery has
-    /// told its list. A process that can't serve never listens, so the system hands it nothing. When the other one has
+    /// published its list. A process that can't serve never listens, so the system hands it nothing. When the other one has
     /// gone there is nothing to wait for.
-    pub async fn wait_to_serve(&self, able: impl Fn() -> bool, has_list: impl Fn() -> bool) {
+    pub async fn wait_until_able_to_serve(
+        &self,
+        able: impl Fn() -> bool,
+        has_list: impl Fn() -> bool,
+    ) {
         let begun = Instant::now();
-        while self.place.other().is_some() {
-            let is_patient = begun.elapsed() < LIST_WAIT;
+        while self.ownership.other_process().is_some() {
+            let is_patient = begun.elapsed() < DISCOVERY_LIST_WAIT;
             if able() && (has_list() || !is_patient) {
                 return;
             }
-            tokio::time::sleep(LOOK_CLOSELY).await;
+            tokio::time::sleep(WAIT_POLL_INTERVAL).await;
         }
     }
 
     /// Moves the bounds to what the other process leaves; whether there is one.
-    fn look(&self) -> bool {
-        let other = self.place.other();
+    fn update(&self) -> bool {
+        let other = self.ownership.other_process();
         let right = self
             .slow_start
             .borrow_mut()
-            .update(self.phase.get(), other.map(|claim| claim.phase));
+            .update(self.phase.get(), other.map(|status| status.phase));
         if let Some(allowed) = right {
             self.shared
                 .dispatcher
                 .tell(DispatcherEvent::SlowStart { allowed });
         }
-        let Place::Shared(seat) = &self.place else {
+        let AddressOwnership::Shared(lock_file) = &self.ownership else {
             return false;
         };
-        self.other_serves
-            .set(other.is_some_and(|claim| claim.phase == Phase::Serving));
-        let split = Split::of(self.shares.target(other), self.spare);
+        self.other_process_serves
+            .set(other.is_some_and(|status| status.phase == ProcessPhase::Serving));
+        let split = SocketSplit::of_share(self.limit.target_share(other), self.reserved);
         self.pool.resize(split.hosts);
-        self.open
-            .bound_to(split.clients - OVER, &self.shared.counters);
+        self.connections.set_limit(
+            split.clients - MAX_REFUSED_CONNECTIONS,
+            &self.shared.counters,
+        );
         // What is in hand can't be given back: the other process learns what is held, not what is aimed at.
-        let sockets = self.spare + self.pool.size() + self.open.count().max(split.clients);
-        seat.tell(Claim {
+        let sockets =
+            self.reserved + self.pool.size() + self.connections.count().max(split.clients);
+        lock_file.publish(ProcessStatus {
             phase: self.phase.get(),
             sockets,
         });
--- a/src/net/upgrade/lock_file.rs
+++ b/src/net/upgrade/lock_file.rs
@@ -11,13 +11,13 @@
 use std::str::FromStr;
 
 /// The first word of a seat's line.
-const MARK: &str = "whinhaven-seat-1";
+const MAGIC: &str = "whinhaven-seat-1";
 /// A line is filled up to this length, so that each one replaces the one before as a whole.
-const LINE: usize = 64;
+const LINE_BYTES: usize = 64;
 
 /// How far a process is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Phase {
+pub enum ProcessPhase {
     /// It doesn't listen yet.
     Starting,
     /// It serves.
@@ -26,11 +26,11 @@
     Stopping,
 }
 
-impl Phase {
-    const ALL: [(Phase, &str); 3] = [
-        (Phase::Starting, "starting"),
-        (Phase::Serving, "serving"),
-        (Phase::Stopping, "stopping"),
+impl ProcessPhase {
+    const ALL: [(ProcessPhase, &str); 3] = [
+        (ProcessPhase::Starting, "starting"),
+        (ProcessPhase::Serving, "serving"),
+        (ProcessPhase::Stopping, "stopping"),
     ];
 
     fn word(self) -> &'static str {
@@ -43,9 +43,9 @@
 
 /// What a process says of itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Claim {
+pub struct ProcessStatus {
     /// How far it is.
-    pub phase: Phase,
+    pub phase: ProcessPhase,
     /// The most descriptors that it may hold.
     pub sockets: usize,
 }
@@ -53,58 +53,58 @@
 /// A seat's line is none that this version writes.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 #[error("not a seat's line")]
-pub struct NoClaim;
+pub struct InvalidStatus;
 
-impl FromStr for Claim {
-    type Err = NoClaim;
+impl FromStr for ProcessStatus {
+    type Err = InvalidStatus;
 
-    fn from_str(line: &str) -> Result<Self, NoClaim> {
+    fn from_str(line: &str) -> Result<Self, InvalidStatus> {
         let words: Vec<&str> = line.split_whitespace().collect();
-        let [MARK, phase, sockets] = words[..] else {
-            return Err(NoClaim);
+        let [MAGIC, phase, sockets] = words[..] else {
+            return Err(InvalidStatus);
         };
-        let (phase, _) = Phase::ALL
+        let (phase, _) = ProcessPhase::ALL
             .into_iter()
             .find(|(_, word)| *word == phase)
-            .ok_or(NoClaim)?;
-        let sockets = sockets.parse().map_err(|_| NoClaim)?;
-        Ok(Claim { phase, sockets })
+            .ok_or(InvalidStatus)?;
+        let sockets = sockets.parse().map_err(|_| InvalidStatus)?;
+        Ok(ProcessStatus { phase, sockets })
     }
 }
 
-impl std::fmt::Display for Claim {
+impl std::fmt::Display for ProcessStatus {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "{MARK} {} {}", self.phase.word(), self.sockets)
+        write!(f, "{MAGIC} {} {}", self.phase.word(), self.sockets)
     }
 }
 
-/// Why there is no seat.
+/// Why there is no lock_file.
 #[derive(Debug, thiserror::Error)]
-pub enum SeatError {
+pub enum LockFileError {
     /// Two processes hold them.
     #[error("two other processes serve there")]
-    Taken,
+    AllHeld,
     /// A file can't be used.
     #[error("{0}: {1}")]
     Unusable(PathBuf, io::Error),
 }
 
 /// A seat that this process holds.
-pub struct Seat {
+pub struct LockFile {
     own: File,
     other: File,
     other_path: PathBuf,
-    told: Cell<Option<Claim>>,
+    published: Cell<Option<ProcessStatus>>,
     /// Content of the other's file that was reported as unreadable.
-    reported: RefCell<String>,
+    reported_error: RefCell<String>,
 }
 
-impl Seat {
+impl LockFile {
     /// Takes the free seat of an address.
     ///
     /// # Errors
     /// There is none.
-    pub fn take(folder: &Path, address: SocketAddr) -> Result<Seat, SeatError> {
+    pub fn acquire(folder: &Path, address: SocketAddr) -> Result<LockFile, LockFileError> {
         let paths = [0, 1].map(|number| folder.join(format!("whinhaven-{address}.seat{number}")));
         for (own, other) in [(0, 1), (1, 0)] {
             let file = open(&paths[own])?;
@@ -112,43 +112,43 @@
                 Ok(()) => {}
                 Err(TryLockError::WouldBlock) => continue,
                 Err(TryLockError::Error(error)) => {
-                    return Err(SeatError::Unusable(paths[own].clone(), error));
+                    return Err(LockFileError::Unusable(paths[own].clone(), error));
                 }
             }
-            let seat = Seat {
+            let lock_file = LockFile {
                 own: file,
                 other: open(&paths[other])?,
                 other_path: paths[other].clone(),
-                told: Cell::default(),
-                reported: RefCell::default(),
+                published: Cell::default(),
+                reported_error: RefCell::default(),
             };
-            seat.tell(Claim {
-                phase: Phase::Starting,
+            lock_file.publish(ProcessStatus {
+                phase: ProcessPhase::Starting,
                 sockets: 0,
             });
-            return Ok(seat);
+            return Ok(lock_file);
         }
-        Err(SeatError::Taken)
+        Err(LockFileError::AllHeld)
     }
 
     /// Says how far this process is.
-    pub fn tell(&self, claim: Claim) {
-        if self.told.replace(Some(claim)) == Some(claim) {
+    pub fn publish(&self, status: ProcessStatus) {
+        if self.published.replace(Some(status)) == Some(status) {
             return;
         }
-        let line = format!("{:<width$}\n", claim.to_string(), width = LINE - 1);
+        let line = format!("{:<width$}\n", status.to_string(), width = LINE_BYTES - 1);
         let written = self
             .own
             .write_all_at(line.as_bytes(), 0)
-            .and_then(|()| self.own.set_len(LINE as u64));
+            .and_then(|()| self.own.set_len(LINE_BYTES as u64));
         if let Err(error) = written {
             log::warn!("upgrade: own seat not written: {error}");
-            self.told.set(None);
+            self.published.set(None);
         }
     }
 
     /// What the process in the other seat says of itself; `None` without one.
-    pub fn other(&self) -> Option<Claim> {
+    pub fn other_process(&self) -> Option<ProcessStatus> {
         match self.other.try_lock_shared() {
             Ok(()) => {
                 let _ = self.other.unlock();
@@ -163,14 +163,14 @@
     }
 
     /// A process whose line can't be read is taken for one that has just begun.
-    fn read_other(&self) -> Claim {
-        let mut line = [0; LINE];
+    fn read_other(&self) -> ProcessStatus {
+        let mut line = [0; LINE_BYTES];
         let length = self.other.read_at(&mut line, 0).unwrap_or(0);
         let text = String::from_utf8_lossy(&line[..length]);
-        text.parse().unwrap_or_else(|error: NoClaim| {
+        text.parse().unwrap_or_else(|error: InvalidStatus| {
             self.report_unreadable(&error.to_string());
-            Claim {
-                phase: Phase::Starting,
+            ProcessStatus {
+                phase: ProcessPhase::Starting,
                 sockets: 0,
             }
         })
@@ -178,13 +178,13 @@
 
     /// Logs one line for each thing that is wrong, not one for each look.
     fn report_unreadable(&self, what: &str) {
-        if self.reported.replace(what.to_owned()) != what {
+        if self.reported_error.replace(what.to_owned()) != what {
             log::warn!("upgrade: {}: {what}; ignored", self.other_path.display());
         }
     }
 }
 
-fn open(path: &Path) -> Result<File, SeatError> {
+fn open(path: &Path) -> Result<File, LockFileError> {
     let mut options = OpenOptions::new();
     options
         .read(true)
@@ -194,7 +194,7 @@
         .mode(0o600);
     options
         .open(path)
-        .map_err(|error| SeatError::Unusable(path.to_owned(), error))
+        .map_err(|error| LockFileError::Unusable(path.to_owned(), error))
 }
 
 #[cfg(test)]
--- a/src/net/upgrade/lock_file/tests.rs
+++ b/src/net/upgrade/lock_file/tests.rs
@@ -12,8 +12,8 @@
         Folder(path)
     }
 
-    fn take(&self) -> Result<Seat, SeatError> {
-        Seat::take(&self.0, ADDRESS.parse().unwrap())
+    fn take(&self) -> Result<LockFile, LockFileError> {
+        LockFile::acquire(&self.0, ADDRESS.parse().unwrap())
     }
 
     fn file(&self, number: usize) -> PathBuf {
@@ -33,31 +33,31 @@
 fn two_processes_hear_each_other_and_a_third_has_no_seat() {
     let folder = Folder::new("two");
     let first = folder.take().unwrap();
-    assert_eq!(first.other(), None);
+    assert_eq!(first.other_process(), None);
     let second = folder.take().unwrap();
-    assert!(matches!(folder.take(), Err(SeatError::Taken)));
+    assert!(matches!(folder.take(), Err(LockFileError::AllHeld)));
     assert_eq!(
-        first.other(),
-        Some(Claim {
-            phase: Phase::Starting,
+        first.other_process(),
+        Some(ProcessStatus {
+            phase: ProcessPhase::Starting,
             sockets: 0
         })
     );
-    for claim in [
-        Claim {
-            phase: Phase::Serving,
+    for status in [
+        ProcessStatus {
+            phase: ProcessPhase::Serving,
             sockets: 1024,
         },
-        Claim {
-            phase: Phase::Stopping,
+        ProcessStatus {
+            phase: ProcessPhase::Stopping,
             sockets: 7,
         },
     ] {
-        second.tell(claim);
-        assert_eq!(first.other(), Some(claim));
+        second.publish(status);
+        assert_eq!(first.other_process(), Some(status));
     }
     drop(second);
-    assert_eq!(first.other(), None);
+    assert_eq!(first.other_process(), None);
     drop(first);
     assert!(folder.take().is_ok());
 }
@@ -66,8 +66,8 @@
 fn another_address_has_seats_of_its_own() {
     let folder = Folder::new("address");
     let _first = folder.take().unwrap();
-    let other = Seat::take(&folder.0, "127.0.0.1:8001".parse().unwrap()).unwrap();
-    assert_eq!(other.other(), None);
+    let other = LockFile::acquire(&folder.0, "127.0.0.1:8001".parse().unwrap()).unwrap();
+    assert_eq!(other.other_process(), None);
 }
 
 #[rstest]
@@ -79,17 +79,17 @@
 #[case::more("whinhaven-seat-1 serving 5 5")]
 #[case::other_version("whinhaven-seat-2 serving 5")]
 fn a_line_that_is_no_claim_counts_for_nothing(#[case] line: &str) {
-    assert_eq!(line.parse::<Claim>(), Err(NoClaim));
+    assert_eq!(line.parse::<ProcessStatus>(), Err(InvalidStatus));
     let folder = Folder::new(&format!("line-{}", line.len()));
     std::fs::write(folder.file(1), line).unwrap();
     let first = folder.take().unwrap();
-    assert_eq!(first.other(), None, "nobody holds it");
+    assert_eq!(first.other_process(), None, "nobody holds it");
     let foreign = File::open(folder.file(1)).unwrap();
     foreign.lock().unwrap();
     assert_eq!(
-        first.other(),
-        Some(Claim {
-            phase: Phase::Starting,
+        first.other_process(),
+        Some(ProcessStatus {
+            phase: ProcessPhase::Starting,
             sockets: 0
         })
     );
@@ -100,12 +100,12 @@
     let folder = Folder::new("stale");
     std::fs::write(folder.file(1), "whinhaven-seat-1 serving 1024\n").unwrap();
     let first = folder.take().unwrap();
-    assert_eq!(first.other(), None);
+    assert_eq!(first.other_process(), None);
     let second = folder.take().unwrap();
     assert_eq!(
-        first.other(),
-        Some(Claim {
-            phase: Phase::Starting,
+        first.other_process(),
+        Some(ProcessStatus {
+            phase: ProcessPhase::Starting,
             sockets: 0
         })
     );
@@ -116,5 +116,7 @@
 fn what_is_no_file_is_said_to_be_unusable() {
     let folder = Folder::new("folder");
     std::fs::create_dir(folder.file(0)).unwrap();
-    assert!(matches!(folder.take(), Err(SeatError::Unusable(path, _)) if path == folder.file(0)));
+    assert!(
+        matches!(folder.take(), Err(LockFileError::Unusable(path, _)) if path == folder.file(0))
+    );
 }
--- a/src/net/upgrade/share.rs
+++ b/src/net/upgrade/share.rs
@@ -4,65 +4,65 @@
 //! hand allows, and says in its seat what it keeps; the new one takes what that leaves, a half at the most. As only
 //! the new one takes more while both are there, the sum stays within the limit.
 
-use super::lock_file::Claim;
-use crate::net::server::OVER;
+use super::lock_file::ProcessStatus;
+use crate::net::server::MAX_REFUSED_CONNECTIONS;
 
-/// The fewest sockets beside the spare ones with which a second process can serve: some of each side.
-const LEAST: usize = 4 * OVER;
+/// The fewest sockets beside the reserved ones with which a second process can serve: some of each side.
+const MIN_SERVING_SOCKETS: usize = 4 * MAX_REFUSED_CONNECTIONS;
 
 /// The limit that the processes share.
 #[derive(Clone, Copy, Debug)]
-pub struct Shares {
-    whole: usize,
-    spare: usize,
+pub struct DescriptorLimit {
+    total: usize,
+    reserved: usize,
 }
 
-impl Shares {
+impl DescriptorLimit {
     /// Of a limit, with the descriptors of each process that are neither a client's nor a model host's.
-    pub fn new(whole: usize, spare: usize) -> Self {
-        Shares { whole, spare }
+    pub fn new(total: usize, reserved: usize) -> Self {
+        DescriptorLimit { total, reserved }
     }
 
     /// The whole limit.
-    pub fn whole(&self) -> usize {
-        self.whole
+    pub fn total(&self) -> usize {
+        self.total
     }
 
     /// What a process may begin with beside the other one; `None` while that is too little to serve.
-    pub fn first(&self, other: Option<Claim>) -> Option<usize> {
-        let first = self.target(other);
-        (first >= self.least()).then_some(first)
+    pub fn initial_share(&self, other: Option<ProcessStatus>) -> Option<usize> {
+        let first = self.target_share(other);
+        (first >= self.min_share()).then_some(first)
     }
 
     /// What a process is to hold at the most. One that has more in hand comes down to it as that ends.
-    pub fn target(&self, other: Option<Claim>) -> usize {
-        let Some(claim) = other else {
-            return self.whole;
+    pub fn target_share(&self, other: Option<ProcessStatus>) -> usize {
+        let Some(status) = other else {
+            return self.total;
         };
-        let left = self.whole.saturating_sub(claim.sockets);
-        left.min(self.whole / 2)
+        let left = self.total.saturating_sub(status.sockets);
+        left.min(self.total / 2)
     }
 
-    fn least(&self) -> usize {
-        self.spare + LEAST
+    fn min_share(&self) -> usize {
+        self.reserved + MIN_SERVING_SOCKETS
     }
 }
 
 /// How the descriptors of one process are split.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Split {
+pub struct SocketSplit {
     /// Connections to model hosts.
     pub hosts: usize,
     /// Connections of clients, those that are refused for want of room included.
     pub clients: usize,
 }
 
-impl Split {
+impl SocketSplit {
     /// Every request in hand may hold a socket of either side; clients that say nothing hold some more of theirs.
-    pub fn of(share: usize, spare: usize) -> Self {
-        let sockets = share.saturating_sub(spare).max(LEAST);
+    pub fn of_share(share: usize, reserved: usize) -> Self {
+        let sockets = share.saturating_sub(reserved).max(MIN_SERVING_SOCKETS);
         let hosts = sockets * 9 / 20;
-        Split {
+        SocketSplit {
             hosts,
             clients: sockets - hosts,
         }
--- a/src/net/upgrade/slow_start/tests.rs
+++ b/src/net/upgrade/slow_start/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
-use Phase::{Serving, Starting, Stopping};
+use ProcessPhase::{Serving, Starting, Stopping};
 
 /// A stop finishes what was taken, also where all that could take it is in slow start.
 #[test]
 fn a_process_alone_keeps_the_right_while_it_stops() {
-    let mut right = SlowStartRight::new(false);
+    let mut right = SlowStartPermission::new(false);
     assert_eq!(right.update(Starting, None), Some(true));
     assert_eq!(right.update(Serving, None), None);
     assert_eq!(right.update(Stopping, None), None);
@@ -12,7 +12,10 @@
 
 #[test]
 fn a_process_that_stops_gives_the_right_up_when_a_successor_appears() {
-    let (mut older, mut newer) = (SlowStartRight::new(false), SlowStartRight::new(true));
+    let (mut older, mut newer) = (
+        SlowStartPermission::new(false),
+        SlowStartPermission::new(true),
+    );
     assert_eq!(older.update(Stopping, None), Some(true));
     assert_eq!(older.update(Stopping, Some(Starting)), Some(false));
     assert_eq!(newer.update(Starting, Some(Stopping)), Some(true));
@@ -20,7 +23,10 @@
 
 #[test]
 fn the_newer_process_gets_the_right_when_the_older_one_stops() {
-    let (mut older, mut newer) = (SlowStartRight::new(false), SlowStartRight::new(true));
+    let (mut older, mut newer) = (
+        SlowStartPermission::new(false),
+        SlowStartPermission::new(true),
+    );
     assert_eq!(older.update(Serving, None), Some(true));
     assert_eq!(newer.update(Starting, Some(Serving)), Some(false));
     assert_eq!(older.update(Serving, Some(Serving)), None);
@@ -32,7 +38,7 @@
 
 #[test]
 fn the_newer_process_gets_the_right_when_the_older_one_is_gone() {
-    let mut newer = SlowStartRight::new(true);
+    let mut newer = SlowStartPermission::new(true);
     assert_eq!(newer.update(Starting, Some(Serving)), Some(false));
     assert_eq!(newer.update(Serving, None), Some(true));
 }
--- a/src/net/upgrade/socket.rs
+++ b/src/net/upgrade/socket.rs
@@ -12,14 +12,14 @@
 ///
 /// # Errors
 /// The system's.
-pub fn listen(address: SocketAddr, beside: bool) -> io::Result<TcpListener> {
+pub fn listen(address: SocketAddr, reuse_port: bool) -> io::Result<TcpListener> {
     let socket = Socket::new(
         Domain::for_address(address),
         Type::STREAM,
         Some(Protocol::TCP),
     )?;
     socket.set_reuse_address(true)?;
-    socket.set_reuse_port(beside)?;
+    socket.set_reuse_port(reuse_port)?;
     socket.set_nonblocking(true)?;
     socket.bind(&address.into())?;
     socket.listen(BACKLOG)?;
@@ -32,7 +32,7 @@
 ///
 /// # Errors
 /// The system's: it knows no packet filters. New connections come as before then.
-pub fn turn_away_new(listener: &std::net::TcpListener) -> io::Result<()> {
+pub fn drop_new_connections(listener: &std::net::TcpListener) -> io::Result<()> {
     const LOAD_BYTE: u16 = 0x30;
     const AND: u16 = 0x54;
     const JUMP_IF_EQUAL: u16 = 0x15;
--- a/src/net/upgrade/socket/tests.rs
+++ b/src/net/upgrade/socket/tests.rs
@@ -35,7 +35,7 @@
     let (first, second) = pair().await;
     let address = first.local_addr().unwrap();
     let first = first.into_std().unwrap();
-    turn_away_new(&first).unwrap();
+    drop_new_connections(&first).unwrap();
     let clients: Vec<Socket> = (0..CLIENTS).map(|_| begin(address)).collect();
     assert_eq!(
         first.accept().unwrap_err().kind(),
@@ -56,7 +56,7 @@
         .map(|_| begin(first.local_addr().unwrap()))
         .collect();
     let (first, second) = (first.into_std().unwrap(), second.into_std().unwrap());
-    turn_away_new(&first).unwrap();
+    drop_new_connections(&first).unwrap();
     let count =
         |listener: &std::net::TcpListener| std::iter::from_fn(|| listener.accept().ok()).count();
     let counts = [count(&first), count(&second)];
--- a/src/net/upgrade/tests.rs
+++ b/src/net/upgrade/tests.rs
@@ -2,8 +2,8 @@
 use std::path::PathBuf;
 
 const ADDRESS: &str = "127.0.0.1:8000";
-const WHOLE: usize = 1024;
-const SPARE: usize = 24;
+const TOTAL: usize = 1024;
+const RESERVED: usize = 24;
 
 /// A folder of its own for a test, removed with it.
 struct Folder(PathBuf);
@@ -16,12 +16,12 @@
         Folder(path)
     }
 
-    async fn place(&self) -> Result<Place, ConfigError> {
-        Place::take(&self.0, ADDRESS.parse().unwrap()).await
+    async fn place(&self) -> Result<AddressOwnership, ConfigError> {
+        AddressOwnership::acquire(&self.0, ADDRESS.parse().unwrap()).await
     }
 
-    fn seat(&self) -> Seat {
-        Seat::take(&self.0, ADDRESS.parse().unwrap()).unwrap()
+    fn seat(&self) -> LockFile {
+        LockFile::acquire(&self.0, ADDRESS.parse().unwrap()).unwrap()
     }
 }
 
@@ -38,38 +38,38 @@
     let refused = folder.place().await.err().unwrap();
     assert!(refused.0.contains("two other processes"), "{refused}");
     let (third, ()) = tokio::join!(folder.place(), async {
-        tokio::time::sleep(SEAT_WAIT / 2).await;
+        tokio::time::sleep(STARTUP_WAIT / 2).await;
         drop(first);
     });
-    assert!(matches!(third, Ok(Place::Shared(_))));
+    assert!(matches!(third, Ok(AddressOwnership::Shared(_))));
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_start_waits_until_the_running_process_has_given_way() {
     let folder = Folder::new("way");
     let running = folder.seat();
-    running.tell(Claim {
-        phase: Phase::Serving,
-        sockets: WHOLE,
+    running.publish(ProcessStatus {
+        phase: ProcessPhase::Serving,
+        sockets: TOTAL,
     });
     let place = folder.place().await.unwrap();
-    let shares = Shares::new(WHOLE, SPARE);
-    let refused = place.first_share(shares).await.unwrap_err();
+    let limit = DescriptorLimit::new(TOTAL, RESERVED);
+    let refused = place.initial_share(limit).await.unwrap_err();
     assert!(refused.0.starts_with("limits.sockets"), "{refused}");
-    let (first, ()) = tokio::join!(place.first_share(shares), async {
-        tokio::time::sleep(SEAT_WAIT / 2).await;
-        running.tell(Claim {
-            phase: Phase::Serving,
-            sockets: WHOLE * 3 / 4,
+    let (first, ()) = tokio::join!(place.initial_share(limit), async {
+        tokio::time::sleep(STARTUP_WAIT / 2).await;
+        running.publish(ProcessStatus {
+            phase: ProcessPhase::Serving,
+            sockets: TOTAL * 3 / 4,
         });
     });
-    assert_eq!(first.unwrap(), (WHOLE / 4, true));
-    let told = running.other().unwrap();
+    assert_eq!(first.unwrap(), (TOTAL / 4, true));
+    let published = running.other_process().unwrap();
     assert_eq!(
-        told,
-        Claim {
-            phase: Phase::Starting,
-            sockets: WHOLE / 4
+        published,
+        ProcessStatus {
+            phase: ProcessPhase::Starting,
+            sockets: TOTAL / 4
         }
     );
 }
@@ -79,7 +79,10 @@
     let folder = Folder::new("alone");
     let place = folder.place().await.unwrap();
     assert_eq!(
-        place.first_share(Shares::new(WHOLE, SPARE)).await.unwrap(),
-        (WHOLE, false)
+        place
+            .initial_share(DescriptorLimit::new(TOTAL, RESERVED))
+            .await
+            .unwrap(),
+        (TOTAL, false)
     );
 }
--- a/src/reload.rs
+++ b/src/reload.rs
@@ -14,7 +14,7 @@
     /// Where the configuration is read.
     pub source: ConfigSource,
     /// The configuration in force.
-    pub held: Config,
+    pub current: Config,
     /// Tells of discovery's address.
     pub discovery: watch::Sender<Option<SocketAddr>>,
     /// Tells of settings.
@@ -36,25 +36,25 @@
             }
         };
         self.counters.reloads.up();
-        let fixed = self.held.differences(&new);
-        if !fixed.is_empty() {
+        let not_reloadable = self.current.differences(&new);
+        if !not_reloadable.is_empty() {
             log::warn!(
                 "reload: a new {} counts from the next start on",
-                fixed.join(", ")
+                not_reloadable.join(", ")
             );
         }
-        self.take(new);
+        self.apply(new);
     }
 
     fn load(&self) -> Result<Config, ConfigError> {
         let new = self.source.load()?;
-        self.held.check_replacement(&new)?;
+        self.current.check_replacement(&new)?;
         Ok(new)
     }
 
-    fn take(&mut self, new: Config) {
-        let before = self.held.settings.clone();
-        match self.held.replace_with(new) {
+    fn apply(&mut self, new: Config) {
+        let before = self.current.settings.clone();
+        match self.current.replace_with(new) {
             SettingsChange::None => {}
             SettingsChange::New(settings) => {
                 log::info!(
@@ -71,10 +71,10 @@
     }
 
     fn move_discovery(&self) {
-        let address = self.held.discovery;
+        let address = self.current.discovery;
         let moved = self
             .discovery
-            .send_if_modified(|at| std::mem::replace(at, address) != address);
+            .send_if_modified(|current| std::mem::replace(current, address) != address);
         match address {
             Some(address) if moved => log::info!("reload: discovery is now at {address}"),
             None if moved => log::info!("reload: no discovery any more; the list stands"),
--- a/src/run.rs
+++ b/src/run.rs
@@ -32,21 +32,21 @@
 use whinhaven::net::discovery::{Directory, Follower, Weigh};
 use whinhaven::net::drain::{self, DrainSwitch};
 use whinhaven::net::pool::Pool;
-use whinhaven::net::server::{Edge, Listener, OVER, Stage};
-use whinhaven::net::upgrade::lock_file::Phase;
-use whinhaven::net::upgrade::share::{Shares, Split};
-use whinhaven::net::upgrade::slow_start::SlowStartRight;
-use whinhaven::net::upgrade::{self, Place, Sharing};
+use whinhaven::net::server::{ClientService, Listener, MAX_REFUSED_CONNECTIONS, Stage};
+use whinhaven::net::upgrade::lock_file::ProcessPhase;
+use whinhaven::net::upgrade::share::{DescriptorLimit, SocketSplit};
+use whinhaven::net::upgrade::slow_start::SlowStartPermission;
+use whinhaven::net::upgrade::{self, AddressOwnership, LimitSharing};
 use whinhaven::routing::types::{EndpointUpdate, Role, WorkerId};
-use whinhaven::shutdown::{ACCEPT_FOR, ADMIT_FOR, Shutdown};
+use whinhaven::shutdown::{ACCEPT_PERIOD, ADMISSION_PERIOD, Shutdown};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// How often idle connections are looked at.
-const RETIRE: Duration = Duration::from_millis(500);
+const POOL_CLEANUP_INTERVAL: Duration = Duration::from_millis(500);
 /// The list of the configuration is the first that is taken; the next is of discovery.
-const LISTS_OF_ITS_OWN: u64 = 1;
+const CONFIGURED_LISTS: u64 = 1;
 /// Descriptors for everything that is neither a client nor a model host.
-const SPARE_SOCKETS: usize = 24;
+const RESERVED_SOCKETS: usize = 24;
 
 /// Reads a file.
 ///
@@ -105,7 +105,7 @@
 }
 
 /// A number that no other start of any process draws.
-fn random() -> u64 {
+fn random_seed() -> u64 {
     RandomState::new().hash_one(std::process::id())
 }
 
@@ -115,7 +115,7 @@
 /// Why it could not begin.
 pub fn serve(source: ConfigSource) -> Result<(), ConfigError> {
     // Before anything else: until it is taken over, SIGHUP ends the process.
-    let signals = Signals::take_over().map_err(|e| ConfigError(format!("signals: {e}")))?;
+    let signals = Signals::install().map_err(|e| ConfigError(format!("signals: {e}")))?;
     let config = source.load()?;
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -125,8 +125,8 @@
     runtime.block_on(local.run_until(run(config, source, signals)))
 }
 
-/// The duty of one conductor for all: asks discovery for its whole list once a period, while it holds the lease.
-async fn refresh(fleet: Fleet, period: Duration, fetch: impl Fn()) {
+/// The duty of one conductor for all: asks discovery for its whole list once a period, while it serves_if_running the lease.
+async fn refresh_list_under_lease(fleet: Fleet, period: Duration, fetch: impl Fn()) {
     let lease = LeaseName::try_from("discovery-refresh").expect("a name");
     fleet.want(lease.clone()).await;
     let mut periods = tokio::time::interval(period);
@@ -138,7 +138,7 @@
 }
 
 /// Logs the counters.
-fn report(counters: &Counters, fleet: Option<&Fleet>) {
+fn log_counters(counters: &Counters, fleet: Option<&Fleet>) {
     log::info!("counters: {counters}");
     if let Some(fleet) = fleet {
         log::info!("fleet counters: {}", fleet.counters());
@@ -146,7 +146,7 @@
 }
 
 /// Binds the admin endpoint.
-async fn listen_for_operators(address: SocketAddr) -> Result<TcpListener, ConfigError> {
+async fn bind_admin_listener(address: SocketAddr) -> Result<TcpListener, ConfigError> {
     TcpListener::bind(address)
         .await
         .map_err(|e| ConfigError(format!("ops {address}: {e}")))
@@ -158,12 +158,12 @@
     signals: Signals,
 ) -> Result<(), ConfigError> {
     // A member of a fleet is known to the others by its peer address, which two processes can't share.
-    let place = match config.fleet {
-        None => Place::take(&std::env::temp_dir(), config.listen).await?,
-        Some(_) => Place::Exclusive,
+    let ownership = match config.fleet {
+        None => AddressOwnership::acquire(&std::env::temp_dir(), config.listen).await?,
+        Some(_) => AddressOwnership::Exclusive,
     };
     let admin_listener = match config.ops {
-        Some(ops) => Some(listen_for_operators(ops).await?),
+        Some(ops) => Some(bind_admin_listener(ops).await?),
         None => None,
     };
     let counters = Rc::new(Counters::default());
@@ -173,36 +173,40 @@
     let live = LiveSettings::new(dispatcher.clone());
     let settings = config.settings.clone();
     // Every request in hand may hold a socket of either side; clients that say nothing hold some more of theirs.
-    let spare = SPARE_SOCKETS
+    let reserved = RESERVED_SOCKETS
         + admin_listener.as_ref().map_or(0, |_| ADMIN_SOCKETS)
         + config.tools.as_ref().map_or(0, |t| t.max_calls_at_once)
         + config
             .fleet
             .as_ref()
             .map_or(0, whinhaven::fleet::config::FleetConfig::sockets);
-    let shares = Shares::new(config.limits.sockets, spare);
-    let Split {
-        hosts: to_hosts,
-        clients: to_clients,
-    } = Split::of(shares.whole(), spare);
-    if to_hosts < 64 {
+    let limit = DescriptorLimit::new(config.limits.sockets, reserved);
+    let SocketSplit {
+        hosts: host_sockets,
+        clients: client_sockets,
+    } = SocketSplit::of_share(limit.total(), reserved);
+    if host_sockets < 64 {
         return Err(ConfigError(format!(
             "limits.sockets: {} are too few",
             config.limits.sockets
         )));
     }
-    let (first_share, beside) = place.first_share(shares).await?;
-    let not_bound = |e: std::io::Error| ConfigError(format!("listen {}: {e}", config.listen));
-    let listener = if beside {
+    let (initial_share, other_exists) = ownership.initial_share(limit).await?;
+    let listen_error = |e: std::io::Error| ConfigError(format!("listen {}: {e}", config.listen));
+    let listener = if other_exists {
         None
     } else {
-        Some(place.listen_alone(config.listen).map_err(not_bound)?)
+        Some(
+            ownership
+                .listen_alone(config.listen)
+                .map_err(listen_error)?,
+        )
     };
     // What conductors draw by chance has to differ between them, also where no file states a seed.
     let own_seed = xxh3_64_with_seed(config.name.as_bytes(), config.seed);
     let connect_timeout = Duration::from_micros(settings.connect_timeout.max(10_000));
     let pool = Pool::new(
-        Split::of(first_share, spare).hosts,
+        SocketSplit::of_share(initial_share, reserved).hosts,
         connect_timeout,
         config.idle_close / 3,
         counters.clone(),
@@ -220,17 +224,17 @@
         late_arrivals: Rc::default(),
     };
     // Before the fleet begins: it would wait for this member meanwhile.
-    let own = config
+    let own_site = config
         .fleet
         .as_ref()
         .and_then(|f| config.sites.as_ref()?.site(f.site.as_str()));
-    let plans = match (own, config.sites.clone()) {
+    let site_plans = match (own_site, config.sites.clone()) {
         (Some(own), Some(tables)) => {
-            let plans = Sites::plan(tables)
+            let site_plans = Sites::plan(tables)
                 .await
                 .map_err(|e| ConfigError(format!("sites: {e}")))?;
-            log::info!("sites: plans {:016x}", plans.fingerprint());
-            Some((own, plans))
+            log::info!("sites: plans {:016x}", site_plans.fingerprint());
+            Some((own, site_plans))
         }
         _ => None,
     };
@@ -238,8 +242,8 @@
         Some(settings) => Some(transport::start(settings, clock, config.seed).await?),
         None => None,
     };
-    let sites = match (&fleet, plans) {
-        (Some(fleet), Some((own, plans))) => {
+    let sites = match (&fleet, site_plans) {
+        (Some(fleet), Some((own, site_plans))) => {
             let seen = Seen {
                 directory: directory.clone(),
                 dispatcher: dispatcher.clone(),
@@ -249,7 +253,7 @@
                 fleet.clone(),
                 clock,
                 seen,
-                plans,
+                site_plans,
                 own,
                 own_seed,
             ))
@@ -281,10 +285,15 @@
     };
     if let Some(work) = &work {
         let (directory, kinds) = (directory.clone(), settings.kinds.clone());
-        let reads = Box::new(move |worker: &WorkerId| {
+        let is_prefill_worker = Box::new(move |worker: &WorkerId| {
             directory.role(worker, &kinds) == Some(Role::Prefill)
         });
-        outbound = Recording::start(outbound, work.clone(), dispatcher.clone(), reads);
+        outbound = Recording::start(
+            outbound,
+            work.clone(),
+            dispatcher.clone(),
+            is_prefill_worker,
+        );
     }
     let driver = Dispatcher::new(
         settings.clone(),
@@ -318,30 +327,37 @@
     };
     follower.take(std::mem::take(&mut config.known), EndpointUpdate::Restored);
     tokio::task::spawn_local(driver.run(queue));
-    let (discovery, address_told) = watch::channel(config.discovery);
-    tokio::task::spawn_local(follower.follow(address_told));
+    let (discovery, discovery_addresses) = watch::channel(config.discovery);
+    tokio::task::spawn_local(follower.follow(discovery_addresses));
     let drain = Rc::new(DrainSwitch::default());
     let stopping = Rc::new(Cell::new(false));
-    let (listening, other_serves) = (Rc::new(Cell::new(false)), Rc::new(Cell::new(false)));
-    let able = {
+    let (listening, other_process_serves) = (Rc::new(Cell::new(false)), Rc::new(Cell::new(false)));
+    let has_workers = {
         let (directory, kinds) = (directory.clone(), settings.kinds.clone());
         Rc::new(move || directory.can_serve(&kinds))
     };
-    let holds = {
-        let (able, listening, gate) = (able.clone(), listening.clone(), gate.clone());
+    let serves_if_running = {
+        let (has_workers, listening, gate) = (has_workers.clone(), listening.clone(), gate.clone());
         Rc::new(move || {
-            listening.get() && able() && gate.as_ref().is_none_or(|gate| gate.is_ready())
+            listening.get() && has_workers() && gate.as_ref().is_none_or(|gate| gate.is_ready())
         })
     };
     let can_serve = {
-        let (holds, stopping) = (holds.clone(), stopping.clone());
-        move || holds() && !stopping.get()
+        let (serves_if_running, stopping) = (serves_if_running.clone(), stopping.clone());
+        move || serves_if_running() && !stopping.get()
     };
     let ready = {
-        let (stopping, other_serves, drain) =
-            (stopping.clone(), other_serves.clone(), drain.clone());
+        let (stopping, other_process_serves, drain) = (
+            stopping.clone(),
+            other_process_serves.clone(),
+            drain.clone(),
+        );
         // Clients ask at the address. It is served on where another process stays there.
-        move || holds() && (!stopping.get() || other_serves.get()) && !drain.is_draining()
+        move || {
+            serves_if_running()
+                && (!stopping.get() || other_process_serves.get())
+                && !drain.is_draining()
+        }
     };
     let may_serve: Box<dyn Fn() -> bool> = match fleet.clone() {
         Some(fleet) => Box::new(move || fleet.may_serve()),
@@ -349,7 +365,11 @@
     };
     if let (Some(fleet), Some(settings)) = (&fleet, &config.fleet) {
         let period = Duration::from_millis(settings.refresh_period_ms);
-        tokio::task::spawn_local(refresh(fleet.clone(), period, refresh_list));
+        tokio::task::spawn_local(refresh_list_under_lease(
+            fleet.clone(),
+            period,
+            refresh_list,
+        ));
     }
     let shared = Rc::new(Shared {
         dispatcher,
@@ -391,73 +411,76 @@
         tokio::task::spawn_local(admin_server.serve(listener));
     }
     // Ids of sends at model hosts: of this start alone, or two conductors, or two lives of one, would share what is held.
-    let seed = xxh3_64_with_seed(config.name.as_bytes(), config.seed ^ random());
+    let seed = xxh3_64_with_seed(config.name.as_bytes(), config.seed ^ random_seed());
     let tools = {
         let front = |t| Front::new(shared.clone(), t, connect_timeout, seed, work.clone());
         config.tools.clone().map(front)
     };
     let front = tools.clone();
     let (stage, stages) = watch::channel(Stage::Open);
-    tokio::task::spawn_local(drain::follow(drain.subscribe(), stage.clone()));
-    let open = Rc::new(Connections::default());
-    let bound = to_clients - OVER;
-    let sharing = Rc::new(Sharing {
-        place,
-        shares,
-        spare,
+    tokio::task::spawn_local(drain::apply_to_connections(
+        drain.subscribe(),
+        stage.clone(),
+    ));
+    let connections = Rc::new(Connections::default());
+    let max_connections = client_sockets - MAX_REFUSED_CONNECTIONS;
+    let sharing = Rc::new(LimitSharing {
+        ownership,
+        limit,
+        reserved,
         pool: pool.clone(),
-        open: open.clone(),
-        left_to_other: shared.budget.get() / 2,
+        connections: connections.clone(),
+        body_bytes_for_other: shared.budget.get() / 2,
         shared: shared.clone(),
-        phase: Cell::new(Phase::Starting),
-        other_serves: other_serves.clone(),
-        slow_start: RefCell::new(SlowStartRight::new(beside)),
+        phase: Cell::new(ProcessPhase::Starting),
+        other_process_serves: other_process_serves.clone(),
+        slow_start: RefCell::new(SlowStartPermission::new(other_exists)),
     });
-    tokio::task::spawn_local(sharing.clone().look_after());
+    tokio::task::spawn_local(sharing.clone().run());
     let listener = if let Some(listener) = listener {
         listener
     } else {
-        let has_list = || config.discovery.is_none() || counters.lists.get() > LISTS_OF_ITS_OWN;
+        let has_list = || config.discovery.is_none() || counters.lists.get() > CONFIGURED_LISTS;
         tokio::select! {
-            () = sharing.wait_to_serve(&*able, has_list) => {}
+            () = sharing.wait_until_able_to_serve(&*has_workers, has_list) => {}
             () = signals.stop.notified() => return Ok(()),
         }
-        upgrade::socket::listen(config.listen, true).map_err(not_bound)?
+        upgrade::socket::listen(config.listen, true).map_err(listen_error)?
     };
-    let address = listener.local_addr().map_err(not_bound)?;
+    let address = listener.local_addr().map_err(listen_error)?;
     listening.set(true);
-    sharing.enter(Phase::Serving);
+    sharing.enter_phase(ProcessPhase::Serving);
     let accepting = Listener {
-        edge: Edge { shared, tools },
-        bound,
-        waiting: bound,
+        service: ClientService { shared, tools },
+        max_connections,
+        max_waiting_requests: max_connections,
         stage: stages,
-        open: open.clone(),
-        other_serves: other_serves.clone(),
+        connections: connections.clone(),
+        other_process_serves: other_process_serves.clone(),
     };
     let accepting = tokio::task::spawn_local(accepting.accept(listener));
     log::info!(
         "{} serves on {}, {} sockets for clients and {} for model hosts",
         config.name,
         address,
-        to_clients,
-        to_hosts
+        client_sockets,
+        host_sockets
     );
 
     let mut reload = Reload {
         source,
-        held: config,
+        current: config,
         discovery,
         live,
         counters: counters.clone(),
     };
-    let mut retire = tokio::time::interval(RETIRE);
+    let mut pool_cleanup = tokio::time::interval(POOL_CLEANUP_INTERVAL);
     loop {
         tokio::select! {
             () = signals.stop.notified() => break,
-            () = signals.report.notified() => report(&counters, fleet.as_ref()),
+            () = signals.report.notified() => log_counters(&counters, fleet.as_ref()),
             () = signals.reload.notified() => reload.run(),
-            _ = retire.tick() => {
+            _ = pool_cleanup.tick() => {
                 pool.retire();
                 if let Some(front) = &front {
                     front.tidy();
@@ -465,21 +488,21 @@
             }
         }
     }
-    sharing.enter(Phase::Stopping);
-    if other_serves.get() {
+    sharing.enter_phase(ProcessPhase::Stopping);
+    if other_process_serves.get() {
         log::info!("stopping: another process serves {address}; this one leaves it");
     } else {
         log::info!(
             "stopping: requests are admitted up to {} ms after the signal, connections accepted up to {} ms",
-            ADMIT_FOR.as_millis(),
-            ACCEPT_FOR.as_millis()
+            ADMISSION_PERIOD.as_millis(),
+            ACCEPT_PERIOD.as_millis()
         );
     }
     stopping.set(true);
-    let ending = GracefulShutdown {
+    let graceful_shutdown = GracefulShutdown {
         shutdown,
-        other_serves,
-        connections: open,
+        other_process_serves,
+        connections,
         stage,
         accepting,
         pool,
@@ -488,13 +511,13 @@
         work,
         front,
     };
-    let ending = ending.run();
-    tokio::pin!(ending);
+    let graceful_shutdown = graceful_shutdown.run();
+    tokio::pin!(graceful_shutdown);
     // What was taken may run on for long: the list has to follow discovery meanwhile.
     loop {
         tokio::select! {
-            () = &mut ending => break,
-            () = signals.report.notified() => report(&counters, fleet.as_ref()),
+            () = &mut graceful_shutdown => break,
+            () = signals.report.notified() => log_counters(&counters, fleet.as_ref()),
             () = signals.reload.notified() => reload.run(),
         }
     }
--- a/src/shutdown.rs
+++ b/src/shutdown.rs
@@ -11,9 +11,9 @@
 
 /// How long requests are admitted after the request to stop. New connections keep coming for up to 400 ms, and what comes
 /// within 700 ms may be cut by SIGKILL; the process may notice the signal 150 ms late.
-pub const ADMIT_FOR: Duration = Duration::from_millis(500);
-/// How long new connections are accepted after the request to stop. After [`ADMIT_FOR`] their requests are rejected.
-pub const ACCEPT_FOR: Duration = Duration::from_millis(700);
+pub const ADMISSION_PERIOD: Duration = Duration::from_millis(500);
+/// How long new connections are accepted after the request to stop. After [`ADMISSION_PERIOD`] their requests are rejected.
+pub const ACCEPT_PERIOD: Duration = Duration::from_millis(700);
 
 /// When the process was asked to stop, if it was. Written by the thread that waits for signals, read by all others.
 #[derive(Clone, Debug, Default)]
@@ -21,7 +21,7 @@
 
 impl StopRequest {
     /// Notes a request to stop that came at this moment. The first one counts.
-    pub fn note(&self, at: Instant) {
+    pub fn record(&self, at: Instant) {
         let _ = self.0.set(at);
     }
 }
@@ -75,7 +75,7 @@
     /// It came too late to be answered before the process is killed.
     pub fn permit_admission(&self) -> Result<AdmissionPermit, AdmissionDenial> {
         match self.elapsed() {
-            Some(since_request) if since_request >= ADMIT_FOR => {
+            Some(since_request) if since_request >= ADMISSION_PERIOD => {
                 Err(AdmissionDenial { since_request })
             }
             _ => Ok(AdmissionPermit(())),
@@ -83,7 +83,7 @@
     }
 
     /// Waits until `span` after the request to stop; without one, forever.
-    pub async fn reach(&self, span: Duration) {
+    pub async fn wait_until(&self, span: Duration) {
         let at = self
             .requested_at()
             .map(|at| at + span.as_micros() as Micros);
--- a/src/shutdown/tests.rs
+++ b/src/shutdown/tests.rs
@@ -13,15 +13,15 @@
 
 fn stopping(at: Instant, clock: Clock) -> Shutdown {
     let request = StopRequest::default();
-    request.note(at);
+    request.record(at);
     Shutdown::new(request, clock)
 }
 
 #[rstest]
 #[case::at_once(Duration::ZERO, true)]
 #[case::last_new_connections(NEW_CONNECTIONS_FOR, true)]
-#[case::last_admitted(ADMIT_FOR - Duration::from_millis(1), true)]
-#[case::late(ADMIT_FOR, false)]
+#[case::last_admitted(ADMISSION_PERIOD - Duration::from_millis(1), true)]
+#[case::late(ADMISSION_PERIOD, false)]
 #[case::near_the_kill(Duration::from_millis(3_600), false)]
 #[tokio::test(start_paused = true)]
 async fn admission_ends_a_fixed_time_after_the_request_to_stop(
@@ -57,9 +57,9 @@
 async fn a_span_of_the_shutdown_runs_from_the_request_to_stop() {
     let clock = Clock::start();
     let shutdown = stopping(tokio::time::Instant::now().into_std(), clock);
-    advance(ACCEPT_FOR).await;
-    assert!(shutdown.has_lasted(ACCEPT_FOR));
-    assert!(!shutdown.has_lasted(ACCEPT_FOR + Duration::from_millis(1)));
+    advance(ACCEPT_PERIOD).await;
+    assert!(shutdown.has_lasted(ACCEPT_PERIOD));
+    assert!(!shutdown.has_lasted(ACCEPT_PERIOD + Duration::from_millis(1)));
     let running = Shutdown::new(StopRequest::default(), clock);
     assert!(!running.has_lasted(Duration::ZERO));
 }
@@ -68,8 +68,8 @@
 async fn the_first_request_to_stop_counts() {
     let request = StopRequest::default();
     let first = Instant::now();
-    request.note(first);
-    request.note(first + Duration::from_secs(1));
+    request.record(first);
+    request.record(first + Duration::from_secs(1));
     assert_eq!(request.0.get(), Some(&first));
 }
 
@@ -77,6 +77,6 @@
 /// connections.
 #[test]
 fn the_span_covers_new_connections_and_a_stall() {
-    const { assert!(ADMIT_FOR.as_millis() > NEW_CONNECTIONS_FOR.as_millis()) };
-    const { assert!(ADMIT_FOR.as_millis() + MAX_STALL.as_millis() < LATE_FROM.as_millis()) };
+    const { assert!(ADMISSION_PERIOD.as_millis() > NEW_CONNECTIONS_FOR.as_millis()) };
+    const { assert!(ADMISSION_PERIOD.as_millis() + MAX_STALL.as_millis() < LATE_FROM.as_millis()) };
 }
--- a/src/signals.rs
+++ b/src/signals.rs
@@ -29,7 +29,7 @@
     ///
     /// # Errors
     /// The system refuses, or has no thread for it.
-    pub fn take_over() -> std::io::Result<Signals> {
+    pub fn install() -> std::io::Result<Signals> {
         let set: SigSet = [
             Signal::SIGTERM,
             Signal::SIGINT,
@@ -40,20 +40,20 @@
         .collect();
         set.thread_block()?;
         let signals = Signals::default();
-        let told = signals.clone();
+        let receiver = signals.clone();
         std::thread::Builder::new()
             .name("signals".to_owned())
-            .spawn(move || told.follow(&set))?;
+            .spawn(move || receiver.run(&set))?;
         Ok(signals)
     }
 
-    fn follow(&self, set: &SigSet) {
+    fn run(&self, set: &SigSet) {
         loop {
             match set.wait() {
                 Ok(Signal::SIGHUP) => self.reload.notify_one(),
                 Ok(Signal::SIGUSR1) => self.report.notify_one(),
                 Ok(_) => {
-                    self.stop_request.note(Instant::now());
+                    self.stop_request.record(Instant::now());
                     self.stop.notify_one();
                 }
                 Err(Errno::EINTR) => {}
