--- a/src/live_settings.rs
+++ b/src/live_settings.rs
@@ -1,6 +1,6 @@
-//! The one way by which settings change while the process runs.
+//! The only way in which settings change while the process runs.
 //!
-//! A policy epoch of the fleet and a configuration read at SIGHUP both end in [`LiveSettings::replace`].
+//! A policy epoch of the fleet and a configuration reloaded at SIGHUP both end in [`LiveSettings::replace`].
 
 use crate::dispatch::{DispatcherEvent, DispatcherHandle};
 use crate::routing::types::RoutingConfig;
@@ -9,14 +9,14 @@
 
 type Subscriber = Box<dyn Fn(&RoutingConfig)>;
 
-/// Tells every part that follows the settings of new ones.
+/// Distributes new settings to every part that uses them.
 pub struct LiveSettings {
     dispatcher: DispatcherHandle,
     subscribers: RefCell<Vec<Subscriber>>,
 }
 
 impl LiveSettings {
-    /// Settings of which the dispatcher is told; others follow by [`LiveSettings::on_change`].
+    /// Creates a distributor that notifies the dispatcher; other parts subscribe with [`LiveSettings::on_change`].
     pub fn new(dispatcher: DispatcherHandle) -> Rc<Self> {
         Rc::new(LiveSettings {
             dispatcher,
@@ -24,13 +24,13 @@
         })
     }
 
-    /// Has a function called with all settings to come.
+    /// Registers a function that is called with all later settings.
     pub fn on_change(&self, subscriber: impl Fn(&RoutingConfig) + 'static) {
         self.subscribers.borrow_mut().push(Box::new(subscriber));
     }
 
-    /// Puts new settings into force. The core reads its inputs in order: requests handed to it before this
-    /// keep their rules, those handed to it afterwards begin under the new ones.
+    /// Puts new settings into force. The dispatcher processes its inputs in order: requests submitted before this
+    /// call keep the old settings, those submitted after it use the new ones.
     pub fn replace(&self, settings: RoutingConfig) {
         self.subscribers
             .borrow()
--- a/src/net/client_connection.rs
+++ b/src/net/client_connection.rs
@@ -1,4 +1,4 @@
-//! One client's connection, from its accept to its close: serves the requests on it, and closes it where
+//! One client connection from accept to close: serves its requests, and closes it when
 //! [`crate::routing::policy::close_permit`] permits it.
 
 use super::LocalBoxFuture;
@@ -29,27 +29,29 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// A request has this long to come whole, from its first byte and, the first on a connection, from the accept on.
-/// Progress doesn't renew it: half a head, half a body and a drip without end all hold a place.
+/// Time for a request to arrive completely, counted from its first byte; for the first request on a connection, from
+/// the accept. Progress does not extend it: a partial head, a partial body and a body sent one byte at a time all
+/// occupy a connection.
 const REQUEST_ARRIVAL_TIMEOUT: Duration = Duration::from_millis(2_400);
-/// One that was answered before may come again: a session's next turn, and this conductor knows where its text is
-/// kept. It is let go after this, or as soon as its place is wanted.
+/// Idle timeout of a connection on which a request was answered. The client may send the next turn of its session
+/// here, and this router knows which worker holds the session's KV state. The connection is closed earlier if its
+/// capacity is needed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// A client that takes nothing of its answer for this long is gone.
+/// A client that reads nothing of its response for this long is considered gone.
 const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(30);
-/// After the conductor has ended its sending, the client has this long to take its last answer and to close: a socket
-/// closed over unread bytes is reset, and what the client has not read is lost with it.
+/// After the router has shut down the sending side, the client has this long to read its last response and close. A
+/// socket that is closed with unread input is reset, and response bytes that the client has not read yet are lost.
 pub(super) const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
-/// Bytes that are read and forgotten meanwhile.
+/// Maximum number of bytes read and discarded during that time.
 const MAX_LINGER_BYTES: usize = 2 * MOST_BODY;
-/// For a request that did not come in time.
+/// Response to a request that was not received in time.
 const REQUEST_TIMEOUT_RESPONSE: &[u8] =
     b"HTTP/1.1 408 Request Timeout\r\nconnection: close\r\ncontent-length: 0\r\n\r\n";
 
-/// What answers one request.
+/// Future of the response to one request.
 pub(super) type ResponseFuture = LocalBoxFuture<Result<Response<TrackedBody>, Infallible>>;
 
-/// What answers the requests of one connection.
+/// The hyper service that answers the requests of one connection.
 pub(super) trait RequestService:
     hyper::service::Service<
         Request<Incoming>,
@@ -70,7 +72,7 @@
 {
 }
 
-/// An answer's body that tells its connection when it is over, and the figures how it ended.
+/// A response body that reports its end to the connection tracker and its outcome to the request metrics.
 pub(super) struct TrackedBody {
     body: AnswerBody,
     tracker: Rc<ConnectionTracker>,
@@ -108,7 +110,8 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<hyper::body::Frame<Bytes>, platform::Broken>>> {
-        // hyper drops what a slow client has not taken yet when a body fails; it asks again once that is written.
+        // When a body fails, hyper discards data that a slow client has not read yet. So the error is withheld until
+        // that data is written; hyper polls again then.
         if matches!(self.body, AnswerBody::Breaking) && self.tracker.is_write_blocked() {
             return Poll::Pending;
         }
@@ -130,7 +133,7 @@
     }
 }
 
-/// When a connection is to be closed as it stands.
+/// When the connection is to be closed if its phase does not change; `None` while a request is in progress.
 fn close_deadline(tracker: &ConnectionTracker, accepted: Instant) -> Option<Instant> {
     match tracker.phase() {
         RequestPhase::InProgress => None,
@@ -138,7 +141,7 @@
             Some(since + WRITE_STALL_TIMEOUT)
         }
         RequestPhase::Idle(_) if tracker.is_evicted() => Some(accepted),
-        // It was to go while it rested, and just then a request came.
+        // The connection was chosen for eviction while idle, and a request began to arrive before it was closed.
         RequestPhase::Arriving(since) if tracker.is_evicted() => {
             Some(since + MIN_ARRIVAL_BEFORE_EVICTION)
         }
@@ -151,15 +154,19 @@
     }
 }
 
-/// Resolves when a connection is to be closed for a drain or for the conductor's own end. One that was just accepted
-/// may have its first request on the way.
+/// Resolves when the connection is to be closed for a drain or a shutdown. A connection that was just accepted gets
+/// time for its first request, which may be under way.
 async fn wait_for_closing_stage(
     stage: &mut watch::Receiver<Stage>,
     tracker: &ConnectionTracker,
     accepted: Instant,
 ) {
     loop {
-        let Ok(stage_now) = stage.wait_for(|s| s.closes_idle()).await.map(|s| *s) else {
+        let Ok(stage_now) = stage
+            .wait_for(|stage| stage.closes_idle())
+            .await
+            .map(|stage| *stage)
+        else {
             return;
         };
         if tracker.has_answered() {
@@ -172,8 +179,8 @@
     }
 }
 
-/// What the connection's socket says now. A request may have come on a resting connection that the system has and of which
-/// the runtime was not told yet.
+/// Determines the connection's current state. On an idle connection, a request may be in the socket's receive buffer
+/// although the runtime has not seen the readiness event yet.
 fn connection_state(socket: &TcpStream, tracker: &ConnectionTracker) -> ConnectionState {
     match tracker.phase() {
         RequestPhase::InProgress => ConnectionState::InHand,
@@ -181,7 +188,7 @@
         RequestPhase::Idle(_) => {
             let peek = || SockRef::from(socket).peek(&mut [MaybeUninit::uninit()]);
             let has_bytes = || uninterrupted(peek).is_ok_and(|n| n > 0);
-            // A client that takes nothing of its answer gets no other one.
+            // A client that does not read its response gets no further one.
             ConnectionState::Resting {
                 has_unread: !tracker.is_write_blocked() && has_bytes(),
             }
@@ -189,38 +196,40 @@
     }
 }
 
-/// How the serving of a connection ended.
+/// How serving a connection ended.
 enum ServeOutcome {
-    /// hyper has ended it: in order, or since the client has gone or sent what can't be read.
+    /// hyper ended it: in order, because the client closed, or because its input was invalid.
     HyperFinished(hyper::Result<()>),
-    /// The client has closed it under its request.
+    /// The client closed the connection while its request was in progress.
     ClientGone(ClosePermit),
-    /// It is closed as it stands.
+    /// The router closes it, because a timeout expired or its capacity is needed.
     Closed(ClosePermit),
 }
 
-/// Serves a connection to its end.
+/// Serves a connection until it is closed.
 pub(super) async fn serve<S>(
     stream: TcpStream,
     service: S,
     stage: watch::Receiver<Stage>,
     tracker: &Rc<ConnectionTracker>,
-    room: Held,
+    read_ahead_budget: Held,
     counters: &Counters,
 ) where
     S: RequestService,
 {
     let _ = stream.set_nodelay(true);
     let socket = Rc::new(stream);
-    let outcome = serve_requests(&socket, service, stage, tracker, room).await;
+    let outcome = serve_requests(&socket, service, stage, tracker, read_ahead_budget).await;
     let is_late = match &outcome {
         ServeOutcome::ClientGone(_) => {
-            return log::debug!("client connection: closed under its request");
+            return log::debug!(
+                "client connection: closed by the client while its request was in progress"
+            );
         }
         ServeOutcome::HyperFinished(Ok(())) => false,
         ServeOutcome::HyperFinished(Err(error)) => {
             log::debug!("client connection: {error}");
-            // hyper has answered what was no HTTP with a 4xx of its own.
+            // hyper has answered invalid HTTP with its own 4xx response.
             if error.is_parse() || error.is_parse_too_large() {
                 counters.bad_requests.up();
             }
@@ -245,13 +254,14 @@
     }
 }
 
-/// Serves the requests of a connection until it is to be closed; its socket is left open for the last answer to be taken.
+/// Serves requests until the connection is to be closed. Leaves the socket open so that the client can read the last
+/// response.
 async fn serve_requests<S>(
     socket: &Rc<TcpStream>,
     service: S,
     mut stage: watch::Receiver<Stage>,
     tracker: &Rc<ConnectionTracker>,
-    mut room: Held,
+    mut read_ahead_budget: Held,
 ) -> ServeOutcome
 where
     S: RequestService,
@@ -267,24 +277,25 @@
         );
     let mut is_closing = false;
     loop {
-        room.shrink_to(tracker.buffered_bytes());
+        read_ahead_budget.shrink_to(tracker.buffered_bytes());
         let deadline = close_deadline(tracker, accepted);
-        // hyper takes a kept connection for idle until a head is whole. What has begun to come gets its answer first.
+        // hyper treats a keep-alive connection as idle until a head is complete. A request that has begun to arrive
+        // is answered first.
         let may_close = !is_closing && !matches!(tracker.phase(), RequestPhase::Arriving(_));
         tokio::select! {
             biased;
-            // First: what has come by now is looked at before any deadline is.
+            // Polled first, so that received data is processed before any deadline is checked.
             result = &mut connection => return ServeOutcome::HyperFinished(result),
-            has_closed = tracker.read_ahead(socket, &mut room), if tracker.phase() == RequestPhase::InProgress => {
+            has_closed = tracker.read_ahead(socket, &mut read_ahead_budget), if tracker.phase() == RequestPhase::InProgress => {
                 if has_closed && let Ok(permit) = permit_close(CloseCause::ClientGone, connection_state(socket, tracker)) {
                     return ServeOutcome::ClientGone(permit);
                 }
             }
             () = wait_for_closing_stage(&mut stage, tracker, accepted), if may_close => {
                 let state = connection_state(socket, tracker);
-                log::debug!("client connection: it is to close for the end: {state:?}");
+                log::debug!("client connection: closing for a drain or shutdown, state {state:?}");
                 match permit_close(CloseCause::Ending, state) {
-                    // With a request in hand: it is closed behind that one's answer.
+                    // With a request in progress, the connection is closed after its response.
                     Ok(_) | Err(CloseDenial::InHand) => {
                         is_closing = true;
                         Pin::new(&mut connection).graceful_shutdown();
@@ -296,11 +307,11 @@
             () = async { tokio::time::sleep_until(deadline.unwrap_or(accepted)).await }, if deadline.is_some() => {
                 match permit_close(CloseCause::TimeOver, connection_state(socket, tracker)) {
                     Ok(permit) => {
-                        log::debug!("client connection: closed, its time is over: {:?}", tracker.phase());
+                        log::debug!("client connection: timed out, closing: {:?}", tracker.phase());
                         return ServeOutcome::Closed(permit);
                     }
                     Err(denial) => {
-                        log::debug!("client connection: not closed: {denial}");
+                        log::debug!("client connection: timed out, but kept open: {denial}");
                         tokio::task::yield_now().await;
                     }
                 }
@@ -309,8 +320,8 @@
     }
 }
 
-/// Reads and forgets, so that a client can take its last answer though more of its bytes come: until it has closed,
-/// too. A socket closed over unread bytes is reset.
+/// Reads and discards input until the client closes, so that it can read its last response although it sends more. A
+/// socket that is closed with unread input is reset.
 async fn linger(socket: &TcpStream) {
     let (mut discarded, mut left) = (vec![0; 8 * 1024], MAX_LINGER_BYTES);
     while left > 0 {
@@ -324,6 +335,6 @@
             _ => return,
         }
     }
-    // Past that its sending is left to stand.
+    // Above the limit, input stays unread.
     std::future::pending::<()>().await;
 }
--- a/src/net/connections.rs
+++ b/src/net/connections.rs
@@ -1,4 +1,4 @@
-//! The client connections that are open, and which of them go where places are short.
+//! Table of open client connections; chooses which one to evict when capacity is short.
 
 use super::framing::{ConnectionTracker, RequestPhase};
 use super::server::{MIN_ARRIVAL_BEFORE_EVICTION, MIN_IDLE_BEFORE_EVICTION};
@@ -7,12 +7,12 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// How many client connections stand how.
+/// Number of client connections per request phase.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ConnectionSummary {
     idle: usize,
     arriving: usize,
-    in_hand: usize,
+    in_progress: usize,
 }
 
 impl std::fmt::Display for ConnectionSummary {
@@ -20,31 +20,32 @@
         let ConnectionSummary {
             idle,
             arriving,
-            in_hand,
+            in_progress,
         } = self;
         write!(
             f,
-            "{idle} idle, {arriving} with a request in part, {in_hand} with a request in hand"
+            "{idle} idle, {arriving} with an incomplete request, {in_progress} with a request in progress"
         )
     }
 }
 
-/// The client connections that are open.
+/// Table of the open client connections.
 #[derive(Default)]
 pub struct Connections {
     by_id: RefCell<BTreeMap<u64, Rc<ConnectionTracker>>>,
     next_id: Cell<u64>,
-    /// The most that there may be now, where that is less than the listener's own bound.
+    /// Temporary limit, if lower than the listener's own.
     pub(super) limit: Cell<Option<usize>>,
 }
 
 impl Connections {
-    /// How many there are.
+    /// Number of open connections.
     pub fn count(&self) -> usize {
         self.by_id.borrow().len()
     }
 
-    /// Moves the bound, never above the listener's own. What is idle goes at once, as far as it is over the bound.
+    /// Sets a temporary limit, which never exceeds the listener's own. Evicts idle connections above the limit at
+    /// once.
     pub fn set_limit(&self, limit: usize, counters: &Counters) {
         self.limit.set(Some(limit));
         for _ in limit..self.count() {
@@ -54,14 +55,14 @@
         }
     }
 
-    /// How many stand how.
+    /// Counts the connections per request phase.
     pub fn summary(&self) -> ConnectionSummary {
         let mut summary = ConnectionSummary::default();
         for tracker in self.by_id.borrow().values() {
             match tracker.phase() {
                 RequestPhase::Idle(_) => summary.idle += 1,
                 RequestPhase::Arriving(_) => summary.arriving += 1,
-                RequestPhase::InProgress => summary.in_hand += 1,
+                RequestPhase::InProgress => summary.in_progress += 1,
             }
         }
         summary
@@ -74,8 +75,9 @@
         ConnectionEntry(self.clone(), id)
     }
 
-    /// Makes room: the longest idle connection goes, else the one that takes longest to send its request. Guards
-    /// against clients that connect by the hundred and say nothing, or never all.
+    /// Evicts the connection that has been idle for longest or, if none is idle, the one whose request has been
+    /// arriving for longest; returns whether there was one. Guards against clients that open hundreds of connections
+    /// and send nothing or never a complete request.
     pub(super) fn evict_one(&self, counters: &Counters) -> bool {
         let trackers = self.by_id.borrow();
         let eviction_order = |tracker: &ConnectionTracker| match tracker.phase() {
@@ -101,7 +103,7 @@
     }
 }
 
-/// A connection's place among them, given back when dropped.
+/// A connection's entry in the table, removed on drop.
 pub(super) struct ConnectionEntry(Rc<Connections>, u64);
 
 impl Drop for ConnectionEntry {
--- a/src/net/drain.rs
+++ b/src/net/drain.rs
@@ -1,14 +1,15 @@
-//! The switch with which operators send clients away from a conductor that keeps running, and what follows it.
+//! The operators' drain switch, and its effect on client connections. A draining router keeps running.
 
 use super::server::Stage;
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// Connections that were closed sooner would come straight back: a front asks for the health every 0.1 s, and new
-/// connections keep coming for 0.2 s after its first no.
+/// Time between the start of a drain and the closing of connections. The load balancer in front checks readiness
+/// every 0.1 s and opens new connections for up to 0.2 s after the first failed check, so clients whose connections
+/// are closed sooner would reconnect to this router.
 const CLOSE_DELAY: Duration = Duration::from_millis(400);
 
-/// Whether the conductor drains, for whoever switches it and for whoever has to act on it.
+/// Whether the router is draining. Shared between the admin endpoint, which sets it, and the parts that act on it.
 #[derive(Debug)]
 pub struct DrainSwitch(watch::Sender<bool>);
 
@@ -19,38 +20,38 @@
 }
 
 impl DrainSwitch {
-    /// Begins a drain; whether none was under way.
+    /// Starts a drain. Returns `false` if one was in progress.
     pub fn start(&self) -> bool {
         self.set(true)
     }
 
-    /// Ends the drain; whether one was under way.
+    /// Ends the drain. Returns `false` if none was in progress.
     pub fn stop(&self) -> bool {
         self.set(false)
     }
 
-    /// Whether a drain is under way.
+    /// Whether a drain is in progress.
     pub fn is_draining(&self) -> bool {
         *self.0.borrow()
     }
 
-    /// Follows the switch; the receiver has its present position.
+    /// Returns a receiver that holds the current position and is notified of changes.
     pub fn subscribe(&self) -> watch::Receiver<bool> {
         self.0.subscribe()
     }
 
     fn set(&self, draining: bool) -> bool {
         self.0
-            .send_if_modified(|now| std::mem::replace(now, draining) != draining)
+            .send_if_modified(|current| std::mem::replace(current, draining) != draining)
     }
 }
 
-/// Has client connections follow the switch: they are closed in order from `CLOSE_DELAY` after the start of a
-/// drain on, and kept again from its stop on. Nothing moves once the conductor itself ends.
+/// Applies the switch to client connections: they are closed from `CLOSE_DELAY` after the start of a drain, and kept
+/// again once it stops. Has no effect once the router is shutting down.
 pub async fn apply_to_connections(mut switch: watch::Receiver<bool>, stage: watch::Sender<Stage>) {
     while switch.wait_for(|draining| *draining).await.is_ok() {
         log::info!(
-            "drain: not ready any more; connections close in {} ms",
+            "drain: reporting not ready; closing client connections in {} ms",
             CLOSE_DELAY.as_millis()
         );
         let stopped = async |switch: &mut watch::Receiver<bool>| {
@@ -60,22 +61,22 @@
             .await
             .is_err()
         {
-            advance_stage(&stage, Stage::Open, Stage::Draining);
+            change_stage(&stage, Stage::Open, Stage::Draining);
             stopped(&mut switch).await;
-            advance_stage(&stage, Stage::Draining, Stage::Open);
+            change_stage(&stage, Stage::Draining, Stage::Open);
         }
-        log::info!("drain: over, connections are kept again");
+        log::info!("drain: ended; client connections are kept open again");
     }
 }
 
-/// Sets the stage, unless it has moved on meanwhile.
-fn advance_stage(stage: &watch::Sender<Stage>, from: Stage, to: Stage) {
-    stage.send_if_modified(|now| {
-        let is_due = *now == from;
-        if is_due {
-            *now = to;
+/// Moves the stage from `from` to `to`, unless something else has changed it in the meantime.
+fn change_stage(stage: &watch::Sender<Stage>, from: Stage, to: Stage) {
+    stage.send_if_modified(|current| {
+        let is_expected = *current == from;
+        if is_expected {
+            *current = to;
         }
-        is_due
+        is_expected
     });
 }
 
--- a/src/net/drain/tests.rs
+++ b/src/net/drain/tests.rs
@@ -1,35 +1,35 @@
 use super::*;
 
 #[test]
-fn each_position_is_taken_once_and_followers_see_it() {
+fn switch_reports_changes_once_and_notifies_subscribers() {
     let switch = DrainSwitch::default();
-    let mut follower = switch.subscribe();
-    assert!(!*follower.borrow_and_update());
-    assert!(!switch.stop(), "nothing to stop");
+    let mut subscriber = switch.subscribe();
+    assert!(!*subscriber.borrow_and_update());
+    assert!(!switch.stop(), "no drain to stop");
     assert!(switch.start());
-    assert!(!switch.start(), "already under way");
-    assert!(switch.is_draining() && *follower.borrow_and_update());
+    assert!(!switch.start(), "already draining");
+    assert!(switch.is_draining() && *subscriber.borrow_and_update());
     assert!(switch.stop());
-    assert!(!switch.is_draining() && !*follower.borrow_and_update());
+    assert!(!switch.is_draining() && !*subscriber.borrow_and_update());
 }
 
-/// A switch and the stage that follows it, on a paused clock.
-struct Followed {
+/// A switch and the stage that it controls, on a paused clock.
+struct DrainFixture {
     switch: DrainSwitch,
     stage: watch::Sender<Stage>,
 }
 
-impl Followed {
+impl DrainFixture {
     fn start() -> Self {
-        let followed = Followed {
+        let fixture = DrainFixture {
             switch: DrainSwitch::default(),
             stage: watch::Sender::new(Stage::Open),
         };
         tokio::task::spawn_local(apply_to_connections(
-            followed.switch.subscribe(),
-            followed.stage.clone(),
+            fixture.switch.subscribe(),
+            fixture.stage.clone(),
         ));
-        followed
+        fixture
     }
 
     async fn stage_after(&self, time: Duration) -> Stage {
@@ -38,76 +38,74 @@
     }
 }
 
-const MOMENT: Duration = Duration::from_millis(1);
+const TICK: Duration = Duration::from_millis(1);
 
-async fn tell(story: impl Future<Output = ()>) {
-    tokio::task::LocalSet::new().run_until(story).await;
+async fn run_local(test: impl Future<Output = ()>) {
+    tokio::task::LocalSet::new().run_until(test).await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn connections_close_once_the_front_has_noticed_and_are_kept_after_the_stop() {
-    tell(async {
-        let followed = Followed::start();
+async fn connections_close_after_the_delay_and_are_kept_after_the_stop() {
+    run_local(async {
+        let fixture = DrainFixture::start();
         for _ in 0..2 {
-            assert_eq!(followed.stage_after(MOMENT).await, Stage::Open);
-            followed.switch.start();
-            assert_eq!(
-                followed.stage_after(CLOSE_DELAY - MOMENT).await,
-                Stage::Open
-            );
-            // A second start doesn't put it off.
-            followed.switch.start();
-            assert_eq!(followed.stage_after(2 * MOMENT).await, Stage::Draining);
-            followed.switch.stop();
-            assert_eq!(followed.stage_after(MOMENT).await, Stage::Open);
-            followed.switch.stop();
+            assert_eq!(fixture.stage_after(TICK).await, Stage::Open);
+            fixture.switch.start();
+            assert_eq!(fixture.stage_after(CLOSE_DELAY - TICK).await, Stage::Open);
+            // A second start does not restart the delay.
+            fixture.switch.start();
+            assert_eq!(fixture.stage_after(2 * TICK).await, Stage::Draining);
+            fixture.switch.stop();
+            assert_eq!(fixture.stage_after(TICK).await, Stage::Open);
+            fixture.switch.stop();
         }
     })
     .await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_drain_called_off_at_once_closes_nothing() {
-    tell(async {
-        let followed = Followed::start();
-        let mut seen = followed.stage.subscribe();
-        followed.switch.start();
-        assert_eq!(followed.stage_after(CLOSE_DELAY / 2).await, Stage::Open);
-        followed.switch.stop();
-        assert_eq!(followed.stage_after(2 * CLOSE_DELAY).await, Stage::Open);
-        assert!(!seen.has_changed().unwrap());
-        // The next one has its whole time.
-        followed.switch.start();
-        assert_eq!(
-            followed.stage_after(CLOSE_DELAY - MOMENT).await,
-            Stage::Open
-        );
-        seen.wait_for(|stage| *stage == Stage::Draining)
+async fn drain_stopped_before_the_delay_closes_nothing() {
+    run_local(async {
+        let fixture = DrainFixture::start();
+        let mut stage_changes = fixture.stage.subscribe();
+        fixture.switch.start();
+        assert_eq!(fixture.stage_after(CLOSE_DELAY / 2).await, Stage::Open);
+        fixture.switch.stop();
+        assert_eq!(fixture.stage_after(2 * CLOSE_DELAY).await, Stage::Open);
+        assert!(!stage_changes.has_changed().unwrap());
+        // The next drain waits for the complete delay.
+        fixture.switch.start();
+        assert_eq!(fixture.stage_after(CLOSE_DELAY - TICK).await, Stage::Open);
+        stage_changes
+            .wait_for(|stage| *stage == Stage::Draining)
             .await
             .unwrap();
     })
     .await;
 }
 
-/// Guards against a conductor that accepts on though it ends.
+/// Guards against a drain switch that returns a closing router to accepting connections.
 #[rstest::rstest]
-#[case::in_a_drain(true, 2 * CLOSE_DELAY)]
-#[case::as_a_drain_begins(true, MOMENT)]
-#[case::ahead_of_it(false, MOMENT)]
+#[case::draining(true, 2 * CLOSE_DELAY)]
+#[case::drain_just_started(true, TICK)]
+#[case::not_draining(false, TICK)]
 #[tokio::test(start_paused = true)]
-async fn a_drain_moves_no_conductor_that_ends(#[case] drains: bool, #[case] since: Duration) {
-    tell(async {
-        let followed = Followed::start();
-        if drains {
-            followed.switch.start();
+async fn drain_does_not_change_the_stage_of_a_closing_router(
+    #[case] is_draining: bool,
+    #[case] delay: Duration,
+) {
+    run_local(async {
+        let fixture = DrainFixture::start();
+        if is_draining {
+            fixture.switch.start();
         }
-        followed.stage_after(since).await;
-        followed.stage.send_replace(Stage::Closing);
+        fixture.stage_after(delay).await;
+        fixture.stage.send_replace(Stage::Closing);
         for switch in [DrainSwitch::stop, DrainSwitch::start, DrainSwitch::stop] {
-            assert_eq!(followed.stage_after(2 * CLOSE_DELAY).await, Stage::Closing);
-            switch(&followed.switch);
+            assert_eq!(fixture.stage_after(2 * CLOSE_DELAY).await, Stage::Closing);
+            switch(&fixture.switch);
         }
-        assert_eq!(followed.stage_after(2 * CLOSE_DELAY).await, Stage::Closing);
+        assert_eq!(fixture.stage_after(2 * CLOSE_DELAY).await, Stage::Closing);
     })
     .await;
 }
--- a/src/net/framing.rs
+++ b/src/net/framing.rs
@@ -1,7 +1,8 @@
-//! A client's socket, watched: how far its request has read, and whether its framing can be read in one way only.
+//! Tracks a client's socket: how much of its request has been received, and whether the framing is unambiguous.
 //!
-//! hyper settles a head with both `Content-Length` and `Transfer-Encoding` by dropping the one, and before the
-//! service can see it. Such a head may hide a second request in its body, so heads are looked at here, as bytes.
+//! hyper resolves a head with both `Content-Length` and `Transfer-Encoding` by dropping one of them before the
+//! service sees the head. Such a head can smuggle a second request in its body, so the raw bytes of heads are checked
+//! here.
 
 use super::stream::{self, uninterrupted};
 use crate::front::shared::Held;
@@ -16,58 +17,58 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Bytes of one header line that are looked at; framing headers are far shorter.
+/// Number of bytes of a header line that are examined; framing headers are far shorter.
 const MAX_HEADER_LINE_BYTES: usize = 256;
 
-/// Most that is kept of what a client sends behind its request in hand, where the budget of bodies has room for it.
+/// Maximum number of bytes buffered behind the request in progress, as far as the memory budget of bodies allows.
 const MAX_READ_AHEAD_BYTES: usize = 64 * 1024;
 
-/// Where a client connection stands.
+/// Receive state of a client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestPhase {
-    /// Nothing of a next request has come since.
+    /// No byte of a next request has been received since this time.
     Idle(Instant),
-    /// A request began to arrive then, and has not come whole.
+    /// A request began to arrive at this time and is incomplete.
     Arriving(Instant),
-    /// A request is being answered.
+    /// A complete request is being answered.
     InProgress,
 }
 
-/// What is known of a client connection, shared between its socket, its supervisor and its service.
+/// State of a client connection, shared between its socket, its connection task and its service.
 pub struct ConnectionTracker {
     phase: Cell<RequestPhase>,
     write_blocked: Cell<bool>,
     evicted: Cell<bool>,
     answered: Cell<bool>,
     changed: Notify,
-    scan: RefCell<FramingScan>,
-    /// One for each head that has passed and was not handed to the service.
+    framing: RefCell<FramingScan>,
+    /// Complete heads that have not been handed to the service.
     heads: RefCell<VecDeque<RequestHead>>,
     read_ahead: RefCell<ReadAhead>,
 }
 
-/// What is known of a request's head.
+/// Properties of a request's head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestHead {
-    /// Whether its framing can be read in one way only.
+    /// Whether its framing is unambiguous.
     pub is_sound: bool,
-    /// When its last bytes came from the socket. A request that is written behind another one waits here, and its
-    /// client's deadline runs.
+    /// When its last bytes were read from the socket. A pipelined request waits here while its client's deadline
+    /// runs.
     pub arrived: Instant,
 }
 
-/// What was read ahead of hyper.
+/// Bytes read from the socket before hyper asked for them.
 #[derive(Default)]
 struct ReadAhead {
     bytes: VecDeque<u8>,
-    /// The pieces that `bytes` came in: their lengths, and when they came.
+    /// Length and time of each read that contributed to `bytes`.
     pieces: VecDeque<(usize, Instant)>,
-    /// There was more than is kept: what follows the request in hand is not read as requests any more.
+    /// The buffer limit was exceeded: input behind the request in progress is no longer parsed as requests.
     overflowed: bool,
 }
 
 impl ConnectionTracker {
-    /// A connection accepted now.
+    /// Creates the state of a connection accepted now.
     pub fn new() -> Rc<Self> {
         Rc::new(ConnectionTracker {
             phase: Cell::new(RequestPhase::Idle(Instant::now())),
@@ -75,33 +76,33 @@
             evicted: Cell::new(false),
             answered: Cell::new(false),
             changed: Notify::new(),
-            scan: RefCell::default(),
+            framing: RefCell::default(),
             heads: RefCell::default(),
             read_ahead: RefCell::default(),
         })
     }
 
-    /// Where it stands.
+    /// Current receive state.
     pub fn phase(&self) -> RequestPhase {
         self.phase.get()
     }
 
-    /// Whether bytes wait that the client doesn't take.
+    /// Whether response bytes wait that the client does not read.
     pub fn is_write_blocked(&self) -> bool {
         self.write_blocked.get()
     }
 
-    /// Whether its place is wanted for others.
+    /// Whether the connection was chosen for eviction.
     pub fn is_evicted(&self) -> bool {
         self.evicted.get()
     }
 
-    /// Whether anything was ever answered on it.
+    /// Whether a request on it was ever answered.
     pub fn has_answered(&self) -> bool {
         self.answered.get()
     }
 
-    /// Resolves when it stands elsewhere, or its place is wanted.
+    /// Resolves when the receive state changes or the connection is chosen for eviction.
     pub async fn changed(&self) {
         self.changed.notified().await;
     }
@@ -111,9 +112,9 @@
         self.changed.notify_one();
     }
 
-    /// The next head is handed to the service.
+    /// Takes the next head, as it is handed to the service.
     pub fn take_head(&self) -> RequestHead {
-        self.scan.borrow_mut().verdicts.pop_front();
+        self.framing.borrow_mut().verdicts.pop_front();
         let head = self.heads.borrow_mut().pop_front();
         head.unwrap_or_else(|| RequestHead {
             is_sound: false,
@@ -121,15 +122,15 @@
         })
     }
 
-    /// The request in hand has come whole.
+    /// Notes that the request in progress has been received completely.
     pub fn request_received(&self) {
         self.set_phase(RequestPhase::InProgress);
     }
 
-    /// Its answer has been handed over.
+    /// Notes that the response has been handed over.
     pub fn response_finished(&self) {
         self.answered.set(true);
-        let (now, has_next_head) = (Instant::now(), self.scan.borrow().has_partial_head());
+        let (now, has_next_head) = (Instant::now(), self.framing.borrow().has_partial_head());
         self.set_phase(if has_next_head {
             RequestPhase::Arriving(now)
         } else {
@@ -137,37 +138,48 @@
         });
     }
 
-    /// Its place is wanted for others.
+    /// Marks the connection for eviction.
     pub fn evict(&self) {
         self.evicted.set(true);
         self.changed.notify_one();
     }
 
-    /// Whether not all of the last request's body was read, or it is past following: the connection ends with it.
+    /// Whether the connection must be closed after the last request, because its body was not read completely or its
+    /// framing cannot be tracked.
     pub fn must_close(&self) -> bool {
-        self.scan.borrow().state != ScanState::Head
+        self.framing.borrow().state != ScanState::Head
     }
 
-    /// Whether what came behind the request in hand is no beginning of another: its length was wrong.
+    /// Whether bytes after the request in progress cannot begin another request, so the stated length was wrong.
     pub fn has_excess_bytes(&self) -> bool {
-        let scan = self.scan.borrow();
-        scan.state == ScanState::Head && scan.verdicts.is_empty() && scan.line_count == 0 && {
-            let method = scan.line.split(|b| *b == b' ').next().unwrap_or_default();
-            !method.iter().all(|b| b.is_ascii_uppercase() || *b == b'\r')
-        }
+        let framing = self.framing.borrow();
+        framing.state == ScanState::Head
+            && framing.verdicts.is_empty()
+            && framing.line_count == 0
+            && {
+                let method = framing
+                    .line
+                    .split(|b| *b == b' ')
+                    .next()
+                    .unwrap_or_default();
+                !method.iter().all(|b| b.is_ascii_uppercase() || *b == b'\r')
+            }
     }
 
-    /// Reads on behind the request in hand; resolves when bytes have read, and tells whether the client has gone
-    /// instead. hyper reads no further than to the first bytes there: the end behind them would go unseen. What is kept
-    /// takes `room`.
-    pub async fn read_ahead(&self, socket: &TcpStream, room: &mut Held) -> bool {
+    /// Reads input behind the request in progress into a buffer that is charged to `read_ahead_budget`; resolves after each read,
+    /// with whether the client has closed. hyper stops reading at the first bytes of a next request, so it would not
+    /// notice a close behind them.
+    pub async fn read_ahead(&self, socket: &TcpStream, read_ahead_budget: &mut Held) -> bool {
         let mut buffer = [0; 4096];
         match socket
             .readable()
             .await
             .and_then(|()| uninterrupted(|| socket.try_read(&mut buffer)))
         {
-            Ok(n) if n > 0 => self.read_ahead.borrow_mut().push(&buffer[..n], room),
+            Ok(n) if n > 0 => self
+                .read_ahead
+                .borrow_mut()
+                .push(&buffer[..n], read_ahead_budget),
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
             _ => return true,
         }
@@ -176,20 +188,20 @@
         false
     }
 
-    /// Bytes that were read ahead and not handed on yet.
+    /// Number of bytes read ahead and not handed to hyper yet.
     pub fn buffered_bytes(&self) -> usize {
         self.read_ahead.borrow().bytes.len()
     }
 
-    /// Takes in bytes that are handed to hyper, and when they came.
+    /// Records bytes handed to hyper and when they were received.
     fn record_read(&self, bytes: &[u8], arrived: Instant) {
         if let RequestPhase::Idle(_) = self.phase.get() {
             self.set_phase(RequestPhase::Arriving(Instant::now()));
         }
-        let mut scan = self.scan.borrow_mut();
-        let before = scan.verdicts.len();
-        scan.scan(bytes);
-        let heads = scan
+        let mut framing = self.framing.borrow_mut();
+        let before = framing.verdicts.len();
+        framing.scan(bytes);
+        let heads = framing
             .verdicts
             .iter()
             .skip(before)
@@ -202,21 +214,22 @@
 }
 
 impl ReadAhead {
-    fn push(&mut self, bytes: &[u8], room: &mut Held) {
+    fn push(&mut self, bytes: &[u8], read_ahead_budget: &mut Held) {
         self.overflowed = self.overflowed
             || self.bytes.len() + bytes.len() > MAX_READ_AHEAD_BYTES
-            || !room.grow(bytes.len());
+            || !read_ahead_budget.grow(bytes.len());
         if self.overflowed {
             self.bytes = VecDeque::new();
             self.pieces = VecDeque::new();
-            room.shrink_to(0);
+            read_ahead_budget.shrink_to(0);
         } else {
             self.bytes.extend(bytes);
             self.pieces.push_back((bytes.len(), Instant::now()));
         }
     }
 
-    /// Hands on what is left of the first piece and when that came; `None`: there is none.
+    /// Copies as much as fits of the first buffered read, and returns when that was received; `None` if the buffer is
+    /// empty.
     fn read_into(&mut self, buf: &mut ReadBuf<'_>) -> Option<Instant> {
         let (length, arrived) = self.pieces.front_mut()?;
         let (first, _) = self.bytes.as_slices();
@@ -237,28 +250,28 @@
     /// In a head.
     #[default]
     Head,
-    /// In a body, with so many bytes to come.
+    /// In a body, with this many bytes to come.
     Body(u64),
-    /// Past what can be followed: a chunked body, or a head that is refused. The connection ends with it.
+    /// Not tracked: a chunked body, or a refused head. The connection is closed after it.
     Untracked,
 }
 
-/// Follows the heads and bodies that a client sends.
+/// Parses the framing of heads and bodies that a client sends.
 #[derive(Default)]
 struct FramingScan {
     state: ScanState,
     line: Vec<u8>,
-    /// Lines of the current head that weren't blank.
+    /// Number of non-blank lines of the current head.
     line_count: usize,
     content_length: Option<u64>,
     has_transfer_encoding: bool,
     is_ambiguous: bool,
-    /// One for each head that has passed: whether it is sound.
+    /// For each complete head, whether it is unambiguous.
     verdicts: VecDeque<bool>,
 }
 
 impl FramingScan {
-    /// Whether bytes of a head have come that the service has not been handed.
+    /// Whether bytes of a head have been received that the service has not been handed.
     fn has_partial_head(&self) -> bool {
         !self.verdicts.is_empty()
             || self.state == ScanState::Head && (self.line_count > 0 || !self.line.is_empty())
@@ -295,7 +308,7 @@
         let line = std::mem::take(&mut self.line);
         let line = line.strip_suffix(b"\r").unwrap_or(&line);
         if line.is_empty() {
-            // Blank lines ahead of a request are skipped, here as in hyper.
+            // Blank lines before a request are skipped, as in hyper.
             if self.line_count > 0 {
                 self.end_head();
             }
@@ -344,14 +357,15 @@
     }
 }
 
-/// The socket itself. It is shared with the connection's supervisor, who has to see what hyper doesn't look at.
+/// The socket as hyper reads and writes it. It is shared with the connection task, which has to see events that hyper
+/// does not poll for.
 pub struct TrackedStream {
     stream: Rc<TcpStream>,
     tracker: Rc<ConnectionTracker>,
 }
 
 impl TrackedStream {
-    /// A client's socket.
+    /// Wraps a client's socket.
     pub fn new(stream: Rc<TcpStream>, tracker: Rc<ConnectionTracker>) -> Self {
         TrackedStream { stream, tracker }
     }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,5 +1,6 @@
-//! The conductor on sockets: tower services over hyper. [`server`] faces clients; [`client`], [`pool`] and
-//! [`discovery`] face model hosts and discovery. The two sides meet in an exchange only.
+//! Network side of the router, built from tower services over hyper. [`server`] serves clients; [`client`], [`pool`]
+//! and [`discovery`] talk to model hosts and to the discovery service. The two sides communicate only through an
+//! [`crate::exchange`].
 
 mod answer;
 pub mod client;
@@ -23,5 +24,5 @@
 
 use std::pin::Pin;
 
-/// A future that stays on its thread.
+/// A boxed future that is not `Send` and runs on the thread that created it.
 pub type LocalBoxFuture<T> = Pin<Box<dyn Future<Output = T>>>;
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -1,4 +1,4 @@
-//! The server side: accepts clients, takes requests in, passes answers on.
+//! Server side: accepts client connections, reads requests and returns responses.
 
 use super::LocalBoxFuture;
 use super::client_connection::{ResponseFuture, TrackedBody, serve};
@@ -29,28 +29,30 @@
 use tokio::sync::watch;
 use tower::{Service, ServiceBuilder, ServiceExt};
 
-/// Accepts that may fail while what waits is taken at the end.
+/// Number of failed accepts that are tolerated while the accept queue is emptied at shutdown.
 const MAX_ACCEPT_ERRORS_AT_CLOSE: usize = 64;
-/// A client that has said nothing since it connected is let go after this.
+/// Timeout for the first byte on a new connection.
 pub(super) const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(2_200);
-/// The same during a drain, where no place is wanted but none may be held for long.
+/// Timeout for the first byte on a connection accepted during a drain. Capacity is not short then, but no connection
+/// may delay the drain for long.
 const DRAINING_FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
-/// Where places are short, a connection may have to go that has been idle for this long: a client that has just
-/// connected gets to send its request.
+/// Minimum idle time before a connection may be evicted to make room, so that a client that has just connected can
+/// send its request.
 pub(super) const MIN_IDLE_BEFORE_EVICTION: Duration = Duration::from_millis(50);
-/// The same for a request that is still not received.
+/// Minimum time since the first byte of an incomplete request before its connection may be evicted to make room.
 pub(super) const MIN_ARRIVAL_BEFORE_EVICTION: Duration = Duration::from_millis(400);
-/// Connections over the bound that are still told so; beyond them, new ones wait in the system's queue.
+/// Number of connections above the limit that are accepted and receive a refusal. Further connections wait in the
+/// kernel's accept queue.
 pub const MAX_REFUSED_CONNECTIONS: usize = 16;
-/// How long a listener that leaves an address to another one waits for the end of handshakes that had begun.
+/// How long a listener that hands its address over to another process waits for TCP handshakes that are under way.
 const HANDSHAKE_GRACE: Duration = Duration::from_millis(2);
 
-/// The tower service that clients reach.
+/// The tower service that answers client requests.
 #[derive(Clone)]
 pub struct ClientService {
-    /// What all connections share.
+    /// State shared by all connections.
     pub shared: Rc<Shared>,
-    /// The tool-call front, if configured.
+    /// The JSON-RPC front end for tool calls; `None` if it is not configured.
     pub tools: Option<Rc<jsonrpc::Front>>,
 }
 
@@ -61,7 +63,8 @@
         plain(status, text)
     }
 
-    /// Begins the request_metrics of a request whose head has come; ahead of all that may refuse it.
+    /// Starts the metrics of a request whose head has been received. Called before anything that may refuse the
+    /// request.
     fn request_metrics(&self, request: &Request<Incoming>) -> Rc<RequestMetrics> {
         let is_completion =
             request.uri().path() == platform::PATH && request.method() == Method::POST;
@@ -72,12 +75,12 @@
             .begin(class, &self.shared.classes.borrow())
     }
 
-    async fn respond(self, arrival: IncomingRequest) -> Response<AnswerBody> {
+    async fn respond(self, incoming: IncomingRequest) -> Response<AnswerBody> {
         let IncomingRequest {
             request,
             tracker,
             request_metrics,
-        } = arrival;
+        } = incoming;
         let head = tracker.take_head();
         if !head.is_sound {
             return self.bad_request(StatusCode::BAD_REQUEST, "ambiguous framing\n");
@@ -93,12 +96,12 @@
                 plain(StatusCode::SERVICE_UNAVAILABLE, "not ready\n")
             };
         }
-        if let Some(front) = self.tools.clone().filter(|f| f.path == path) {
+        if let Some(front) = self.tools.clone().filter(|front| front.path == path) {
             if request.method() != Method::POST {
                 return self.bad_request(StatusCode::METHOD_NOT_ALLOWED, "wrong method\n");
             }
             return match self.read_body(request.into_body(), &tracker).await {
-                Ok((body, _held)) => front.respond(body, arrived).await,
+                Ok((body, _memory)) => front.respond(body, arrived).await,
                 Err(response) => response,
             };
         }
@@ -129,7 +132,7 @@
         let (head, body) = request.into_parts();
         let mut intake = match platform::decode(&head.headers, arrived) {
             Ok(intake) => intake,
-            Err(what) => return self.bad_request(StatusCode::BAD_REQUEST, what),
+            Err(reason) => return self.bad_request(StatusCode::BAD_REQUEST, reason),
         };
         if shared.gate.is_none() && !shared.knows(&intake.ask.class) {
             return self.bad_request(StatusCode::BAD_REQUEST, "unknown class\n");
@@ -141,7 +144,7 @@
         request_metrics.begin_progress();
         let permit = match shared.admit(&intake.id) {
             Ok(permit) => permit,
-            Err(advice) => return platform::refusal(Some(advice)),
+            Err(retry_after) => return platform::refusal(Some(retry_after)),
         };
         let headers = end_to_end(&head.headers);
         if !held.grow(
@@ -154,20 +157,20 @@
             return platform::refusal(Some(COME_BACK));
         }
         if !intake.stated {
-            // One token is four characters.
+            // Estimate: one token is four characters.
             intake.ask.prompt_tokens = body.len() as u64 / 4;
         }
-        let pass = match shared.begin(intake.ask.deadline).await {
-            Ok(pass) => pass,
-            Err(advice) => return platform::refusal(Some(advice)),
+        let gate_pass = match shared.begin(intake.ask.deadline).await {
+            Ok(gate_pass) => gate_pass,
+            Err(retry_after) => return platform::refusal(Some(retry_after)),
         };
-        // Only now: the classes are those of the epoch it begins under.
+        // Checked only here because the request runs under the settings epoch in force now.
         if !shared.knows(&intake.ask.class) {
             return self.bad_request(StatusCode::BAD_REQUEST, "unknown class\n");
         }
-        // Model hosts tell requests apart by their ids: two at once under one would share what is held. An id is in
-        // hand until the last attempt and release of its request are over, or another client could send a second
-        // copy of a request whose stream still runs.
+        // Model hosts identify requests by id, so two concurrent requests with one id would share KV state. The id
+        // stays registered until the last attempt and release of the request have ended; otherwise another client
+        // could send a second copy of a request whose stream still runs.
         if !shared.ids.borrow_mut().insert(intake.id.clone()) {
             return self.bad_request(StatusCode::CONFLICT, "a request with this id is in hand\n");
         }
@@ -175,7 +178,7 @@
         let target = head
             .uri
             .path_and_query()
-            .map_or(platform::PATH, |p| p.as_str())
+            .map_or(platform::PATH, |path| path.as_str())
             .to_owned();
         let keeps: Option<Rc<dyn Any>> = Some(Rc::new((in_hand, held)));
         let call = Call {
@@ -186,14 +189,14 @@
             keeps,
             name: None,
         };
-        let asked = shared.dispatcher.submit(intake.ask, call, permit);
-        drop(pass);
-        let (answer, presence) = asked.answer().await;
+        let submitted = shared.dispatcher.submit(intake.ask, call, permit);
+        drop(gate_pass);
+        let (answer, presence) = submitted.answer().await;
         platform::encode(answer, presence)
     }
 
-    /// Reads a body whole, within the bounds of its length and of what all bodies may take. Its time is bounded
-    /// by the connection's supervisor.
+    /// Reads a complete body within the limit per body and the memory budget of all bodies. The connection task
+    /// enforces the time limit.
     async fn read_body(
         &self,
         mut body: Incoming,
@@ -230,7 +233,7 @@
     }
 }
 
-/// A request whose head has come, and the connection it comes on.
+/// A request whose head has been received, with the state of its connection.
 pub struct IncomingRequest {
     request: Request<Incoming>,
     tracker: Rc<ConnectionTracker>,
@@ -246,25 +249,27 @@
         Poll::Ready(Ok(()))
     }
 
-    fn call(&mut self, arrival: IncomingRequest) -> Self::Future {
+    fn call(&mut self, incoming: IncomingRequest) -> Self::Future {
         let service = self.clone();
-        Box::pin(async move { Ok(service.respond(arrival).await) })
+        Box::pin(async move { Ok(service.respond(incoming).await) })
     }
 }
 
-/// What becomes of client connections.
+/// How client connections are treated; follows drains and the shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// They are kept for further requests.
+    /// Connections are kept open for further requests.
     Open,
-    /// Operators send clients away: idle ones are closed, and each one after the answer under way. New ones are
-    /// accepted and served, and closed after their first answer.
+    /// An operator drains the router: idle connections are closed, others after the response in progress. New
+    /// connections are accepted and closed after their first response.
     Draining,
-    /// Another process serves the address: nothing more is accepted, and each answer closes its connection.
+    /// Another process serves the address: no connection is accepted, and each response closes its connection. Idle
+    /// connections stay open.
     Leaving,
-    /// The conductor stops and admits no more requests: as while it drains, but requests that come are rejected.
+    /// The router is stopping and admits no more requests. Connections are treated as in a drain, but new requests
+    /// are rejected.
     Rejecting,
-    /// The conductor ends: as while it drains, but none is accepted any more.
+    /// Last stage of the shutdown: connections are treated as in a drain, and none is accepted.
     Closing,
 }
 
@@ -273,7 +278,7 @@
         self == Stage::Open
     }
 
-    /// Whether connections that rest are closed.
+    /// Whether idle connections are closed.
     pub(super) fn closes_idle(self) -> bool {
         matches!(self, Stage::Draining | Stage::Rejecting | Stage::Closing)
     }
@@ -283,7 +288,7 @@
         matches!(self, Stage::Open | Stage::Draining | Stage::Rejecting)
     }
 
-    /// How long a connection that has just been accepted is left open without a request.
+    /// How long a newly accepted connection may stay open without sending a request.
     pub(super) fn first_request_timeout(self) -> Duration {
         match self {
             Stage::Open | Stage::Leaving => FIRST_REQUEST_TIMEOUT,
@@ -293,27 +298,28 @@
     }
 }
 
-/// Accepts clients until told to stop, at most `bound` at once.
+/// Accepts client connections until [`Stage`] forbids it, at most `max_connections` at once.
 pub struct Listener {
-    /// The service.
+    /// Answers the requests.
     pub service: ClientService,
-    /// Most client connections; [`MAX_REFUSED_CONNECTIONS`] more are told that there is no room.
+    /// Maximum number of client connections. [`MAX_REFUSED_CONNECTIONS`] more are accepted to receive a refusal.
     pub max_connections: usize,
-    /// Most requests that wait for their first event.
+    /// Maximum number of requests that wait for their first event.
     pub max_waiting_requests: usize,
-    /// Whether connections are kept.
+    /// Current stage of client connections.
     pub stage: watch::Receiver<Stage>,
-    /// Connections that are open.
+    /// Table of open connections.
     pub connections: Rc<Connections>,
-    /// Whether another process serves the address.
+    /// Whether another process serves the same address.
     pub other_process_serves: Rc<Cell<bool>>,
 }
 
 impl Listener {
-    /// Accepts until the connections are to be closed, and then what still waits in the system's queue: a request
-    /// written to a connection that this machine has accepted is taken, and a listener that goes resets those.
+    /// Accepts until the stage forbids it, then takes the connections left in the accept queue. The kernel has
+    /// already accepted those and may hold their requests; closing the listener would reset them.
     pub async fn accept(self, listener: TcpListener) {
-        // Over its bound the service refuses: tower's shed turns a full limit into an error, answered below.
+        // Above the concurrency limit, tower's load shedding returns an error, which `respond_always` turns into a
+        // refusal.
         let service = ServiceBuilder::new()
             .load_shed()
             .concurrency_limit(self.max_waiting_requests)
@@ -323,7 +329,7 @@
             self.wait_for_room().await;
             tokio::select! {
                 biased;
-                _ = stage.wait_for(|s| !s.accepts()) => break,
+                _ = stage.wait_for(|stage| !stage.accepts()) => break,
                 accepted = listener.accept() => match accepted {
                     Ok((stream, _)) => self.serve_connection(stream, service.clone()),
                     Err(error) => self.accept_failed(&error).await,
@@ -333,20 +339,23 @@
         let Ok(listener) = listener.into_std() else {
             return;
         };
-        // Not by the stage: one that was passed at once is not seen.
+        // The flag is read instead of the stage because a stage that was replaced at once may not have been observed
+        // here.
         if self.other_process_serves.get() {
             if let Err(error) = drop_new_connections(&listener) {
-                log::warn!("accept: new connections can't be turned away: {error}");
+                log::warn!(
+                    "accept: cannot attach the SYN filter: {error}; closing the listener may reset new connections"
+                );
             }
             self.accept_backlog(&listener, &service).await;
-            // A handshake that had begun may still end.
+            // A handshake that has begun may still complete.
             tokio::time::sleep(HANDSHAKE_GRACE).await;
         }
         self.accept_backlog(&listener, &service).await;
     }
 
-    /// Accepts what waits. The system is asked itself: the runtime may not have been told yet of what has come. Not for
-    /// ever, though: clients may come without end.
+    /// Accepts the connections in the accept queue. Calls `accept` directly because the runtime may not have seen
+    /// their readiness events yet. The number of accepts is bounded because clients may connect without end.
     async fn accept_backlog<S>(&self, listener: &std::net::TcpListener, service: &S)
     where
         S: Service<IncomingRequest, Response = Response<AnswerBody>> + Clone + Unpin + 'static,
@@ -358,13 +367,17 @@
             let stream = match listener.accept() {
                 Ok((stream, _)) => stream,
                 Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => return,
-                // Others may wait behind the one that this is about, or there may be room for them in a moment.
+                // The error may concern only this connection, or be temporary, so the next accept may succeed.
                 Err(error) if errors_left > 0 => {
                     errors_left -= 1;
                     self.accept_failed(&error).await;
                     continue;
                 }
-                Err(error) => return log::warn!("accept: {error}; what waits is left"),
+                Err(error) => {
+                    return log::warn!(
+                        "accept: {error}; too many errors, leaving the rest of the accept queue"
+                    );
+                }
             };
             if let Ok(stream) = stream
                 .set_nonblocking(true)
@@ -375,20 +388,20 @@
         }
     }
 
-    /// Counts a failed accept, and waits where another one at once would fail as well.
+    /// Counts a failed accept, and waits if an immediate retry would fail as well.
     async fn accept_failed(&self, error: &std::io::Error) {
         let counters = &self.service.shared.counters;
         let Some(pause) = pause_after_accept(error) else {
             counters.accepts_of_one_failed.up();
             return log::debug!("accept: {error}");
         };
-        // Out of descriptors, say: what is open goes on, new ones wait.
+        // For example, the process is out of descriptors: open connections continue, new ones wait.
         counters.accepts_failed.up();
-        log::warn!("accept: {error}");
+        log::warn!("accept: {error}; next accept in {} ms", pause.as_millis());
         tokio::time::sleep(pause).await;
     }
 
-    /// The most connections now, [`MAX_REFUSED_CONNECTIONS`] aside.
+    /// Current maximum number of connections, without [`MAX_REFUSED_CONNECTIONS`].
     fn current_limit(&self) -> usize {
         self.connections
             .limit
@@ -398,7 +411,7 @@
             })
     }
 
-    /// Waits until there is room for one more connection, if only to be refused.
+    /// Waits until one more connection may be accepted, if only to refuse its request.
     async fn wait_for_room(&self) {
         while self.connections.count() >= self.current_limit() + MAX_REFUSED_CONNECTIONS {
             self.connections.evict_one(&self.service.shared.counters);
@@ -415,8 +428,8 @@
         counters.connections_in.up();
         let tracker = ConnectionTracker::new();
         let entry = self.connections.register(tracker.clone());
-        // Room is made before there is none: clients that keep their connections for good must not leave a burst
-        // to those that are refused.
+        // Evicts idle connections before the limit is reached, so that clients that keep their connections open do
+        // not cause a burst of new ones to be refused.
         let is_nearly_full = self.connections.count() > self.current_limit() * 3 / 4;
         let is_over_limit = is_nearly_full
             && !self.connections.evict_one(&counters)
@@ -424,23 +437,24 @@
         if is_over_limit {
             counters.connections_over_bound.up();
         }
-        let (stage, room) = (self.stage.clone(), Held::new(self.service.shared.clone()));
-        let edge = self.service.clone();
+        let (stage, read_ahead_budget) =
+            (self.stage.clone(), Held::new(self.service.shared.clone()));
+        let client_service = self.service.clone();
         tokio::task::spawn_local(async move {
             let _entry = entry;
             let (request_tracker, request_counters, request_stage) =
                 (tracker.clone(), counters.clone(), stage.clone());
-            let answer = move |request: Request<Incoming>| -> ResponseFuture {
+            let respond = move |request: Request<Incoming>| -> ResponseFuture {
                 let (service, tracker, counters, stage) = (
                     service.clone(),
                     request_tracker.clone(),
                     request_counters.clone(),
                     request_stage.clone(),
                 );
-                let edge = edge.clone();
+                let client_service = client_service.clone();
                 Box::pin(async move {
-                    let request_metrics = edge.request_metrics(&request);
-                    let arrival = IncomingRequest {
+                    let request_metrics = client_service.request_metrics(&request);
+                    let incoming = IncomingRequest {
                         request,
                         tracker: tracker.clone(),
                         request_metrics: request_metrics.clone(),
@@ -448,7 +462,7 @@
                     let mut response = if is_over_limit {
                         platform::refusal(Some(COME_BACK))
                     } else {
-                        respond_always(service.oneshot(arrival), &counters).await
+                        respond_always(service.oneshot(incoming), &counters).await
                     };
                     if is_over_limit || tracker.must_close() || !stage.borrow().keeps_connections()
                     {
@@ -460,10 +474,10 @@
             };
             serve(
                 stream,
-                hyper::service::service_fn(answer),
+                hyper::service::service_fn(respond),
                 stage,
                 &tracker,
-                room,
+                read_ahead_budget,
                 &counters,
             )
             .await;
@@ -471,8 +485,8 @@
     }
 }
 
-/// The service's answer; a refusal where it has no room, and a failure where it panics: a request that was read is
-/// never left without an answer.
+/// Returns the service's response, a refusal if the concurrency limit is reached, or a 500 if the service panics:
+/// every request that was read gets a response.
 async fn respond_always<E>(
     answering: impl Future<Output = Result<Response<AnswerBody>, E>>,
     counters: &Counters,
@@ -485,7 +499,7 @@
         }
         Err(_) => {
             counters.panics.up();
-            log::error!("answering a request panicked; it is answered as failed");
+            log::error!("request handler panicked; answering 500");
             plain(StatusCode::INTERNAL_SERVER_ERROR, "failed\n")
         }
     }
--- a/src/net/server/tests.rs
+++ b/src/net/server/tests.rs
@@ -1,5 +1,6 @@
-//! Closes that cross a request, over loopback: the client writes and the conductor decides in one and the same turn,
-//! so that the runtime has not been told of the bytes that the system has.
+//! Requests that cross the close of their connection, over loopback sockets. The client writes and the router decides
+//! to close within one poll of the runtime, so the kernel has received bytes that the runtime has not been notified
+//! of.
 
 use super::super::client_connection::LINGER_TIMEOUT;
 use super::super::framing::TrackedStream;
@@ -19,7 +20,7 @@
 
 const REQUEST: &[u8] = b"GET /healthz HTTP/1.1\r\nhost: a\r\n\r\n";
 
-/// A client's socket, as a client uses it: blocking.
+/// Opens a blocking client socket.
 fn connect(listener: &TcpListener) -> std::net::TcpStream {
     connect_to(listener.local_addr().unwrap())
 }
@@ -33,18 +34,18 @@
     client
 }
 
-/// All that comes on it up to its end.
+/// Reads everything up to the end of the stream.
 async fn read_to_end(mut client: std::net::TcpStream) -> io::Result<String> {
     let read = move || {
-        let mut all = Vec::new();
+        let mut bytes = Vec::new();
         client
-            .read_to_end(&mut all)
-            .map(|_| String::from_utf8_lossy(&all).into_owned())
+            .read_to_end(&mut bytes)
+            .map(|_| String::from_utf8_lossy(&bytes).into_owned())
     };
     spawn_blocking(read).await.unwrap()
 }
 
-/// Reads one answer.
+/// Reads one response.
 async fn read_response(client: &std::net::TcpStream) -> String {
     let mut client = client.try_clone().unwrap();
     let read = move || {
@@ -52,7 +53,7 @@
         let mut buffer = [0; 1024];
         while !received.ends_with(b"\r\n\r\nhere") {
             let n = client.read(&mut buffer).unwrap();
-            assert!(n > 0, "closed instead");
+            assert!(n > 0, "connection closed before the response");
             received.extend_from_slice(&buffer[..n]);
         }
         String::from_utf8(received).unwrap()
@@ -60,10 +61,10 @@
     spawn_blocking(read).await.unwrap()
 }
 
-/// A connection with little room on its way, and both of its ends.
+/// Opens a connection with small socket buffers and returns both of its ends.
 async fn connect_with_small_buffers(
     listener: &TcpListener,
-    send: usize,
+    send_buffer: usize,
 ) -> (std::net::TcpStream, TcpStream) {
     let client = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     client.set_recv_buffer_size(4096).unwrap();
@@ -74,7 +75,9 @@
         .set_read_timeout(Some(Duration::from_secs(30)))
         .unwrap();
     let (stream, _) = listener.accept().await.unwrap();
-    SockRef::from(&stream).set_send_buffer_size(send).unwrap();
+    SockRef::from(&stream)
+        .set_send_buffer_size(send_buffer)
+        .unwrap();
     (client.into(), stream)
 }
 
@@ -114,7 +117,7 @@
         }
     }
 
-    /// A connection that is served, its answers as given.
+    /// Opens a connection and serves it with responses that have this body.
     async fn serve(
         &self,
         body: &'static str,
@@ -146,11 +149,11 @@
             self.counters.clone(),
             self.stage.subscribe(),
         );
-        let (answer, room) = (Rc::new(answer), Held::new(shared(64 * 1024)));
+        let (answer, read_ahead_budget) = (Rc::new(answer), Held::new(shared(64 * 1024)));
         spawn_local(async move {
-            let seen = tracker.clone();
-            let answerer = move |request: Request<Incoming>| -> ResponseFuture {
-                let (tracker, answer) = (seen.clone(), answer.clone());
+            let request_tracker = tracker.clone();
+            let service = move |request: Request<Incoming>| -> ResponseFuture {
+                let (tracker, answer) = (request_tracker.clone(), answer.clone());
                 Box::pin(async move {
                     tracker.take_head();
                     let _ = request.into_body().collect().await;
@@ -161,10 +164,10 @@
             };
             serve(
                 stream,
-                hyper::service::service_fn(answerer),
+                hyper::service::service_fn(service),
                 stage,
                 &tracker,
-                room,
+                read_ahead_budget,
                 &counters,
             )
             .await;
@@ -172,13 +175,13 @@
     }
 }
 
-/// Guards against requests lost to a close that they cross.
+/// Guards against a request that is lost because the router closes its connection at the same moment.
 #[rstest]
-#[case::at_the_end(|server: &TestServer| _ = server.stage.send(Stage::Closing))]
-#[case::in_a_drain(|server: &TestServer| _ = server.stage.send(Stage::Draining))]
-#[case::whose_place_is_wanted(|server: &TestServer| server.tracker.evict())]
+#[case::closing(|server: &TestServer| _ = server.stage.send(Stage::Closing))]
+#[case::draining(|server: &TestServer| _ = server.stage.send(Stage::Draining))]
+#[case::evicted(|server: &TestServer| server.tracker.evict())]
 #[tokio::test]
-async fn a_request_on_a_resting_connection_that_is_just_being_closed_is_answered(
+async fn request_that_crosses_the_close_of_an_idle_connection_is_answered(
     #[case] close: fn(&TestServer),
 ) {
     let scenario = async {
@@ -186,22 +189,22 @@
         let (mut client, served) = server.serve("here").await;
         client.write_all(REQUEST).unwrap();
         read_response(&client).await;
-        // In one turn: only the system knows of the second request by now.
+        // Within one poll: only the kernel has the second request at this point.
         client.write_all(REQUEST).unwrap();
         close(&server);
-        let received = read_to_end(client).await.expect("ended in order");
+        let received = read_to_end(client).await.expect("closed without a reset");
         assert!(received.starts_with("HTTP/1.1 200 OK"), "{received:?}");
         served.await.unwrap();
     };
     LocalSet::new().run_until(scenario).await;
 }
 
-/// Guards against a request lost whose first bytes are read in the very turn in which its resting connection is closed.
+/// Guards against a lost request whose first bytes are read in the same poll in which its idle connection is closed.
 #[rstest]
-#[case::at_the_end(Stage::Closing)]
-#[case::in_a_drain(Stage::Draining)]
+#[case::closing(Stage::Closing)]
+#[case::draining(Stage::Draining)]
 #[tokio::test]
-async fn half_a_request_that_crosses_the_close_of_a_resting_connection_is_waited_for(
+async fn partial_request_that_crosses_the_close_of_an_idle_connection_is_awaited(
     #[case] stage: Stage,
 ) {
     let scenario = async {
@@ -210,30 +213,30 @@
         client.write_all(REQUEST).unwrap();
         read_response(&client).await;
         let (first, second) = REQUEST.split_at(REQUEST.len() / 2);
-        // In one turn: only the system knows of these bytes by now.
+        // Within one poll: only the kernel has these bytes at this point.
         client.write_all(first).unwrap();
         server.stage.send(stage).unwrap();
         while !matches!(server.tracker.phase(), RequestPhase::Arriving(_)) {
-            assert!(!served.is_finished(), "closed over half a request");
+            assert!(!served.is_finished(), "closed while a request was arriving");
             tokio::task::yield_now().await;
         }
         client.write_all(second).unwrap();
-        let received = read_to_end(client).await.expect("ended in order");
+        let received = read_to_end(client).await.expect("closed without a reset");
         assert!(received.starts_with("HTTP/1.1 200 OK"), "{received:?}");
         served.await.unwrap();
     };
     LocalSet::new().run_until(scenario).await;
 }
 
-/// Guards against connections closed before their first request can have received. The clock stands still while the client
-/// is waited for.
+/// Guards against connections that are closed before their first request can arrive. The paused clock does not
+/// advance while the test waits for the client.
 #[tokio::test(start_paused = true)]
-async fn a_connection_accepted_at_the_end_has_a_moment_for_its_request() {
+async fn connection_accepted_while_closing_gets_time_for_its_request() {
     let scenario = async {
         let server = TestServer::new().await;
         server.stage.send_replace(Stage::Closing);
         let (mut client, served) = server.serve("here").await;
-        // The conductor has looked at it, and nothing had received.
+        // The router has polled the connection, and nothing had arrived.
         for _ in 0..10 {
             tokio::task::yield_now().await;
         }
@@ -245,39 +248,40 @@
     LocalSet::new().run_until(scenario).await;
 }
 
-/// Guards against a request cut off in the middle: it is waited for, and its answer ends the connection.
+/// Guards against cutting off a request that has partly arrived: the router waits for the rest, answers, and closes
+/// the connection after the response.
 #[rstest]
-#[case::head_at_the_end(
+#[case::head_closing(
     Stage::Closing,
     "POST /x HTTP/1.1\r\nhost: a\r\ncont",
     "ent-length: 0\r\n\r\n"
 )]
-#[case::head_in_a_drain(
+#[case::head_draining(
     Stage::Draining,
     "POST /x HTTP/1.1\r\nhost: a\r\ncont",
     "ent-length: 0\r\n\r\n"
 )]
-#[case::body_at_the_end(
+#[case::body_closing(
     Stage::Closing,
     "POST /x HTTP/1.1\r\nhost: a\r\ncontent-length: 4\r\n\r\nha",
     "lf"
 )]
-#[case::body_in_a_drain(
+#[case::body_draining(
     Stage::Draining,
     "POST /x HTTP/1.1\r\nhost: a\r\ncontent-length: 4\r\n\r\nha",
     "lf"
 )]
 #[tokio::test]
-async fn a_request_that_is_half_there_when_connections_close_is_answered(
+async fn partial_request_is_answered_when_connections_close(
     #[case] stage: Stage,
     #[case] first: &str,
     #[case] second: &str,
-    #[values(false, true)] kept: bool,
+    #[values(false, true)] is_reused: bool,
 ) {
     let scenario = async {
         let server = TestServer::new().await;
         let (mut client, served) = server.serve("here").await;
-        if kept {
+        if is_reused {
             client.write_all(REQUEST).unwrap();
             read_response(&client).await;
         }
@@ -297,9 +301,10 @@
     LocalSet::new().run_until(scenario).await;
 }
 
-/// Guards against clients that a drain holds for long, or turns away before their first request can have received.
+/// Guards against silent clients that delay a drain, and against closing a connection before its first request can
+/// arrive.
 #[tokio::test(start_paused = true)]
-async fn a_silent_connection_accepted_in_a_drain_is_let_go_soon() {
+async fn silent_connection_accepted_in_a_drain_is_closed_after_the_drain_timeout() {
     let scenario = async {
         let server = TestServer::new().await;
         server.stage.send_replace(Stage::Draining);
@@ -312,14 +317,17 @@
             "{:?}",
             begun.elapsed()
         );
-        assert_eq!(read_to_end(client).await.expect("ended in order"), "");
+        assert_eq!(
+            read_to_end(client).await.expect("closed without a reset"),
+            ""
+        );
     };
     LocalSet::new().run_until(scenario).await;
 }
 
-/// Guards against a drain that goes on for connections that were accepted in it.
+/// Guards against a drain that stays in effect for connections that were accepted during it.
 #[tokio::test(start_paused = true)]
-async fn a_connection_that_outlasts_the_drain_is_kept() {
+async fn connection_accepted_in_a_drain_is_kept_after_the_drain() {
     let scenario = async {
         let server = TestServer::new().await;
         server.stage.send_replace(Stage::Draining);
@@ -341,22 +349,19 @@
     Box::leak("~".repeat(LONG_BODY_BYTES).into_boxed_str())
 }
 
-/// Guards against the end of an answer lost with its connection: what hyper had not written yet, and what the system
-/// had not sent yet when the socket was closed over bytes that nobody had read.
+/// Guards against losing the end of a response when the connection closes: data that hyper had not written yet, and
+/// data that the kernel had not sent yet when the socket was closed with unread input.
 #[rstest]
-#[case::that_hyper_holds("", 4096)]
-#[case::that_the_system_holds("GET /next HTTP/1.1\r\n", 2 * LONG_BODY_BYTES)]
+#[case::buffered_by_hyper("", 4096)]
+#[case::buffered_by_the_kernel("GET /next HTTP/1.1\r\n", 2 * LONG_BODY_BYTES)]
 #[tokio::test]
-async fn a_last_answer_comes_whole_to_a_client_that_reads_it_late(
-    #[case] more: &str,
-    #[case] buffer: usize,
-) {
+async fn last_response_reaches_a_slow_reader_completely(#[case] more: &str, #[case] buffer: usize) {
     let scenario = async {
         let server = TestServer::new().await;
         let (mut client, stream) = connect_with_small_buffers(&server.listener, buffer).await;
         let served = server.serve_on(stream, long_body());
         client.write_all(REQUEST).unwrap();
-        // The answer is handed over, and the client has taken none of it.
+        // The response is handed over, and the client has read nothing of it.
         while !server.tracker.has_answered() {
             tokio::task::yield_now().await;
         }
@@ -370,14 +375,14 @@
     LocalSet::new().run_until(scenario).await;
 }
 
-/// Guards against connections that this machine has accepted and the conductor never took: their requests are lost.
+/// Guards against losing the requests on connections that the kernel has accepted and the router has not.
 #[tokio::test]
-async fn what_waits_in_the_systems_queue_at_the_end_is_answered() {
+async fn connections_in_the_accept_queue_are_answered_at_shutdown() {
     let scenario = async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let shared = shared(1);
         let (stage, stages) = watch::channel(Stage::Open);
-        let open = Rc::new(Connections::default());
+        let connections = Rc::new(Connections::default());
         let accepting = Listener {
             service: ClientService {
                 shared,
@@ -386,7 +391,7 @@
             max_connections: 64,
             max_waiting_requests: 64,
             stage: stages,
-            connections: open,
+            connections,
             other_process_serves: Rc::default(),
         };
         let asking = |_| {
@@ -409,12 +414,12 @@
     LocalSet::new().run_until(scenario).await;
 }
 
-/// A listener in service, the requests that reach it counted.
+/// A running listener that counts the requests it receives.
 struct TestListener {
     address: std::net::SocketAddr,
     stage: watch::Sender<Stage>,
     answered_requests: Rc<Cell<u64>>,
-    open: Rc<Connections>,
+    connections: Rc<Connections>,
     accepting: tokio::task::JoinHandle<()>,
 }
 
@@ -423,7 +428,8 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         let (stage, stages) = watch::channel(Stage::Open);
-        let (answered_requests, open) = (Rc::<Cell<u64>>::default(), Rc::<Connections>::default());
+        let (answered_requests, connections) =
+            (Rc::<Cell<u64>>::default(), Rc::<Connections>::default());
         let mut shared = Rc::into_inner(shared(1)).unwrap();
         shared.ready = Box::new({
             let answered_requests = answered_requests.clone();
@@ -441,7 +447,7 @@
             max_connections: 64,
             max_waiting_requests: 64,
             stage: stages,
-            connections: open.clone(),
+            connections: connections.clone(),
             other_process_serves: Rc::default(),
         };
         let accepting = spawn_local(accepting.accept(listener));
@@ -449,13 +455,13 @@
             address,
             stage,
             answered_requests,
-            open,
+            connections,
             accepting,
         }
     }
 
-    /// A client that asks on one connection, `most` times or until that closes in order; how many answers it got, and
-    /// whether the last one named the close.
+    /// Sends up to `max_requests` requests on one connection, until it is closed in order. Returns the number of
+    /// responses and whether the last one announced the close.
     async fn send_requests(&self, max_requests: usize) -> (u64, bool) {
         let address = self.address;
         spawn_blocking(move || send_requests(address, max_requests))
@@ -468,13 +474,13 @@
     let mut client = connect_to(address);
     let mut answered = 0;
     for _ in 0..max_requests {
-        // An end that the request crosses may already be known.
+        // The close may already have been received when the request is written.
         if client.write_all(REQUEST).is_err() {
             break;
         }
         let (mut received, mut buffer) = (Vec::new(), [0; 1024]);
         while !received.ends_with(b"ready\n") {
-            match client.read(&mut buffer).expect("ended in order") {
+            match client.read(&mut buffer).expect("closed without a reset") {
                 0 => break,
                 n => received.extend_from_slice(&buffer[..n]),
             }
@@ -489,7 +495,7 @@
         );
         answered += 1;
         if received.contains("connection: close") {
-            assert_eq!(client.read(&mut buffer).expect("ended in order"), 0);
+            assert_eq!(client.read(&mut buffer).expect("closed without a reset"), 0);
             return (answered, true);
         }
     }
@@ -498,13 +504,13 @@
 
 const UNLIMITED: usize = usize::MAX;
 
-/// Guards against requests lost in a drain: clients use the connections that they have for as long as those stay open,
-/// and each request is answered or was never taken.
+/// Guards against requests lost in a drain. Clients use their connections until they are closed; each request must be
+/// answered, or must not have been received.
 #[tokio::test]
-async fn kept_connections_close_in_a_drain_and_no_request_is_lost() {
+async fn drain_closes_keep_alive_connections_without_losing_requests() {
     let scenario = async {
         let service = TestListener::start().await;
-        let mut resting = connect_to(service.address);
+        let mut idle_client = connect_to(service.address);
         let drain = async {
             while service.answered_requests.get() < 200 {
                 tokio::task::yield_now().await;
@@ -513,19 +519,19 @@
         };
         let clients =
             futures_util::future::join_all((0..8).map(|_| service.send_requests(UNLIMITED)));
-        let (ends, ()) = tokio::join!(clients, drain);
+        let (results, ()) = tokio::join!(clients, drain);
         assert_eq!(
-            ends.iter().map(|(answered, _)| answered).sum::<u64>(),
+            results.iter().map(|(answered, _)| answered).sum::<u64>(),
             service.answered_requests.get()
         );
         assert_eq!(
-            spawn_blocking(move || resting.read(&mut [0]).unwrap())
+            spawn_blocking(move || idle_client.read(&mut [0]).unwrap())
                 .await
                 .unwrap(),
             0
         );
-        // None is left, and the next ones are answered once.
-        while service.open.count() > 0 {
+        // All connections are closed; new ones get one response each.
+        while service.connections.count() > 0 {
             tokio::task::yield_now().await;
         }
         assert_eq!(
@@ -536,12 +542,12 @@
             [(1, true); 2]
         );
         assert!(!service.accepting.is_finished());
-        // Kept again, and closed again.
+        // After the drain, connections are kept; in the next drain, they are closed.
         service.stage.send_replace(Stage::Open);
         assert_eq!(service.send_requests(20).await, (20, false));
         service.stage.send_replace(Stage::Draining);
         assert_eq!(service.send_requests(2).await, (1, true));
-        // The conductor's own end comes during a drain.
+        // The router shuts down during a drain.
         service.stage.send_replace(Stage::Closing);
         service.accepting.await.unwrap();
         assert!(std::net::TcpStream::connect(service.address).is_err());
@@ -549,10 +555,10 @@
     LocalSet::new().run_until(scenario).await;
 }
 
-/// Guards against a stream cut off by a drain, and against a connection that outlives it: its head is out already and
-/// names no close.
+/// Guards against a stream that a drain cuts off, and against a connection that stays open after it: the response
+/// head has been sent already and does not announce the close.
 #[tokio::test]
-async fn a_stream_that_outlasts_a_drain_comes_to_its_end_and_its_connection_closes() {
+async fn stream_in_progress_during_a_drain_completes_and_closes_its_connection() {
     let scenario = async {
         let server = TestServer::new().await;
         let (mut client, stream) = connect_with_small_buffers(&server.listener, 4096).await;
@@ -573,7 +579,7 @@
         }
         frames.send(frame("two ")).await.unwrap();
         frames.send(crate::exchange::Frame::End).await.unwrap();
-        let received = read_to_end(client).await.expect("ended in order");
+        let received = read_to_end(client).await.expect("closed without a reset");
         assert!(
             received.contains("one ")
                 && received.contains("two ")
@@ -586,17 +592,17 @@
     LocalSet::new().run_until(scenario).await;
 }
 
-/// Guards against requests that cross the closing of their connection: as another process takes the address over, a
-/// client that rests is left in peace, and its next answer tells it to go.
+/// Guards against requests that cross the close of their connection: when another process takes over the address,
+/// idle connections stay open, and the next response closes them.
 #[tokio::test]
-async fn as_another_process_takes_over_answers_close_their_connections_and_what_rests_stays() {
+async fn takeover_closes_connections_with_their_responses_and_keeps_idle_ones() {
     let scenario = async {
         let address = "127.0.0.1:0".parse().unwrap();
         let listener = crate::net::upgrade::socket::listen(address, true).unwrap();
         let _other =
             crate::net::upgrade::socket::listen(listener.local_addr().unwrap(), true).unwrap();
         let (stage, stages) = watch::channel(Stage::Open);
-        let open = Rc::new(Connections::default());
+        let connections = Rc::new(Connections::default());
         let service = ClientService {
             shared: shared(1),
             tools: None,
@@ -606,20 +612,20 @@
             max_connections: 64,
             max_waiting_requests: 64,
             stage: stages,
-            connections: open.clone(),
+            connections: connections.clone(),
             other_process_serves: Rc::new(Cell::new(true)),
         };
-        // Some of them wait at the other listener, which nobody serves.
+        // The kernel assigns some of them to the other listener, which accepts nothing.
         let mut clients: Vec<_> = (0..64).map(|_| connect(&listener)).collect();
         let accepted = spawn_local(accepting.accept(listener));
         stage.send(Stage::Leaving).unwrap();
         accepted.await.unwrap();
-        let here = open.count();
-        assert!(here > 0 && here < clients.len());
+        let accepted_here = connections.count();
+        assert!(accepted_here > 0 && accepted_here < clients.len());
         for client in &mut clients {
             client.write_all(REQUEST).unwrap();
         }
-        while open.count() > 0 {
+        while connections.count() > 0 {
             tokio::task::yield_now().await;
         }
         let mut answered = 0;
@@ -631,18 +637,18 @@
                 received.starts_with("HTTP/1.1 200 OK") && received.contains("connection: close"),
             );
         }
-        assert_eq!(answered, here);
+        assert_eq!(answered, accepted_here);
     };
     LocalSet::new().run_until(scenario).await;
 }
 
-/// Guards against clients that are reset as the listener closes: from then on the other one gets them, also where the
-/// signal to stop was seen so late that connections close at once.
+/// Guards against clients that are reset when the listener closes: from then on, the other listener gets new
+/// connections, even if the signal was handled so late that the stage goes to closing directly.
 #[rstest]
 #[case::leaving(Stage::Leaving)]
 #[case::closing_at_once(Stage::Closing)]
 #[tokio::test(start_paused = true)]
-async fn as_another_process_takes_over_the_system_hands_nothing_new_to_this_one(
+async fn after_a_takeover_the_kernel_assigns_no_connections_to_the_old_listener(
     #[case] next: Stage,
 ) {
     let scenario = async {
@@ -651,7 +657,7 @@
         let address = listener.local_addr().unwrap();
         let _other = crate::net::upgrade::socket::listen(address, true).unwrap();
         let (stage, stages) = watch::channel(Stage::Open);
-        let open = Rc::new(Connections::default());
+        let connections = Rc::new(Connections::default());
         let service = ClientService {
             shared: shared(1),
             tools: None,
@@ -661,12 +667,12 @@
             max_connections: 128,
             max_waiting_requests: 128,
             stage: stages,
-            connections: open.clone(),
+            connections: connections.clone(),
             other_process_serves: Rc::new(Cell::new(true)),
         };
         let accepted = spawn_local(accepting.accept(listener));
         stage.send(next).unwrap();
-        // It waits for the end of handshakes then: the clock stands for as long as there is something to do.
+        // The listener waits for handshakes now; the paused clock advances only when all tasks are idle.
         for _ in 0..100 {
             tokio::task::yield_now().await;
         }
@@ -680,14 +686,14 @@
         };
         let _clients: Vec<_> = (0..64).map(begin).collect();
         accepted.await.unwrap();
-        assert_eq!(open.count(), 0);
+        assert_eq!(connections.count(), 0);
     };
     LocalSet::new().run_until(scenario).await;
 }
 
-/// Guards against events lost with a stream that breaks: what a slow client had not taken yet was dropped by hyper.
+/// Guards against events lost when a stream breaks: hyper discarded the data that a slow client had not read yet.
 #[tokio::test]
-async fn a_stream_that_breaks_gives_a_slow_client_all_that_came_before() {
+async fn broken_stream_delivers_all_earlier_data_to_a_slow_client() {
     let scenario = async {
         let server = TestServer::new().await;
         let (mut client, stream) = connect_with_small_buffers(&server.listener, 4096).await;
@@ -707,7 +713,7 @@
         while !server.tracker.is_write_blocked() {
             tokio::task::yield_now().await;
         }
-        // However often it is asked meanwhile.
+        // The error must stay withheld however often hyper polls the body.
         for _ in 0..100 {
             tokio::task::yield_now().await;
         }
@@ -724,45 +730,45 @@
     LocalSet::new().run_until(scenario).await;
 }
 
-/// Guards against memory beyond the configured limit: what hundreds of clients send behind their requests in hand takes
-/// the same room as bodies, and gives it back.
+/// Guards against exceeding the memory limit: data that hundreds of clients send behind their requests in progress is
+/// charged to the budget of bodies, and returned to it.
 #[rstest]
-#[case::room_enough(10_000, 5_000)]
-#[case::too_little(4_000, 0)]
+#[case::within_the_budget(10_000, 5_000)]
+#[case::over_the_budget(4_000, 0)]
 #[tokio::test]
-async fn what_is_read_ahead_takes_room_of_the_budget(#[case] budget: usize, #[case] kept: usize) {
+async fn read_ahead_is_charged_to_the_body_budget(#[case] budget: usize, #[case] buffered: usize) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let mut client = connect(&listener);
     let (stream, _) = listener.accept().await.unwrap();
     let (tracker, shared) = (ConnectionTracker::new(), shared(budget));
-    let mut room = Held::new(shared.clone());
+    let mut read_ahead_budget = Held::new(shared.clone());
     client.write_all(&[b'a'; 5_000]).unwrap();
     client.shutdown(std::net::Shutdown::Write).unwrap();
-    while !tracker.read_ahead(&stream, &mut room).await {}
+    while !tracker.read_ahead(&stream, &mut read_ahead_budget).await {}
     assert_eq!(
         (tracker.buffered_bytes(), shared.budget.get()),
-        (kept, budget - kept)
+        (buffered, budget - buffered)
     );
-    room.shrink_to(2_000);
-    assert_eq!(shared.budget.get(), budget - kept.min(2_000));
-    drop(room);
+    read_ahead_budget.shrink_to(2_000);
+    assert_eq!(shared.budget.get(), budget - buffered.min(2_000));
+    drop(read_ahead_budget);
     assert_eq!(shared.budget.get(), budget);
 }
 
-/// Guards against a deadline that begins anew where a request was written behind another one: it waits unread by hyper
-/// while that is answered, and its client's time runs.
+/// Guards against a deadline that starts late for a pipelined request: hyper does not read it while the previous
+/// request is answered, but its client's deadline runs from its arrival.
 #[tokio::test(start_paused = true)]
-async fn a_request_behind_the_one_in_hand_counts_from_when_it_came() {
+async fn pipelined_request_is_timed_from_its_arrival() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let mut client = connect(&listener);
     let (stream, _) = listener.accept().await.unwrap();
     let (stream, tracker) = (Rc::new(stream), ConnectionTracker::new());
-    let mut room = Held::new(shared(64 * 1024));
+    let mut read_ahead_budget = Held::new(shared(64 * 1024));
     client.write_all(REQUEST).unwrap();
     while tracker.buffered_bytes() < REQUEST.len() {
-        assert!(!tracker.read_ahead(&stream, &mut room).await);
+        assert!(!tracker.read_ahead(&stream, &mut read_ahead_budget).await);
     }
-    let came = Instant::now();
+    let arrived = Instant::now();
     tokio::time::advance(Duration::from_secs(2)).await;
     let mut buffer = [0; 1024];
     let read = TrackedStream::new(stream, tracker.clone())
@@ -772,34 +778,34 @@
     assert_eq!(&buffer[..read], REQUEST);
     let head = tracker.take_head();
     assert!(head.is_sound);
-    assert_eq!(head.arrived, came);
+    assert_eq!(head.arrived, arrived);
 }
 
-/// Guards against a request that was read and has no answer: the end of its task closed its connection.
+/// Guards against a request that was read and gets no response: a panic ended its task and closed its connection.
 #[tokio::test]
-async fn a_request_whose_answering_panics_is_answered_as_failed() {
+async fn panic_in_the_service_is_answered_with_500() {
     let counters = Counters::default();
-    let panicking = async { panic!("on purpose") };
-    let response = respond_always::<Infallible>(panicking, &counters).await;
+    let panicking_service = async { panic!("deliberate panic") };
+    let response = respond_always::<Infallible>(panicking_service, &counters).await;
     assert_eq!(response.status(), StatusCode::INTERNAL_SERVER_ERROR);
     assert_eq!(counters.panics.get(), 1);
-    let full = async { Err("no room") };
+    let overloaded_service = async { Err("overloaded") };
     assert_eq!(
-        respond_always(full, &counters).await.status(),
+        respond_always(overloaded_service, &counters).await.status(),
         StatusCode::SERVICE_UNAVAILABLE
     );
 }
 
-/// Guards against the same over loopback sockets: the connection lives on.
+/// Guards against the same failure over loopback sockets: the connection must stay open.
 #[tokio::test]
-async fn a_panic_costs_one_request_and_no_connection() {
+async fn connection_survives_a_panic_in_the_service() {
     LocalSet::new()
         .run_until(async {
             let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
             let mut client = connect(&listener);
             let (dispatcher, _) = crate::dispatch::DispatcherHandle::channel(Clock::start());
             let panics = Cell::new(true);
-            let ready = Box::new(move || !panics.take() || panic!("on purpose"));
+            let ready = Box::new(move || !panics.take() || panic!("deliberate panic"));
             let shared = Rc::new(Shared {
                 dispatcher,
                 ready,
@@ -820,7 +826,7 @@
                 other_process_serves: Rc::default(),
             };
             spawn_local(listening.accept(listener));
-            for wanted in ["HTTP/1.1 500 ", "HTTP/1.1 200 "] {
+            for expected_status in ["HTTP/1.1 500 ", "HTTP/1.1 200 "] {
                 client.write_all(REQUEST).unwrap();
                 let mut reading = client.try_clone().unwrap();
                 let read = move || {
@@ -829,7 +835,7 @@
                     String::from_utf8_lossy(&buffer[..read]).into_owned()
                 };
                 let received = spawn_blocking(read).await.unwrap();
-                assert!(received.starts_with(wanted), "{received:?}");
+                assert!(received.starts_with(expected_status), "{received:?}");
             }
             assert_eq!(counters.panics.get(), 1);
         })
--- a/src/net/shutdown_stages.rs
+++ b/src/net/shutdown_stages.rs
@@ -7,18 +7,18 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// How often another process at the address is looked for.
+/// Interval at which the flag for another process at the address is checked.
 const SUCCESSOR_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Moves connections on from the request to stop up to [`Stage::Closing`]. A listener is left at once where another process
-/// serves its address.
+/// Moves connections from the request to stop through to [`Stage::Closing`]. If another process serves the address,
+/// the listener is closed at once.
 pub async fn advance_stages(
     shutdown: &Shutdown,
     other_process_serves: &Cell<bool>,
     connections: &Connections,
     stage: &watch::Sender<Stage>,
 ) {
-    let enter = |next: Stage| {
+    let enter_stage = |next: Stage| {
         log::info!(
             "stopping: {} ms after the signal, connections go from {:?} to {next:?}: {}",
             shutdown.elapsed().unwrap_or_default().as_millis(),
@@ -30,18 +30,18 @@
     tokio::select! {
         biased;
         () = wait_for_successor(other_process_serves) => {
-            enter(Stage::Leaving);
-            shutdown.wait_until(ADMISSION_PERIOD).await;
+            enter_stage(Stage::Leaving);
+            shutdown.wait_until_elapsed(ADMISSION_PERIOD).await;
         }
-        () = shutdown.wait_until(ADMISSION_PERIOD) => {
-            enter(Stage::Rejecting);
+        () = shutdown.wait_until_elapsed(ADMISSION_PERIOD) => {
+            enter_stage(Stage::Rejecting);
             tokio::select! {
-                () = shutdown.wait_until(ACCEPT_PERIOD) => {}
+                () = shutdown.wait_until_elapsed(ACCEPT_PERIOD) => {}
                 () = wait_for_successor(other_process_serves) => {}
             }
         }
     }
-    enter(Stage::Closing);
+    enter_stage(Stage::Closing);
 }
 
 /// Waits until another process serves the address.
--- a/src/net/upgrade.rs
+++ b/src/net/upgrade.rs
@@ -1,8 +1,8 @@
-//! Two processes at one clients' address, while a new version takes over from a running one.
+//! Two processes at one client address, while a new version takes over from a running one.
 //!
-//! Each process holds one of two [`lock_file`]s, files in the temporary folder with an advisory lock, and says there how far
-//! it is and how many descriptors it may hold. [`share`] decides from both claims how many that are; [`socket`] opens
-//! and closes a listener beside another one.
+//! Each process holds one of two [`lock_file`]s in the temporary folder and publishes its phase and its descriptor
+//! limit there. [`share`] computes from both statuses how many descriptors each may hold; [`socket`] opens and closes
+//! a listener that shares its address with another one.
 
 pub mod lock_file;
 pub mod share;
@@ -26,29 +26,29 @@
 use tokio::net::TcpListener;
 use tokio::time::Instant;
 
-/// How often the other process is looked at.
+/// Interval at which the status of the other process is read.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// The same while this process waits for something of the other one.
+/// The same interval while this process waits for a change by the other one.
 const WAIT_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// How long a start waits for a seat, and then for descriptors, that an earlier upgrade still holds.
+/// How long a start waits for a lock file, and then for descriptors, that an earlier upgrade still holds.
 const STARTUP_WAIT: Duration = Duration::from_secs(5);
-/// How long a start waits for discovery's list where the list of its configuration would do. Discovery's agent is on the
-/// same machine and answers at once; it tells nothing where nothing has changed.
+/// How long a start waits for discovery's list although the configured list is sufficient. The discovery agent runs
+/// on the same machine and answers at once; it sends nothing if nothing has changed.
 const DISCOVERY_LIST_WAIT: Duration = Duration::from_millis(300);
 
-/// This process's part in the service of an address.
+/// Whether this process may share its client address with another process.
 pub enum AddressOwnership {
     /// No second process can serve the address.
     Exclusive,
-    /// Another process can come, or is there.
+    /// A second process may start, or is running.
     Shared(LockFile),
 }
 
 impl AddressOwnership {
-    /// Takes a seat for an address. Port 0 is a new address each time, so there is nothing to share.
+    /// Acquires a lock file for the address. Port 0 gives a new address each time, so there is nothing to share.
     ///
     /// # Errors
-    /// Two other processes hold the seats, for longer than an upgrade takes.
+    /// Both lock files stay held by other processes for longer than an upgrade takes.
     pub async fn acquire(
         folder: &Path,
         address: SocketAddr,
@@ -74,10 +74,10 @@
         }
     }
 
-    /// How many descriptors this process may hold at first, and whether another process serves already.
+    /// Returns how many descriptors this process may hold at first, and whether another process is running.
     ///
     /// # Errors
-    /// The other process leaves too few.
+    /// The other process leaves too few descriptors.
     pub async fn initial_share(
         &self,
         limit: DescriptorLimit,
@@ -96,30 +96,32 @@
                 return Ok((first, other.is_some()));
             }
             if begun.elapsed() >= STARTUP_WAIT {
-                let what = "the process that serves already holds nearly all descriptors";
-                return Err(ConfigError(format!("limits.sockets: {what}")));
+                let what = "the running process leaves too few descriptors to start a second one";
+                let advice = "wait until it has fewer connections, or raise the limit of both";
+                return Err(ConfigError(format!("limits.sockets: {what}; {advice}")));
             }
             tokio::time::sleep(WAIT_POLL_INTERVAL).await;
         }
     }
 
-    /// Opens the listener of a process that is the only one.
+    /// Opens the listener of a process that runs alone.
     ///
     /// # Errors
-    /// The system's, or the address is taken by another program.
+    /// The system's error, or the address is in use by another program.
     pub fn listen_alone(&self, address: SocketAddr) -> std::io::Result<TcpListener> {
         let alone = socket::listen(address, false)?;
         match self {
             AddressOwnership::Exclusive => Ok(alone),
             AddressOwnership::Shared(_) => {
-                // Whoever limit no seats with this process must not be joined.
+                // Opened without SO_REUSEPORT first, which fails if a program that does not use the lock files has
+                // the address: its listener must not be joined.
                 drop(alone);
                 socket::listen(address, true)
             }
         }
     }
 
-    /// What the other process says of itself, while it holds its lock_file.
+    /// Status of the other process; `None` if no other process holds a lock file.
     pub fn other_process(&self) -> Option<ProcessStatus> {
         match self {
             AddressOwnership::Exclusive => None,
@@ -128,32 +130,32 @@
     }
 }
 
-/// What two processes share out between them, as far as this one holds it.
+/// The limits that two processes share, as applied to this one.
 pub struct LimitSharing {
-    /// The lock_file.
+    /// Lock file of this process, if the address can be shared.
     pub ownership: AddressOwnership,
-    /// The limits of both.
+    /// Descriptor limit of both processes together.
     pub limit: DescriptorLimit,
-    /// Descriptors for everything that is neither a client nor a model host.
+    /// Number of descriptors used for neither clients nor model hosts.
     pub reserved: usize,
-    /// Connections to model hosts.
+    /// Pool of connections to model hosts.
     pub pool: Pool,
-    /// Connections of clients.
+    /// Table of client connections.
     pub connections: Rc<Connections>,
-    /// The budget of bodies.
+    /// Shared state with the memory budget of bodies.
     pub shared: Rc<Shared>,
-    /// Bytes of bodies that are left to the other process while there is one.
+    /// Bytes of the body budget that are left to the other process while there is one.
     pub body_bytes_for_other: usize,
-    /// How far this process is.
+    /// Life-cycle phase of this process.
     pub phase: Cell<ProcessPhase>,
-    /// Whether the other process serves.
+    /// Whether the other process serves the address; updated here, read by the listener and the shutdown.
     pub other_process_serves: Rc<Cell<bool>>,
-    /// Whether this process may send to model hosts in slow start.
+    /// Decides whether this process may send to model hosts in slow start.
     pub slow_start: RefCell<SlowStartPermission>,
 }
 
 impl LimitSharing {
-    /// Looks after the limit for good.
+    /// Applies the shared limits until the process exits.
     pub async fn run(self: Rc<Self>) {
         let mut budget: Option<Held> = None;
         let mut had_other = false;
@@ -172,38 +174,38 @@
         }
     }
 
-    /// Says how far this process is, and looks at the other one at once.
+    /// Enters a phase, publishes it, and reads the status of the other process at once.
     pub fn enter_phase(&self, phase: ProcessPhase) {
         self.phase.set(phase);
         self.update();
     }
 
-    /// Waits until this process can serve beside the other one: hosts are known and, for a while, until discovery has
-    /// published its list. A process that can't serve never listens, so the system hands it nothing. When the other one has
-    /// gone there is nothing to wait for.
+    /// Waits until this process can serve in parallel with the other one: workers are known and discovery has sent
+    /// its list, or `DISCOVERY_LIST_WAIT` has passed. A process that cannot serve does not listen, so the kernel
+    /// assigns it no connections. Returns at once when the other process is gone.
     pub async fn wait_until_able_to_serve(
         &self,
-        able: impl Fn() -> bool,
+        has_workers: impl Fn() -> bool,
         has_list: impl Fn() -> bool,
     ) {
         let begun = Instant::now();
         while self.ownership.other_process().is_some() {
-            let is_patient = begun.elapsed() < DISCOVERY_LIST_WAIT;
-            if able() && (has_list() || !is_patient) {
+            let is_waiting_for_list = begun.elapsed() < DISCOVERY_LIST_WAIT;
+            if has_workers() && (has_list() || !is_waiting_for_list) {
                 return;
             }
             tokio::time::sleep(WAIT_POLL_INTERVAL).await;
         }
     }
 
-    /// Moves the bounds to what the other process leaves; whether there is one.
+    /// Sets the limits to what the other process leaves; returns whether there is one.
     fn update(&self) -> bool {
         let other = self.ownership.other_process();
-        let right = self
+        let permission = self
             .slow_start
             .borrow_mut()
             .update(self.phase.get(), other.map(|status| status.phase));
-        if let Some(allowed) = right {
+        if let Some(allowed) = permission {
             self.shared
                 .dispatcher
                 .tell(DispatcherEvent::SlowStart { allowed });
@@ -219,7 +221,7 @@
             split.clients - MAX_REFUSED_CONNECTIONS,
             &self.shared.counters,
         );
-        // What is in hand can't be given back: the other process learns what is held, not what is aimed at.
+        // Descriptors in use cannot be given up, so the status states what is held, not the target.
         let sockets =
             self.reserved + self.pool.size() + self.connections.count().max(split.clients);
         lock_file.publish(ProcessStatus {
@@ -233,10 +235,12 @@
         let sockets = self.pool.size();
         if has_other {
             log::info!(
-                "upgrade: two processes share the limits; {sockets} sockets for model hosts here"
+                "upgrade: two processes share the limits; this one may use {sockets} sockets for model hosts"
             );
         } else {
-            log::info!("upgrade: this process is the only one; {sockets} sockets for model hosts");
+            log::info!(
+                "upgrade: this process is the only one; it may use {sockets} sockets for model hosts"
+            );
         }
     }
 }
--- a/src/net/upgrade/lock_file.rs
+++ b/src/net/upgrade/lock_file.rs
@@ -1,6 +1,6 @@
-//! The two seats of an address: a file each in the temporary folder, with an advisory lock that its holder keeps for as
-//! long as it lives. The system lets go of the lock however the holder ends, so what a file says counts only while it
-//! is locked.
+//! The two lock files of an address, in the temporary folder. A process keeps an advisory lock on its file for its
+//! whole life. The system releases the lock however the process ends, so the content of a file is valid only while
+//! the file is locked.
 
 use std::cell::{Cell, RefCell};
 use std::fs::{File, OpenOptions, TryLockError};
@@ -10,19 +10,19 @@
 use std::path::{Path, PathBuf};
 use std::str::FromStr;
 
-/// The first word of a seat's line.
+/// First word of a status line; it names the format version.
 const MAGIC: &str = "whinhaven-seat-1";
-/// A line is filled up to this length, so that each one replaces the one before as a whole.
+/// Length to which a status line is padded, so that each write replaces the previous line completely.
 const LINE_BYTES: usize = 64;
 
-/// How far a process is.
+/// Life-cycle phase of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessPhase {
-    /// It doesn't listen yet.
+    /// The process does not listen yet.
     Starting,
-    /// It serves.
+    /// The process accepts and serves clients.
     Serving,
-    /// It finishes what it has.
+    /// The process is shutting down and finishes its requests.
     Stopping,
 }
 
@@ -41,18 +41,18 @@
     }
 }
 
-/// What a process says of itself.
+/// Status that a process publishes in its lock file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProcessStatus {
-    /// How far it is.
+    /// Life-cycle phase.
     pub phase: ProcessPhase,
-    /// The most descriptors that it may hold.
+    /// Maximum number of descriptors that the process may hold.
     pub sockets: usize,
 }
 
-/// A seat's line is none that this version writes.
+/// The content of a lock file is not a status line of this version.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
-#[error("not a seat's line")]
+#[error("not a status line of this version")]
 pub struct InvalidStatus;
 
 impl FromStr for ProcessStatus {
@@ -78,32 +78,32 @@
     }
 }
 
-/// Why there is no lock_file.
+/// Why no lock file could be acquired.
 #[derive(Debug, thiserror::Error)]
 pub enum LockFileError {
-    /// Two processes hold them.
-    #[error("two other processes serve there")]
+    /// Two other processes hold both lock files.
+    #[error("two other processes already serve this address; stop one of them first")]
     AllHeld,
-    /// A file can't be used.
+    /// The file at this path cannot be opened or locked.
     #[error("{0}: {1}")]
     Unusable(PathBuf, io::Error),
 }
 
-/// A seat that this process holds.
+/// A lock file held by this process.
 pub struct LockFile {
-    own: File,
-    other: File,
+    own_file: File,
+    other_file: File,
     other_path: PathBuf,
     published: Cell<Option<ProcessStatus>>,
-    /// Content of the other's file that was reported as unreadable.
+    /// Error that was last logged for the other process's file.
     reported_error: RefCell<String>,
 }
 
 impl LockFile {
-    /// Takes the free seat of an address.
+    /// Acquires the free lock file of an address.
     ///
     /// # Errors
-    /// There is none.
+    /// Both are held by other processes, or a file cannot be used.
     pub fn acquire(folder: &Path, address: SocketAddr) -> Result<LockFile, LockFileError> {
         let paths = [0, 1].map(|number| folder.join(format!("whinhaven-{address}.seat{number}")));
         for (own, other) in [(0, 1), (1, 0)] {
@@ -116,8 +116,8 @@
                 }
             }
             let lock_file = LockFile {
-                own: file,
-                other: open(&paths[other])?,
+                own_file: file,
+                other_file: open(&paths[other])?,
                 other_path: paths[other].clone(),
                 published: Cell::default(),
                 reported_error: RefCell::default(),
@@ -131,27 +131,29 @@
         Err(LockFileError::AllHeld)
     }
 
-    /// Says how far this process is.
+    /// Publishes the status of this process. A failed write is logged and retried at the next call.
     pub fn publish(&self, status: ProcessStatus) {
         if self.published.replace(Some(status)) == Some(status) {
             return;
         }
         let line = format!("{:<width$}\n", status.to_string(), width = LINE_BYTES - 1);
         let written = self
-            .own
+            .own_file
             .write_all_at(line.as_bytes(), 0)
-            .and_then(|()| self.own.set_len(LINE_BYTES as u64));
+            .and_then(|()| self.own_file.set_len(LINE_BYTES as u64));
         if let Err(error) = written {
-            log::warn!("upgrade: own seat not written: {error}");
+            log::warn!(
+                "upgrade: cannot write the own lock file: {error}; retrying at the next update"
+            );
             self.published.set(None);
         }
     }
 
-    /// What the process in the other seat says of itself; `None` without one.
+    /// Status of the process that holds the other lock file; `None` if no process holds it.
     pub fn other_process(&self) -> Option<ProcessStatus> {
-        match self.other.try_lock_shared() {
+        match self.other_file.try_lock_shared() {
             Ok(()) => {
-                let _ = self.other.unlock();
+                let _ = self.other_file.unlock();
                 None
             }
             Err(TryLockError::WouldBlock) => Some(self.read_other()),
@@ -162,10 +164,10 @@
         }
     }
 
-    /// A process whose line can't be read is taken for one that has just begun.
+    /// A process whose status line cannot be parsed is treated as one that has just started.
     fn read_other(&self) -> ProcessStatus {
         let mut line = [0; LINE_BYTES];
-        let length = self.other.read_at(&mut line, 0).unwrap_or(0);
+        let length = self.other_file.read_at(&mut line, 0).unwrap_or(0);
         let text = String::from_utf8_lossy(&line[..length]);
         text.parse().unwrap_or_else(|error: InvalidStatus| {
             self.report_unreadable(&error.to_string());
@@ -176,10 +178,10 @@
         })
     }
 
-    /// Logs one line for each thing that is wrong, not one for each look.
-    fn report_unreadable(&self, what: &str) {
-        if self.reported_error.replace(what.to_owned()) != what {
-            log::warn!("upgrade: {}: {what}; ignored", self.other_path.display());
+    /// Logs each error once, not at each read.
+    fn report_unreadable(&self, error: &str) {
+        if self.reported_error.replace(error.to_owned()) != error {
+            log::warn!("upgrade: {}: {error}; ignored", self.other_path.display());
         }
     }
 }
--- a/src/net/upgrade/lock_file/tests.rs
+++ b/src/net/upgrade/lock_file/tests.rs
@@ -1,18 +1,18 @@
 use super::*;
 use rstest::rstest;
 
-/// A folder of its own for a test, removed with it.
-struct Folder(PathBuf);
+/// A temporary folder for one test, deleted on drop.
+struct TempFolder(PathBuf);
 
-impl Folder {
+impl TempFolder {
     fn new(name: &str) -> Self {
         let path =
             std::env::temp_dir().join(format!("whinhaven-seat-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&path).unwrap();
-        Folder(path)
+        TempFolder(path)
     }
 
-    fn take(&self) -> Result<LockFile, LockFileError> {
+    fn acquire(&self) -> Result<LockFile, LockFileError> {
         LockFile::acquire(&self.0, ADDRESS.parse().unwrap())
     }
 
@@ -21,7 +21,7 @@
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempFolder {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
@@ -30,12 +30,12 @@
 const ADDRESS: &str = "127.0.0.1:8000";
 
 #[test]
-fn two_processes_hear_each_other_and_a_third_has_no_seat() {
-    let folder = Folder::new("two");
-    let first = folder.take().unwrap();
+fn two_processes_see_each_others_status_and_a_third_gets_no_lock_file() {
+    let folder = TempFolder::new("two");
+    let first = folder.acquire().unwrap();
     assert_eq!(first.other_process(), None);
-    let second = folder.take().unwrap();
-    assert!(matches!(folder.take(), Err(LockFileError::AllHeld)));
+    let second = folder.acquire().unwrap();
+    assert!(matches!(folder.acquire(), Err(LockFileError::AllHeld)));
     assert_eq!(
         first.other_process(),
         Some(ProcessStatus {
@@ -59,13 +59,13 @@
     drop(second);
     assert_eq!(first.other_process(), None);
     drop(first);
-    assert!(folder.take().is_ok());
+    assert!(folder.acquire().is_ok());
 }
 
 #[test]
-fn another_address_has_seats_of_its_own() {
-    let folder = Folder::new("address");
-    let _first = folder.take().unwrap();
+fn each_address_has_its_own_lock_files() {
+    let folder = TempFolder::new("address");
+    let _first = folder.acquire().unwrap();
     let other = LockFile::acquire(&folder.0, "127.0.0.1:8001".parse().unwrap()).unwrap();
     assert_eq!(other.other_process(), None);
 }
@@ -73,17 +73,17 @@
 #[rstest]
 #[case::empty("")]
 #[case::text("who knows what\n")]
-#[case::cut_short("whinhaven-seat-1 serving")]
-#[case::other_phase("whinhaven-seat-1 resting 5")]
-#[case::no_number("whinhaven-seat-1 serving -5")]
-#[case::more("whinhaven-seat-1 serving 5 5")]
+#[case::truncated("whinhaven-seat-1 serving")]
+#[case::unknown_phase("whinhaven-seat-1 resting 5")]
+#[case::negative_number("whinhaven-seat-1 serving -5")]
+#[case::extra_word("whinhaven-seat-1 serving 5 5")]
 #[case::other_version("whinhaven-seat-2 serving 5")]
-fn a_line_that_is_no_claim_counts_for_nothing(#[case] line: &str) {
+fn invalid_status_line_is_treated_as_a_starting_process(#[case] line: &str) {
     assert_eq!(line.parse::<ProcessStatus>(), Err(InvalidStatus));
-    let folder = Folder::new(&format!("line-{}", line.len()));
+    let folder = TempFolder::new(&format!("line-{}", line.len()));
     std::fs::write(folder.file(1), line).unwrap();
-    let first = folder.take().unwrap();
-    assert_eq!(first.other_process(), None, "nobody holds it");
+    let first = folder.acquire().unwrap();
+    assert_eq!(first.other_process(), None, "no process holds the file");
     let foreign = File::open(folder.file(1)).unwrap();
     foreign.lock().unwrap();
     assert_eq!(
@@ -96,12 +96,12 @@
 }
 
 #[test]
-fn a_stale_claim_counts_for_nothing() {
-    let folder = Folder::new("stale");
+fn status_in_an_unlocked_file_is_ignored() {
+    let folder = TempFolder::new("stale");
     std::fs::write(folder.file(1), "whinhaven-seat-1 serving 1024\n").unwrap();
-    let first = folder.take().unwrap();
+    let first = folder.acquire().unwrap();
     assert_eq!(first.other_process(), None);
-    let second = folder.take().unwrap();
+    let second = folder.acquire().unwrap();
     assert_eq!(
         first.other_process(),
         Some(ProcessStatus {
@@ -113,10 +113,10 @@
 }
 
 #[test]
-fn what_is_no_file_is_said_to_be_unusable() {
-    let folder = Folder::new("folder");
+fn path_that_is_not_a_file_is_reported_as_unusable() {
+    let folder = TempFolder::new("folder");
     std::fs::create_dir(folder.file(0)).unwrap();
     assert!(
-        matches!(folder.take(), Err(LockFileError::Unusable(path, _)) if path == folder.file(0))
+        matches!(folder.acquire(), Err(LockFileError::Unusable(path, _)) if path == folder.file(0))
     );
 }
--- a/src/net/upgrade/share.rs
+++ b/src/net/upgrade/share.rs
@@ -1,16 +1,17 @@
 //! How many descriptors each of two processes may hold.
 //!
-//! A process that is alone may hold all of them. The running one gives way down to a half as far as what it has in
-//! hand allows, and says in its seat what it keeps; the new one takes what that leaves, a half at the most. As only
-//! the new one takes more while both are there, the sum stays within the limit.
+//! A process that is alone may hold all of them. When a second one starts, the running process gives up descriptors,
+//! down to a half, as its requests end, and publishes in its lock file how many it keeps. The new process takes the
+//! remainder, at most a half. Only the new process increases its share while both run, so the sum stays within the
+//! limit.
 
 use super::lock_file::ProcessStatus;
 use crate::net::server::MAX_REFUSED_CONNECTIONS;
 
-/// The fewest sockets beside the reserved ones with which a second process can serve: some of each side.
+/// Minimum number of client and model-host sockets with which a second process can serve.
 const MIN_SERVING_SOCKETS: usize = 4 * MAX_REFUSED_CONNECTIONS;
 
-/// The limit that the processes share.
+/// Descriptor limit that the processes share.
 #[derive(Clone, Copy, Debug)]
 pub struct DescriptorLimit {
     total: usize,
@@ -18,23 +19,25 @@
 }
 
 impl DescriptorLimit {
-    /// Of a limit, with the descriptors of each process that are neither a client's nor a model host's.
+    /// Creates the limit; `reserved` is the number of descriptors per process used for neither clients nor model
+    /// hosts.
     pub fn new(total: usize, reserved: usize) -> Self {
         DescriptorLimit { total, reserved }
     }
 
-    /// The whole limit.
+    /// The limit of both processes together.
     pub fn total(&self) -> usize {
         self.total
     }
 
-    /// What a process may begin with beside the other one; `None` while that is too little to serve.
+    /// Number of descriptors with which a process may start while the other one has this status; `None` if they are
+    /// too few to serve.
     pub fn initial_share(&self, other: Option<ProcessStatus>) -> Option<usize> {
         let first = self.target_share(other);
         (first >= self.min_share()).then_some(first)
     }
 
-    /// What a process is to hold at the most. One that has more in hand comes down to it as that ends.
+    /// Maximum number of descriptors of a process. One that uses more gets down to it as its requests end.
     pub fn target_share(&self, other: Option<ProcessStatus>) -> usize {
         let Some(status) = other else {
             return self.total;
@@ -48,17 +51,18 @@
     }
 }
 
-/// How the descriptors of one process are split.
+/// Division of one process's sockets between clients and model hosts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SocketSplit {
     /// Connections to model hosts.
     pub hosts: usize,
-    /// Connections of clients, those that are refused for want of room included.
+    /// Client connections, including those that are refused because the limit is reached.
     pub clients: usize,
 }
 
 impl SocketSplit {
-    /// Every request in hand may hold a socket of either side; clients that say nothing hold some more of theirs.
+    /// Divides a share. Each request in progress may hold one socket of each kind; clients get more because idle
+    /// clients also hold sockets.
     pub fn of_share(share: usize, reserved: usize) -> Self {
         let sockets = share.saturating_sub(reserved).max(MIN_SERVING_SOCKETS);
         let hosts = sockets * 9 / 20;
--- a/src/net/upgrade/share/tests.rs
+++ b/src/net/upgrade/share/tests.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_process_alone_has_all_and_beside_another_one_at_most_a_half() {
+fn single_process_gets_the_whole_limit_and_a_second_one_at_most_half() {
     let limit = DescriptorLimit::new(TOTAL, RESERVED);
     assert_eq!(
         [None, status(0), status(512), status(700)].map(|c| limit.target_share(c)),
@@ -22,24 +22,24 @@
 }
 
 #[test]
-fn a_start_waits_until_the_other_process_leaves_enough_to_serve() {
+fn start_requires_the_minimum_share() {
     let limit = DescriptorLimit::new(TOTAL, RESERVED);
-    let least = RESERVED + MIN_SERVING_SOCKETS;
-    let firsts = [
+    let minimum = RESERVED + MIN_SERVING_SOCKETS;
+    let shares = [
         status(TOTAL),
-        status(TOTAL - least + 1),
-        status(TOTAL - least),
+        status(TOTAL - minimum + 1),
+        status(TOTAL - minimum),
         status(512),
         None,
     ];
     assert_eq!(
-        firsts.map(|c| limit.initial_share(c)),
-        [None, None, Some(least), Some(512), Some(TOTAL)]
+        shares.map(|c| limit.initial_share(c)),
+        [None, None, Some(minimum), Some(512), Some(TOTAL)]
     );
 }
 
 #[test]
-fn a_split_is_of_both_sides_and_of_no_more_than_the_share() {
+fn split_gives_sockets_to_both_sides_within_the_share() {
     for share in [RESERVED + MIN_SERVING_SOCKETS, 512, TOTAL] {
         let split = SocketSplit::of_share(share, RESERVED);
         assert_eq!(RESERVED + split.hosts + split.clients, share);
@@ -51,16 +51,17 @@
 }
 
 proptest! {
-    /// A running process that gives way as its work ends and a new one that looks at it, in any order.
+    /// A running process that gives up descriptors as its requests end, and a new process that reads its status, in
+    /// any order.
     #[test]
-    fn two_processes_stay_within_the_limit(looks in prop::collection::vec((any::<bool>(), 0usize..=TOTAL), 1..50)) {
+    fn two_processes_stay_within_the_limit(updates in prop::collection::vec((any::<bool>(), 0usize..=TOTAL), 1..50)) {
         let limit = DescriptorLimit::new(TOTAL, RESERVED);
-        let (mut running, mut new, mut in_hand) = (TOTAL, 0, TOTAL);
-        for (is_running, left) in looks {
+        let (mut running, mut new, mut in_use) = (TOTAL, 0, TOTAL);
+        for (is_running, still_in_use) in updates {
             if is_running {
-                // Over its bound it takes nothing in, so what it has in hand only becomes less.
-                in_hand = in_hand.min(left).min(running);
-                running = limit.target_share(status(new)).max(in_hand);
+                // Above its limit the process accepts nothing, so its number of descriptors in use only decreases.
+                in_use = in_use.min(still_in_use).min(running);
+                running = limit.target_share(status(new)).max(in_use);
             } else {
                 new = limit.initial_share(status(running)).unwrap_or(0);
             }
--- a/src/net/upgrade/slow_start.rs
+++ b/src/net/upgrade/slow_start.rs
@@ -1,16 +1,17 @@
-//! Which of two processes of one router may send to model hosts in slow start. Their limit of a host's budget are one
-//! share, so never both: the older one may until it stops, and the newer one from then on.
+//! Decides which of two processes of one router may send to model hosts in slow start. Both count as one router in a
+//! model host's slow-start budget, so only one of them may send: the older one until it stops, then the newer one.
 
 use super::lock_file::ProcessPhase;
 
-/// What one process knows of that right.
+/// One process's view of that permission.
 pub struct SlowStartPermission {
     is_newer: bool,
     last_reported: Option<bool>,
 }
 
 impl SlowStartPermission {
-    /// Of a process that starts; `other_exists` says whether another one was there before it.
+    /// Creates the state of a process that starts; `other_exists` states whether another process was running before
+    /// it.
     pub fn new(other_exists: bool) -> Self {
         SlowStartPermission {
             is_newer: other_exists,
@@ -18,8 +19,8 @@
         }
     }
 
-    /// Takes in how far both processes are; whether this one may send now, if that has changed. One that stops with no
-    /// other other_exists it keeps the right: what it has in hand may need a model host in slow start.
+    /// Updates both phases; returns the permission if it has changed. A process that stops keeps the permission if no
+    /// other process runs: its requests may need a model host in slow start.
     pub fn update(&mut self, own: ProcessPhase, other: Option<ProcessPhase>) -> Option<bool> {
         if other.is_none_or(|phase| phase == ProcessPhase::Stopping) {
             self.is_newer = false;
--- a/src/net/upgrade/slow_start/tests.rs
+++ b/src/net/upgrade/slow_start/tests.rs
@@ -1,17 +1,17 @@
 use super::*;
 use ProcessPhase::{Serving, Starting, Stopping};
 
-/// A stop finishes what was taken, also where all that could take it is in slow start.
+/// A stopping process finishes its requests even if all workers that could serve them are in slow start.
 #[test]
-fn a_process_alone_keeps_the_right_while_it_stops() {
-    let mut right = SlowStartPermission::new(false);
-    assert_eq!(right.update(Starting, None), Some(true));
-    assert_eq!(right.update(Serving, None), None);
-    assert_eq!(right.update(Stopping, None), None);
+fn single_process_keeps_the_permission_while_it_stops() {
+    let mut permission = SlowStartPermission::new(false);
+    assert_eq!(permission.update(Starting, None), Some(true));
+    assert_eq!(permission.update(Serving, None), None);
+    assert_eq!(permission.update(Stopping, None), None);
 }
 
 #[test]
-fn a_process_that_stops_gives_the_right_up_when_a_successor_appears() {
+fn stopping_process_loses_the_permission_when_a_successor_appears() {
     let (mut older, mut newer) = (
         SlowStartPermission::new(false),
         SlowStartPermission::new(true),
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn the_newer_process_gets_the_right_when_the_older_one_stops() {
+fn newer_process_gets_the_permission_when_the_older_one_stops() {
     let (mut older, mut newer) = (
         SlowStartPermission::new(false),
         SlowStartPermission::new(true),
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn the_newer_process_gets_the_right_when_the_older_one_is_gone() {
+fn newer_process_gets_the_permission_when_the_older_one_is_gone() {
     let mut newer = SlowStartPermission::new(true);
     assert_eq!(newer.update(Starting, Some(Serving)), Some(false));
     assert_eq!(newer.update(Serving, None), Some(true));
--- a/src/net/upgrade/tests.rs
+++ b/src/net/upgrade/tests.rs
@@ -5,39 +5,39 @@
 const TOTAL: usize = 1024;
 const RESERVED: usize = 24;
 
-/// A folder of its own for a test, removed with it.
-struct Folder(PathBuf);
+/// A temporary folder for one test, deleted on drop.
+struct TempFolder(PathBuf);
 
-impl Folder {
+impl TempFolder {
     fn new(name: &str) -> Self {
         let path =
             std::env::temp_dir().join(format!("whinhaven-place-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&path).unwrap();
-        Folder(path)
+        TempFolder(path)
     }
 
-    async fn place(&self) -> Result<AddressOwnership, ConfigError> {
+    async fn acquire(&self) -> Result<AddressOwnership, ConfigError> {
         AddressOwnership::acquire(&self.0, ADDRESS.parse().unwrap()).await
     }
 
-    fn seat(&self) -> LockFile {
+    fn lock_file(&self) -> LockFile {
         LockFile::acquire(&self.0, ADDRESS.parse().unwrap()).unwrap()
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempFolder {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_third_process_waits_for_a_seat_and_is_told_when_there_is_none() {
-    let folder = Folder::new("third");
-    let (first, _second) = (folder.seat(), folder.seat());
-    let refused = folder.place().await.err().unwrap();
-    assert!(refused.0.contains("two other processes"), "{refused}");
-    let (third, ()) = tokio::join!(folder.place(), async {
+async fn third_process_waits_for_a_lock_file_and_fails_without_one() {
+    let folder = TempFolder::new("third");
+    let (first, _second) = (folder.lock_file(), folder.lock_file());
+    let error = folder.acquire().await.err().unwrap();
+    assert!(error.0.contains("two other processes"), "{error}");
+    let (third, ()) = tokio::join!(folder.acquire(), async {
         tokio::time::sleep(STARTUP_WAIT / 2).await;
         drop(first);
     });
@@ -45,18 +45,18 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_start_waits_until_the_running_process_has_given_way() {
-    let folder = Folder::new("way");
-    let running = folder.seat();
+async fn start_waits_until_the_running_process_gives_up_descriptors() {
+    let folder = TempFolder::new("way");
+    let running = folder.lock_file();
     running.publish(ProcessStatus {
         phase: ProcessPhase::Serving,
         sockets: TOTAL,
     });
-    let place = folder.place().await.unwrap();
+    let ownership = folder.acquire().await.unwrap();
     let limit = DescriptorLimit::new(TOTAL, RESERVED);
-    let refused = place.initial_share(limit).await.unwrap_err();
-    assert!(refused.0.starts_with("limits.sockets"), "{refused}");
-    let (first, ()) = tokio::join!(place.initial_share(limit), async {
+    let error = ownership.initial_share(limit).await.unwrap_err();
+    assert!(error.0.starts_with("limits.sockets"), "{error}");
+    let (first, ()) = tokio::join!(ownership.initial_share(limit), async {
         tokio::time::sleep(STARTUP_WAIT / 2).await;
         running.publish(ProcessStatus {
             phase: ProcessPhase::Serving,
@@ -64,9 +64,9 @@
         });
     });
     assert_eq!(first.unwrap(), (TOTAL / 4, true));
-    let published = running.other_process().unwrap();
+    let status = running.other_process().unwrap();
     assert_eq!(
-        published,
+        status,
         ProcessStatus {
             phase: ProcessPhase::Starting,
             sockets: TOTAL / 4
@@ -75,11 +75,11 @@
 }
 
 #[tokio::test]
-async fn a_process_alone_has_the_whole_limit() {
-    let folder = Folder::new("alone");
-    let place = folder.place().await.unwrap();
+async fn single_process_gets_the_whole_limit() {
+    let folder = TempFolder::new("alone");
+    let ownership = folder.acquire().await.unwrap();
     assert_eq!(
-        place
+        ownership
             .initial_share(DescriptorLimit::new(TOTAL, RESERVED))
             .await
             .unwrap(),
--- a/src/reload.rs
+++ b/src/reload.rs
@@ -1,4 +1,4 @@
-//! Reading the configuration again at SIGHUP.
+//! Reloads the configuration at SIGHUP.
 
 use crate::run::ConfigSource;
 use std::net::SocketAddr;
@@ -9,29 +9,29 @@
 use whinhaven::counters::Counters;
 use whinhaven::live_settings::LiveSettings;
 
-/// What a reload needs and moves.
+/// State that a reload reads and changes.
 pub struct Reload {
-    /// Where the configuration is read.
+    /// Source of the configuration.
     pub source: ConfigSource,
     /// The configuration in force.
     pub current: Config,
-    /// Tells of discovery's address.
+    /// Publishes discovery's address.
     pub discovery: watch::Sender<Option<SocketAddr>>,
-    /// Tells of settings.
-    pub live: Rc<LiveSettings>,
-    /// Counters.
+    /// Publishes new settings.
+    pub live_settings: Rc<LiveSettings>,
+    /// Counters of reloads.
     pub counters: Rc<Counters>,
 }
 
 impl Reload {
-    /// Reads the configuration once and takes it in: discovery moves, and new requests begin under its
-    /// settings. One that can't be used changes nothing.
+    /// Reads the configuration and applies it: discovery moves to its new address, and new requests use the new
+    /// settings. A configuration that is invalid changes nothing.
     pub fn run(&mut self) {
         let new = match self.load() {
             Ok(new) => new,
             Err(error) => {
                 self.counters.reloads_failed.up();
-                log::error!("reload: {error}; the configuration held stands");
+                log::error!("reload: {error}; keeping the current configuration");
                 return;
             }
         };
@@ -39,7 +39,7 @@
         let not_reloadable = self.current.differences(&new);
         if !not_reloadable.is_empty() {
             log::warn!(
-                "reload: a new {} counts from the next start on",
+                "reload: {} changed; the new value takes effect at the next start",
                 not_reloadable.join(", ")
             );
         }
@@ -61,10 +61,10 @@
                     "reload: new settings: {}",
                     describe_changes(&before, &settings)
                 );
-                self.live.replace(*settings);
+                self.live_settings.replace(*settings);
             }
             SettingsChange::LeftToFleetPolicy => log::warn!(
-                "reload: new settings change nothing here, the fleet's policy is in force: propose them"
+                "reload: new settings ignored, since the policy of the fleet is in force; propose them to the fleet"
             ),
         }
         self.move_discovery();
@@ -77,8 +77,10 @@
             .send_if_modified(|current| std::mem::replace(current, address) != address);
         match address {
             Some(address) if moved => log::info!("reload: discovery is now at {address}"),
-            None if moved => log::info!("reload: no discovery any more; the list stands"),
-            _ => log::info!("reload: discovery stays where it was"),
+            None if moved => {
+                log::info!("reload: discovery removed; keeping the current worker list");
+            }
+            _ => log::info!("reload: discovery stays unchanged"),
         }
     }
 }
--- a/src/run.rs
+++ b/src/run.rs
@@ -1,4 +1,4 @@
-//! Serving: wiring, signals, reload.
+//! Starts and runs the router: wiring of its parts, signals, reload.
 
 mod graceful_shutdown;
 
@@ -41,29 +41,29 @@
 use whinhaven::shutdown::{ACCEPT_PERIOD, ADMISSION_PERIOD, Shutdown};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// How often idle connections are looked at.
+/// Interval at which idle connections to model hosts are closed and the tool-call front end removes expired records.
 const POOL_CLEANUP_INTERVAL: Duration = Duration::from_millis(500);
-/// The list of the configuration is the first that is taken; the next is of discovery.
+/// Number of worker lists that come from the configuration; further ones come from discovery.
 const CONFIGURED_LISTS: u64 = 1;
-/// Descriptors for everything that is neither a client nor a model host.
+/// Number of descriptors kept for uses other than clients, model hosts, tool calls, the admin endpoint and the fleet.
 const RESERVED_SOCKETS: usize = 24;
 
-/// Reads a file.
+/// Reads a file into a string.
 ///
 /// # Errors
-/// Names the file.
+/// The file cannot be read; the error names it.
 pub fn read_file(file: &Path) -> Result<String, ConfigError> {
     std::fs::read_to_string(file).map_err(|e| ConfigError(format!("{}: {e}", file.display())))
 }
 
-/// Where the configuration is read, at start and at each SIGHUP.
+/// The file from which the configuration is read, at start and at each SIGHUP.
 pub struct ConfigSource {
     file: PathBuf,
     platform: bool,
 }
 
 impl ConfigSource {
-    /// An operator's file.
+    /// The TOML file that an operator passes on the command line.
     pub fn operator_file(file: PathBuf) -> Self {
         ConfigSource {
             file,
@@ -71,23 +71,26 @@
         }
     }
 
-    /// The platform's, which NODE_CONFIG names.
+    /// The platform's JSON file, whose path is in the environment variable NODE_CONFIG.
     ///
     /// # Errors
     /// NODE_CONFIG is not set.
     pub fn platform_file() -> Result<Self, ConfigError> {
-        let file = std::env::var("NODE_CONFIG")
-            .map_err(|_| ConfigError("NODE_CONFIG is not set".into()))?;
+        let file = std::env::var("NODE_CONFIG").map_err(|_| {
+            ConfigError(
+                "NODE_CONFIG is not set; set it to the path of the configuration file".into(),
+            )
+        })?;
         Ok(ConfigSource {
             file: file.into(),
             platform: true,
         })
     }
 
-    /// Reads it.
+    /// Reads and validates the configuration.
     ///
     /// # Errors
-    /// Names the field at fault.
+    /// The error names the field that is invalid.
     pub fn load(&self) -> Result<Config, ConfigError> {
         let text = read_file(&self.file)?;
         if self.platform {
@@ -104,30 +107,34 @@
     }
 }
 
-/// A number that no other start of any process draws.
+/// Returns a seed that differs between starts and between processes.
 fn random_seed() -> u64 {
     RandomState::new().hash_one(std::process::id())
 }
 
-/// Serves until told to stop.
+/// Runs the router until a signal stops it.
 ///
 /// # Errors
-/// Why it could not begin.
+/// The reason why the router could not start.
 pub fn serve(source: ConfigSource) -> Result<(), ConfigError> {
-    // Before anything else: until it is taken over, SIGHUP ends the process.
-    let signals = Signals::install().map_err(|e| ConfigError(format!("signals: {e}")))?;
+    // First, because SIGHUP ends the process until signal handling is installed.
+    let signals = Signals::install()
+        .map_err(|e| ConfigError(format!("cannot set up signal handling: {e}")))?;
     let config = source.load()?;
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
-    let runtime = runtime.map_err(|e| ConfigError(format!("runtime: {e}")))?;
+    let runtime =
+        runtime.map_err(|e| ConfigError(format!("cannot start the tokio runtime: {e}")))?;
     let local = tokio::task::LocalSet::new();
     runtime.block_on(local.run_until(run(config, source, signals)))
 }
 
-/// The duty of one conductor for all: asks discovery for its whole list once a period, while it serves_if_running the lease.
+/// Requests the complete list from discovery once per period while this router holds the lease. Only one router of
+/// the fleet does so.
 async fn refresh_list_under_lease(fleet: Fleet, period: Duration, fetch: impl Fn()) {
-    let lease = LeaseName::try_from("discovery-refresh").expect("a name");
+    let lease =
+        LeaseName::try_from("discovery-refresh").expect("discovery-refresh is a valid lease name");
     fleet.want(lease.clone()).await;
     let mut periods = tokio::time::interval(period);
     periods.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -137,7 +144,7 @@
     }
 }
 
-/// Logs the counters.
+/// Logs the counters of the router and of the fleet.
 fn log_counters(counters: &Counters, fleet: Option<&Fleet>) {
     log::info!("counters: {counters}");
     if let Some(fleet) = fleet {
@@ -149,7 +156,7 @@
 async fn bind_admin_listener(address: SocketAddr) -> Result<TcpListener, ConfigError> {
     TcpListener::bind(address)
         .await
-        .map_err(|e| ConfigError(format!("ops {address}: {e}")))
+        .map_err(|e| ConfigError(format!("ops: cannot listen on {address}: {e}")))
 }
 
 async fn run(
@@ -157,7 +164,7 @@
     source: ConfigSource,
     signals: Signals,
 ) -> Result<(), ConfigError> {
-    // A member of a fleet is known to the others by its peer address, which two processes can't share.
+    // Other members know a fleet member by its peer address, which two processes cannot share.
     let ownership = match config.fleet {
         None => AddressOwnership::acquire(&std::env::temp_dir(), config.listen).await?,
         Some(_) => AddressOwnership::Exclusive,
@@ -170,9 +177,9 @@
     let clock = Clock::start();
     let shutdown = Shutdown::new(signals.stop_request.clone(), clock);
     let (dispatcher, queue) = DispatcherHandle::channel(clock);
-    let live = LiveSettings::new(dispatcher.clone());
+    let live_settings = LiveSettings::new(dispatcher.clone());
     let settings = config.settings.clone();
-    // Every request in hand may hold a socket of either side; clients that say nothing hold some more of theirs.
+    // Descriptors used for neither clients nor model hosts.
     let reserved = RESERVED_SOCKETS
         + admin_listener.as_ref().map_or(0, |_| ADMIN_SOCKETS)
         + config.tools.as_ref().map_or(0, |t| t.max_calls_at_once)
@@ -187,12 +194,17 @@
     } = SocketSplit::of_share(limit.total(), reserved);
     if host_sockets < 64 {
         return Err(ConfigError(format!(
-            "limits.sockets: {} are too few",
+            "limits.sockets: {} is too low: it leaves {host_sockets} sockets for model hosts, and 64 are needed",
             config.limits.sockets
         )));
     }
     let (initial_share, other_exists) = ownership.initial_share(limit).await?;
-    let listen_error = |e: std::io::Error| ConfigError(format!("listen {}: {e}", config.listen));
+    let listen_error = |e: std::io::Error| {
+        ConfigError(format!(
+            "listen {}: cannot open the listener: {e}",
+            config.listen
+        ))
+    };
     let listener = if other_exists {
         None
     } else {
@@ -202,7 +214,7 @@
                 .map_err(listen_error)?,
         )
     };
-    // What conductors draw by chance has to differ between them, also where no file states a seed.
+    // Random choices must differ between routers even if the file states no seed.
     let own_seed = xxh3_64_with_seed(config.name.as_bytes(), config.seed);
     let connect_timeout = Duration::from_micros(settings.connect_timeout.max(10_000));
     let pool = Pool::new(
@@ -223,18 +235,21 @@
         pending: pending.clone(),
         late_arrivals: Rc::default(),
     };
-    // Before the fleet begins: it would wait for this member meanwhile.
+    // Computed before the fleet starts: otherwise the other members would wait for this one meanwhile.
     let own_site = config
         .fleet
         .as_ref()
         .and_then(|f| config.sites.as_ref()?.site(f.site.as_str()));
     let site_plans = match (own_site, config.sites.clone()) {
-        (Some(own), Some(tables)) => {
+        (Some(own_site), Some(tables)) => {
             let site_plans = Sites::plan(tables)
                 .await
                 .map_err(|e| ConfigError(format!("sites: {e}")))?;
-            log::info!("sites: plans {:016x}", site_plans.fingerprint());
-            Some((own, site_plans))
+            log::info!(
+                "sites: fingerprint of the plans: {:016x}",
+                site_plans.fingerprint()
+            );
+            Some((own_site, site_plans))
         }
         _ => None,
     };
@@ -243,7 +258,7 @@
         None => None,
     };
     let sites = match (&fleet, site_plans) {
-        (Some(fleet), Some((own, site_plans))) => {
+        (Some(fleet), Some((own_site, site_plans))) => {
             let seen = Seen {
                 directory: directory.clone(),
                 dispatcher: dispatcher.clone(),
@@ -254,7 +269,7 @@
                 clock,
                 seen,
                 site_plans,
-                own,
+                own_site,
                 own_seed,
             ))
         }
@@ -263,8 +278,14 @@
     let mut outbound: Rc<dyn Outbound> = Rc::new(hosts);
     let gate = match (&fleet, config.fleet.as_ref().and_then(|f| f.policy.clone())) {
         (Some(fleet), Some(policy)) => {
-            let own = config.settings_table.clone();
-            let gate = Gate::start(fleet.clone(), dispatcher.clone(), live.clone(), policy, own);
+            let own_settings = config.settings_table.clone();
+            let gate = Gate::start(
+                fleet.clone(),
+                dispatcher.clone(),
+                live_settings.clone(),
+                policy,
+                own_settings,
+            );
             Some(gate.map_err(|e| ConfigError(format!("settings: {e}")))?)
         }
         _ => None,
@@ -336,15 +357,15 @@
         let (directory, kinds) = (directory.clone(), settings.kinds.clone());
         Rc::new(move || directory.can_serve(&kinds))
     };
-    let serves_if_running = {
+    let is_able_to_serve = {
         let (has_workers, listening, gate) = (has_workers.clone(), listening.clone(), gate.clone());
         Rc::new(move || {
             listening.get() && has_workers() && gate.as_ref().is_none_or(|gate| gate.is_ready())
         })
     };
     let can_serve = {
-        let (serves_if_running, stopping) = (serves_if_running.clone(), stopping.clone());
-        move || serves_if_running() && !stopping.get()
+        let (is_able_to_serve, stopping) = (is_able_to_serve.clone(), stopping.clone());
+        move || is_able_to_serve() && !stopping.get()
     };
     let ready = {
         let (stopping, other_process_serves, drain) = (
@@ -352,9 +373,10 @@
             other_process_serves.clone(),
             drain.clone(),
         );
-        // Clients ask at the address. It is served on where another process stays there.
+        // Clients check readiness at the address. If another process serves it, the address stays ready although this
+        // process stops.
         move || {
-            serves_if_running()
+            is_able_to_serve()
                 && (!stopping.get() || other_process_serves.get())
                 && !drain.is_draining()
         }
@@ -383,7 +405,7 @@
         budget: Cell::new(config.limits.memory_mb * 1024 * 1024 / 3),
         ids: RefCell::default(),
     });
-    live.on_change({
+    live_settings.on_change({
         let shared = Rc::downgrade(&shared);
         move |settings| {
             if let Some(shared) = shared.upgrade() {
@@ -410,14 +432,23 @@
         });
         tokio::task::spawn_local(admin_server.serve(listener));
     }
-    // Ids of sends at model hosts: of this start alone, or two conductors, or two lives of one, would share what is held.
+    // Seed for the ids of sends to model hosts. It differs per start: two routers, or two incarnations of one, that
+    // use the same ids would share KV state.
     let seed = xxh3_64_with_seed(config.name.as_bytes(), config.seed ^ random_seed());
     let tools = {
-        let front = |t| Front::new(shared.clone(), t, connect_timeout, seed, work.clone());
-        config.tools.clone().map(front)
+        let create_front = |tools_config| {
+            Front::new(
+                shared.clone(),
+                tools_config,
+                connect_timeout,
+                seed,
+                work.clone(),
+            )
+        };
+        config.tools.clone().map(create_front)
     };
-    let front = tools.clone();
-    let (stage, stages) = watch::channel(Stage::Open);
+    let tool_front = tools.clone();
+    let (stage, stage_receiver) = watch::channel(Stage::Open);
     tokio::task::spawn_local(drain::apply_to_connections(
         drain.subscribe(),
         stage.clone(),
@@ -450,15 +481,15 @@
     let address = listener.local_addr().map_err(listen_error)?;
     listening.set(true);
     sharing.enter_phase(ProcessPhase::Serving);
-    let accepting = Listener {
+    let listener_config = Listener {
         service: ClientService { shared, tools },
         max_connections,
         max_waiting_requests: max_connections,
-        stage: stages,
+        stage: stage_receiver,
         connections: connections.clone(),
         other_process_serves: other_process_serves.clone(),
     };
-    let accepting = tokio::task::spawn_local(accepting.accept(listener));
+    let accept_task = tokio::task::spawn_local(listener_config.accept(listener));
     log::info!(
         "{} serves on {}, {} sockets for clients and {} for model hosts",
         config.name,
@@ -471,18 +502,18 @@
         source,
         current: config,
         discovery,
-        live,
+        live_settings,
         counters: counters.clone(),
     };
     let mut pool_cleanup = tokio::time::interval(POOL_CLEANUP_INTERVAL);
     loop {
         tokio::select! {
             () = signals.stop.notified() => break,
-            () = signals.report.notified() => log_counters(&counters, fleet.as_ref()),
+            () = signals.report_counters.notified() => log_counters(&counters, fleet.as_ref()),
             () = signals.reload.notified() => reload.run(),
             _ = pool_cleanup.tick() => {
                 pool.retire();
-                if let Some(front) = &front {
+                if let Some(front) = &tool_front {
                     front.tidy();
                 }
             }
@@ -490,7 +521,7 @@
     }
     sharing.enter_phase(ProcessPhase::Stopping);
     if other_process_serves.get() {
-        log::info!("stopping: another process serves {address}; this one leaves it");
+        log::info!("stopping: another process serves {address}; this one closes its listener");
     } else {
         log::info!(
             "stopping: requests are admitted up to {} ms after the signal, connections accepted up to {} ms",
@@ -504,20 +535,20 @@
         other_process_serves,
         connections,
         stage,
-        accepting,
+        accept_task,
         pool,
-        pending,
+        pending_releases: pending,
         fleet: fleet.clone(),
-        work,
-        front,
+        request_records: work,
+        tool_front,
     };
     let graceful_shutdown = graceful_shutdown.run();
     tokio::pin!(graceful_shutdown);
-    // What was taken may run on for long: the list has to follow discovery meanwhile.
+    // Requests in progress may run for long, so reloads continue and the worker list follows discovery meanwhile.
     loop {
         tokio::select! {
             () = &mut graceful_shutdown => break,
-            () = signals.report.notified() => log_counters(&counters, fleet.as_ref()),
+            () = signals.report_counters.notified() => log_counters(&counters, fleet.as_ref()),
             () = signals.reload.notified() => reload.run(),
         }
     }
--- a/src/run/graceful_shutdown.rs
+++ b/src/run/graceful_shutdown.rs
@@ -1,4 +1,4 @@
-//! The orderly end of the process: what is done between the request to stop and the exit.
+//! Graceful shutdown: the steps between the request to stop and the exit of the process.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -15,41 +15,41 @@
 use whinhaven::net::shutdown_stages;
 use whinhaven::shutdown::{ADMISSION_PERIOD, Shutdown};
 
-/// How long the end waits for the fleet to take note of it.
+/// How long the shutdown waits for the fleet to confirm that this member leaves.
 const FLEET_LEAVE_TIMEOUT: Duration = Duration::from_millis(700);
-/// How long the end waits for releases that no model host has taken.
+/// How long the shutdown waits for releases that model hosts have not acknowledged.
 const RELEASE_TIMEOUT: Duration = Duration::from_secs(2);
-/// The last attempt of a request may end, and order its release, so long after the request was answered.
+/// Time after the response within which the last attempt of a request may end and issue its release.
 const LAST_RELEASE_DELAY: Duration = Duration::from_millis(50);
-/// How often requests in hand are looked at.
+/// Interval at which the shutdown checks whether requests are in progress.
 const REQUEST_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The parts that the orderly end has to do with.
+/// The parts of the router that the shutdown acts on.
 pub struct GracefulShutdown {
-    /// When the process was asked to stop.
+    /// Time of the request to stop.
     pub shutdown: Shutdown,
     /// Whether another process serves the address.
     pub other_process_serves: Rc<Cell<bool>>,
-    /// Client connections.
+    /// Table of client connections.
     pub connections: Rc<Connections>,
-    /// Moves client connections on.
+    /// Sets the stage of client connections.
     pub stage: watch::Sender<Stage>,
-    /// The listener's task.
-    pub accepting: JoinHandle<()>,
-    /// Connections to model hosts.
+    /// The listener's task; it ends when no connection is accepted any more.
+    pub accept_task: JoinHandle<()>,
+    /// Pool of connections to model hosts.
     pub pool: Pool,
-    /// Releases under way.
-    pub pending: Rc<Pending>,
+    /// Releases that model hosts have not acknowledged.
+    pub pending_releases: Rc<Pending>,
     /// The fleet, if this router is a member of one.
     pub fleet: Option<Fleet>,
-    /// Records of requests in flight, if the fleet keeps them.
-    pub work: Option<Rc<Work>>,
-    /// The tool-call front, if configured.
-    pub front: Option<Rc<Front>>,
+    /// Records of requests in progress, if the fleet keeps them.
+    pub request_records: Option<Rc<Work>>,
+    /// The tool-call front end, if configured.
+    pub tool_front: Option<Rc<Front>>,
 }
 
 impl GracefulShutdown {
-    /// Finishes what was taken; resolves when the process may exit.
+    /// Finishes the admitted requests; resolves when the process may exit.
     pub async fn run(mut self) {
         let GracefulShutdown {
             shutdown,
@@ -61,24 +61,26 @@
         let close_clients =
             shutdown_stages::advance_stages(shutdown, other_process_serves, connections, stage);
         tokio::join!(self.leave_fleet_after_admission(), close_clients);
-        // What the system has accepted by now is taken.
-        let _ = (&mut self.accepting).await;
+        // Connections in the kernel's accept queue have been accepted when this task ends.
+        let _ = (&mut self.accept_task).await;
         self.pool.clear();
         self.finish_requests().await;
-        if self.work.is_some() {
+        if self.request_records.is_some() {
             self.leave_fleet().await;
         }
-        // What was just answered may still have a release on its way, or get one as its last attempt ends. The time
-        // that it may be held, and the platform's slack, are over by then: later it helps no longer.
+        // A request that was just answered may have a release under way, or cause one when its last attempt ends. The
+        // wait is bounded: afterwards the KV state's hold time and the platform's tolerance have passed, and the
+        // release is of no use.
         tokio::time::sleep(LAST_RELEASE_DELAY).await;
-        let _ = tokio::time::timeout(RELEASE_TIMEOUT, self.pending.none()).await;
+        let _ = tokio::time::timeout(RELEASE_TIMEOUT, self.pending_releases.none()).await;
     }
 
-    /// The others need not wait for leases to run out: they are given back when no more requests are admitted under them,
-    /// or, where what is in hand is recorded under them, when it is done or handed over.
+    /// Leaves the fleet once no more requests are admitted under its leases, so that other members need not wait for
+    /// them to expire. If the fleet keeps records of requests in progress under the leases, the leases are kept until
+    /// those requests are finished or handed over.
     async fn leave_fleet_after_admission(&self) {
-        if self.work.is_none() {
-            self.shutdown.wait_until(ADMISSION_PERIOD).await;
+        if self.request_records.is_none() {
+            self.shutdown.wait_until_elapsed(ADMISSION_PERIOD).await;
             self.leave_fleet().await;
         }
     }
@@ -89,11 +91,11 @@
         }
     }
 
-    /// Waits until all requests are answered, or handed over where the fleet keeps records of them.
+    /// Waits until all requests are answered or, if the fleet keeps records of them, handed over.
     async fn finish_requests(&self) {
         while self.connections.count() > 0 || self.has_tool_calls() {
             if self.is_hand_over_due()
-                && let Some(front) = &self.front
+                && let Some(front) = &self.tool_front
             {
                 front.hand_over();
             }
@@ -102,14 +104,19 @@
     }
 
     fn is_hand_over_due(&self) -> bool {
-        self.work.as_ref().is_some_and(|work| {
-            let after = Duration::from_millis(work.settings().hand_over_after_ms);
+        self.request_records.as_ref().is_some_and(|records| {
+            let after = Duration::from_millis(records.settings().hand_over_after_ms);
             self.shutdown.has_lasted(after)
         })
     }
 
-    /// A call that is out has its time: without its outcome on record it is unknown wherever its request goes on.
+    /// Whether tool calls are in progress. They are allowed to finish: without a recorded result, the router that
+    /// takes the request over would not know the call's outcome.
     fn has_tool_calls(&self) -> bool {
-        self.work.is_some() && self.front.as_ref().is_some_and(|front| front.is_calling())
+        self.request_records.is_some()
+            && self
+                .tool_front
+                .as_ref()
+                .is_some_and(|front| front.is_calling())
     }
 }
--- a/src/shutdown/tests.rs
+++ b/src/shutdown/tests.rs
@@ -4,11 +4,11 @@
 use rstest::rstest;
 use tokio::time::advance;
 
-/// Latest arrival of a request, after the request to stop, that may be unanswered when the process is killed.
-const LATE_FROM: Duration = Duration::from_millis(700);
-/// How long a process may be held up.
+/// Time after the request to stop from which on a request may be unanswered when the process is killed.
+const CUT_OFF_FROM: Duration = Duration::from_millis(700);
+/// How long a process may be stalled.
 const MAX_STALL: Duration = Duration::from_millis(150);
-/// New connections keep coming for so long after the request to stop.
+/// How long new connections arrive after the request to stop.
 const NEW_CONNECTIONS_FOR: Duration = Duration::from_millis(400);
 
 fn stopping(at: Instant, clock: Clock) -> Shutdown {
@@ -35,15 +35,15 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn nothing_is_denied_before_a_request_to_stop() {
+async fn requests_are_admitted_without_a_request_to_stop() {
     let shutdown = Shutdown::new(StopRequest::default(), Clock::start());
     advance(Duration::from_secs(3_600)).await;
     assert!(shutdown.permit_admission().is_ok());
 }
 
-/// A signal during the start counts from when it came, not from when the process serves.
+/// A signal during start-up counts from its own time, not from when the router begins to serve.
 #[tokio::test(start_paused = true)]
-async fn a_request_to_stop_from_before_the_clock_counts_from_its_own_time() {
+async fn request_to_stop_before_the_clock_start_counts_from_its_own_time() {
     let requested = tokio::time::Instant::now().into_std();
     advance(Duration::from_secs(2)).await;
     let shutdown = stopping(requested, Clock::start());
@@ -52,9 +52,9 @@
     assert_eq!(denial.since_request, Duration::from_secs(2));
 }
 
-/// Guards against a span that begins anew when connections close: what is to be handed over was so up to 0.7 s late.
+/// Guards against a period that starts again when connections close: requests were handed over up to 0.7 s late.
 #[tokio::test(start_paused = true)]
-async fn a_span_of_the_shutdown_runs_from_the_request_to_stop() {
+async fn shutdown_time_runs_from_the_request_to_stop() {
     let clock = Clock::start();
     let shutdown = stopping(tokio::time::Instant::now().into_std(), clock);
     advance(ACCEPT_PERIOD).await;
@@ -65,7 +65,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_first_request_to_stop_counts() {
+async fn first_request_to_stop_counts() {
     let request = StopRequest::default();
     let first = Instant::now();
     request.record(first);
@@ -73,10 +73,10 @@
     assert_eq!(request.0.get(), Some(&first));
 }
 
-/// A process that notices the signal as late as it may still admits nothing that came late, and all that comes on new
-/// connections.
+/// A process that notices the signal as late as it may still rejects every request that could be cut off, and admits
+/// all requests on connections that arrive while clients may still open them.
 #[test]
-fn the_span_covers_new_connections_and_a_stall() {
+fn admission_period_covers_new_connections_and_a_stall() {
     const { assert!(ADMISSION_PERIOD.as_millis() > NEW_CONNECTIONS_FOR.as_millis()) };
-    const { assert!(ADMISSION_PERIOD.as_millis() + MAX_STALL.as_millis() < LATE_FROM.as_millis()) };
+    const { assert!(ADMISSION_PERIOD.as_millis() + MAX_STALL.as_millis() < CUT_OFF_FROM.as_millis()) };
 }
--- a/src/signals.rs
+++ b/src/signals.rs
@@ -1,7 +1,8 @@
-//! The signals that operators send: SIGTERM and SIGINT, SIGHUP, SIGUSR1.
+//! Handling of the operators' signals: SIGTERM and SIGINT, SIGHUP, SIGUSR1.
 //!
-//! They are blocked in all threads, and a thread of their own waits for them. A handler would have to write to a pipe, and
-//! the runtime's own ends the process when a read of that pipe fails, if only since it was interrupted.
+//! They are blocked in all threads, and a dedicated thread waits for them. A signal handler would have to write to a
+//! pipe, and tokio's own implementation ends the process when a read from that pipe fails, even if it was only
+//! interrupted.
 
 use nix::errno::Errno;
 use nix::sys::signal::{SigSet, Signal};
@@ -10,25 +11,25 @@
 use tokio::sync::Notify;
 use whinhaven::shutdown::StopRequest;
 
-/// Signals, each remembered until it is seen; several of a kind count as one.
+/// Notifications of received signals. A notification is kept until it is consumed; several of one kind count as one.
 #[derive(Clone, Debug, Default)]
 pub struct Signals {
-    /// SIGTERM and SIGINT: end in order.
+    /// SIGTERM and SIGINT: shut down gracefully.
     pub stop: Arc<Notify>,
-    /// When the first of these came.
+    /// When the first SIGTERM or SIGINT was received.
     pub stop_request: StopRequest,
-    /// SIGHUP: read the configuration again.
+    /// SIGHUP: reload the configuration.
     pub reload: Arc<Notify>,
     /// SIGUSR1: log the counters.
-    pub report: Arc<Notify>,
+    pub report_counters: Arc<Notify>,
 }
 
 impl Signals {
-    /// Takes the signals over from the system, for the process's whole life. To be called before there is a second thread,
-    /// since threads inherit what is blocked.
+    /// Blocks the signals and starts the thread that waits for them, for the lifetime of the process. Must be called
+    /// before a second thread is started, since threads inherit the signal mask.
     ///
     /// # Errors
-    /// The system refuses, or has no thread for it.
+    /// The system does not allow blocking the signals, or cannot start the thread.
     pub fn install() -> std::io::Result<Signals> {
         let set: SigSet = [
             Signal::SIGTERM,
@@ -51,13 +52,17 @@
         loop {
             match set.wait() {
                 Ok(Signal::SIGHUP) => self.reload.notify_one(),
-                Ok(Signal::SIGUSR1) => self.report.notify_one(),
+                Ok(Signal::SIGUSR1) => self.report_counters.notify_one(),
                 Ok(_) => {
                     self.stop_request.record(Instant::now());
                     self.stop.notify_one();
                 }
                 Err(Errno::EINTR) => {}
-                Err(error) => return log::error!("signals are not followed any more: {error}"),
+                Err(error) => {
+                    return log::error!(
+                        "signal thread: waiting failed: {error}; signals are ignored from now on"
+                    );
+                }
             }
         }
     }
--- a/tests/conductor.rs
+++ b/tests/conductor.rs
@@ -786,7 +786,7 @@
     conductor.reload("listen = ");
     assert!(
         conductor
-            .wait_for("the configuration held stands")
+            .wait_for("keeping the current configuration")
             .contains("line 1")
     );
     conductor.reload(&file(&format!("discovery = \"{}\"", new.address)));
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -112,7 +112,7 @@
     conductor.signal("-HUP");
     conductor.wait_for("reload: discovery stays");
     conductor.reload("listen = ");
-    conductor.wait_for("the configuration held stands");
+    conductor.wait_for("keeping the current configuration");
     assert_eq!(resting.read(&mut [0]).unwrap(), 0);
     conductor.signal("-TERM");
     go.send(()).unwrap();
--- a/tests/drain.rs
+++ b/tests/drain.rs
@@ -193,7 +193,7 @@
     conductor.reload(&file);
     conductor.wait_for("reload: discovery stays");
     conductor.reload("listen = ");
-    conductor.wait_for("the configuration held stands");
+    conductor.wait_for("keeping the current configuration");
     assert_eq!(health(&conductor), 503);
     drain(&conductor, "stop");
     assert_eq!(health(&conductor), 200);
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -251,9 +251,9 @@
     let file = operator_file(&[peer.address], &[peer.address], DOOR);
     let conductor = Conductor::start(&file);
     conductor.reload(&file);
-    conductor.wait_for("stays where it was");
+    conductor.wait_for("reload: discovery stays unchanged");
     conductor.reload("");
-    conductor.wait_for("the configuration held stands");
+    conductor.wait_for("keeping the current configuration");
     let stats = stats(&conductor);
     assert_eq!(
         (stats["conductor.loads"], stats["conductor.load_errors"]),
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -261,7 +261,7 @@
     ];
     for (text, why) in &bad {
         conductor.reload(text);
-        let line = conductor.wait_for("the configuration held stands");
+        let line = conductor.wait_for("keeping the current configuration");
         assert!(
             line.contains("reload: ") && line.contains(why),
             "{why}: {line}"
@@ -291,7 +291,7 @@
     for _ in 0..2 {
         conductor.reload(&new);
         conductor.wait_for(
-            "reload: a new settings.permissions.connect_timeout_us counts from the next start on",
+            "reload: settings.permissions.connect_timeout_us changed; the new value takes effect at the next start",
         );
     }
     conductor.wait_for("reload: discovery stays");
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -275,7 +275,7 @@
     }
     let running = service.launch();
     if is_held {
-        running.wait_for("not a seat's line; ignored");
+        running.wait_for("not a status line of this version; ignored");
     }
     let running = running.serving();
     assert_eq!(running.ask("id-1", "explain").status(), 200);
