--- a/src/net/server/tests.rs
+++ b/src/net/server/tests.rs
@@ -309,13 +309,13 @@
         let server = TestServer::new().await;
         server.stage.send_replace(Stage::Draining);
         let (client, served) = server.serve("here").await;
-        let begun = Instant::now();
+        let started = Instant::now();
         served.await.unwrap();
         assert!(
             (DRAINING_FIRST_REQUEST_TIMEOUT..=DRAINING_FIRST_REQUEST_TIMEOUT + LINGER_TIMEOUT)
-                .contains(&begun.elapsed()),
+                .contains(&started.elapsed()),
             "{:?}",
-            begun.elapsed()
+            started.elapsed()
         );
         assert_eq!(
             read_to_end(client).await.expect("closed without a reset"),
@@ -355,18 +355,21 @@
 #[case::buffered_by_hyper("", 4096)]
 #[case::buffered_by_the_kernel("GET /next HTTP/1.1\r\n", 2 * LONG_BODY_BYTES)]
 #[tokio::test]
-async fn last_response_reaches_a_slow_reader_completely(#[case] more: &str, #[case] buffer: usize) {
+async fn last_response_reaches_a_slow_reader_completely(
+    #[case] next_request: &str,
+    #[case] send_buffer: usize,
+) {
     let scenario = async {
         let server = TestServer::new().await;
-        let (mut client, stream) = connect_with_small_buffers(&server.listener, buffer).await;
+        let (mut client, stream) = connect_with_small_buffers(&server.listener, send_buffer).await;
         let served = server.serve_on(stream, long_body());
         client.write_all(REQUEST).unwrap();
         // The response is handed over, and the client has read nothing of it.
         while !server.tracker.has_answered() {
             tokio::task::yield_now().await;
         }
-        client.write_all(more.as_bytes()).unwrap();
-        if !more.is_empty() {
+        client.write_all(next_request.as_bytes()).unwrap();
+        if !next_request.is_empty() {
             served.await.unwrap();
         }
         let received = read_to_end(client).await.expect("no reset");
@@ -381,28 +384,28 @@
     let scenario = async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let shared = shared(1);
-        let (stage, stages) = watch::channel(Stage::Open);
+        let (stage, stage_receiver) = watch::channel(Stage::Open);
         let connections = Rc::new(Connections::default());
-        let accepting = Listener {
+        let listener_config = Listener {
             service: ClientService {
                 shared,
                 tools: None,
             },
             max_connections: 64,
             max_waiting_requests: 64,
-            stage: stages,
+            stage: stage_receiver,
             connections,
             other_process_serves: Rc::default(),
         };
-        let asking = |_| {
+        let send_request = |_| {
             let mut client = connect(&listener);
             client.write_all(REQUEST).unwrap();
             client
         };
-        let clients: Vec<_> = (0..20).map(asking).collect();
-        let accepted = spawn_local(accepting.accept(listener));
+        let clients: Vec<_> = (0..20).map(send_request).collect();
+        let accept_task = spawn_local(listener_config.accept(listener));
         stage.send(Stage::Closing).unwrap();
-        accepted.await.unwrap();
+        accept_task.await.unwrap();
         for client in clients {
             let received = read_to_end(client).await.expect("no reset");
             assert!(
@@ -418,23 +421,23 @@
 struct TestListener {
     address: std::net::SocketAddr,
     stage: watch::Sender<Stage>,
-    answered_requests: Rc<Cell<u64>>,
+    received_requests: Rc<Cell<u64>>,
     connections: Rc<Connections>,
-    accepting: tokio::task::JoinHandle<()>,
+    accept_task: tokio::task::JoinHandle<()>,
 }
 
 impl TestListener {
     async fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
-        let (stage, stages) = watch::channel(Stage::Open);
-        let (answered_requests, connections) =
+        let (stage, stage_receiver) = watch::channel(Stage::Open);
+        let (received_requests, connections) =
             (Rc::<Cell<u64>>::default(), Rc::<Connections>::default());
         let mut shared = Rc::into_inner(shared(1)).unwrap();
         shared.ready = Box::new({
-            let answered_requests = answered_requests.clone();
+            let received_requests = received_requests.clone();
             move || {
-                answered_requests.set(answered_requests.get() + 1);
+                received_requests.set(received_requests.get() + 1);
                 true
             }
         });
@@ -442,21 +445,21 @@
             shared: Rc::new(shared),
             tools: None,
         };
-        let accepting = Listener {
+        let listener_config = Listener {
             service,
             max_connections: 64,
             max_waiting_requests: 64,
-            stage: stages,
+            stage: stage_receiver,
             connections: connections.clone(),
             other_process_serves: Rc::default(),
         };
-        let accepting = spawn_local(accepting.accept(listener));
+        let accept_task = spawn_local(listener_config.accept(listener));
         TestListener {
             address,
             stage,
-            answered_requests,
+            received_requests,
             connections,
-            accepting,
+            accept_task,
         }
     }
 
@@ -512,7 +515,7 @@
         let service = TestListener::start().await;
         let mut idle_client = connect_to(service.address);
         let drain = async {
-            while service.answered_requests.get() < 200 {
+            while service.received_requests.get() < 200 {
                 tokio::task::yield_now().await;
             }
             service.stage.send_replace(Stage::Draining);
@@ -522,7 +525,7 @@
         let (results, ()) = tokio::join!(clients, drain);
         assert_eq!(
             results.iter().map(|(answered, _)| answered).sum::<u64>(),
-            service.answered_requests.get()
+            service.received_requests.get()
         );
         assert_eq!(
             spawn_blocking(move || idle_client.read(&mut [0]).unwrap())
@@ -541,7 +544,7 @@
             ],
             [(1, true); 2]
         );
-        assert!(!service.accepting.is_finished());
+        assert!(!service.accept_task.is_finished());
         // After the drain, connections are kept; in the next drain, they are closed.
         service.stage.send_replace(Stage::Open);
         assert_eq!(service.send_requests(20).await, (20, false));
@@ -549,7 +552,7 @@
         assert_eq!(service.send_requests(2).await, (1, true));
         // The router shuts down during a drain.
         service.stage.send_replace(Stage::Closing);
-        service.accepting.await.unwrap();
+        service.accept_task.await.unwrap();
         assert!(std::net::TcpStream::connect(service.address).is_err());
     };
     LocalSet::new().run_until(scenario).await;
@@ -601,25 +604,25 @@
         let listener = crate::net::upgrade::socket::listen(address, true).unwrap();
         let _other =
             crate::net::upgrade::socket::listen(listener.local_addr().unwrap(), true).unwrap();
-        let (stage, stages) = watch::channel(Stage::Open);
+        let (stage, stage_receiver) = watch::channel(Stage::Open);
         let connections = Rc::new(Connections::default());
         let service = ClientService {
             shared: shared(1),
             tools: None,
         };
-        let accepting = Listener {
+        let listener_config = Listener {
             service,
             max_connections: 64,
             max_waiting_requests: 64,
-            stage: stages,
+            stage: stage_receiver,
             connections: connections.clone(),
             other_process_serves: Rc::new(Cell::new(true)),
         };
         // The kernel assigns some of them to the other listener, which accepts nothing.
         let mut clients: Vec<_> = (0..64).map(|_| connect(&listener)).collect();
-        let accepted = spawn_local(accepting.accept(listener));
+        let accept_task = spawn_local(listener_config.accept(listener));
         stage.send(Stage::Leaving).unwrap();
-        accepted.await.unwrap();
+        accept_task.await.unwrap();
         let accepted_here = connections.count();
         assert!(accepted_here > 0 && accepted_here < clients.len());
         for client in &mut clients {
@@ -656,36 +659,36 @@
             crate::net::upgrade::socket::listen("127.0.0.1:0".parse().unwrap(), true).unwrap();
         let address = listener.local_addr().unwrap();
         let _other = crate::net::upgrade::socket::listen(address, true).unwrap();
-        let (stage, stages) = watch::channel(Stage::Open);
+        let (stage, stage_receiver) = watch::channel(Stage::Open);
         let connections = Rc::new(Connections::default());
         let service = ClientService {
             shared: shared(1),
             tools: None,
         };
-        let accepting = Listener {
+        let listener_config = Listener {
             service,
             max_connections: 128,
             max_waiting_requests: 128,
-            stage: stages,
+            stage: stage_receiver,
             connections: connections.clone(),
             other_process_serves: Rc::new(Cell::new(true)),
         };
-        let accepted = spawn_local(accepting.accept(listener));
+        let accept_task = spawn_local(listener_config.accept(listener));
         stage.send(next).unwrap();
         // The listener waits for handshakes now; the paused clock advances only when all tasks are idle.
         for _ in 0..100 {
             tokio::task::yield_now().await;
         }
-        assert!(!accepted.is_finished());
-        let begin = |_| {
+        assert!(!accept_task.is_finished());
+        let start_connecting = |_| {
             let client =
                 socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
             client.set_nonblocking(true).unwrap();
             let _ = client.connect(&address.into());
             client
         };
-        let _clients: Vec<_> = (0..64).map(begin).collect();
-        accepted.await.unwrap();
+        let _clients: Vec<_> = (0..64).map(start_connecting).collect();
+        accept_task.await.unwrap();
         assert_eq!(connections.count(), 0);
     };
     LocalSet::new().run_until(scenario).await;
@@ -817,7 +820,7 @@
                 tools: None,
             };
             let (_stage, stage) = watch::channel(Stage::Open);
-            let listening = Listener {
+            let listener_config = Listener {
                 service,
                 max_connections: 8,
                 max_waiting_requests: 8,
@@ -825,13 +828,13 @@
                 connections: Rc::default(),
                 other_process_serves: Rc::default(),
             };
-            spawn_local(listening.accept(listener));
+            spawn_local(listener_config.accept(listener));
             for expected_status in ["HTTP/1.1 500 ", "HTTP/1.1 200 "] {
                 client.write_all(REQUEST).unwrap();
-                let mut reading = client.try_clone().unwrap();
+                let mut client_reader = client.try_clone().unwrap();
                 let read = move || {
                     let mut buffer = [0; 1024];
-                    let read = reading.read(&mut buffer).unwrap();
+                    let read = client_reader.read(&mut buffer).unwrap();
                     String::from_utf8_lossy(&buffer[..read]).into_owned()
                 };
                 let received = spawn_blocking(read).await.unwrap();
--- a/src/net/shutdown_stages/tests.rs
+++ b/src/net/shutdown_stages/tests.rs
@@ -6,7 +6,10 @@
 use tokio::time::Instant;
 
 /// Runs a shutdown; returns each stage with the time in ms after the request to stop at which it was entered.
-async fn stages(successor_after: Option<Duration>, handled_after: Duration) -> Vec<(Stage, u128)> {
+async fn run_stages(
+    successor_after: Option<Duration>,
+    handled_after: Duration,
+) -> Vec<(Stage, u128)> {
     let request = StopRequest::default();
     let requested = Instant::now();
     request.record(requested.into_std());
@@ -41,7 +44,8 @@
 
 /// The tolerance covers the intervals at which timers and the successor are checked.
 fn assert_entered(entered: &[(Stage, u128)], expected: &[(Stage, u128)]) {
-    let names = |all: &[(Stage, u128)]| all.iter().map(|(stage, _)| *stage).collect::<Vec<_>>();
+    let names =
+        |stages: &[(Stage, u128)]| stages.iter().map(|(stage, _)| *stage).collect::<Vec<_>>();
     assert_eq!(names(entered), names(expected), "{entered:?}");
     for ((_, at), (_, expected_at)) in entered.iter().zip(expected) {
         assert!((*expected_at..expected_at + 25).contains(at), "{entered:?}");
@@ -50,25 +54,25 @@
 
 #[tokio::test(start_paused = true)]
 async fn requests_are_rejected_before_the_listener_closes() {
-    let entered = stages(None, Duration::ZERO).await;
+    let entered = run_stages(None, Duration::ZERO).await;
     assert_entered(&entered, &[(Stage::Rejecting, 500), (Stage::Closing, 700)]);
 }
 
 #[tokio::test(start_paused = true)]
 async fn late_handling_of_the_signal_does_not_extend_the_stages() {
-    let entered = stages(None, Duration::from_secs(2)).await;
+    let entered = run_stages(None, Duration::from_secs(2)).await;
     // Both periods have ended by then.
     assert_entered(&entered, &[(Stage::Closing, 2_000)]);
 }
 
 #[tokio::test(start_paused = true)]
 async fn listener_closes_when_another_process_serves() {
-    let entered = stages(Some(Duration::from_millis(200)), Duration::ZERO).await;
+    let entered = run_stages(Some(Duration::from_millis(200)), Duration::ZERO).await;
     assert_entered(&entered, &[(Stage::Leaving, 200), (Stage::Closing, 500)]);
 }
 
 #[tokio::test(start_paused = true)]
 async fn successor_during_rejection_ends_accepting() {
-    let entered = stages(Some(Duration::from_millis(600)), Duration::ZERO).await;
+    let entered = run_stages(Some(Duration::from_millis(600)), Duration::ZERO).await;
     assert_entered(&entered, &[(Stage::Rejecting, 500), (Stage::Closing, 600)]);
 }
--- a/src/net/upgrade.rs
+++ b/src/net/upgrade.rs
@@ -45,7 +45,8 @@
 }
 
 impl AddressOwnership {
-    /// Acquires a lock file for the address. Port 0 gives a new address each time, so there is nothing to share.
+    /// Acquires a lock file for the address. Port 0 gives a new address each time, so there is nothing to share. If a
+    /// lock file cannot be used, logs a warning and returns [`AddressOwnership::Exclusive`].
     ///
     /// # Errors
     /// Both lock files stay held by other processes for longer than an upgrade takes.
--- a/src/shutdown.rs
+++ b/src/shutdown.rs
@@ -10,9 +10,9 @@
 use std::sync::{Arc, OnceLock};
 use std::time::{Duration, Instant};
 
-/// How long requests are admitted after the request to stop. New connections arrive for up to 400 ms, and requests
-/// that arrive 700 ms or more after the signal may be cut off by SIGKILL. The process may notice the signal 150 ms
-/// late.
+/// How long requests are admitted after the request to stop. Clients open new connections for up to 400 ms, and those
+/// requests are to be served. A request that is complete within 700 ms may be cut off by SIGKILL, but a later one
+/// must be answered by then, and the process may notice the signal 150 ms late.
 pub const ADMISSION_PERIOD: Duration = Duration::from_millis(500);
 /// How long new connections are accepted after the request to stop. Requests that arrive on them after
 /// [`ADMISSION_PERIOD`] are rejected.
--- a/src/shutdown/tests.rs
+++ b/src/shutdown/tests.rs
@@ -4,8 +4,9 @@
 use rstest::rstest;
 use tokio::time::advance;
 
-/// Time after the request to stop from which on a request may be unanswered when the process is killed.
-const CUT_OFF_FROM: Duration = Duration::from_millis(700);
+/// Latest arrival, after the request to stop, of a request that may be unanswered when the process is killed.
+/// Requests that arrive later need an answer by then.
+const LAST_ARRIVAL_WITHOUT_ANSWER: Duration = Duration::from_millis(700);
 /// How long a process may be stalled.
 const MAX_STALL: Duration = Duration::from_millis(150);
 /// How long new connections arrive after the request to stop.
@@ -73,10 +74,15 @@
     assert_eq!(request.0.get(), Some(&first));
 }
 
-/// A process that notices the signal as late as it may still rejects every request that could be cut off, and admits
-/// all requests on connections that arrive while clients may still open them.
+/// Even if the process notices the signal as late as it may, it admits no request that arrived too late to be left
+/// unanswered, and it admits all requests on the connections that clients open.
 #[test]
 fn admission_period_covers_new_connections_and_a_stall() {
     const { assert!(ADMISSION_PERIOD.as_millis() > NEW_CONNECTIONS_FOR.as_millis()) };
-    const { assert!(ADMISSION_PERIOD.as_millis() + MAX_STALL.as_millis() < CUT_OFF_FROM.as_millis()) };
+    const {
+        assert!(
+            ADMISSION_PERIOD.as_millis() + MAX_STALL.as_millis()
+                < LAST_ARRIVAL_WITHOUT_ANSWER.as_millis()
+        );
+    };
 }
