--- a/src/net/client_connection.rs
+++ b/src/net/client_connection.rs
@@ -4,7 +4,7 @@
 use super::LocalBoxFuture;
 use super::framing::{ConnectionTracker, RequestPhase, TrackedStream};
 use super::server::{FIRST_REQUEST_TIMEOUT, MIN_ARRIVAL_BEFORE_EVICTION, Stage};
-use super::stream::{end_sending, uninterrupted};
+use super::stream::{retry_interrupted, shutdown_write};
 use crate::admin::metrics::{RequestMetrics, RequestOutcome};
 use crate::counters::Counters;
 use crate::front::platform::{self, AnswerBody};
@@ -183,14 +183,14 @@
 /// although the runtime has not seen the readiness event yet.
 fn connection_state(socket: &TcpStream, tracker: &ConnectionTracker) -> ConnectionState {
     match tracker.phase() {
-        RequestPhase::InProgress => ConnectionState::InHand,
-        RequestPhase::Arriving(_) => ConnectionState::Arriving,
+        RequestPhase::InProgress => ConnectionState::AwaitingResponse,
+        RequestPhase::Arriving(_) => ConnectionState::ReceivingRequest,
         RequestPhase::Idle(_) => {
             let peek = || SockRef::from(socket).peek(&mut [MaybeUninit::uninit()]);
-            let has_bytes = || uninterrupted(peek).is_ok_and(|n| n > 0);
+            let has_bytes = || retry_interrupted(peek).is_ok_and(|n| n > 0);
             // A client that does not read its response gets no further one.
-            ConnectionState::Resting {
-                has_unread: !tracker.is_write_blocked() && has_bytes(),
+            ConnectionState::Idle {
+                has_unread_bytes: !tracker.is_write_blocked() && has_bytes(),
             }
         }
     }
@@ -241,11 +241,11 @@
     };
     if is_late && !tracker.is_write_blocked() {
         counters.slow_clients.up();
-        let _ = uninterrupted(|| socket.try_write(REQUEST_TIMEOUT_RESPONSE));
+        let _ = retry_interrupted(|| socket.try_write(REQUEST_TIMEOUT_RESPONSE));
     }
     if !matches!(outcome, ServeOutcome::Closed(_)) || !tracker.is_write_blocked() {
         tracker.response_finished();
-        let _ = end_sending(&socket);
+        let _ = shutdown_write(&socket);
         tokio::select! {
             biased;
             () = async { while !tracker.is_evicted() { tracker.changed().await } } => {}
@@ -287,25 +287,25 @@
             // Polled first, so that received data is processed before any deadline is checked.
             result = &mut connection => return ServeOutcome::HyperFinished(result),
             has_closed = tracker.read_ahead(socket, &mut read_ahead_budget), if tracker.phase() == RequestPhase::InProgress => {
-                if has_closed && let Ok(permit) = permit_close(CloseCause::ClientGone, connection_state(socket, tracker)) {
+                if has_closed && let Ok(permit) = permit_close(CloseCause::ClientDisconnected, connection_state(socket, tracker)) {
                     return ServeOutcome::ClientGone(permit);
                 }
             }
             () = wait_for_closing_stage(&mut stage, tracker, accepted), if may_close => {
                 let state = connection_state(socket, tracker);
                 log::debug!("client connection: closing for a drain or shutdown, state {state:?}");
-                match permit_close(CloseCause::Ending, state) {
+                match permit_close(CloseCause::ShuttingDown, state) {
                     // With a request in progress, the connection is closed after its response.
-                    Ok(_) | Err(CloseDenial::InHand) => {
+                    Ok(_) | Err(CloseDenial::AwaitingResponse) => {
                         is_closing = true;
                         Pin::new(&mut connection).graceful_shutdown();
                     }
-                    Err(CloseDenial::Unread | CloseDenial::Arriving) => tokio::task::yield_now().await,
+                    Err(CloseDenial::UnreadBytes | CloseDenial::ReceivingRequest) => tokio::task::yield_now().await,
                 }
             }
             () = tracker.changed() => {}
             () = async { tokio::time::sleep_until(deadline.unwrap_or(accepted)).await }, if deadline.is_some() => {
-                match permit_close(CloseCause::TimeOver, connection_state(socket, tracker)) {
+                match permit_close(CloseCause::TimedOut, connection_state(socket, tracker)) {
                     Ok(permit) => {
                         log::debug!("client connection: timed out, closing: {:?}", tracker.phase());
                         return ServeOutcome::Closed(permit);
@@ -328,7 +328,7 @@
         match socket
             .readable()
             .await
-            .and_then(|()| uninterrupted(|| socket.try_read(&mut discarded)))
+            .and_then(|()| retry_interrupted(|| socket.try_read(&mut discarded)))
         {
             Ok(n) if n > 0 => left = left.saturating_sub(n),
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
--- a/src/net/framing.rs
+++ b/src/net/framing.rs
@@ -4,7 +4,7 @@
 //! service sees the head. Such a head can smuggle a second request in its body, so the raw bytes of heads are checked
 //! here.
 
-use super::stream::{self, uninterrupted};
+use super::stream::{self, retry_interrupted};
 use crate::front::shared::Held;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -174,7 +174,7 @@
         match socket
             .readable()
             .await
-            .and_then(|()| uninterrupted(|| socket.try_read(&mut buffer)))
+            .and_then(|()| retry_interrupted(|| socket.try_read(&mut buffer)))
         {
             Ok(n) if n > 0 => self
                 .read_ahead
@@ -421,7 +421,7 @@
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Poll::Ready(stream::end_sending(&self.stream))
+        Poll::Ready(stream::shutdown_write(&self.stream))
     }
 }
 
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -3,12 +3,12 @@
 use super::LocalBoxFuture;
 use super::client_connection::{ResponseFuture, TrackedBody, serve};
 use super::connections::Connections;
-use super::fault::pause_after_accept;
+use super::fault::accept_retry_delay;
 use super::framing::ConnectionTracker;
 use super::upgrade::socket::drop_new_connections;
 use crate::admin::metrics::RequestMetrics;
 use crate::counters::Counters;
-use crate::exchange::Call;
+use crate::exchange::UpstreamRequest;
 use crate::front::jsonrpc;
 use crate::front::platform::{self, AnswerBody, end_to_end, plain};
 use crate::front::shared::{COME_BACK, CUT_OFF, Held, InHand, MOST_BODY, Shared};
@@ -180,14 +180,14 @@
             .path_and_query()
             .map_or(platform::PATH, |path| path.as_str())
             .to_owned();
-        let keeps: Option<Rc<dyn Any>> = Some(Rc::new((in_hand, held)));
-        let call = Call {
+        let lifetime_guards: Option<Rc<dyn Any>> = Some(Rc::new((in_hand, held)));
+        let call = UpstreamRequest {
             id: intake.id,
             target,
             headers,
             body,
-            keeps,
-            name: None,
+            lifetime_guards,
+            claim_key: None,
         };
         let submitted = shared.dispatcher.submit(intake.ask, call, permit);
         drop(gate_pass);
@@ -391,7 +391,7 @@
     /// Counts a failed accept, and waits if an immediate retry would fail as well.
     async fn accept_failed(&self, error: &std::io::Error) {
         let counters = &self.service.shared.counters;
-        let Some(pause) = pause_after_accept(error) else {
+        let Some(pause) = accept_retry_delay(error) else {
             counters.accepts_of_one_failed.up();
             return log::debug!("accept: {error}");
         };
--- a/src/net/upgrade.rs
+++ b/src/net/upgrade.rs
@@ -209,7 +209,7 @@
         if let Some(allowed) = permission {
             self.shared
                 .dispatcher
-                .tell(DispatcherEvent::SlowStart { allowed });
+                .send(DispatcherEvent::SlowStart { allowed });
         }
         let AddressOwnership::Shared(lock_file) = &self.ownership else {
             return false;
--- a/src/run.rs
+++ b/src/run.rs
@@ -27,9 +27,9 @@
 use whinhaven::front::jsonrpc::Front;
 use whinhaven::front::shared::Shared;
 use whinhaven::live_settings::LiveSettings;
-use whinhaven::net::client::{Hosts, Pending};
+use whinhaven::net::client::{HostClient, PendingReleases};
 use whinhaven::net::connections::Connections;
-use whinhaven::net::discovery::{Directory, Follower, Weigh};
+use whinhaven::net::discovery::{AdjustEndpoints, Directory, DiscoveryWatcher};
 use whinhaven::net::drain::{self, DrainSwitch};
 use whinhaven::net::pool::Pool;
 use whinhaven::net::server::{ClientService, Listener, MAX_REFUSED_CONNECTIONS, Stage};
@@ -224,22 +224,22 @@
         counters.clone(),
     );
     let directory = Rc::new(Directory::default());
-    let (watch_again, fetch_list) = (Rc::new(Notify::new()), Rc::new(Notify::new()));
-    let pending = Rc::<Pending>::default();
-    let hosts = Hosts {
+    let (resubscribe, fetch_list) = (Rc::new(Notify::new()), Rc::new(Notify::new()));
+    let pending_releases = Rc::<PendingReleases>::default();
+    let hosts = HostClient {
         directory: directory.clone(),
         pool: pool.clone(),
         dispatcher: dispatcher.clone(),
         counters: counters.clone(),
-        watch_again: watch_again.clone(),
-        pending: pending.clone(),
+        resubscribe: resubscribe.clone(),
+        pending_releases: pending_releases.clone(),
         late_arrivals: Rc::default(),
     };
     // Computed before the fleet starts: otherwise the other members would wait for this one meanwhile.
     let own_site = config
         .fleet
         .as_ref()
-        .and_then(|f| config.sites.as_ref()?.site(f.site.as_str()));
+        .and_then(|f| config.sites.as_ref()?.site_index(f.site.as_str()));
     let site_plans = match (own_site, config.sites.clone()) {
         (Some(own_site), Some(tables)) => {
             let site_plans = Sites::plan(tables)
@@ -323,20 +323,22 @@
         outbound,
         counters.clone(),
     );
-    let follower = Follower {
+    let watcher = DiscoveryWatcher {
         directory: directory.clone(),
         dispatcher: dispatcher.clone(),
-        hang_up: Box::new({
+        close_idle: Box::new({
             let pool = pool.clone();
-            move |worker| pool.hang_up(worker)
+            move |worker| pool.close_idle(worker)
         }),
-        ask: settings.endpoints_on_request.then_some(watch_again),
+        subscribe_request: settings
+            .endpoints_require_subscription
+            .then_some(resubscribe),
         fetch_list: fetch_list.clone(),
         counters: counters.clone(),
-        weigh: sites.clone().map(|sites| {
-            Box::new(move |kind, entries: &mut [_]| sites.weigh(kind, entries)) as Weigh
+        adjust_endpoints: sites.clone().map(|sites| {
+            Box::new(move |kind, entries: &mut [_]| sites.weigh(kind, entries)) as AdjustEndpoints
         }),
-        starts: RefCell::default(),
+        host_starts: RefCell::default(),
     };
     let refresh_list = {
         let discovery = config.discovery.is_some();
@@ -346,16 +348,16 @@
             }
         }
     };
-    follower.take(std::mem::take(&mut config.known), EndpointUpdate::Restored);
+    watcher.apply(std::mem::take(&mut config.known), EndpointUpdate::Restored);
     tokio::task::spawn_local(driver.run(queue));
     let (discovery, discovery_addresses) = watch::channel(config.discovery);
-    tokio::task::spawn_local(follower.follow(discovery_addresses));
+    tokio::task::spawn_local(watcher.run(discovery_addresses));
     let drain = Rc::new(DrainSwitch::default());
     let stopping = Rc::new(Cell::new(false));
     let (listening, other_process_serves) = (Rc::new(Cell::new(false)), Rc::new(Cell::new(false)));
     let has_workers = {
         let (directory, kinds) = (directory.clone(), settings.kinds.clone());
-        Rc::new(move || directory.can_serve(&kinds))
+        Rc::new(move || directory.covers_both_stages(&kinds))
     };
     let is_able_to_serve = {
         let (has_workers, listening, gate) = (has_workers.clone(), listening.clone(), gate.clone());
@@ -512,7 +514,7 @@
             () = signals.report_counters.notified() => log_counters(&counters, fleet.as_ref()),
             () = signals.reload.notified() => reload.run(),
             _ = pool_cleanup.tick() => {
-                pool.retire();
+                pool.evict_stale();
                 if let Some(front) = &tool_front {
                     front.tidy();
                 }
@@ -537,7 +539,7 @@
         stage,
         accept_task,
         pool,
-        pending_releases: pending,
+        pending_releases,
         fleet: fleet.clone(),
         request_records: work,
         tool_front,
--- a/src/run/graceful_shutdown.rs
+++ b/src/run/graceful_shutdown.rs
@@ -8,7 +8,7 @@
 use whinhaven::fleet::transport::Fleet;
 use whinhaven::fleet::transport::work::Work;
 use whinhaven::front::jsonrpc::Front;
-use whinhaven::net::client::Pending;
+use whinhaven::net::client::PendingReleases;
 use whinhaven::net::connections::Connections;
 use whinhaven::net::pool::Pool;
 use whinhaven::net::server::Stage;
@@ -39,7 +39,7 @@
     /// Pool of connections to model hosts.
     pub pool: Pool,
     /// Releases that model hosts have not acknowledged.
-    pub pending_releases: Rc<Pending>,
+    pub pending_releases: Rc<PendingReleases>,
     /// The fleet, if this router is a member of one.
     pub fleet: Option<Fleet>,
     /// Records of requests in progress, if the fleet keeps them.
@@ -63,7 +63,7 @@
         tokio::join!(self.leave_fleet_after_admission(), close_clients);
         // Connections in the kernel's accept queue have been accepted when this task ends.
         let _ = (&mut self.accept_task).await;
-        self.pool.clear();
+        self.pool.close_all_idle();
         self.finish_requests().await;
         if self.request_records.is_some() {
             self.leave_fleet().await;
@@ -72,7 +72,8 @@
         // wait is bounded: afterwards the KV state's hold time and the platform's tolerance have passed, and the
         // release is of no use.
         tokio::time::sleep(LAST_RELEASE_DELAY).await;
-        let _ = tokio::time::timeout(RELEASE_TIMEOUT, self.pending_releases.none()).await;
+        let _ =
+            tokio::time::timeout(RELEASE_TIMEOUT, self.pending_releases.wait_until_done()).await;
     }
 
     /// Leaves the fleet once no more requests are admitted under its leases, so that other members need not wait for
