--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -1,11 +1,11 @@
-//! The server side: accepts clients, takes requests in, passes answers on.
+//! Server side: accepts client connections, reads requests and returns responses.
 
 use super::LocalBoxFuture;
-use super::client_connection::{Answerer, Answering, serve};
+use super::client_connection::{ResponseFuture, TrackedBody, serve};
 use super::connections::Connections;
 use super::fault::accept_retry_delay;
-use super::framing::Watch;
-use super::upgrade::socket::turn_away_new;
+use super::framing::ConnectionTracker;
+use super::upgrade::socket::drop_new_connections;
 use crate::admin::metrics::RequestMetrics;
 use crate::counters::Counters;
 use crate::exchange::UpstreamRequest;
@@ -29,57 +29,61 @@
 use tokio::sync::watch;
 use tower::{Service, ServiceBuilder, ServiceExt};
 
-/// Accepts that may fail while what waits is taken at the end.
-const ACCEPTS_AFTER_FAULTS: usize = 64;
-/// A client that has said nothing since it connected is let go after this.
-pub(super) const SILENT_CLIENT: Duration = Duration::from_millis(2_200);
-/// The same during a drain, where no place is wanted but none may be held for long.
-const LATE_CLIENT: Duration = Duration::from_millis(500);
-/// Where places are short, a connection may have to go that has been idle for this long: a client that has just
-/// connected gets to send its request.
-pub(super) const SETTLED: Duration = Duration::from_millis(50);
-/// The same for a request that is still not whole.
-pub(super) const DAWDLES: Duration = Duration::from_millis(400);
-/// Connections over the bound that are still told so; beyond them, new ones wait in the system's queue.
-pub const OVER: usize = 16;
-/// How long a listener that leaves an address to another one waits for the end of handshakes that had begun.
-const HANDSHAKE: Duration = Duration::from_millis(2);
+/// Number of failed accepts that are tolerated while the accept queue is emptied at shutdown.
+const MAX_ACCEPT_ERRORS_AT_CLOSE: usize = 64;
+/// Timeout for the first byte on a new connection.
+pub(super) const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(2_200);
+/// Timeout for the first byte on a connection accepted during a drain. Capacity is not short then, but no connection
+/// may delay the drain for long.
+const DRAINING_FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
+/// Minimum idle time before a connection may be evicted to make room, so that a client that has just connected can
+/// send its request.
+pub(super) const MIN_IDLE_BEFORE_EVICTION: Duration = Duration::from_millis(50);
+/// Minimum time since the first byte of an incomplete request before its connection may be evicted to make room.
+pub(super) const MIN_ARRIVAL_BEFORE_EVICTION: Duration = Duration::from_millis(400);
+/// Number of connections above the limit that are accepted and receive a refusal. Further connections wait in the
+/// kernel's accept queue.
+pub const MAX_REFUSED_CONNECTIONS: usize = 16;
+/// How long a listener that hands its address over to another process waits for TCP handshakes that are under way.
+const HANDSHAKE_GRACE: Duration = Duration::from_millis(2);
 
-/// The tower service that clients reach.
+/// The tower service that answers client requests.
 #[derive(Clone)]
-pub struct Edge {
-    /// What all connections share.
+pub struct ClientService {
+    /// State shared by all connections.
     pub shared: Rc<Shared>,
-    /// The tool-call front, if configured.
+    /// The JSON-RPC front end for tool calls; `None` if it is not configured.
     pub tools: Option<Rc<jsonrpc::Front>>,
 }
 
-impl Edge {
-    fn bad(&self, status: StatusCode, text: &'static str) -> Response<AnswerBody> {
+impl ClientService {
+    fn bad_request(&self, status: StatusCode, text: &'static str) -> Response<AnswerBody> {
         self.shared.counters.bad_requests.up();
         log::debug!("bad request: {text}");
         plain(status, text)
     }
 
-    /// Begins the request_metrics of a request whose head has come; ahead of all that may refuse it.
+    /// Starts the metrics of a request whose head has been received. Called before anything that may refuse the
+    /// request.
     fn request_metrics(&self, request: &Request<Incoming>) -> Rc<RequestMetrics> {
-        let asks = request.uri().path() == platform::PATH && request.method() == Method::POST;
-        let class = request.headers().get("x-class").filter(|_| asks);
+        let is_completion =
+            request.uri().path() == platform::PATH && request.method() == Method::POST;
+        let class = request.headers().get("x-class").filter(|_| is_completion);
         let class = class.and_then(|value| value.to_str().ok()).map(str::trim);
         self.shared
             .metrics
             .begin(class, &self.shared.classes.borrow())
     }
 
-    async fn respond(self, arrival: Arrival) -> Response<AnswerBody> {
-        let Arrival {
+    async fn respond(self, incoming: IncomingRequest) -> Response<AnswerBody> {
+        let IncomingRequest {
             request,
-            watch,
+            tracker,
             request_metrics,
-        } = arrival;
-        let head = watch.head();
+        } = incoming;
+        let head = tracker.take_head();
         if !head.is_sound {
-            return self.bad(StatusCode::BAD_REQUEST, "ambiguous framing\n");
+            return self.bad_request(StatusCode::BAD_REQUEST, "ambiguous framing\n");
         }
         let waited = head.arrived.elapsed().as_micros() as Micros;
         let arrived = self.shared.dispatcher.clock.now().saturating_sub(waited);
@@ -92,32 +96,32 @@
                 plain(StatusCode::SERVICE_UNAVAILABLE, "not ready\n")
             };
         }
-        if let Some(front) = self.tools.clone().filter(|f| f.path == path) {
+        if let Some(front) = self.tools.clone().filter(|front| front.path == path) {
             if request.method() != Method::POST {
-                return self.bad(StatusCode::METHOD_NOT_ALLOWED, "wrong method\n");
+                return self.bad_request(StatusCode::METHOD_NOT_ALLOWED, "wrong method\n");
             }
-            return match self.body(request.into_body(), &watch).await {
-                Ok((body, _held)) => front.respond(body, arrived).await,
+            return match self.read_body(request.into_body(), &tracker).await {
+                Ok((body, _memory)) => front.respond(body, arrived).await,
                 Err(response) => response,
             };
         }
         match (path, request.method()) {
             (platform::PATH, &Method::POST) => {
-                self.platform(request, arrived, &watch, &request_metrics)
+                self.handle_completion(request, arrived, &tracker, &request_metrics)
                     .await
             }
             (platform::PATH | "/healthz", _) => {
-                self.bad(StatusCode::METHOD_NOT_ALLOWED, "wrong method\n")
+                self.bad_request(StatusCode::METHOD_NOT_ALLOWED, "wrong method\n")
             }
-            _ => self.bad(StatusCode::NOT_FOUND, "no such path\n"),
+            _ => self.bad_request(StatusCode::NOT_FOUND, "no such path\n"),
         }
     }
 
-    async fn platform(
+    async fn handle_completion(
         self,
         request: Request<Incoming>,
         arrived: Micros,
-        watch: &Watch,
+        tracker: &ConnectionTracker,
         request_metrics: &RequestMetrics,
     ) -> Response<AnswerBody> {
         let shared = self.shared.clone();
@@ -128,19 +132,19 @@
         let (head, body) = request.into_parts();
         let mut intake = match platform::decode(&head.headers, arrived) {
             Ok(intake) => intake,
-            Err(what) => return self.bad(StatusCode::BAD_REQUEST, what),
+            Err(reason) => return self.bad_request(StatusCode::BAD_REQUEST, reason),
         };
         if shared.gate.is_none() && !shared.knows(&intake.ask.class) {
-            return self.bad(StatusCode::BAD_REQUEST, "unknown class\n");
+            return self.bad_request(StatusCode::BAD_REQUEST, "unknown class\n");
         }
-        let (body, mut held) = match self.body(body, watch).await {
+        let (body, mut held) = match self.read_body(body, tracker).await {
             Ok(body) => body,
             Err(response) => return response,
         };
         request_metrics.begin_progress();
         let permit = match shared.admit(&intake.id) {
             Ok(permit) => permit,
-            Err(advice) => return platform::refusal(Some(advice)),
+            Err(retry_after) => return platform::refusal(Some(retry_after)),
         };
         let headers = end_to_end(&head.headers);
         if !held.grow(
@@ -153,28 +157,28 @@
             return platform::refusal(Some(COME_BACK));
         }
         if !intake.stated {
-            // One token is four characters.
+            // Estimate: one token is four characters.
             intake.ask.prompt_tokens = body.len() as u64 / 4;
         }
-        let pass = match shared.begin(intake.ask.deadline).await {
-            Ok(pass) => pass,
-            Err(advice) => return platform::refusal(Some(advice)),
+        let gate_pass = match shared.begin(intake.ask.deadline).await {
+            Ok(gate_pass) => gate_pass,
+            Err(retry_after) => return platform::refusal(Some(retry_after)),
         };
-        // Only now: the classes are those of the epoch it begins under.
+        // Checked only here because the request runs under the settings epoch in force now.
         if !shared.knows(&intake.ask.class) {
-            return self.bad(StatusCode::BAD_REQUEST, "unknown class\n");
+            return self.bad_request(StatusCode::BAD_REQUEST, "unknown class\n");
         }
-        // Model hosts tell requests apart by their ids: two at once under one would share what is held. An id is in
-        // hand until the last attempt and release of its request are over, or another client could send a second
-        // copy of a request whose stream still runs.
+        // Model hosts identify requests by id, so two concurrent requests with one id would share KV state. The id
+        // stays registered until the last attempt and release of the request have ended; otherwise another client
+        // could send a second copy of a request whose stream still runs.
         if !shared.ids.borrow_mut().insert(intake.id.clone()) {
-            return self.bad(StatusCode::CONFLICT, "a request with this id is in hand\n");
+            return self.bad_request(StatusCode::CONFLICT, "a request with this id is in hand\n");
         }
         let in_hand = InHand::new(shared.clone(), intake.id.clone());
         let target = head
             .uri
             .path_and_query()
-            .map_or(platform::PATH, |p| p.as_str())
+            .map_or(platform::PATH, |path| path.as_str())
             .to_owned();
         let lifetime_guards: Option<Rc<dyn Any>> = Some(Rc::new((in_hand, held)));
         let call = UpstreamRequest {
@@ -185,56 +189,58 @@
             lifetime_guards,
             claim_key: None,
         };
-        let asked = shared.dispatcher.submit(intake.ask, call, permit);
-        drop(pass);
-        let (answer, presence) = asked.answer().await;
+        let submitted = shared.dispatcher.submit(intake.ask, call, permit);
+        drop(gate_pass);
+        let (answer, presence) = submitted.answer().await;
         platform::encode(answer, presence)
     }
 
-    /// Reads a body whole, within the bounds of its length and of what all bodies may take. Its time is bounded
-    /// by the connection's supervisor.
-    async fn body(
+    /// Reads a complete body within the limit per body and the memory budget of all bodies. The connection task
+    /// enforces the time limit.
+    async fn read_body(
         &self,
         mut body: Incoming,
-        watch: &Watch,
+        tracker: &ConnectionTracker,
     ) -> Result<(Bytes, Held), Response<AnswerBody>> {
-        let too_long = || self.bad(StatusCode::PAYLOAD_TOO_LARGE, "body too long\n");
+        let too_long = || self.bad_request(StatusCode::PAYLOAD_TOO_LARGE, "body too long\n");
         if body.size_hint().lower() > MOST_BODY as u64 {
             return Err(too_long());
         }
-        let (mut whole, mut held) = (BytesMut::new(), Held::new(self.shared.clone()));
+        let (mut received, mut held) = (BytesMut::new(), Held::new(self.shared.clone()));
         while let Some(frame) = body.frame().await {
             let Ok(frame) = frame else {
-                return Err(self.bad(StatusCode::BAD_REQUEST, "body broken\n"));
+                return Err(self.bad_request(StatusCode::BAD_REQUEST, "body broken\n"));
             };
             let Ok(data) = frame.into_data() else {
                 continue;
             };
-            if whole.len() + data.len() > MOST_BODY {
+            if received.len() + data.len() > MOST_BODY {
                 return Err(too_long());
             }
             if !held.grow(data.len()) {
                 self.shared.counters.over_bound.up();
                 return Err(platform::refusal(Some(COME_BACK)));
             }
-            whole.extend_from_slice(&data);
+            received.extend_from_slice(&data);
         }
-        if watch.has_excess() {
-            return Err(self.bad(StatusCode::BAD_REQUEST, "more bytes than the length says\n"));
+        if tracker.has_excess_bytes() {
+            return Err(
+                self.bad_request(StatusCode::BAD_REQUEST, "more bytes than the length says\n")
+            );
         }
-        watch.whole();
-        Ok((whole.freeze(), held))
+        tracker.request_received();
+        Ok((received.freeze(), held))
     }
 }
 
-/// A request whose head has come, and the connection it comes on.
-pub struct Arrival {
+/// A request whose head has been received, with the state of its connection.
+pub struct IncomingRequest {
     request: Request<Incoming>,
-    watch: Rc<Watch>,
+    tracker: Rc<ConnectionTracker>,
     request_metrics: Rc<RequestMetrics>,
 }
 
-impl Service<Arrival> for Edge {
+impl Service<IncomingRequest> for ClientService {
     type Response = Response<AnswerBody>;
     type Error = Infallible;
     type Future = LocalBoxFuture<Result<Self::Response, Infallible>>;
@@ -243,25 +249,27 @@
         Poll::Ready(Ok(()))
     }
 
-    fn call(&mut self, arrival: Arrival) -> Self::Future {
-        let edge = self.clone();
-        Box::pin(async move { Ok(edge.respond(arrival).await) })
+    fn call(&mut self, incoming: IncomingRequest) -> Self::Future {
+        let service = self.clone();
+        Box::pin(async move { Ok(service.respond(incoming).await) })
     }
 }
 
-/// What becomes of client connections.
+/// How client connections are treated; follows drains and the shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// They are kept for further requests.
+    /// Connections are kept open for further requests.
     Open,
-    /// Operators send clients away: idle ones are closed, and each one after the answer under way. New ones are
-    /// accepted and served, and closed after their first answer.
+    /// An operator drains the router: idle connections are closed, others after the response in progress. New
+    /// connections are accepted and closed after their first response.
     Draining,
-    /// Another process serves the address: nothing more is accepted, and each answer closes its connection.
+    /// Another process serves the address: no connection is accepted, and each response closes its connection. Idle
+    /// connections stay open.
     Leaving,
-    /// The conductor stops and admits no more requests: as while it drains, but requests that come are rejected.
+    /// The router is stopping and admits no more requests. Connections are treated as in a drain, but new requests
+    /// are rejected.
     Rejecting,
-    /// The conductor ends: as while it drains, but none is accepted any more.
+    /// Last stage of the shutdown: connections are treated as in a drain, and none is accepted.
     Closing,
 }
 
@@ -270,8 +278,8 @@
         self == Stage::Open
     }
 
-    /// Whether connections that rest are closed.
-    pub(super) fn closes_resting(self) -> bool {
+    /// Whether idle connections are closed.
+    pub(super) fn closes_idle(self) -> bool {
         matches!(self, Stage::Draining | Stage::Rejecting | Stage::Closing)
     }
 
@@ -280,49 +288,50 @@
         matches!(self, Stage::Open | Stage::Draining | Stage::Rejecting)
     }
 
-    /// How long a connection that has just been accepted is left open without a request.
-    pub(super) fn first_request_within(self) -> Duration {
+    /// How long a newly accepted connection may stay open without sending a request.
+    pub(super) fn first_request_timeout(self) -> Duration {
         match self {
-            Stage::Open | Stage::Leaving => SILENT_CLIENT,
-            Stage::Draining | Stage::Rejecting => LATE_CLIENT,
-            Stage::Closing => SETTLED,
+            Stage::Open | Stage::Leaving => FIRST_REQUEST_TIMEOUT,
+            Stage::Draining | Stage::Rejecting => DRAINING_FIRST_REQUEST_TIMEOUT,
+            Stage::Closing => MIN_IDLE_BEFORE_EVICTION,
         }
     }
 }
 
-/// Accepts clients until told to stop, at most `bound` at once.
+/// Accepts client connections until [`Stage`] forbids it, at most `max_connections` at once.
 pub struct Listener {
-    /// The service.
-    pub edge: Edge,
-    /// Most client connections; [`OVER`] more are told that there is no room.
-    pub bound: usize,
-    /// Most requests that wait for their first event.
-    pub waiting: usize,
-    /// Whether connections are kept.
+    /// Answers the requests.
+    pub service: ClientService,
+    /// Maximum number of client connections. [`MAX_REFUSED_CONNECTIONS`] more are accepted to receive a refusal.
+    pub max_connections: usize,
+    /// Maximum number of requests that wait for their first event.
+    pub max_waiting_requests: usize,
+    /// Current stage of client connections.
     pub stage: watch::Receiver<Stage>,
-    /// Connections that are open.
-    pub open: Rc<Connections>,
-    /// Whether another process serves the address.
-    pub other_serves: Rc<Cell<bool>>,
+    /// Table of open connections.
+    pub connections: Rc<Connections>,
+    /// Whether another process serves the same address.
+    pub other_process_serves: Rc<Cell<bool>>,
 }
 
 impl Listener {
-    /// Accepts until the connections are to be closed, and then what still waits in the system's queue: a request
-    /// written to a connection that this machine has accepted is taken, and a listener that goes resets those.
+    /// Accepts until the stage forbids it, then takes the connections left in the accept queue. The kernel has
+    /// already accepted those and may hold their requests; closing the listener would reset them.
     pub async fn accept(self, listener: TcpListener) {
-        // Over its bound the service refuses: tower's shed turns a full limit into an error, answered below.
+        // Above the concurrency limit, tower's load shedding returns an error, which `respond_always` turns into a
+        // refusal.
         let service = ServiceBuilder::new()
             .load_shed()
-            .concurrency_limit(self.waiting)
-            .service(self.edge.clone());
+            .concurrency_limit(self.max_waiting_requests)
+            .service(self.service.clone());
         let mut stage = self.stage.clone();
         loop {
-            self.room().await;
+            self.wait_for_room().await;
             tokio::select! {
                 biased;
-                _ = stage.wait_for(|s| !s.accepts()) => break,
+                _ = stage.wait_for(|stage| !stage.accepts()) => break,
                 accepted = listener.accept() => match accepted {
-                    Ok((stream, _)) => self.begin(stream, service.clone()),
+                    Ok((stream, _)) => self.serve_connection(stream, service.clone()),
                     Err(error) => self.accept_failed(&error).await,
                 }
             }
@@ -330,127 +339,145 @@
         let Ok(listener) = listener.into_std() else {
             return;
         };
-        // Not by the stage: one that was passed at once is not seen.
-        if self.other_serves.get() {
-            if let Err(error) = turn_away_new(&listener) {
-                log::warn!("accept: new connections can't be turned away: {error}");
+        // The flag is read instead of the stage because a stage that was replaced at once may not have been observed
+        // here.
+        if self.other_process_serves.get() {
+            if let Err(error) = drop_new_connections(&listener) {
+                log::warn!(
+                    "accept: cannot attach the SYN filter: {error}; closing the listener may reset new connections"
+                );
             }
-            self.empty(&listener, &service).await;
-            // A handshake that had begun may still end.
-            tokio::time::sleep(HANDSHAKE).await;
+            self.accept_backlog(&listener, &service).await;
+            // A handshake that has begun may still complete.
+            tokio::time::sleep(HANDSHAKE_GRACE).await;
         }
-        self.empty(&listener, &service).await;
+        self.accept_backlog(&listener, &service).await;
     }
 
-    /// Accepts what waits. The system is asked itself: the runtime may not have been told yet of what has come. Not for
-    /// ever, though: clients may come without end.
-    async fn empty<S>(&self, listener: &std::net::TcpListener, service: &S)
+    /// Accepts the connections in the accept queue. Calls `accept` directly because the runtime may not have seen
+    /// their readiness events yet. The number of accepts is bounded because clients may connect without end.
+    async fn accept_backlog<S>(&self, listener: &std::net::TcpListener, service: &S)
     where
-        S: Service<Arrival, Response = Response<AnswerBody>> + Clone + Unpin + 'static,
+        S: Service<IncomingRequest, Response = Response<AnswerBody>> + Clone + Unpin + 'static,
         S::Future: 'static,
     {
-        let mut attempts_after_faults = ACCEPTS_AFTER_FAULTS;
-        for _ in 0..self.bound + OVER {
-            self.room().await;
+        let mut errors_left = MAX_ACCEPT_ERRORS_AT_CLOSE;
+        for _ in 0..self.max_connections + MAX_REFUSED_CONNECTIONS {
+            self.wait_for_room().await;
             let stream = match listener.accept() {
                 Ok((stream, _)) => stream,
                 Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => return,
-                // Others may wait behind the one that this is about, or there may be room for them in a moment.
-                Err(error) if attempts_after_faults > 0 => {
-                    attempts_after_faults -= 1;
+                // The error may concern only this connection, or be temporary, so the next accept may succeed.
+                Err(error) if errors_left > 0 => {
+                    errors_left -= 1;
                     self.accept_failed(&error).await;
                     continue;
                 }
-                Err(error) => return log::warn!("accept: {error}; what waits is left"),
+                Err(error) => {
+                    return log::warn!(
+                        "accept: {error}; too many errors, leaving the rest of the accept queue"
+                    );
+                }
             };
             if let Ok(stream) = stream
                 .set_nonblocking(true)
                 .and_then(|()| TcpStream::from_std(stream))
             {
-                self.begin(stream, service.clone());
+                self.serve_connection(stream, service.clone());
             }
         }
     }
 
-    /// Counts a failed accept, and waits where another one at once would fail as well.
+    /// Counts a failed accept, and waits if an immediate retry would fail as well.
     async fn accept_failed(&self, error: &std::io::Error) {
-        let counters = &self.edge.shared.counters;
+        let counters = &self.service.shared.counters;
         let Some(pause) = accept_retry_delay(error) else {
             counters.accepts_of_one_failed.up();
             return log::debug!("accept: {error}");
         };
-        // Out of descriptors, say: what is open goes on, new ones wait.
+        // For example, the process is out of descriptors: open connections continue, new ones wait.
         counters.accepts_failed.up();
-        log::warn!("accept: {error}");
+        log::warn!("accept: {error}; next accept in {} ms", pause.as_millis());
         tokio::time::sleep(pause).await;
     }
 
-    /// The most connections now, [`OVER`] aside.
-    fn most(&self) -> usize {
-        self.open
-            .most
+    /// Current maximum number of connections, without [`MAX_REFUSED_CONNECTIONS`].
+    fn current_limit(&self) -> usize {
+        self.connections
+            .limit
             .get()
-            .map_or(self.bound, |most| most.min(self.bound))
+            .map_or(self.max_connections, |limit| {
+                limit.min(self.max_connections)
+            })
     }
 
-    /// Waits until there is room for one more connection, if only to be refused.
-    async fn room(&self) {
-        while self.open.count() >= self.most() + OVER {
-            self.open.make_room(&self.edge.shared.counters);
+    /// Waits until one more connection may be accepted, if only to refuse its request.
+    async fn wait_for_room(&self) {
+        while self.connections.count() >= self.current_limit() + MAX_REFUSED_CONNECTIONS {
+            self.connections.evict_one(&self.service.shared.counters);
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     }
 
-    fn begin<S>(&self, stream: TcpStream, service: S)
+    fn serve_connection<S>(&self, stream: TcpStream, service: S)
     where
-        S: Service<Arrival, Response = Response<AnswerBody>> + Clone + Unpin + 'static,
+        S: Service<IncomingRequest, Response = Response<AnswerBody>> + Clone + Unpin + 'static,
         S::Future: 'static,
     {
-        let counters = self.edge.shared.counters.clone();
+        let counters = self.service.shared.counters.clone();
         counters.connections_in.up();
-        let watch = Watch::new();
-        let place = self.open.enter(watch.clone());
-        // Room is made before there is none: clients that keep their connections for good must not leave a burst
-        // to those that are refused.
-        let crowded = self.open.count() > self.most() * 3 / 4;
-        let over = crowded && !self.open.make_room(&counters) && self.open.count() > self.most();
-        if over {
+        let tracker = ConnectionTracker::new();
+        let entry = self.connections.register(tracker.clone());
+        // Evicts idle connections before the limit is reached, so that clients that keep their connections open do
+        // not cause a burst of new ones to be refused.
+        let is_nearly_full = self.connections.count() > self.current_limit() * 3 / 4;
+        let is_over_limit = is_nearly_full
+            && !self.connections.evict_one(&counters)
+            && self.connections.count() > self.current_limit();
+        if is_over_limit {
             counters.connections_over_bound.up();
         }
-        let (stage, room) = (self.stage.clone(), Held::new(self.edge.shared.clone()));
-        let edge = self.edge.clone();
+        let (stage, read_ahead_budget) =
+            (self.stage.clone(), Held::new(self.service.shared.clone()));
+        let client_service = self.service.clone();
         tokio::task::spawn_local(async move {
-            let _place = place;
-            let (seen, count, now) = (watch.clone(), counters.clone(), stage.clone());
-            let answer = move |request: Request<Incoming>| -> Answerer {
-                let (service, watch, counters, stage) =
-                    (service.clone(), seen.clone(), count.clone(), now.clone());
-                let edge = edge.clone();
+            let _entry = entry;
+            let (request_tracker, request_counters, request_stage) =
+                (tracker.clone(), counters.clone(), stage.clone());
+            let respond = move |request: Request<Incoming>| -> ResponseFuture {
+                let (service, tracker, counters, stage) = (
+                    service.clone(),
+                    request_tracker.clone(),
+                    request_counters.clone(),
+                    request_stage.clone(),
+                );
+                let client_service = client_service.clone();
                 Box::pin(async move {
-                    let request_metrics = edge.request_metrics(&request);
-                    let arrival = Arrival {
+                    let request_metrics = client_service.request_metrics(&request);
+                    let incoming = IncomingRequest {
                         request,
-                        watch: watch.clone(),
+                        tracker: tracker.clone(),
                         request_metrics: request_metrics.clone(),
                     };
-                    let mut response = if over {
+                    let mut response = if is_over_limit {
                         platform::refusal(Some(COME_BACK))
                     } else {
-                        answer_always(service.oneshot(arrival), &counters).await
+                        respond_always(service.oneshot(incoming), &counters).await
                     };
-                    if over || watch.is_spent() || !stage.borrow().keeps_connections() {
+                    if is_over_limit || tracker.must_close() || !stage.borrow().keeps_connections()
+                    {
                         let close = hyper::header::HeaderValue::from_static("close");
                         response.headers_mut().insert("connection", close);
                     }
-                    Ok(Answering::new(response, watch, request_metrics))
+                    Ok(TrackedBody::new(response, tracker, request_metrics))
                 })
             };
             serve(
                 stream,
-                hyper::service::service_fn(answer),
+                hyper::service::service_fn(respond),
                 stage,
-                &watch,
-                room,
+                &tracker,
+                read_ahead_budget,
                 &counters,
             )
             .await;
@@ -458,9 +485,9 @@
     }
 }
 
-/// The service's answer; a refusal where it has no room, and a failure where it panics: a request that was read is
-/// never left without an answer.
-async fn answer_always<E>(
+/// Returns the service's response, a refusal if the concurrency limit is reached, or a 500 if the service panics:
+/// every request that was read gets a response.
+async fn respond_always<E>(
     answering: impl Future<Output = Result<Response<AnswerBody>, E>>,
     counters: &Counters,
 ) -> Response<AnswerBody> {
@@ -472,7 +499,7 @@
         }
         Err(_) => {
             counters.panics.up();
-            log::error!("answering a request panicked; it is answered as failed");
+            log::error!("request handler panicked; answering 500");
             plain(StatusCode::INTERNAL_SERVER_ERROR, "failed\n")
         }
     }
--- a/src/net/shutdown_stages.rs
+++ b/src/net/shutdown_stages.rs
@@ -2,23 +2,23 @@
 
 use super::connections::Connections;
 use super::server::Stage;
-use crate::shutdown::{ACCEPT_FOR, ADMIT_FOR, Shutdown};
+use crate::shutdown::{ACCEPT_PERIOD, ADMISSION_PERIOD, Shutdown};
 use std::cell::Cell;
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// How often another process at the address is looked for.
-const LOOK_FOR_SUCCESSOR: Duration = Duration::from_millis(10);
+/// Interval at which the flag for another process at the address is checked.
+const SUCCESSOR_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Moves connections on from the request to stop up to [`Stage::Closing`]. A listener is left at once where another process
-/// serves its address.
-pub async fn follow(
+/// Moves connections from the request to stop through to [`Stage::Closing`]. If another process serves the address,
+/// the listener is closed at once.
+pub async fn advance_stages(
     shutdown: &Shutdown,
-    other_serves: &Cell<bool>,
+    other_process_serves: &Cell<bool>,
     connections: &Connections,
     stage: &watch::Sender<Stage>,
 ) {
-    let enter = |next: Stage| {
+    let enter_stage = |next: Stage| {
         log::info!(
             "stopping: {} ms after the signal, connections go from {:?} to {next:?}: {}",
             shutdown.elapsed().unwrap_or_default().as_millis(),
@@ -29,25 +29,25 @@
     };
     tokio::select! {
         biased;
-        () = successor(other_serves) => {
-            enter(Stage::Leaving);
-            shutdown.reach(ADMIT_FOR).await;
+        () = wait_for_successor(other_process_serves) => {
+            enter_stage(Stage::Leaving);
+            shutdown.wait_until_elapsed(ADMISSION_PERIOD).await;
         }
-        () = shutdown.reach(ADMIT_FOR) => {
-            enter(Stage::Rejecting);
+        () = shutdown.wait_until_elapsed(ADMISSION_PERIOD) => {
+            enter_stage(Stage::Rejecting);
             tokio::select! {
-                () = shutdown.reach(ACCEPT_FOR) => {}
-                () = successor(other_serves) => {}
+                () = shutdown.wait_until_elapsed(ACCEPT_PERIOD) => {}
+                () = wait_for_successor(other_process_serves) => {}
             }
         }
     }
-    enter(Stage::Closing);
+    enter_stage(Stage::Closing);
 }
 
 /// Waits until another process serves the address.
-async fn successor(other_serves: &Cell<bool>) {
-    while !other_serves.get() {
-        tokio::time::sleep(LOOK_FOR_SUCCESSOR).await;
+async fn wait_for_successor(other_process_serves: &Cell<bool>) {
+    while !other_process_serves.get() {
+        tokio::time::sleep(SUCCESSOR_POLL_INTERVAL).await;
     }
 }
 
--- a/src/net/upgrade/lock_file.rs
+++ b/src/net/upgrade/lock_file.rs
@@ -1,6 +1,6 @@
-//! The two seats of an address: a file each in the temporary folder, with an advisory lock that its holder keeps for as
-//! long as it lives. The system lets go of the lock however the holder ends, so what a file says counts only while it
-//! is locked.
+//! The two lock files of an address, in the temporary folder. A process keeps an advisory lock on its file for its
+//! whole life. The system releases the lock however the process ends, so the content of a file is valid only while
+//! the file is locked.
 
 use std::cell::{Cell, RefCell};
 use std::fs::{File, OpenOptions, TryLockError};
@@ -10,27 +10,27 @@
 use std::path::{Path, PathBuf};
 use std::str::FromStr;
 
-/// The first word of a seat's line.
-const MARK: &str = "whinhaven-seat-1";
-/// A line is filled up to this length, so that each one replaces the one before as a whole.
-const LINE: usize = 64;
+/// First word of a status line; it names the format version.
+const MAGIC: &str = "whinhaven-seat-1";
+/// Length to which a status line is padded, so that each write replaces the previous line completely.
+const LINE_BYTES: usize = 64;
 
-/// How far a process is.
+/// Life-cycle phase of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Phase {
-    /// It doesn't listen yet.
+pub enum ProcessPhase {
+    /// The process does not listen yet.
     Starting,
-    /// It serves.
+    /// The process accepts and serves clients.
     Serving,
-    /// It finishes what it has.
+    /// The process is shutting down and finishes its requests.
     Stopping,
 }
 
-impl Phase {
-    const ALL: [(Phase, &str); 3] = [
-        (Phase::Starting, "starting"),
-        (Phase::Serving, "serving"),
-        (Phase::Stopping, "stopping"),
+impl ProcessPhase {
+    const ALL: [(ProcessPhase, &str); 3] = [
+        (ProcessPhase::Starting, "starting"),
+        (ProcessPhase::Serving, "serving"),
+        (ProcessPhase::Stopping, "stopping"),
     ];
 
     fn word(self) -> &'static str {
@@ -41,70 +41,70 @@
     }
 }
 
-/// What a process says of itself.
+/// Status that a process publishes in its lock file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Claim {
-    /// How far it is.
-    pub phase: Phase,
-    /// The most descriptors that it may hold.
+pub struct ProcessStatus {
+    /// Life-cycle phase.
+    pub phase: ProcessPhase,
+    /// Maximum number of descriptors that the process may hold.
     pub sockets: usize,
 }
 
-/// A seat's line is none that this version writes.
+/// The content of a lock file is not a status line of this version.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
-#[error("not a seat's line")]
-pub struct NoClaim;
+#[error("not a status line of this version")]
+pub struct InvalidStatus;
 
-impl FromStr for Claim {
-    type Err = NoClaim;
+impl FromStr for ProcessStatus {
+    type Err = InvalidStatus;
 
-    fn from_str(line: &str) -> Result<Self, NoClaim> {
+    fn from_str(line: &str) -> Result<Self, InvalidStatus> {
         let words: Vec<&str> = line.split_whitespace().collect();
-        let [MARK, phase, sockets] = words[..] else {
-            return Err(NoClaim);
+        let [MAGIC, phase, sockets] = words[..] else {
+            return Err(InvalidStatus);
         };
-        let (phase, _) = Phase::ALL
+        let (phase, _) = ProcessPhase::ALL
             .into_iter()
             .find(|(_, word)| *word == phase)
-            .ok_or(NoClaim)?;
-        let sockets = sockets.parse().map_err(|_| NoClaim)?;
-        Ok(Claim { phase, sockets })
+            .ok_or(InvalidStatus)?;
+        let sockets = sockets.parse().map_err(|_| InvalidStatus)?;
+        Ok(ProcessStatus { phase, sockets })
     }
 }
 
-impl std::fmt::Display for Claim {
+impl std::fmt::Display for ProcessStatus {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "{MARK} {} {}", self.phase.word(), self.sockets)
+        write!(f, "{MAGIC} {} {}", self.phase.word(), self.sockets)
     }
 }
 
-/// Why there is no seat.
+/// Why no lock file could be acquired.
 #[derive(Debug, thiserror::Error)]
-pub enum SeatError {
-    /// Two processes hold them.
-    #[error("two other processes serve there")]
-    Taken,
-    /// A file can't be used.
+pub enum LockFileError {
+    /// Two other processes hold both lock files.
+    #[error("two other processes already serve this address; stop one of them first")]
+    AllHeld,
+    /// The file at this path cannot be opened or locked.
     #[error("{0}: {1}")]
     Unusable(PathBuf, io::Error),
 }
 
-/// A seat that this process holds.
-pub struct Seat {
-    own: File,
-    other: File,
+/// A lock file held by this process.
+pub struct LockFile {
+    own_file: File,
+    other_file: File,
     other_path: PathBuf,
-    told: Cell<Option<Claim>>,
-    /// Content of the other's file that was reported as unreadable.
-    reported: RefCell<String>,
+    published: Cell<Option<ProcessStatus>>,
+    /// Error that was last logged for the other process's file.
+    reported_error: RefCell<String>,
 }
 
-impl Seat {
-    /// Takes the free seat of an address.
+impl LockFile {
+    /// Acquires the free lock file of an address.
     ///
     /// # Errors
-    /// There is none.
-    pub fn take(folder: &Path, address: SocketAddr) -> Result<Seat, SeatError> {
+    /// Both are held by other processes, or a file cannot be used.
+    pub fn acquire(folder: &Path, address: SocketAddr) -> Result<LockFile, LockFileError> {
         let paths = [0, 1].map(|number| folder.join(format!("whinhaven-{address}.seat{number}")));
         for (own, other) in [(0, 1), (1, 0)] {
             let file = open(&paths[own])?;
@@ -112,46 +112,48 @@
                 Ok(()) => {}
                 Err(TryLockError::WouldBlock) => continue,
                 Err(TryLockError::Error(error)) => {
-                    return Err(SeatError::Unusable(paths[own].clone(), error));
+                    return Err(LockFileError::Unusable(paths[own].clone(), error));
                 }
             }
-            let seat = Seat {
-                own: file,
-                other: open(&paths[other])?,
+            let lock_file = LockFile {
+                own_file: file,
+                other_file: open(&paths[other])?,
                 other_path: paths[other].clone(),
-                told: Cell::default(),
-                reported: RefCell::default(),
+                published: Cell::default(),
+                reported_error: RefCell::default(),
             };
-            seat.tell(Claim {
-                phase: Phase::Starting,
+            lock_file.publish(ProcessStatus {
+                phase: ProcessPhase::Starting,
                 sockets: 0,
             });
-            return Ok(seat);
+            return Ok(lock_file);
         }
-        Err(SeatError::Taken)
+        Err(LockFileError::AllHeld)
     }
 
-    /// Says how far this process is.
-    pub fn tell(&self, claim: Claim) {
-        if self.told.replace(Some(claim)) == Some(claim) {
+    /// Publishes the status of this process. A failed write is logged and retried at the next call.
+    pub fn publish(&self, status: ProcessStatus) {
+        if self.published.replace(Some(status)) == Some(status) {
             return;
         }
-        let line = format!("{:<width$}\n", claim.to_string(), width = LINE - 1);
+        let line = format!("{:<width$}\n", status.to_string(), width = LINE_BYTES - 1);
         let written = self
-            .own
+            .own_file
             .write_all_at(line.as_bytes(), 0)
-            .and_then(|()| self.own.set_len(LINE as u64));
+            .and_then(|()| self.own_file.set_len(LINE_BYTES as u64));
         if let Err(error) = written {
-            log::warn!("upgrade: own seat not written: {error}");
-            self.told.set(None);
+            log::warn!(
+                "upgrade: cannot write the own lock file: {error}; retrying at the next update"
+            );
+            self.published.set(None);
         }
     }
 
-    /// What the process in the other seat says of itself; `None` without one.
-    pub fn other(&self) -> Option<Claim> {
-        match self.other.try_lock_shared() {
+    /// Status of the process that holds the other lock file; `None` if no process holds it.
+    pub fn other_process(&self) -> Option<ProcessStatus> {
+        match self.other_file.try_lock_shared() {
             Ok(()) => {
-                let _ = self.other.unlock();
+                let _ = self.other_file.unlock();
                 None
             }
             Err(TryLockError::WouldBlock) => Some(self.read_other()),
@@ -162,29 +164,29 @@
         }
     }
 
-    /// A process whose line can't be read is taken for one that has just begun.
-    fn read_other(&self) -> Claim {
-        let mut line = [0; LINE];
-        let length = self.other.read_at(&mut line, 0).unwrap_or(0);
+    /// A process whose status line cannot be parsed is treated as one that has just started.
+    fn read_other(&self) -> ProcessStatus {
+        let mut line = [0; LINE_BYTES];
+        let length = self.other_file.read_at(&mut line, 0).unwrap_or(0);
         let text = String::from_utf8_lossy(&line[..length]);
-        text.parse().unwrap_or_else(|error: NoClaim| {
+        text.parse().unwrap_or_else(|error: InvalidStatus| {
             self.report_unreadable(&error.to_string());
-            Claim {
-                phase: Phase::Starting,
+            ProcessStatus {
+                phase: ProcessPhase::Starting,
                 sockets: 0,
             }
         })
     }
 
-    /// Logs one line for each thing that is wrong, not one for each look.
-    fn report_unreadable(&self, what: &str) {
-        if self.reported.replace(what.to_owned()) != what {
-            log::warn!("upgrade: {}: {what}; ignored", self.other_path.display());
+    /// Logs each error once, not at each read.
+    fn report_unreadable(&self, error: &str) {
+        if self.reported_error.replace(error.to_owned()) != error {
+            log::warn!("upgrade: {}: {error}; ignored", self.other_path.display());
         }
     }
 }
 
-fn open(path: &Path) -> Result<File, SeatError> {
+fn open(path: &Path) -> Result<File, LockFileError> {
     let mut options = OpenOptions::new();
     options
         .read(true)
@@ -194,7 +196,7 @@
         .mode(0o600);
     options
         .open(path)
-        .map_err(|error| SeatError::Unusable(path.to_owned(), error))
+        .map_err(|error| LockFileError::Unusable(path.to_owned(), error))
 }
 
 #[cfg(test)]
