--- a/src/fleet/policy_content.rs
+++ b/src/fleet/policy_content.rs
@@ -1,7 +1,7 @@
 //! The content of a policy: the part of the `[settings]` table that all routers share, as one canonical text.
 //!
-//! Validation is strict, because with a field that one version knows and another one ignores, routers would run different
-//! policies under the same text. Each error is one line that names the field.
+//! Validation is strict, because with a field that one version knows and another one ignores, routers would run
+//! different policies under the same text. Each error is one line that names the field.
 
 use crate::config::read_table;
 use crate::routing::types::RoutingConfig;
--- a/src/fleet/policy_epoch.rs
+++ b/src/fleet/policy_epoch.rs
@@ -1,10 +1,10 @@
 //! Policy epochs: a change of policy takes effect at all members or at none.
 //!
 //! [`Table`] is computed from the log alone, so all members decide the same. At most one proposal is open. First every
-//! live member votes on it. When all have voted yes, the proposal is *closing*: each member stops admitting requests and
-//! confirms that in the log. The log entry with the last confirmation is the switch to the new epoch. A member whose
-//! session the log has ended is not waited for, since it stopped acting before that. So no member admits a request under
-//! the old epoch after another has admitted one under the new epoch.
+//! live member votes on it. When all have voted yes, the proposal is *closing*: each member stops admitting requests
+//! and confirms that in the log. The log entry with the last confirmation is the switch to the new epoch. A member
+//! whose session the log has ended is not waited for, since it stopped acting before that. So no member admits a
+//! request under the old epoch after another has admitted one under the new epoch.
 
 use super::MemberInstance;
 use serde::{Deserialize, Serialize};
@@ -23,7 +23,8 @@
 pub enum Command {
     /// Propose this content as the next epoch. Before the first epoch it is in force at once.
     Propose {
-        /// Random number chosen by the proposer. A command with the nonce of an earlier proposal is a repetition of it.
+        /// Number chosen by the proposer, unique to the proposal. A command with the nonce of an earlier proposal is a
+        /// repetition of it.
         nonce: u64,
         /// The policy, in canonical form.
         content: String,
@@ -144,7 +145,7 @@
 pub struct OpenProposal {
     /// Number of the proposal.
     pub proposal: u64,
-    /// Random number chosen by the proposer.
+    /// Number chosen by the proposer, unique to the proposal.
     pub nonce: u64,
     /// The proposer.
     pub by: MemberInstance,
@@ -169,7 +170,7 @@
 pub struct FinishedProposal {
     /// Number of the proposal.
     pub proposal: u64,
-    /// Random number chosen by the proposer.
+    /// Number chosen by the proposer, unique to the proposal.
     pub nonce: u64,
     /// The proposer.
     pub by: MemberInstance,
@@ -382,8 +383,8 @@
         Ok(Reply::Accepted(self.last_proposal))
     }
 
-    /// Advances the open proposal as far as the votes and confirmations of the live members allow. Has to be called also
-    /// when a session has ended.
+    /// Advances the open proposal as far as the votes and confirmations of the live members allow. Has to be called
+    /// also when a session has ended.
     pub fn settle(&mut self, live_members: &BTreeSet<MemberInstance>, out: &mut Vec<Notice>) {
         let Some(mut open) = self.open.take() else {
             return;
--- a/src/fleet/transport/admin.rs
+++ b/src/fleet/transport/admin.rs
@@ -173,7 +173,8 @@
         .await
         .map_err(|error| match error.kind() {
             io::ErrorKind::UnexpectedEof | io::ErrorKind::ConnectionReset => {
-                io::Error::other("the connection was closed without an answer: not the same key in its key file, or another member at this address")
+                io::Error::other("the connection was closed without an answer: not the same key in its key file, or another \
+                     member at this address")
             }
             _ => error,
         })?;
@@ -214,7 +215,8 @@
     } = status;
     let leader = leader.as_ref().map_or("none", MemberName::as_str);
     let mut text = format!(
-        "fleet as seen by {member} at site {site}, role {role}, session {session}\nleader {leader}, term {}, commit {}, applied {}, epoch {epoch}\n\n",
+        "fleet as seen by {member} at site {site}, role {role}, session {session}\n\
+         leader {leader}, term {}, commit {}, applied {}, epoch {epoch}\n\n",
         term.0, commit.0, applied.0
     );
     let group_role = |name: &MemberName| match (
--- a/src/fleet/transport/drive.rs
+++ b/src/fleet/transport/drive.rs
@@ -38,7 +38,7 @@
 /// Datagrams per second whose seal is checked, per member that the fleet may have. Bounds the time spent on MACs.
 const DATAGRAM_CHECKS_PER_MEMBER: u32 = 1_000;
 
-/// An incarnation that ends sooner than this counts as short_incarnations. From the second short_incarnations one in a row on, the next_timer
+/// An incarnation that ends sooner than this counts as short. From the second short one in a row on, the next
 /// incarnation starts after a pause that doubles each time.
 const SHORT_INCARNATION: Micros = 10_000_000;
 const FIRST_BACKOFF: Duration = Duration::from_millis(100);
@@ -96,7 +96,7 @@
 
 /// Why an incarnation of the member is over.
 enum IncarnationEnd {
-    /// The log has ended it. The next_timer incarnation has to have at least this number.
+    /// The log has ended it. The next incarnation has to have at least this number.
     EndedByLog(u64),
     /// The store failed.
     StoreFailed(DiskError),
@@ -107,7 +107,7 @@
 /// The member left the fleet, or all handles of the fleet are dropped.
 struct Stopping;
 
-/// Pause before the next_timer attempt; doubles with each failure, up to [`MAX_BACKOFF`].
+/// Pause before the next attempt; doubles with each failure, up to [`MAX_BACKOFF`].
 fn backoff_delay(failures: u32) -> Duration {
     FIRST_BACKOFF
         .saturating_mul(1 << failures.min(8))
@@ -164,7 +164,8 @@
                     };
                     if short_incarnations > 1 {
                         history.note(
-                            "incarnations end soon after they start: another process may run under this member's name; pausing before the next_timer one",
+                            "incarnations end soon after they start: another process may run under this member's \
+                             name; pausing before the next one",
                         );
                         if self
                             .pause(
@@ -203,7 +204,7 @@
         }
     }
 
-    /// Opens the store for the next_timer incarnation, and retries while the failure is transient. `None`: the process stops.
+    /// Opens the store for the next incarnation, and retries while the failure is transient. `None`: the process stops.
     async fn reopen_with_retries(
         &mut self,
         min_incarnation: u64,
@@ -416,7 +417,8 @@
                     self.handle_event(&mut member, Event::Tick);
                 }
                 _ = second_ticks.tick(), if write_in_progress => {
-                    // Counts ticks instead of reading the clock: a process that was stopped has not waited for its disk.
+                    // Counts ticks instead of reading the clock: a process that was stopped has not waited for its
+                    // disk.
                     write_seconds += 1;
                     if write_seconds > MAX_WRITE_SECONDS {
                         return IncarnationEnd::StoreFailed(DiskError::Stalled(MAX_WRITE_SECONDS));
@@ -657,7 +659,8 @@
             }
             Action::Rejected(raft::Rejection::InitialVotersDiffer) => {
                 member.history
-                    .note("another initial voter is configured with a different set of initial voters: the group can't start; set the same fleet.voters on all of them");
+                    .note("another initial voter is configured with a different set of initial voters: the group can't \
+                     start; set the same fleet.voters on all of them");
             }
             Action::Rejected(refusal) => {
                 log::debug!("fleet: the Raft group rejected an input: {refusal:?}");
--- a/src/fleet/transport/history.rs
+++ b/src/fleet/transport/history.rs
@@ -60,8 +60,8 @@
     /// The store failed, which ends the incarnation.
     pub fn store_failed(&self, error: &str) {
         event!(self, error, TARGET, "fleet.stop", at unix_us(), { cause = "store", error = error },
-            "fleet: the store failed: {error}; this router stops acting. It rejoins once the store's directory can be written again, or after a restart if the \
-             store's content is invalid");
+            "fleet: the store failed: {error}; this router stops acting. It rejoins once the store's directory can be \
+             written again, or after a restart if the store's content is invalid");
     }
 
     /// A client has sent its request to another router, which has taken it over.
@@ -223,20 +223,20 @@
     }
 
     /// A proposal ended without effect: rejected, aborted or only checked.
-    pub fn policy_refused(&self, proposal: u64, why: &str) {
+    pub fn policy_rejected(&self, proposal: u64, why: &str) {
         event!(self, info, TARGET, "policy.refused", at unix_us(), { proposal = proposal, why = why },
             "policy: proposal {proposal} ended without effect: {why}");
     }
 
     /// This member has switched to a policy epoch.
-    pub fn policy_epoch(&self, epoch: u64, digest: u64) {
+    pub fn policy_switched(&self, epoch: u64, digest: u64) {
         let digest = format!("{digest:016x}");
         event!(self, info, TARGET, "policy.epoch", at unix_us(), { epoch = epoch, digest = digest.as_str() },
             "policy: switched to epoch {epoch}, digest {digest}");
     }
 
     /// A request is admitted. `at` is the time just before the check.
-    pub fn policy_begin(&self, at: u64, epoch: u64) {
+    pub fn request_admitted(&self, at: u64, epoch: u64) {
         event!(self, info, BEGINS_TARGET, "policy.begin", at at, { epoch = epoch },
             "policy: admitted a request under epoch {epoch}");
     }
--- a/src/fleet/transport/links.rs
+++ b/src/fleet/transport/links.rs
@@ -75,7 +75,8 @@
     }
 
     /// Queues an encoded message to a member. `address` replaces the address used for the next connection. The message
-    /// is dropped and counted if it alone exceeds the queue's limit, or if it needs a new link and there is no room for one.
+    /// is dropped and counted if it alone exceeds the queue's limit, or if it needs a new link and there is no room for
+    /// one.
     pub fn send(&mut self, to: &MemberName, address: SocketAddr, payload: Vec<u8>) {
         let max_bytes = self.settings.max_queue_bytes;
         if payload.len() > max_bytes
--- a/src/fleet/transport/mod.rs
+++ b/src/fleet/transport/mod.rs
@@ -126,13 +126,15 @@
     /// # Errors
     /// The result is unknown: too many proposals are pending, the proposal timed out, or this incarnation has ended.
     pub async fn propose(&self, command: Command) -> Result<ProposalResult, ProposalError> {
-        let (answer, answered) = oneshot::channel();
+        let (result_sender, result_receiver) = oneshot::channel();
         self.0
             .requests
-            .send(LocalRequest::Propose(command, answer))
+            .send(LocalRequest::Propose(command, result_sender))
             .await
             .map_err(|_| ProposalError::TimedOut)?;
-        answered.await.unwrap_or(Err(ProposalError::TimedOut))
+        result_receiver
+            .await
+            .unwrap_or(Err(ProposalError::TimedOut))
     }
 
     /// Runs `act` with the fencing token if this router holds the lease, and writes that to the history. The time in
@@ -150,15 +152,15 @@
     /// Leaves the fleet for a planned stop: releases all leases and announces the departure. Returns when the other
     /// members know of it, or after `timeout`.
     pub async fn leave(&self, timeout: Duration) {
-        let (done, left) = oneshot::channel();
+        let (done_sender, done_receiver) = oneshot::channel();
         if self
             .0
             .requests
-            .send(LocalRequest::Leave(done))
+            .send(LocalRequest::Leave(done_sender))
             .await
             .is_ok()
         {
-            let _ = tokio::time::timeout(timeout, left).await;
+            let _ = tokio::time::timeout(timeout, done_receiver).await;
         }
         self.stopped("left");
     }
--- a/src/fleet/transport/policy.rs
+++ b/src/fleet/transport/policy.rs
@@ -1,8 +1,9 @@
 //! The policy epoch at this router: admits requests under it, votes on proposals, and switches epochs.
 //!
-//! [`PolicyGate`] follows the log. [`PolicyGate::admit`] admits a request under the epoch in force at that moment. While
-//! a proposal is closing, new requests wait. This router confirms that it admits none only once all admitted requests
-//! have reached the dispatcher, so that the dispatcher handles them under the settings they were admitted with.
+//! [`PolicyGate`] follows the log. [`PolicyGate::admit`] admits a request under the epoch in force at that moment.
+//! While a proposal is closing, new requests wait. This router confirms that it admits none only once all admitted
+//! requests have reached the dispatcher, so that the dispatcher handles them under the settings they were admitted
+//! with.
 
 use super::history::{History, unix_us};
 use super::{Fleet, FleetEvent};
@@ -51,7 +52,8 @@
     in_transit: Cell<usize>,
     waiting_requests: Cell<usize>,
     changed: Notify,
-    /// The incarnation and proposal of this member's last vote, and of its last confirmation that it admits no requests.
+    /// The incarnation and proposal of this member's last vote, and of its last confirmation that it admits no
+    /// requests.
     last_vote: RefCell<Option<(MemberInstance, u64)>>,
     last_confirmation: RefCell<Option<(MemberInstance, u64)>>,
 }
@@ -141,7 +143,7 @@
             }
             if self.is_open() {
                 self.in_transit.set(self.in_transit.get() + 1);
-                History(self.fleet.instance()).policy_begin(at, self.epoch.get());
+                History(self.fleet.instance()).request_admitted(at, self.epoch.get());
                 return Ok(PolicyPermit(self.clone()));
             }
             if self.waiting_requests.get() >= self.config.most_held {
@@ -205,7 +207,7 @@
             }
             Notice::Rejected { proposal, why } => {
                 if self.fleet.session_valid() {
-                    History(self.fleet.instance()).policy_refused(*proposal, why);
+                    History(self.fleet.instance()).policy_rejected(*proposal, why);
                 }
                 self.staged.take();
             }
@@ -235,7 +237,7 @@
             Ok(settings) => {
                 self.live.replace(settings);
                 self.current.set(true);
-                history.policy_epoch(epoch, digest(content));
+                history.policy_switched(epoch, digest(content));
                 self.unlogged_differences
                     .replace(content::differences(content, &self.own_content));
                 if self.fleet.session_valid() {
@@ -257,7 +259,8 @@
         if let Some(first) = differences.first() {
             let fields = differences.len();
             log::info!(
-                "policy: this router's file differs from epoch {epoch} in {fields} fields, the first: {first}; the epoch's values are used"
+                "policy: this router's file differs from epoch {epoch} in {fields} fields, the first: {first}; \
+                 the epoch's values are used"
             );
         }
     }
--- a/src/fleet/transport/reception.rs
+++ b/src/fleet/transport/reception.rs
@@ -31,7 +31,7 @@
 /// Time within which each further frame has to arrive completely, measured from the end of the previous one. Longer
 /// than senders keep idle connections open.
 const FRAME_TIMEOUT: Duration = Duration::from_secs(60);
-/// Maximum connection_id of connections without a valid frame; a new one closes the oldest of them.
+/// Maximum number of connections without a valid frame; a new one closes the oldest of them.
 const MAX_UNAUTHENTICATED: usize = 8;
 /// Delay before a frame that exceeds its sender's rate is tried again.
 const RATE_LIMIT_DELAY: Duration = Duration::from_millis(10);
@@ -62,7 +62,7 @@
     pub clock: Clock,
     /// Queue to the driver.
     pub inbox: mpsc::Sender<Incoming>,
-    /// Maximum connection_id of authenticated connections.
+    /// Maximum number of authenticated connections.
     pub max_authenticated: usize,
     /// Authenticated connections, one per member: connection id and task.
     pub authenticated: RefCell<BTreeMap<MemberName, (u64, AbortHandle)>>,
--- a/src/fleet/transport/refusals.rs
+++ b/src/fleet/transport/refusals.rs
@@ -7,9 +7,9 @@
 use std::collections::BTreeMap;
 use std::net::IpAddr;
 
-/// Interval of the history lines of one source.
+/// Interval of the log lines of one source.
 const REPORT_INTERVAL: Micros = 60_000_000;
-/// Maximum number of sources with history lines of their own. Further sources share the line of `others`.
+/// Maximum number of sources with log lines of their own. Further sources share the line of `others`.
 const MAX_SOURCES: usize = 64;
 
 /// Sources of frames that were refused in the last minutes.
@@ -25,7 +25,7 @@
 }
 
 impl Refusals {
-    /// Counts a frame from an address that was refused, and reports it if a history line is due.
+    /// Counts a frame from an address that was refused, and reports it if a log line is due.
     pub fn frame_refused(
         &mut self,
         now: Micros,
@@ -38,7 +38,7 @@
         self.report(now, from.to_string(), &reason.to_string(), history);
     }
 
-    /// Counts a valid frame of a member whose payload can't be decoded, and reports it if a history line is due.
+    /// Counts a valid frame of a member whose payload can't be decoded, and reports it if a log line is due.
     pub fn payload_unreadable(
         &mut self,
         now: Micros,
--- a/src/fleet/transport/seal.rs
+++ b/src/fleet/transport/seal.rs
@@ -1,8 +1,8 @@
 //! Frames between members: authenticated with a shared key, and refused if they are forged, corrupted, replayed or
 //! meant for another member.
 //!
-//! Does no I/O and reads no clock. [`Sealer`] makes datagrams, [`StreamSealer`] the frames of one connection, [`Opener`]
-//! checks both. A refused frame changes no state: only frames with a valid MAC reach the table of senders.
+//! Does no I/O and reads no clock. [`Sealer`] makes datagrams, [`StreamSealer`] the frames of one connection,
+//! [`Opener`] checks both. A refused frame changes no state: only frames with a valid MAC reach the table of senders.
 //!
 //! Layout of a frame, in bytes, with integers in little-endian order:
 //!
@@ -11,9 +11,9 @@
 //! ```
 //!
 //! The MAC is HMAC-SHA256 over a label, the connection's nonce (nothing for a datagram) and all of the frame before the
-//! MAC. On a connection each frame follows its length ([`length_prefix`], [`frame_length`]). A connection carries frames
-//! one way, from the member that opened it: the acceptor first sends a fresh random [`ConnectionNonce`] as without_comment bytes,
-//! so that frames recorded from another connection are refused on this one.
+//! MAC. On a connection each frame follows its length ([`length_prefix`], [`frame_length`]). A connection carries
+//! frames one way, from the member that opened it: the acceptor first sends a fresh random [`ConnectionNonce`] as plain
+//! bytes, so that frames recorded from another connection are refused on this one.
 //!
 //! Limits of the protection: payloads are not encrypted; whoever has the key can send as any member; and a member that
 //! has just started knows no sequence numbers, so it accepts a datagram recorded from a live sender once more if it
@@ -403,8 +403,8 @@
     }
 }
 
-/// Maximum length in bytes of a frame with a payload of up to `max_payload_bytes` bytes. A buffer for datagrams needs one byte more,
-/// so that a longer datagram is noticed.
+/// Maximum length in bytes of a frame with a payload of up to `max_payload_bytes` bytes. A buffer for datagrams needs
+/// one byte more, so that a longer datagram is noticed.
 pub const fn max_frame_bytes(max_payload_bytes: usize) -> usize {
     FIXED_HEADER_BYTES + 2 * MAX_NAME_LENGTH + max_payload_bytes + MAC_BYTES
 }
--- a/src/fleet/transport/sites.rs
+++ b/src/fleet/transport/sites.rs
@@ -1,8 +1,8 @@
-//! Runs this router's part in the fleet's assessment of its sites: passes observations to [`Member`], and its results to
-//! the Raft group, to the history, and as weights to the dispatcher's list of hosts. New requests are not refused here
-//! yet.
+//! Runs this router's part in the fleet's assessment of its sites: passes observations to [`Member`], and its results
+//! to the Raft group, to the history, and as weights to the dispatcher's list of hosts. New requests are not refused
+//! here yet.
 //!
-//! Model hosts are probed by small requests, one host of each site in probe_number. Any answer counts, whatever its status. A
+//! Model hosts are probed by small requests, one host of each site in turn. Any answer counts, whatever its status. A
 //! connection alone does not count, since an intermediary may have accepted it.
 
 use super::history::History;
@@ -57,9 +57,9 @@
     member: RefCell<Member>,
     /// Routers by name: their site, and whether they count as alive (alive or suspect).
     routers_by_name: RefCell<BTreeMap<MemberName, (usize, bool)>>,
-    /// Highest number of hosts of each site that the list has max_hosts at once.
+    /// Highest number of hosts of each site that the list has had at once.
     max_hosts: RefCell<Vec<u32>>,
-    /// Counts probes, so that they go through the hosts in probe_number.
+    /// Counts probes, so that they go through the hosts in turn.
     probe_count: Cell<usize>,
     probe_interval: Duration,
     timer_changed: Notify,
--- a/src/fleet/transport/work.rs
+++ b/src/fleet/transport/work.rs
@@ -121,14 +121,16 @@
         deadline: Micros,
     ) -> Decision {
         let operation = self.new_operation();
-        let (answer, answer_receiver) = oneshot::channel();
-        self.decisions.borrow_mut().insert(operation, answer);
+        let (decision_sender, decision_receiver) = oneshot::channel();
+        self.decisions
+            .borrow_mut()
+            .insert(operation, decision_sender);
         self.handle(Event::Request {
             operation,
             command,
             deadline,
         });
-        let decision = answer_receiver.await.unwrap_or(Decision::LeaseLost);
+        let decision = decision_receiver.await.unwrap_or(Decision::LeaseLost);
         // The recorder knows the time only as of its last event, so the lease is checked against the clock again.
         if decision == Decision::Proceed && !self.session_valid() {
             Decision::LeaseLost
@@ -201,8 +203,8 @@
                     operation,
                     decision,
                 } => {
-                    if let Some(answer) = self.decisions.borrow_mut().remove(&operation) {
-                        let _ = answer.send(decision);
+                    if let Some(sender) = self.decisions.borrow_mut().remove(&operation) {
+                        let _ = sender.send(decision);
                     }
                 }
                 Action::RequestMoved { name } => {
@@ -299,8 +301,8 @@
         }
     }
 
-    /// Takes over the sends that ended incarnations have left at model hosts, and releases them. Each member first waits
-    /// for a different delay, so that mostly one of them proposes the takeover; the log grants it to one only.
+    /// Takes over the sends that ended incarnations have left at model hosts, and releases them. Each member first
+    /// waits for a different delay, so that mostly one of them proposes the takeover; the log grants it to one only.
     pub async fn adopt_orphans(self: Rc<Self>, members: usize, outbound: Rc<dyn Outbound>) {
         loop {
             let oldest = self.orphaned_incarnations.borrow().front().cloned();
@@ -315,13 +317,13 @@
             if !self.orphaned_incarnations.borrow().contains(&ended) {
                 continue;
             }
-            let answer = self
+            let reply = self
                 .fleet
                 .propose(Command::Takeover(work::Command::TakeOver {
                     ended: ended.clone(),
                 }))
                 .await;
-            match answer {
+            match reply {
                 Ok(ProposalResult::Takeover(Reply::TakenOver(sends))) => {
                     self.orphaned_incarnations
                         .borrow_mut()
@@ -377,7 +379,8 @@
             }
         }
         log::warn!(
-            "takeover: no model host accepted the release of {id}, last sent to {worker}; leaving it to the host's own timeout"
+            "takeover: no model host accepted the release of {id}, last sent to {worker}; leaving it to the host's \
+             own timeout"
         );
     }
 
