--- a/src/fleet/sites/tests.rs
+++ b/src/fleet/sites/tests.rs
@@ -1,8 +1,8 @@
-//! Stories and properties over random fleets.
+//! Scenario tests, and property tests over random fleets.
 
 #![allow(
     clippy::needless_range_loop,
-    reason = "sites and classes are numbers that index several tables at once"
+    reason = "sites and classes are indexes into several tables at once"
 )]
 
 use super::describe::{
@@ -23,8 +23,8 @@
 
 const S: u64 = 1_000_000;
 
-/// A site with hosts of both stages (or hosts that do both), links to some, and classes of which the first two differ
-/// in worth only.
+/// Tables with sites that have hosts of each stage and possibly one that does both, links between some of them, and
+/// classes of which the first two differ only in worth.
 fn tables(
     sites: Vec<(u32, u32, bool)>,
     links: Vec<Option<u32>>,
@@ -53,11 +53,11 @@
     let rows = sites
         .iter()
         .enumerate()
-        .flat_map(|(i, (readers, writers, mixed))| {
+        .flat_map(|(i, (prefill_hosts, decode_hosts, mixed))| {
             let mixed = if *mixed { 1 } else { 0 };
             [
-                (i, (*readers, "read")),
-                (i, (*writers, "write")),
+                (i, (*prefill_hosts, "read")),
+                (i, (*decode_hosts, "write")),
                 (i, (mixed, "mixed")),
             ]
         });
@@ -72,12 +72,12 @@
             worth: Some(f64::from(worth)),
         })
         .collect();
-    let twin = classes[0].worth.map(|w| w + 1.0);
+    let higher_worth = classes[0].worth.map(|w| w + 1.0);
     classes.insert(
         0,
         Class {
             name: "twin".into(),
-            worth: twin,
+            worth: higher_worth,
             ..classes[0].clone()
         },
     );
@@ -107,10 +107,10 @@
             }
         }
     }
-    // The twins are asked for alike.
-    let half = rows_of_demand.len() / classes.len();
-    for i in 0..half {
-        rows_of_demand[half + i].per_s = rows_of_demand[i].per_s;
+    // Both classes of the pair have the same demand.
+    let rows_per_class = rows_of_demand.len() / classes.len();
+    for i in 0..rows_per_class {
+        rows_of_demand[rows_per_class + i].per_s = rows_of_demand[i].per_s;
     }
     Tables {
         fill: 0.9,
@@ -149,8 +149,8 @@
     }
 }
 
-/// A fleet of three sites, of which two bear the load of three only in part.
-fn three() -> Fleet {
+/// Three sites, of which two can serve only part of the load of all three.
+fn three_sites() -> Fleet {
     let sites = vec![(4, 6, false), (4, 6, false), (3, 5, false)];
     let tables = tables(
         sites,
@@ -170,22 +170,29 @@
     one.chain(two).chain([Loss::none(n)]).collect()
 }
 
-/// What the allocations of conductors use and what there is, counted here from the tables alone.
-fn over(fleet: &Fleet, loss: &Loss, ways: &[([usize; 4], f64)], kept: f64) -> Option<String> {
+/// The limit that traffic on these routes exceeds, computed independently from the tables alone; `cached` scales the
+/// cached share of prompts.
+fn exceeded_limit(
+    fleet: &Fleet,
+    loss: &Loss,
+    routes: &[([usize; 4], f64)],
+    cached: f64,
+) -> Option<String> {
     let n = fleet.site_count();
     let mut used = vec![[0.0; 4]; n];
     let mut links = vec![vec![0.0; n]; n];
-    for ([c, _, r, w], rate) in ways {
+    for ([c, _, r, w], rate) in routes {
         let class = &fleet.tables.classes[*c];
-        let unread = class.prompt_tokens * (1.0 - class.kept * kept);
-        let ten_slots = 10.0 / 10_000.0; // seconds a token at a reader whose ten slots are taken
-        let crossing = if r == w {
+        let uncached = class.prompt_tokens * (1.0 - class.kept * cached);
+        let slot_s_per_token = 10.0 / 10_000.0; // at a prefill worker with all ten slots in use
+        let transfer_s = if r == w {
             0.0
         } else {
             class.prompt_tokens / fleet.links[*r][*w].unwrap().0 + 0.0015
         };
-        used[*r][0] += rate * unread;
-        used[*r][1] += rate * class.prompt_tokens * (unread * ten_slots + crossing + 0.3);
+        used[*r][0] += rate * uncached;
+        used[*r][1] +=
+            rate * class.prompt_tokens * (uncached * slot_s_per_token + transfer_s + 0.3);
         used[*w][2] += rate * class.answer_tokens;
         used[*w][3] +=
             rate * (class.prompt_tokens + class.answer_tokens / 2.0) * class.answer_tokens * 0.04;
@@ -204,13 +211,15 @@
                 .filter(|h| h.site == format!("s{s}") && h.kind == role);
             rows.map(|h| f64::from(h.count)).sum::<f64>() * loss.0[s].remaining_hosts() * 0.9
         };
-        let (readers, writers, both) = (count("read"), count("write"), count("mixed"));
-        // Hosts of both kinds that each stage needs beyond its own.
-        let need = |k: usize, own: f64, each: f64| (used[k] / each - own).max(0.0);
-        let reading = need(0, readers, 10_000.0).max(need(1, readers, 60_000.0));
-        let writing = need(2, writers, 250.0).max(need(3, writers, 60_000.0));
-        if reading + writing > both + 1e-4 {
-            return Some(format!("site {s}: {reading} and {writing} of {both}"));
+        let (prefill_hosts, decode_hosts, mixed_hosts) =
+            (count("read"), count("write"), count("mixed"));
+        // Number of hosts doing both stages that each stage needs beyond its own hosts.
+        let need =
+            |resource: usize, own: f64, per_host: f64| (used[resource] / per_host - own).max(0.0);
+        let prefill = need(0, prefill_hosts, 10_000.0).max(need(1, prefill_hosts, 60_000.0));
+        let decode = need(2, decode_hosts, 250.0).max(need(3, decode_hosts, 60_000.0));
+        if prefill + decode > mixed_hosts + 1e-4 {
+            return Some(format!("site {s}: {prefill} and {decode} of {mixed_hosts}"));
         }
     }
     for a in 0..n {
@@ -226,48 +235,48 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 16, rng_seed: RngSeed::Fixed(25), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// No limit is broken by any plan, nothing goes where hosts or links are missing, what is taken has a way, what
-    /// is not taken is listed as refused, and worth more is never refused before worth less of the same cost.
+    /// No plan exceeds a limit or uses missing hosts or links. All admitted requests have a route, all others are
+    /// listed as refused, and of two classes with the same cost the one worth more is never refused first.
     #[test]
-    fn every_plan_keeps_every_limit_and_the_order(fleet in fleets()) {
+    fn every_plan_keeps_all_limits_and_the_refusal_order(fleet in fleets()) {
         let n = fleet.site_count();
         for loss in losses(n) {
             let plan = compute_plan(&fleet, &loss).unwrap();
-            let ways: Vec<_> = plan.allocation.routes().collect();
-            // With more kept than the plan counts on, what it uses can only be less.
-            prop_assert_eq!(over(&fleet, &loss, &ways, 1.0), None, "{:?}", loss);
-            let (mut taken, mut refused) = (0.0, plan.refusal_order.iter().map(|r| r.refused).sum::<f64>());
+            let routes: Vec<_> = plan.allocation.routes().collect();
+            // The check counts on more cached tokens than the plan does, so the computed use can only be lower.
+            prop_assert_eq!(exceeded_limit(&fleet, &loss, &routes, 1.0), None, "{:?}", loss);
+            let (mut admitted, mut refused) = (0.0, plan.refusal_order.iter().map(|r| r.refused).sum::<f64>());
             for c in 0..fleet.class_count() {
                 for e in 0..n {
                     let levels = &plan.allocation.levels[c];
-                    let comes: f64 = plan.offered[c].iter().zip(levels).map(|(a, l)| a[e] * l[e]).sum();
-                    prop_assert!((comes - plan.allocation.admitted_rate(c, e)).abs() < 1e-3 + comes * 1e-4);
-                    prop_assert!(!loss.0[e].routers_missing() || comes == 0.0);
-                    taken += comes;
+                    let entry_rate: f64 = plan.offered[c].iter().zip(levels).map(|(a, l)| a[e] * l[e]).sum();
+                    prop_assert!((entry_rate - plan.allocation.admitted_rate(c, e)).abs() < 1e-3 + entry_rate * 1e-4);
+                    prop_assert!(!loss.0[e].routers_missing() || entry_rate == 0.0);
+                    admitted += entry_rate;
                     for (t, level) in levels.iter().enumerate() {
                         let (more, less) = (plan.allocation.levels[0][t][e], plan.allocation.levels[1][t][e]);
-                        prop_assert!(more >= less - 1e-6, "{:?}: {more} of the dearer twin, {less}", loss);
+                        prop_assert!(more >= less - 1e-6, "{:?}: {more} of the class worth more, {less} of the other", loss);
                         prop_assert!((0.0..=1.0).contains(&level[e]));
                     }
                 }
             }
             let usual: f64 = fleet.demand.iter().flatten().flatten().sum();
-            let open = loss.0.iter().any(|m| !m.routers_missing());
-            refused += if open { 0.0 } else { usual };
-            prop_assert!((taken + refused - usual).abs() < 1e-3 * usual.max(1.0), "{taken} {refused} {usual}");
+            let any_entry = loss.0.iter().any(|m| !m.routers_missing());
+            refused += if any_entry { 0.0 } else { usual };
+            prop_assert!((admitted + refused - usual).abs() < 1e-3 * usual.max(1.0), "{admitted} {refused} {usual}");
             for s in &plan.shortfalls {
                 let beyond = plan.refusal_order.iter().find(|r| r.class == s.class && !r.guaranteed);
-                let kept = beyond.map_or(0.0, |r| r.offered - r.refused);
-                // Elsewhere the rest may go on where no guaranteed request could be served instead.
-                prop_assert!(s.refused > 0.0 && (kept < 1e-3 || !plan.binding_limits().is_empty() || n > 1));
+                let admitted_beyond = beyond.map_or(0.0, |r| r.offered - r.refused);
+                // Other requests may still be admitted where no guaranteed request could be served instead.
+                prop_assert!(s.refused > 0.0 && (admitted_beyond < 1e-3 || !plan.binding_limits().is_empty() || n > 1));
             }
         }
     }
 
-    /// From the usual plan to that of a loss no mix of conductors breaks a limit: some as before, some on the way; then
-    /// some on the way, some there.
+    /// No mix of routers exceeds a limit on the way from the usual plan to that of a loss: neither of routers at the
+    /// usual plan and at the intermediate allocation, nor at the intermediate allocation and the plan for the loss.
     #[test]
-    fn no_mix_of_conductors_breaks_a_limit(fleet in fleets(), drawn in any::<u64>()) {
+    fn no_mix_of_routers_exceeds_a_limit(fleet in fleets(), drawn in any::<u64>()) {
         let n = fleet.site_count();
         let mut plans = Plans::new(fleet.clone()).unwrap();
         let from = plans.upper_bound(&Loss::none(n)).unwrap();
@@ -277,33 +286,33 @@
             let here = plans.intermediate(&loss, &[&from], &to);
             for pair in [[&from, &here], [&here, &to]] {
                 prop_assert_eq!(limit_exceeded_by_mix(&fleet, &loss, &pair), None);
-                // Three conductors at each entry, each by one of the two.
-                let mut ways = Vec::new();
+                // Three routers at each entry, each acting by one of the two.
+                let mut routes = Vec::new();
                 for e in 0..n {
                     for i in 0..3 {
                         let allocation = pair[(drawn >> (e * 3 + i) & 1) as usize];
-                        let of_entry = allocation.routes().filter(|(w, _)| w[1] == e);
-                        // What goes to missing hosts reaches nobody.
-                        let whole = |s: usize| loss.0[s].remaining_hosts() >= 1.0;
-                        let there = of_entry.filter(|(w, _)| whole(w[2]) && whole(w[3]));
-                        ways.extend(there.map(|(w, rate)| (w, rate / 3.0)));
+                        let from_entry = allocation.routes().filter(|(route, _)| route[1] == e);
+                        // Requests to missing hosts reach nobody.
+                        let hosts_complete = |s: usize| loss.0[s].remaining_hosts() >= 1.0;
+                        let reaching = from_entry.filter(|(route, _)| hosts_complete(route[2]) && hosts_complete(route[3]));
+                        routes.extend(reaching.map(|(route, rate)| (route, rate / 3.0)));
                     }
                 }
-                prop_assert_eq!(over(&fleet, &loss, &ways, 1.0), None, "{:?}", loss);
+                prop_assert_eq!(exceeded_limit(&fleet, &loss, &routes, 1.0), None, "{:?}", loss);
             }
             for (c, e) in (0..fleet.class_count()).flat_map(|c| (0..n).map(move |e| (c, e))) {
-                let comes: f64 = (0..fleet.tenants.len())
+                let admitted: f64 = (0..fleet.tenants.len())
                     .map(|t| plans.get(&loss).unwrap().offered[c][t][e] * here.levels[c][t][e])
                     .sum();
-                prop_assert!(comes <= here.admitted_rate(c, e) + 1e-3 + comes * 1e-4);
+                prop_assert!(admitted <= here.admitted_rate(c, e) + 1e-3 + admitted * 1e-4);
             }
         }
     }
 
-    /// All conductors together never send returning hosts more than they bear, whichever of two steps each is at; what
-    /// the survivors carry only entry_shares.
+    /// All routers together never send returning hosts more than they can serve while warming up, whichever of two
+    /// steps each router is at. The load of the other sites only falls.
     #[test]
-    fn a_return_keeps_the_cold_bound(fleet in fleets(), site in 0..2usize) {
+    fn a_return_stays_within_the_capacity_of_cold_hosts(fleet in fleets(), site in 0..2usize) {
         let n = fleet.site_count();
         let plans = Plans::new(fleet.clone()).unwrap();
         let loss = Loss::none(n).with(site, Missing::Hosts);
@@ -312,37 +321,37 @@
         let to = plans.upper_bound(&Loss::none(n)).unwrap();
         for step in ramp::return_steps(&fleet, site) {
             let here = from.interpolate(&to, step.share);
-            let bears = if step.earliest_s >= 9.0 { 1.0 } else { 0.8 * (0.3 + 0.7 * step.earliest_s / 9.0) };
+            let cold_share = if step.earliest_s >= 9.0 { 1.0 } else { 0.8 * (0.3 + 0.7 * step.earliest_s / 9.0) };
             let c = &fleet.capacity[site];
-            let of = [c.prefill_tokens_per_s + c.mixed[0], c.prefill_memory_tokens + c.mixed[1], c.decode_tokens_per_s + c.mixed[2]];
+            let available = [c.prefill_tokens_per_s + c.mixed[0], c.prefill_memory_tokens + c.mixed[1], c.decode_tokens_per_s + c.mixed[2]];
             let limits = [Limit::PrefillRate(site), Limit::PrefillMemory(site), Limit::DecodeRate(site)];
-            for (limit, of) in limits.into_iter().zip(of) {
-                prop_assert!(here.usage(limit) <= of * bears * (1.0 + 1e-6) + 1e-6, "{limit:?} at {step:?}");
+            for (limit, available) in limits.into_iter().zip(available) {
+                prop_assert!(here.usage(limit) <= available * cold_share * (1.0 + 1e-6) + 1e-6, "{limit:?} at {step:?}");
             }
             if let Some(last) = &last {
-                let way = plans.intermediate(&Loss::none(n), &[last], &here);
-                prop_assert_eq!(limit_exceeded_by_mix(&fleet, &Loss::none(n), &[last, &way]), None);
-                prop_assert_eq!(limit_exceeded_by_mix(&fleet, &Loss::none(n), &[&way, &here]), None);
+                let between = plans.intermediate(&Loss::none(n), &[last], &here);
+                prop_assert_eq!(limit_exceeded_by_mix(&fleet, &Loss::none(n), &[last, &between]), None);
+                prop_assert_eq!(limit_exceeded_by_mix(&fleet, &Loss::none(n), &[&between, &here]), None);
             }
             last = Some(here);
         }
     }
 
-    /// The table takes any commands in any order: steps come one by one, what held is not gone back behind, the epoch
-    /// rises, and the same commands lead to the same table.
+    /// The table accepts any commands in any order: steps are taken one by one, a confirmed step is never given up,
+    /// the epoch never falls, and the same commands lead to the same table.
     #[test]
-    fn the_table_keeps_the_order_of_steps(drawn in prop::collection::vec((0..5u8, 0..4u8, 0..4u8, 0..3u64), 1..120)) {
-        let plans = Plans::new(three()).unwrap();
+    fn the_table_takes_steps_in_order_under_any_commands(drawn in prop::collection::vec((0..5u8, 0..4u8, 0..4u8, 0..3u64), 1..120)) {
+        let plans = Plans::new(three_sites()).unwrap();
         let mut table = SiteTable::new(&plans).unwrap();
         let name = |i: u8| SiteName::try_from(format!("s{i}").as_str()).unwrap();
-        let mut twin = table.clone();
-        for (kind, a, b, c) in drawn {
-            // Mostly of this epoch, sometimes of another.
-            let epoch = (table.epoch() + 2).saturating_sub(if c == 2 { 3 } else { 2 });
-            let site = name(a);
-            let missing = if c == 0 { Missing::Nothing } else { Missing::All };
+        let mut replica = table.clone();
+        for (kind, site, observer, variant) in drawn {
+            // Mostly the current epoch, sometimes an older one.
+            let epoch = (table.epoch() + 2).saturating_sub(if variant == 2 { 3 } else { 2 });
+            let site = name(site);
+            let missing = if variant == 0 { Missing::Nothing } else { Missing::All };
             let command = match kind {
-                0 => Command::ReportMissing { observer: name(b), site, missing, plans: plans.fingerprint() },
+                0 => Command::ReportMissing { observer: name(observer), site, missing, plans: plans.fingerprint() },
                 1 => Command::Settle { epoch },
                 2 => Command::TryStep { epoch, site },
                 3 => Command::HoldStep { epoch, site },
@@ -356,22 +365,23 @@
             prop_assert!(table.epoch() >= before.epoch() && table.transition().len() <= 4);
             for s in 0..3 {
                 let (was, is) = (before.state(s), table.state(s));
-                if let (SiteState::Returning { step: k, held: h, .. }, SiteState::Returning { step, held, .. }) = (was, is) {
-                    prop_assert!(step <= k + 1 && held >= h && step >= held && (step != k + 1 || k == h));
+                if let (SiteState::Returning { step: old_step, held: old_held, .. }, SiteState::Returning { step, held, .. }) = (was, is) {
+                    prop_assert!(step <= old_step + 1 && held >= old_held && step >= held && (step != old_step + 1 || old_step == old_held));
                 }
                 prop_assert!(was == is || table.epoch() > before.epoch());
             }
-            twin.apply(command, &mut Vec::new());
+            replica.apply(command, &mut Vec::new());
         }
         let bytes = postcard::to_stdvec(&table).unwrap();
-        prop_assert_eq!(&postcard::from_bytes::<SiteTable>(&bytes).unwrap(), &twin);
+        prop_assert_eq!(&postcard::from_bytes::<SiteTable>(&bytes).unwrap(), &replica);
     }
 }
 
-/// Every split on a grid of levels and ways, of which those that keep the limits are compared by their worth.
+/// Compares the plan with every split on a grid of levels and routes that keeps the limits. Guards against a linear
+/// program that misses better plans.
 #[test]
-fn brute_force_finds_nothing_better() {
-    // Two sites of which one is lost in hosts only, so that two entries share two ways or one.
+fn exhaustive_search_finds_no_better_plan() {
+    // Two sites, so that the requests of each entry have four routes.
     for (seed, hosts) in [(3, (2, 2)), (5, (1, 3)), (9, (3, 1)), (4, (2, 5))] {
         let sites = vec![(hosts.0, hosts.1, false), (2, 2, false)];
         let classes = vec![(1_500 + 300 * seed, 60 + 10 * seed, 2)];
@@ -385,22 +395,26 @@
         let fleet = Fleet::new(t, &RoutingConfig::default()).unwrap();
         let loss = Loss::none(2);
         let plan = compute_plan(&fleet, &loss).unwrap();
-        let price = |w: [usize; 4]| {
+        let price = |route: [usize; 4]| {
             let hops = f64::from(
-                [w[1] != w[2], w[2] != w[3], w[3] != w[1]]
-                    .map(u8::from)
-                    .iter()
-                    .sum::<u8>(),
+                [
+                    route[1] != route[2],
+                    route[2] != route[3],
+                    route[3] != route[1],
+                ]
+                .map(u8::from)
+                .iter()
+                .sum::<u8>(),
             );
-            let state = if w[2] == w[3] {
+            let state = if route[2] == route[3] {
                 0.0
             } else {
-                fleet.tables.classes[w[0]].prompt_tokens / 1e3 * 0.005
+                fleet.tables.classes[route[0]].prompt_tokens / 1e3 * 0.005
             };
             hops * 1.5 * 0.002 + state
         };
         let mut best = f64::MIN;
-        // For each class a level, for each class and entry how its requests are split over the four ways.
+        // For each class an admission level; for each entry how its requests are split over the four routes.
         let splits: Vec<[f64; 4]> = (0..125)
             .map(|i| [i % 5, i / 5 % 5, i / 25].map(|v| f64::from(v) / 4.0))
             .filter(|s| s.iter().sum::<f64>() <= 1.0)
@@ -409,20 +423,20 @@
         for levels in (0..36).map(|i| [i % 6, i / 6].map(|v| f64::from(v) / 5.0)) {
             for a in &splits {
                 for b in &splits {
-                    let mut ways = Vec::new();
+                    let mut routes = Vec::new();
                     let mut worth = 0.0;
                     for c in 0..2 {
                         for (e, split) in [a, b].into_iter().enumerate() {
                             let rate = fleet.demand[c][0][e] * levels[c];
                             worth += rate * fleet.worth[c];
                             for (k, part) in split.iter().enumerate() {
-                                let way = [c, e, k / 2, k % 2];
-                                worth -= price(way) * rate * part;
-                                ways.push((way, rate * part));
+                                let route = [c, e, k / 2, k % 2];
+                                worth -= price(route) * rate * part;
+                                routes.push((route, rate * part));
                             }
                         }
                     }
-                    if worth > best && over(&fleet, &loss, &ways, 1.0).is_none() {
+                    if worth > best && exceeded_limit(&fleet, &loss, &routes, 1.0).is_none() {
                         best = worth;
                     }
                 }
@@ -431,9 +445,9 @@
         let found = plan.worth_kept - plan.route_cost;
         assert!(
             found >= best - 1e-6,
-            "{seed}: {found} by the program, {best} by brute force"
+            "{seed}: {found} by the linear program, {best} by search"
         );
-        // The grid is coarse: a fifth of a class at the most lies between its points.
+        // The grid is coarse: its points are up to a fifth of a class apart.
         assert!(
             found <= best + 0.35 * plan.worth_offered,
             "{seed}: {found} and {best}"
@@ -442,7 +456,7 @@
 }
 
 #[test]
-fn a_guaranteed_share_that_can_t_be_borne_is_named() {
+fn guaranteed_requests_that_cannot_be_served_are_listed() {
     let sites = vec![(1, 1, false), (4, 6, false), (4, 6, false)];
     let t = tables(
         sites,
@@ -454,20 +468,20 @@
     let fleet = Fleet::new(t, &RoutingConfig::default()).unwrap();
     let plan = compute_plan(&fleet, &Loss::of_whole_sites(3, &[1, 2])).unwrap();
     let short: f64 = plan.shortfalls.iter().map(|s| s.refused).sum();
-    let promised: f64 = plan
+    let guaranteed_refused: f64 = plan
         .refusal_order
         .iter()
         .filter(|r| r.guaranteed)
         .map(|r| r.refused)
         .sum();
-    assert!(short > 1.0 && (short - promised).abs() < 1e-6);
+    assert!(short > 1.0 && (short - guaranteed_refused).abs() < 1e-6);
     assert!(
         plan.shortfalls
             .iter()
             .all(|s| fleet.tenants[s.tenant] == "t0")
     );
     assert!(plan.binding_limits()[0].utilization() > 0.899);
-    // All that is beyond guarantees went before.
+    // All requests beyond the guarantees are refused first.
     assert!(
         plan.refusal_order
             .iter()
@@ -476,20 +490,20 @@
     );
 }
 
-/// What is seen of site 1 by a conductor of site 0: conductors alive of three, whether hosts are reached, hosts listed
-/// of ten; whether the group is heard; and of site 2 the conductors. Then what follows.
+/// Observations of site 1 by a router of site 0: routers alive out of three, whether hosts are reached, hosts listed
+/// out of ten, whether the leader is known, and the routers alive at site 2. Then the expected status.
 #[rstest]
 #[case::lost((0, false, 0, true, 3), (Status::Lost, Missing::All, Cause::Site))]
-#[case::conductors_only((0, true, 10, true, 3), (Status::Lost, Missing::Routers, Cause::Routers))]
+#[case::routers_only((0, true, 10, true, 3), (Status::Lost, Missing::Routers, Cause::Routers))]
 #[case::hosts_only((3, false, 10, true, 3), (Status::Lost, Missing::Hosts, Cause::Hosts))]
 #[case::half((3, true, 5, true, 3), (Status::Lost, Missing::HalfHosts, Cause::Half))]
 #[case::discovery_only((3, true, 0, true, 3), (Status::Healthy, Missing::Nothing, Cause::Discovery))]
 #[case::isolated((0, false, 0, false, 0), (Status::Lost, Missing::Hosts, Cause::Isolated))]
-#[case::group_gone((0, false, 0, false, 3), (Status::Lost, Missing::All, Cause::Site))]
-#[case::sound((3, true, 10, true, 3), (Status::Healthy, Missing::Nothing, Cause::None))]
-fn what_is_seen_is_told_apart(
-    #[case] (alive, reached, ready, in_touch, elsewhere): (u32, bool, u32, bool, u32),
-    #[case] taken_for: (Status, Missing, Cause),
+#[case::leader_unknown((0, false, 0, false, 3), (Status::Lost, Missing::All, Cause::Site))]
+#[case::healthy((3, true, 10, true, 3), (Status::Healthy, Missing::Nothing, Cause::None))]
+fn observations_lead_to_the_expected_status(
+    #[case] (alive, reached, ready, leader_known, alive_at_site_2): (u32, bool, u32, bool, u32),
+    #[case] expected: (Status, Missing, Cause),
 ) {
     use watch::Event::*;
     let mut watch = Watch::new(WatchSettings::default(), 3, 0);
@@ -526,12 +540,18 @@
     now += 2 * S;
     for _ in 0..30 {
         now += S / 5;
-        watch.handle(now, Leader { known: in_touch }, &mut out);
+        watch.handle(
+            now,
+            Leader {
+                known: leader_known,
+            },
+            &mut out,
+        );
         watch.handle(
             now,
             Routers {
                 site: 2,
-                alive: elsewhere,
+                alive: alive_at_site_2,
                 total: 3,
             },
             &mut out,
@@ -556,18 +576,19 @@
         );
         watch.handle(now, Host { site: 1, reached }, &mut out);
     }
-    assert_eq!(watch.status(1), taken_for);
+    assert_eq!(watch.status(1), expected);
 }
 
-/// Guards against a site that comes and goes and takes the fleet with it each time.
+/// Guards against a flapping site that disturbs the fleet each time: every loss soon after a return doubles the
+/// hold-down, up to a bound, until the site was healthy for long.
 #[test]
-fn a_site_that_flaps_is_trusted_more_slowly_each_time_and_bounded() {
+fn hold_down_doubles_with_each_flap_up_to_a_bound() {
     use watch::Event::*;
-    let set = WatchSettings {
+    let settings = WatchSettings {
         max_doublings: 2,
         ..WatchSettings::default()
     };
-    let mut watch = Watch::new(set, 2, 0);
+    let mut watch = Watch::new(settings, 2, 0);
     let mut out = Vec::new();
     let mut now = S;
     let mut waits = Vec::new();
@@ -599,7 +620,7 @@
         waits.push((now - from) / S);
     }
     assert_eq!(waits, [5, 10, 20, 20, 20]);
-    // Back for long: forgotten.
+    // After a long healthy time, earlier losses are forgotten.
     watch.handle(now, FullyRestored { site: 1 }, &mut out);
     watch.handle(now + 700 * S, Tick, &mut out);
     now += 700 * S;
@@ -629,17 +650,18 @@
     assert_eq!((now - from) / S, 5);
 }
 
-/// Guards against a ramp that swings: a bad step goes back once, to what has held, and the next try waits longer.
+/// Guards against a return that oscillates: a bad step falls back once, to the last confirmed step, and the next try
+/// waits longer.
 #[test]
-fn a_bad_step_goes_back_to_the_one_that_held_and_no_further() {
-    let fleet = three();
+fn a_bad_step_falls_back_to_the_last_confirmed_step() {
+    let fleet = three_sites();
     let plans = Plans::new(fleet.clone()).unwrap();
     let mut table = SiteTable::new(&plans).unwrap();
     let mut ramp = Ramp::new(&fleet);
     let names = table.names().to_vec();
-    let say = |table: &mut SiteTable, missing| {
-        for by in [0, 1] {
-            let (observer, site) = (names[by].clone(), names[2].clone());
+    let report = |table: &mut SiteTable, missing| {
+        for observer in [0, 1] {
+            let (observer, site) = (names[observer].clone(), names[2].clone());
             table.apply(
                 Command::ReportMissing {
                     observer,
@@ -651,20 +673,20 @@
             );
         }
     };
-    say(&mut table, Missing::All);
-    say(&mut table, Missing::Nothing);
+    report(&mut table, Missing::All);
+    report(&mut table, Missing::Nothing);
     let mut out = Vec::new();
     ramp.handle(0, ramp::Event::Pacing(true), &mut out);
-    let (mut now, mut tried, mut bad) = (0, Vec::new(), 1);
+    let (mut now, mut tried, mut bad_reports) = (0, Vec::new(), 1);
     while table.state(2) != SiteState::Healthy {
         now += S / 10;
         assert!(now < 300 * S, "{:?}", table.state(2));
         ramp.handle(now, ramp::Event::Table(table.clone()), &mut out);
         if matches!(table.state(2), SiteState::Returning { step: 4, .. })
-            && bad > 0
+            && bad_reports > 0
             && table.settled()
         {
-            bad -= 1;
+            bad_reports -= 1;
             let counts = OutcomeCounts {
                 total: 100,
                 late: 60,
@@ -684,7 +706,7 @@
         }
     }
     let steps: Vec<_> = tried.iter().map(|(_, s)| *s).collect();
-    let wanted = [
+    let expected = [
         (1, 0),
         (1, 1),
         (2, 1),
@@ -696,8 +718,8 @@
         (4, 3),
         (4, 4),
     ];
-    assert_eq!(&steps[1..11], &wanted);
-    // Two times the time of a step before it is tried again.
+    assert_eq!(&steps[1..11], &expected);
+    // A step is tried again only after twice the duration of a step.
     assert!(tried[9].0 - tried[8].0 >= 6 * S);
 }
 
@@ -713,37 +735,41 @@
     }
 }
 
-/// Guards against levels that clients turn into a flood by coming again, and against doors that differ.
+/// Guards against refused clients that get in by retrying, which would turn refusals into a flood, and against routers
+/// of a site that decide differently.
 #[test]
-fn who_is_refused_is_refused_again_and_everywhere() {
-    let fleet = three();
+fn a_refused_request_is_refused_again_and_by_every_router() {
+    let fleet = three_sites();
     let plans = Plans::new(fleet).unwrap();
     let loss = Loss::of_whole_sites(3, &[0]);
-    let (plan, most) = (
+    let (plan, upper) = (
         &plans.get(&loss).unwrap().allocation,
         plans.upper_bound(&loss).unwrap(),
     );
-    let allocation = RouterAllocation::for_router(&plans, plan, &most, 1, 1, true);
-    let partly = |c: &usize| (1..1_000_000).contains(&allocation.levels[*c][0]);
-    let class = (0..2).find(partly).expect("a class that is taken in part");
+    let allocation = RouterAllocation::for_router(&plans, plan, &upper, 1, 1, true);
+    let partly_admitted = |c: &usize| (1..1_000_000).contains(&allocation.levels[*c][0]);
+    let class = (0..2)
+        .find(partly_admitted)
+        .expect("the loss leaves one class admitted in part");
     let level = allocation.levels[class][0];
     let mut gates = [AdmissionGate::new(S, 3 * S), AdmissionGate::new(S, 3 * S)];
     gates
         .iter_mut()
         .for_each(|g| g.set_allocation(0, allocation.clone()));
-    let (mut taken, mut now) = (0, 0);
+    let (mut admitted, mut now) = (0, 0);
     for i in 0..2_000u32 {
         now += S / 2;
         let key = format!("request-{i}");
-        let door = gates[0].check(now, class, 0, key.as_bytes(), false);
-        taken += u32::from(door == Admission::Accept);
+        let admission = gates[0].check(now, class, 0, key.as_bytes(), false);
+        admitted += u32::from(admission == Admission::Accept);
         if let Admission::Refuse {
             retry_after,
             by_level,
-        } = door
+        } = admission
         {
             assert!(by_level && (S..=3 * S).contains(&retry_after));
-            // At the same door, at another, and with work in hand.
+            // The same router refuses the retry, another router refuses it too, and neither refuses a request in
+            // progress.
             assert_ne!(
                 gates[0].check(now + 1, class, 0, key.as_bytes(), false),
                 Admission::Accept
@@ -758,12 +784,12 @@
             );
         }
     }
-    let part = f64::from(taken) / 2_000.0;
+    let part = f64::from(admitted) / 2_000.0;
     assert!(
         (part - f64::from(level) / 1e6).abs() < 0.05,
         "{part} of {level}"
     );
-    // A class that the file doesn't expect is not limited.
+    // A class that the configuration does not expect is not limited.
     assert_eq!(gates[0].check(now, 9, 0, b"new", false), Admission::Accept);
     let mut list = vec![host("s0"), host("s1"), host("elsewhere")];
     allocation.apply_weights(
@@ -776,8 +802,8 @@
         [Draining, Ready, Ready]
     );
     assert!(list[1].weight > 0.0 && list[1].weight <= 2.0 && list[2].weight == 2.0);
-    // A flood of new requests: no more than this conductor's part, which a third of the site's is.
-    let flood = (0..20_000u32).filter(|i| {
+    // A flood of new requests: this router admits no more than its share, a third of the site's.
+    let admitted_in_flood = (0..20_000u32).filter(|i| {
         gates[1].check(
             now + u64::from(*i) * 1_000,
             class,
@@ -786,22 +812,25 @@
             false,
         ) == Admission::Accept
     });
-    let bears = most.admitted_rate(class, 1) / 3.0 * 22.0;
-    assert!(flood.count() as f64 <= bears + 5.0);
+    let max_admitted = upper.admitted_rate(class, 1) / 3.0 * 22.0;
+    assert!(admitted_in_flood.count() as f64 <= max_admitted + 5.0);
 }
 
-/// Guards against one conductor that, without a group, acts as if all others had seen what it sees; and against one
-/// that is cut off and sends to what it can't reach.
+/// Guards against a router that, without contact with the leader, acts as if all others had seen what it sees, and
+/// against an isolated router that sends to hosts it can't reach.
 #[rstest]
 #[case::no_leader(3, true)]
 #[case::isolated(0, false)]
-fn without_a_group_a_conductor_harms_nobody(#[case] elsewhere: u32, #[case] takes_over: bool) {
+fn without_a_leader_a_router_overloads_no_site(
+    #[case] alive_at_site_2: u32,
+    #[case] acts_alone: bool,
+) {
     use watch::Event::*;
-    let mut plans = Plans::new(three()).unwrap();
+    let mut plans = Plans::new(three_sites()).unwrap();
     let mut member = Member::new(&plans, 1, 5);
     let table = SiteTable::new(&plans).unwrap();
     let mut out = Vec::new();
-    let mut see = |member: &mut Member, plans: &mut Plans, now, event| {
+    let mut observe = |member: &mut Member, plans: &mut Plans, now, event| {
         out.clear();
         member.handle(plans, now, member::Event::Observed(event), &mut out);
         out.iter().any(|a| matches!(a, member::Action::Propose(_)))
@@ -816,7 +845,7 @@
     assert!(!usual.degraded && usual.weights[1] == [1_000_000; 2]);
     let mut now = S;
     for site in 0..3 {
-        see(
+        observe(
             &mut member,
             &mut plans,
             now,
@@ -828,8 +857,8 @@
         );
     }
     now += 2 * S;
-    see(&mut member, &mut plans, now, Leader { known: false });
-    see(
+    observe(&mut member, &mut plans, now, Leader { known: false });
+    observe(
         &mut member,
         &mut plans,
         now,
@@ -839,20 +868,20 @@
             total: 3,
         },
     );
-    see(
+    observe(
         &mut member,
         &mut plans,
         now,
         Routers {
             site: 2,
-            alive: elsewhere,
+            alive: alive_at_site_2,
             total: 3,
         },
     );
     let mut proposed = false;
     for _ in 0..20 {
         now += S / 5;
-        proposed |= see(
+        proposed |= observe(
             &mut member,
             &mut plans,
             now,
@@ -864,8 +893,9 @@
     }
     let allocation = member.allocation();
     assert!(allocation.degraded && allocation.weights[0] == [0; 2]);
-    assert_eq!(proposed, takes_over);
-    // Its part of the survivors' limits is what the allocation on the way gives it, not the whole plan's.
+    assert_eq!(proposed, acts_alone);
+    // Its share of the remaining sites' limits is that of the intermediate allocation, not that of the plan for the
+    // loss.
     let loss = Loss::of_whole_sites(3, &[0]);
     let (from, to) = (
         plans.upper_bound(&Loss::none(3)).unwrap(),
@@ -873,11 +903,11 @@
     );
     let here = plans.intermediate(&loss, &[&from], &to);
     for c in 0..2 {
-        let most = here.admitted_rate(c, 1) / 3.0 * 1e3 + 1.0;
+        let max = here.admitted_rate(c, 1) / 3.0 * 1e3 + 1.0;
         assert!(
             allocation.max_per_1000_s[c].unwrap() as f64
-                <= if takes_over {
-                    most
+                <= if acts_alone {
+                    max
                 } else {
                     usual.max_per_1000_s[c].unwrap() as f64
                 }
