--- a/src/fleet/sites/command.rs
+++ b/src/fleet/sites/command.rs
@@ -62,7 +62,7 @@
     Config(#[from] ConfigError),
     /// The file's `[sites]` tables are invalid.
     #[error(transparent)]
-    Describe(#[from] SitesConfigError),
+    SitesConfig(#[from] SitesConfigError),
     /// A plan could not be computed.
     #[error("sites: {0}")]
     Plan(#[from] PlanError),
--- a/src/fleet/sites/member.rs
+++ b/src/fleet/sites/member.rs
@@ -63,7 +63,7 @@
 /// The site logic of one router. The plans are passed in by the caller, because they are the same for all routers.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Member {
-    entry: usize,
+    own_site: usize,
     seed: u64,
     watch: Watch,
     ramp: Ramp,
@@ -75,10 +75,11 @@
     allocation: RouterAllocation,
     /// For each site, how the report of this router's own site differs from what this router observes.
     disagreements: Vec<Disagreement>,
-    /// The inputs that the current allocation was derived from.
+    /// The inputs that the current allocation was derived from; `None` before the first one.
     allocation_basis: Option<Basis>,
     lost_after: Micros,
     hold_down: Micros,
+    /// Time after which a proposal that has had no effect is made again.
     agree: Micros,
 }
 
@@ -89,19 +90,19 @@
     difference: Option<(Missing, Missing, Micros)>,
     /// When this router last proposed a report.
     last_report: Option<Micros>,
-    /// This router held the site down itself, and the report in the table has not matched since.
+    /// Set when this router ends its own hold-down of the site, until it sees the report in the table agree.
     held_down: bool,
 }
 
 impl Member {
-    /// A router of the site with index `entry`, before it knows the agreed table. `seed` spreads the reports of the
-    /// routers of a site.
-    pub fn new(plans: &Plans, entry: usize, seed: u64) -> Self {
+    /// A router of the site with index `own_site`, before it knows the agreed table. `seed` spreads the reports of the
+    /// routers of a site over time.
+    pub fn new(plans: &Plans, own_site: usize, seed: u64) -> Self {
         let fleet = plans.fleet();
         Member {
-            entry,
+            own_site,
             seed,
-            watch: Watch::new(fleet.tables.watch.clone(), fleet.site_count(), entry),
+            watch: Watch::new(fleet.tables.watch.clone(), fleet.site_count(), own_site),
             ramp: Ramp::new(fleet),
             table: SiteTable::default(),
             leader_known: true,
@@ -185,7 +186,7 @@
         }
         for site in 0..self.disagreements.len() {
             let restored = self.table.state(site) == SiteState::Healthy
-                && self.table.reported(self.entry, site) == Missing::Nothing;
+                && self.table.reported(self.own_site, site) == Missing::Nothing;
             if restored && self.watch.status(site).0 == Status::Returning {
                 self.watch.handle(
                     now,
@@ -205,7 +206,7 @@
 
     /// Proposes a report of what is observed of a site, if the table has another report by this router's own site.
     fn report_observation(&mut self, now: Micros, site: usize, plans: u64, out: &mut Vec<Command>) {
-        let reported = self.table.reported(self.entry, site);
+        let reported = self.table.reported(self.own_site, site);
         let (status, missing, _) = self.watch.status(site);
         let observed = match status {
             // Other routers of this site may already have seen for long enough that it is back.
@@ -216,7 +217,7 @@
         };
         let other_plans = self.table.plans() != plans;
         let disagreement = &mut self.disagreements[site];
-        if site == self.entry || observed == reported || other_plans || self.watch.isolated() {
+        if site == self.own_site || observed == reported || other_plans || self.watch.isolated() {
             disagreement.difference = None;
             disagreement.held_down &= observed != reported;
             return;
@@ -245,7 +246,7 @@
         if now >= since + delay + spread && retry_due {
             disagreement.last_report = Some(now);
             let names = self.table.names();
-            let (observer, site) = (names[self.entry].clone(), names[site].clone());
+            let (observer, site) = (names[self.own_site].clone(), names[site].clone());
             out.push(Command::ReportMissing {
                 observer,
                 site,
@@ -293,7 +294,7 @@
                     plans,
                     &plan,
                     &upper,
-                    self.entry,
+                    self.own_site,
                     self.table.epoch(),
                     degraded,
                 );
--- a/src/fleet/sites/plan.rs
+++ b/src/fleet/sites/plan.rs
@@ -185,6 +185,7 @@
     pub levels: Vec<Vec<Vec<f64>>>,
     /// The part of each level that is guaranteed to the tenant.
     guaranteed_levels: Vec<Vec<Vec<f64>>>,
+    /// Requests per second by [`Allocation::rate_index`].
     rates: Vec<f64>,
     /// For each entry the use of each limit by its requests.
     used: Vec<BTreeMap<Limit, f64>>,
@@ -208,16 +209,16 @@
 
     /// Requests per second of a class that are admitted at an entry.
     pub fn admitted_rate(&self, class: usize, entry: usize) -> f64 {
-        let from = self.rate_index(class, entry, 0, 0);
-        self.rates[from..from + self.sites * self.sites]
+        let start = self.rate_index(class, entry, 0, 0);
+        self.rates[start..start + self.sites * self.sites]
             .iter()
             .sum()
     }
 
     /// Requests per second of a class from an entry that are prefilled at a site.
     pub fn prefill_rate(&self, class: usize, entry: usize, prefill_site: usize) -> f64 {
-        let from = self.rate_index(class, entry, prefill_site, 0);
-        self.rates[from..from + self.sites].iter().sum()
+        let start = self.rate_index(class, entry, prefill_site, 0);
+        self.rates[start..start + self.sites].iter().sum()
     }
 
     /// Requests per second of a class from an entry that are decoded at a site.
@@ -503,8 +504,8 @@
     }
 }
 
-/// The available amount of each limit under a loss. Hosts of one stage and hosts that do both are counted separately
-/// for each site.
+/// The available amount of each limit under a loss, by site. Hosts of one stage and hosts that do both are kept apart.
+/// The four figures of a site are in the order of [`AvailableCapacity::site_and_resource`].
 struct AvailableCapacity {
     sites: usize,
     single_stage: Vec<[f64; 4]>,
@@ -542,6 +543,7 @@
         }
     }
 
+    /// The site of a limit and the index of the limit among the four of the site; `None` for a link.
     fn site_and_resource(limit: Limit) -> Option<(usize, usize)> {
         match limit {
             Limit::PrefillRate(s) => Some((s, 0)),
@@ -554,7 +556,9 @@
 
     fn total(&self, limit: Limit) -> f64 {
         match (limit, Self::site_and_resource(limit)) {
-            (_, Some((s, k))) => self.single_stage[s][k] + self.mixed[s][k],
+            (_, Some((site, resource))) => {
+                self.single_stage[site][resource] + self.mixed[site][resource]
+            }
             (Limit::Link(a, b), _) => self.links[a][b],
             _ => 0.0,
         }
@@ -598,11 +602,11 @@
         }
         // Hosts that do both stages prefill for a share of the time and decode for the rest.
         for s in 0..self.sites {
-            let mixed_share = |limit: Limit, k: usize| {
-                let beyond =
-                    used.get(&limit).copied().unwrap_or(0.0) - self.single_stage[s][k] * fill;
-                if self.mixed[s][k] > 0.0 {
-                    (beyond / self.mixed[s][k]).max(0.0)
+            let mixed_share = |limit: Limit, resource: usize| {
+                let beyond = used.get(&limit).copied().unwrap_or(0.0)
+                    - self.single_stage[s][resource] * fill;
+                if self.mixed[s][resource] > 0.0 {
+                    (beyond / self.mixed[s][resource]).max(0.0)
                 } else {
                     0.0
                 }
