--- a/src/config.rs
+++ b/src/config.rs
@@ -1,4 +1,4 @@
-//! What a conductor is told at start: the platform's JSON, or an operator's TOML file of the same shape.
+//! Configuration of a router: the platform's JSON file, or an operator's TOML file with the same structure.
 
 use crate::fleet::config::FleetConfig;
 use crate::fleet::policy_content;
@@ -15,21 +15,21 @@
 
 use replacement::Document;
 
-/// The longest result of a tool that fits into an entry of the fleet's log.
-const MOST_RECORDED: usize = 80 * 1024;
+/// Largest tool result, in bytes, that fits into one entry of the fleet's log.
+const MAX_RECORDED_RESULT_BYTES: usize = 80 * 1024;
 
-/// Why a configuration can't be used; one line for the operators.
+/// The configuration is invalid. The text is one line that names the field, its value and the fault.
 #[derive(Debug, thiserror::Error)]
 #[error("configuration: {0}")]
 pub struct ConfigError(pub String);
 
-/// The machine's limits.
+/// Resource limits of the process, set by the machine that it runs on.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct Limits {
-    /// Memory over which the conductor is killed.
+    /// Memory in MiB above which the machine kills the router.
     pub memory_mb: usize,
-    /// File descriptors, sockets of both sides included.
+    /// File descriptors that the router may open, including the sockets of clients and of model hosts.
     pub sockets: usize,
 }
 
@@ -42,39 +42,39 @@
     }
 }
 
-/// The tool-call front, in an operator's file only.
+/// The tool-call frontend; only an operator's file can configure it.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct ToolSettings {
-    /// Where the tool side listens.
+    /// Address of the tool server.
     pub dial: SocketAddr,
-    /// The path of its JSON-RPC endpoint.
+    /// Path of the tool server's JSON-RPC endpoint.
     #[serde(default = "default_tool_path")]
     pub path: String,
-    /// The path at which clients reach the front.
+    /// Path at which clients reach the frontend.
     #[serde(default = "default_rpc_path")]
     pub listen_path: String,
-    /// How long a tool may take, connecting included.
+    /// Timeout of one tool call in milliseconds, including the time to connect.
     #[serde(default = "default_call_timeout")]
     pub call_timeout_ms: u64,
-    /// The longest arguments.
+    /// Largest arguments of one tool call, in bytes.
     #[serde(default = "default_tool_bytes")]
     pub max_call_bytes: usize,
-    /// The longest result.
+    /// Largest result of one tool call, in bytes.
     #[serde(default = "default_tool_bytes")]
     pub max_result_bytes: usize,
-    /// Most calls of one request.
+    /// Maximum number of tool calls of one request.
     #[serde(default = "default_calls")]
     pub max_calls: u32,
-    /// Most calls out at once, over all requests: the tool side's sockets.
+    /// Maximum number of concurrent tool calls over all requests, which bounds the sockets to the tool server.
     #[serde(default = "default_calls_at_once")]
     pub max_calls_at_once: usize,
-    /// How long an outcome is remembered after its call has ended.
+    /// Seconds for which the ledger keeps the outcome of a call after the call has ended.
     #[serde(default = "default_remember")]
     pub remember_s: u64,
-    /// Most outcomes that are remembered.
+    /// Maximum number of outcomes in the ledger.
     #[serde(default = "default_entries")]
     pub max_entries: usize,
-    /// Bytes that remembered outcomes may take.
+    /// Maximum size of all outcomes in the ledger, in bytes.
     #[serde(default = "default_ledger_bytes")]
     pub max_ledger_bytes: usize,
 }
@@ -108,7 +108,7 @@
 }
 
 impl ToolSettings {
-    /// How long a tool may take.
+    /// Timeout of one tool call, including the time to connect.
     pub fn call_timeout(&self) -> Duration {
         Duration::from_millis(self.call_timeout_ms)
     }
@@ -135,51 +135,51 @@
     sites: Option<Value>,
 }
 
-/// A conductor's configuration.
+/// The validated configuration of a router.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Its name.
+    /// Name of the router; empty if neither the file nor the environment names it.
     pub name: String,
-    /// Where clients connect.
+    /// Address at which the router accepts clients.
     pub listen: SocketAddr,
-    /// Discovery; without one the known list stands.
+    /// Address of the discovery service. `None`: the list in `known` is used and never updated.
     pub discovery: Option<SocketAddr>,
-    /// Where operators connect; nowhere without it.
+    /// Address of the admin endpoint. `None`: there is no admin endpoint.
     pub ops: Option<SocketAddr>,
-    /// For random numbers.
+    /// Seed of the random numbers.
     pub seed: u64,
-    /// The machine's limits.
+    /// Resource limits of the process.
     pub limits: Limits,
-    /// The model hosts as last held; may be old.
+    /// Model hosts known when the file was written; the list may be outdated.
     pub known: Listing,
-    /// The module's settings.
+    /// Routing settings, parsed from `settings_table`.
     pub settings: RoutingConfig,
-    /// The table they were read from.
+    /// The file's `settings` table.
     pub settings_table: Value,
-    /// The whole file, for its replacement to be compared with.
+    /// The complete file, with which a replacement is compared at a reload.
     pub document: Document,
-    /// When model hosts close idle connections.
+    /// Idle time after which model hosts close a connection.
     pub idle_close: Duration,
-    /// The tool-call front, if configured.
+    /// The tool-call frontend. `None`: it is disabled.
     pub tools: Option<ToolSettings>,
-    /// The fleet that this conductor is a member of, if configured; in an operator's file only.
+    /// The fleet that this router is a member of. `None`: it is in no fleet, as always with the platform's file.
     pub fleet: Option<FleetConfig>,
-    /// What the plans for the loss of a site are made from; in a fleet only.
+    /// Input of the plans for the loss of a site. `None`: there are no plans, as always outside of a fleet.
     pub sites: Option<Sites>,
 }
 
 impl Config {
-    /// Reads the platform's form. Fields of the environment stand in for absent ones.
+    /// Parses the platform's JSON file. Absent addresses and an empty name are read from environment variables.
     ///
     /// # Errors
-    /// Names the field at fault.
+    /// The text or a field is invalid; the error names the field.
     pub fn from_json(
         text: &str,
         env: impl Fn(&str) -> Option<String>,
     ) -> Result<Self, ConfigError> {
         let mut value: Value =
             serde_json::from_str(text).map_err(|e| ConfigError(e.to_string()))?;
-        // Conductors on the platform share nothing, whatever it says.
+        // Routers on the platform share no state, so tables of a fleet are ignored.
         if let Some(fields) = value.as_object_mut() {
             fields.remove("fleet");
             fields.remove("store");
@@ -196,10 +196,10 @@
         )
     }
 
-    /// Reads an operator's file: the same shape, written as TOML.
+    /// Parses an operator's TOML file, which has the same structure as the platform's JSON file.
     ///
     /// # Errors
-    /// Names the field at fault.
+    /// The text or a field is invalid; the error names the line or the field.
     pub fn from_toml(text: &str) -> Result<Self, ConfigError> {
         let value = toml::from_str(text).map_err(|e| {
             let line = e.span().map_or(0, |s| {
@@ -216,10 +216,10 @@
         )
     }
 
-    /// The fields in which another configuration differs and that count at a start only.
+    /// Names of the fields that differ from another configuration and take effect only at a restart.
     pub fn differences(&self, other: &Config) -> Vec<&'static str> {
         let [a, b] = [self, other];
-        let all = [
+        let top_level = [
             ("name", a.name != b.name),
             ("listen", a.listen != b.listen),
             ("ops", a.ops != b.ops),
@@ -232,9 +232,10 @@
             ("fleet", a.fleet != b.fleet),
             ("sites", a.sites != b.sites),
         ];
-        let fixed = replacement::fixed_differences(&a.settings, &b.settings);
-        all.into_iter()
-            .chain(fixed)
+        let settings = replacement::fixed_differences(&a.settings, &b.settings);
+        top_level
+            .into_iter()
+            .chain(settings)
             .filter(|(_, differs)| *differs)
             .map(|(name, _)| name)
             .collect()
@@ -247,14 +248,16 @@
         let raw = Raw::deserialize(&document.table).map_err(|e| ConfigError(e.to_string()))?;
         let address = |given: Option<SocketAddr>, name: &str| match (given, env(name)) {
             (Some(address), _) => Ok(Some(address)),
-            (None, Some(text)) => text
-                .parse()
-                .map(Some)
-                .map_err(|_| ConfigError(format!("{name}: not an address: {text:?}"))),
+            (None, Some(text)) => text.parse().map(Some).map_err(|_| {
+                ConfigError(format!(
+                    "{name}: {text:?} is not an address; expected IP:PORT"
+                ))
+            }),
             (None, None) => Ok(None),
         };
-        let listen = address(raw.listen, "NODE_LISTEN")?
-            .ok_or_else(|| ConfigError("listen is missing".into()))?;
+        let listen = address(raw.listen, "NODE_LISTEN")?.ok_or_else(|| {
+            ConfigError("listen is missing: set it, or NODE_LISTEN, to IP:PORT".into())
+        })?;
         let discovery = address(raw.discovery, "NODE_DISCOVERY")?;
         let ops = address(raw.ops, "NODE_OPS")?;
         let mut pairs = Vec::new();
@@ -266,14 +269,18 @@
             .and_then(|(_, v)| v.parse::<f64>().ok())
             .filter(|v| *v > 0.0 && v.is_finite());
         let seed = match &raw.seed {
-            Value::String(hex) => u64::from_str_radix(hex, 16)
-                .map_err(|_| ConfigError(format!("seed: not a hexadecimal number: {hex:?}")))?,
+            Value::String(hex) => u64::from_str_radix(hex, 16).map_err(|_| {
+                ConfigError(format!(
+                    "seed: {hex:?} is not a hexadecimal number of up to 16 digits"
+                ))
+            })?,
             other => other.as_u64().unwrap_or(0),
         };
         if raw.limits.memory_mb < 32 {
-            return Err(ConfigError(
-                "limits.memory_mb: at least 32 are needed".into(),
-            ));
+            return Err(ConfigError(format!(
+                "limits.memory_mb: {} is below the minimum of 32",
+                raw.limits.memory_mb
+            )));
         }
         let name = if raw.name.is_empty() {
             env("NODE_NAME").unwrap_or_default()
@@ -289,18 +296,18 @@
             &raw.limits,
         )?;
         if fleet.as_ref().is_some_and(|f| f.policy.is_some()) {
-            let read = policy_content::take(&raw.settings)
+            let policy = policy_content::take(&raw.settings)
                 .and_then(|(content, _)| policy_content::read(&content, &raw.settings));
-            read.map_err(|e| ConfigError(format!("settings: {e}")))?;
+            policy.map_err(|e| ConfigError(format!("settings: {e}")))?;
         }
-        let recorded = fleet.as_ref().is_some_and(|f| f.takeover.is_some());
+        let records_results = fleet.as_ref().is_some_and(|f| f.takeover.is_some());
         if let Some(tools) = raw
             .tools
             .as_ref()
-            .filter(|t| recorded && t.max_result_bytes > MOST_RECORDED)
+            .filter(|t| records_results && t.max_result_bytes > MAX_RECORDED_RESULT_BYTES)
         {
             let what = format!(
-                "{} is above {MOST_RECORDED}, the most that [takeover] can record",
+                "{} is above {MAX_RECORDED_RESULT_BYTES}, the largest result that [takeover] can record",
                 tools.max_result_bytes
             );
             return Err(ConfigError(format!("tools.max_result_bytes: {what}")));
@@ -313,7 +320,7 @@
                     Sites::new(tables, &settings).map_err(|e| ConfigError(e.to_string()))?;
                 if sites.site_index(fleet.site.as_str()).is_none() {
                     let what = format!(
-                        "fleet.site: {} is not among [[sites.site]]",
+                        "fleet.site: {} is not listed in [[sites.site]]",
                         fleet.site.as_str()
                     );
                     return Err(ConfigError(what));
@@ -341,18 +348,18 @@
     }
 }
 
-/// Reads a table of settings as an operator's file has it.
+/// Parses a `settings` table with the structure that it has in an operator's file.
 ///
 /// # Errors
-/// Names the field at fault.
+/// A field is invalid; the error names it.
 pub(crate) fn read_table(settings: &Value) -> Result<RoutingConfig, String> {
     let mut pairs = Vec::new();
     flatten("", settings, &mut pairs);
     read_settings(pairs.iter().map(|(k, v)| (k.as_str(), v.as_str())))
 }
 
-/// Writes nested JSON as the paths and values of the simulator's first message, for its one reader: a list of
-/// objects as `.count` and numbered items, a list of plain values joined by commas.
+/// Flattens nested JSON to the path and value pairs that [`read_settings`] parses, as in the simulator's INIT message.
+/// A list of objects becomes `.count` and numbered items; a list of scalars becomes one value joined by commas.
 fn flatten(path: &str, value: &Value, out: &mut Vec<(String, String)>) {
     let join = |key: &str| {
         if path.is_empty() {
@@ -361,7 +368,7 @@
             format!("{path}.{key}")
         }
     };
-    let plain = |v: &Value| match v {
+    let scalar = |v: &Value| match v {
         Value::String(s) => s.replace([' ', ','], "_"),
         Value::Null => String::new(),
         other => other.to_string(),
@@ -379,10 +386,10 @@
         Value::Array(items) => {
             out.push((
                 path.to_owned(),
-                items.iter().map(plain).collect::<Vec<_>>().join(","),
+                items.iter().map(scalar).collect::<Vec<_>>().join(","),
             ));
         }
-        plain_value => out.push((path.to_owned(), plain(plain_value))),
+        scalar_value => out.push((path.to_owned(), scalar(scalar_value))),
     }
 }
 
--- a/src/config/replacement.rs
+++ b/src/config/replacement.rs
@@ -1,60 +1,62 @@
-//! Which configuration may replace the one in force at SIGHUP, and what of its settings counts then.
+//! Reload at SIGHUP: which configuration may replace the active one, and which of its settings take effect.
 //!
-//! A start is lenient: what a file leaves out has a default. A replacement has to be a whole file, since one
-//! that was cut short or lost a key would quietly put defaults in the place of what served until then.
+//! At start, absent fields get defaults. A replacement has to be complete, since a truncated file or a lost key would
+//! silently replace active settings by defaults.
 
 use super::{Config, ConfigError};
 use crate::routing::types::RoutingConfig;
 use serde_json::{Map, Value};
 
-/// A configuration file as it was read, for the next one to be compared with.
+/// A configuration file as it was read; a replacement is compared with it.
 #[derive(Clone, Debug)]
 pub struct Document {
-    /// Its fields.
+    /// Fields of the file.
     pub(super) table: Value,
-    /// Whether its end can be seen: always in JSON, whose parser fails otherwise; by the last line's end in
-    /// TOML.
+    /// Whether the end of the file is known not to be missing. Always true of JSON, which does not parse if truncated;
+    /// true of TOML if the last line ends with a newline.
     pub(super) is_terminated: bool,
 }
 
-/// What a replacement means for the settings in force.
+/// Effect of a replacement on the active settings.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SettingsChange {
-    /// They are as before.
+    /// The settings are unchanged.
     None,
-    /// These are to be put into force.
+    /// The caller has to activate these settings.
     New(Box<RoutingConfig>),
-    /// They differ, but the settings in force come by the policy epochs of the fleet.
+    /// The settings differ but are not activated, since the active ones are set by the fleet's policy epochs.
     LeftToFleetPolicy,
 }
 
 impl Config {
-    /// Checks that another configuration is whole enough to replace this one.
+    /// Checks that another configuration is complete enough to replace this one.
     ///
     /// # Errors
-    /// Names the first fault: the text was cut short, a key is missing that this one has, or a deadline or
-    /// the number of attempts is no number above 0.
+    /// The first fault: the text is truncated, a key of this configuration is missing, or a deadline or the number of
+    /// attempts is not a number above 0.
     pub fn check_replacement(&self, new: &Config) -> Result<(), ConfigError> {
         if self.document.is_terminated && !new.document.is_terminated {
-            return Err(ConfigError("cut short: its last line has no end".into()));
+            return Err(ConfigError(
+                "file is cut short: its last line does not end with a newline".into(),
+            ));
         }
         if let Some(key) = missing_key(&self.document.table, &new.document.table, "") {
             return Err(ConfigError(format!(
-                "{key} is missing, which the configuration in force has"
+                "{key} is missing, but the active configuration has it: add it, or restart the router"
             )));
         }
         check_values(&new.document.table["settings"])
     }
 
-    /// Whether the settings in force come by the fleet's policy.
+    /// Whether the active settings are set by the fleet's policy epochs.
     fn has_fleet_policy(&self) -> bool {
         self.fleet
             .as_ref()
             .is_some_and(|fleet| fleet.policy.is_some())
     }
 
-    /// Takes over what a checked replacement may change while the process runs; what is to be done about its
-    /// settings.
+    /// Adopts the fields of a checked replacement that may change while the process runs. Returns what the caller has to
+    /// do about the settings.
     pub fn replace_with(&mut self, new: Config) -> SettingsChange {
         self.discovery = new.discovery;
         self.document = new.document;
@@ -70,8 +72,8 @@
     }
 }
 
-/// The settings that count from a start only, by their names in the file, and whether they differ. The same
-/// are each conductor's own in a fleet's policy.
+/// Settings that take effect only at a restart, by their names in the file, and whether they differ. A fleet's policy
+/// leaves the same settings to each router.
 pub(super) fn fixed_differences(
     a: &RoutingConfig,
     b: &RoutingConfig,
@@ -107,28 +109,28 @@
     ]
 }
 
-/// New settings with those of the fields that count from a start only as they are in force.
-fn keep_fixed(held: &RoutingConfig, new: RoutingConfig) -> RoutingConfig {
+/// The new settings, with the active values of the fields that take effect only at a restart.
+fn keep_fixed(active: &RoutingConfig, new: RoutingConfig) -> RoutingConfig {
     RoutingConfig {
-        index: held.index,
-        routers: held.routers,
-        zone: held.zone.clone(),
-        endpoints_require_subscription: held.endpoints_require_subscription,
-        kinds: held.kinds.clone(),
-        kv_state_hold_limit: held.kv_state_hold_limit,
-        decode_workers_prefill: held.decode_workers_prefill,
-        load_reporting: held.load_reporting,
-        connect_timeout: held.connect_timeout,
-        batch_interval: held.batch_interval,
+        index: active.index,
+        routers: active.routers,
+        zone: active.zone.clone(),
+        endpoints_require_subscription: active.endpoints_require_subscription,
+        kinds: active.kinds.clone(),
+        kv_state_hold_limit: active.kv_state_hold_limit,
+        decode_workers_prefill: active.decode_workers_prefill,
+        load_reporting: active.load_reporting,
+        connect_timeout: active.connect_timeout,
+        batch_interval: active.batch_interval,
         ..new
     }
 }
 
-/// The path of the first key that one table has and its replacement lacks. A key without a value is absent.
-fn missing_key(held: &Value, new: &Value, path: &str) -> Option<String> {
-    match (held, new) {
-        (Value::Object(held), Value::Object(new)) => {
-            let present = held.iter().filter(|(_, value)| !value.is_null());
+/// The path of the first key that the active table has and the new one lacks. A key whose value is null counts as absent.
+fn missing_key(active: &Value, new: &Value, path: &str) -> Option<String> {
+    match (active, new) {
+        (Value::Object(active), Value::Object(new)) => {
+            let present = active.iter().filter(|(_, value)| !value.is_null());
             present.into_iter().find_map(|(key, value)| {
                 let path = if path.is_empty() {
                     key.clone()
@@ -141,40 +143,42 @@
                 }
             })
         }
-        (Value::Array(held), Value::Array(new)) => missing_in_list(held, new, path),
-        // Something else stands where a table or a list was.
+        (Value::Array(active), Value::Array(new)) => missing_in_list(active, new, path),
+        // A value of another type has replaced a table or a list.
         (Value::Object(_) | Value::Array(_), _) => Some(path.to_owned()),
         _ => None,
     }
 }
 
-/// The same in lists, which may become longer and shorter: a table of the new list needs the keys that all
-/// tables of its kind have in the old one. Classes of one effect are a kind, since keyed ones have keys of
-/// their own.
-fn missing_in_list(held: &[Value], new: &[Value], path: &str) -> Option<String> {
-    let held: Vec<&Map<String, Value>> = held.iter().filter_map(Value::as_object).collect();
+/// [`missing_key`] for lists, whose length may change: a table of the new list needs the keys that all similar tables of
+/// the active list have. Classes are similar if they have the same effect, since an effect may need keys of its own.
+/// If no table is similar, all tables of the active list are compared.
+fn missing_in_list(active: &[Value], new: &[Value], path: &str) -> Option<String> {
+    let active: Vec<&Map<String, Value>> = active.iter().filter_map(Value::as_object).collect();
     new.iter().enumerate().find_map(|(i, item)| {
         let same_effect = |other: &&Map<String, Value>| other.get("effect") == item.get("effect");
-        let mut alike: Vec<_> = held.iter().copied().filter(same_effect).collect();
-        if alike.is_empty() {
-            alike = held.clone();
+        let mut similar: Vec<_> = active.iter().copied().filter(same_effect).collect();
+        if similar.is_empty() {
+            similar = active.clone();
         }
-        let first = alike.first()?;
+        let first = similar.first()?;
         let has =
             |table: &Map<String, Value>, key: &str| table.get(key).is_some_and(|v| !v.is_null());
         let mut shared = first
             .keys()
-            .filter(|key| alike.iter().all(|table| has(table, key)));
+            .filter(|key| similar.iter().all(|table| has(table, key)));
         let missing = shared.find(|key| !item.as_object().is_some_and(|table| has(table, key)));
         missing.map(|key| format!("{path}[{i}].{key}"))
     })
 }
 
-/// Checks the names and deadlines of all classes, and the number of attempts.
+/// Validates the names and deadlines of all classes, and the number of attempts.
 fn check_values(settings: &Value) -> Result<(), ConfigError> {
     let check = |value: &Value, path: String| match value.as_f64() {
         Some(number) if number > 0.0 => Ok(()),
-        _ => Err(ConfigError(format!("{path}: {value} is no number above 0"))),
+        _ => Err(ConfigError(format!(
+            "{path}: {value} is not a number above 0"
+        ))),
     };
     let attempts = &settings["permissions"]["max_attempts"];
     check(attempts, "settings.permissions.max_attempts".to_owned())?;
@@ -186,7 +190,7 @@
     {
         if class["name"].as_str().is_none_or(str::is_empty) {
             return Err(ConfigError(format!(
-                "settings.classes[{i}].name: {} is no name",
+                "settings.classes[{i}].name: {} is not a nonempty string",
                 class["name"]
             )));
         }
@@ -197,7 +201,7 @@
     Ok(())
 }
 
-/// What changes for new requests between two settings, for the log.
+/// Describes for the log what changes for new requests between two settings.
 pub fn describe_changes(from: &RoutingConfig, to: &RoutingConfig) -> String {
     let mut changes = Vec::new();
     for class in &to.classes {
--- a/src/config/replacement/tests.rs
+++ b/src/config/replacement/tests.rs
@@ -36,14 +36,14 @@
     Config::from_json(text, |_| None)
 }
 
-fn held() -> Config {
+fn active() -> Config {
     read(&table().to_string()).unwrap()
 }
 
-/// What becomes of a text at SIGHUP.
+/// Parses a text and checks it as a replacement, as at SIGHUP.
 fn load(text: &str) -> Result<Config, ConfigError> {
     let new = read(text)?;
-    held().check_replacement(&new)?;
+    active().check_replacement(&new)?;
     Ok(new)
 }
 
@@ -57,7 +57,7 @@
     table["settings"]["classes"].as_array_mut().unwrap()
 }
 
-/// The pointers to all fields of tables, those in lists included.
+/// JSON pointers to all fields of tables, including tables in lists.
 fn fields(value: &Value, path: &str) -> Vec<String> {
     let children: Vec<(String, &Value)> = match value {
         Value::Object(table) => table
@@ -99,8 +99,8 @@
         classes(table).push(new);
         table["settings"]["permissions"]["max_attempts"] = json!(2);
     });
-    let (mut held, before) = (held(), held().settings);
-    let SettingsChange::New(settings) = held.replace_with(load(&text).unwrap()) else {
+    let (mut active, before) = (active(), active().settings);
+    let SettingsChange::New(settings) = active.replace_with(load(&text).unwrap()) else {
         panic!("no change")
     };
     let effects: Vec<_> = settings
@@ -115,11 +115,11 @@
         describe_changes(&before, &settings),
         "class explain has another effect, class plan added, class send dropped, max_attempts 6 -> 2"
     );
-    assert_eq!(held.settings, *settings);
+    assert_eq!(active.settings, *settings);
 }
 
 #[test]
-fn a_keyed_class_may_become_another_and_drop_what_only_keyed_ones_have() {
+fn keyed_class_may_change_its_effect_and_drop_the_keys_of_keyed_classes() {
     let effect = |effect: &str| {
         changed(|table| {
             let class = classes(table)[2].as_object_mut().unwrap();
@@ -133,21 +133,21 @@
 }
 
 #[test]
-fn lists_may_become_empty_but_not_vanish_and_one_class_is_needed() {
+fn lists_may_become_empty_but_not_be_removed_and_one_class_is_required() {
     assert!(load(&changed(|table| table["settings"]["tenants"] = json!([]))).is_ok());
     assert!(load(&changed(|table| table["settings"]["tenants"] = json!(null))).is_err());
     assert!(load(&changed(|table| table["settings"]["tenants"] = json!("t1"))).is_err());
     assert!(load(&changed(|table| table["settings"]["classes"] = json!([]))).is_err());
 }
 
-/// Guards against defaults that quietly take the place of what a file has lost.
+/// Guards against defaults that silently replace a key that the file has lost.
 #[test]
-fn a_file_that_lacks_any_key_is_turned_down_by_its_name() {
-    let all = fields(&table(), "");
-    assert!(all.len() > 40, "{all:?}");
-    for pointer in all {
+fn file_without_any_one_key_is_rejected_naming_the_key() {
+    let pointers = fields(&table(), "");
+    assert!(pointers.len() > 40, "{pointers:?}");
+    for pointer in pointers {
         let text = changed(|table| remove(table, &pointer));
-        // Of classes that differ, none is the pattern for the others' keys.
+        // The classes of the table differ in effect, so each needs all of its keys.
         let fault = load(&text).expect_err(&pointer).to_string();
         assert!(!fault.contains('\n'), "{fault}");
         let key = pointer.rsplit('/').next().unwrap();
@@ -159,14 +159,14 @@
 #[case("max_attempts", "/settings/permissions/max_attempts")]
 #[case("objective_us", "/settings/classes/1/objective_us")]
 #[case("give_up_us", "/settings/classes/2/give_up_us")]
-fn deadlines_and_attempts_are_numbers_above_0(#[case] key: &str, #[case] pointer: &str) {
+fn deadlines_and_attempts_must_be_numbers_above_0(#[case] key: &str, #[case] pointer: &str) {
     let with = |value: Value| {
         load(&changed(|table| {
             *table.pointer_mut(pointer).unwrap() = value;
         }))
     };
     assert!(with(json!(1)).is_ok());
-    for wrong in [
+    for invalid in [
         json!(0),
         json!(-1),
         json!("5"),
@@ -176,10 +176,10 @@
         json!([]),
         json!({}),
     ] {
-        let fault = with(wrong.clone())
-            .expect_err(&wrong.to_string())
+        let fault = with(invalid.clone())
+            .expect_err(&invalid.to_string())
             .to_string();
-        assert!(fault.contains(key), "{wrong}: {fault}");
+        assert!(fault.contains(key), "{invalid}: {fault}");
     }
 }
 
@@ -191,33 +191,33 @@
 #[case::list("[]")]
 #[case::not_json("listen = 5")]
 #[case::two_files("{}{}")]
-fn what_is_no_configuration_is_turned_down(#[case] text: &str) {
+fn text_that_is_no_configuration_is_rejected(#[case] text: &str) {
     assert!(load(text).is_err());
 }
 
 #[test]
-fn what_counts_from_a_start_stays_and_is_named() {
+fn settings_that_need_a_restart_are_kept_and_named() {
     let text = changed(|table| {
         table["settings"]["skus"] = json!(["rd", "wr", "all"]);
         table["settings"]["permissions"]["connect_timeout_us"] = json!(90000);
         table["settings"]["permissions"]["max_attempts"] = json!(3);
         table["listen"] = json!("127.0.0.1:8001");
     });
-    let (mut held, new) = (held(), load(&text).unwrap());
+    let (mut active, new) = (active(), load(&text).unwrap());
     let named = [
         "listen",
         "settings.skus",
         "settings.family_info.role_by_kind",
     ];
-    let differences = held.differences(&new);
+    let differences = active.differences(&new);
     assert!(
         named.iter().all(|name| differences.contains(name)),
         "{differences:?}"
     );
     assert!(differences.contains(&"settings.permissions.connect_timeout_us"));
-    let before = held.settings.clone();
+    let before = active.settings.clone();
     assert_eq!(
-        held.replace_with(new),
+        active.replace_with(new),
         SettingsChange::New(Box::new(RoutingConfig {
             max_attempts: 3,
             ..before
@@ -225,33 +225,35 @@
     );
 }
 
-/// Guards against two masters of one conductor's settings.
+/// Guards against a router whose settings are set both by its file and by the fleet's policy.
 #[test]
-fn settings_of_a_fleet_with_a_policy_are_left_to_it() {
+fn reload_leaves_settings_to_the_fleet_policy() {
     let file = include_str!("../../../deploy/fleet/c1.toml");
-    let mut held = Config::from_toml(file).unwrap();
+    let mut active = Config::from_toml(file).unwrap();
     assert!(
-        held.fleet
+        active
+            .fleet
             .as_ref()
             .is_some_and(|fleet| fleet.policy.is_some())
     );
-    let mut new = held.clone();
-    assert_eq!(held.replace_with(new.clone()), SettingsChange::None);
+    let mut new = active.clone();
+    assert_eq!(active.replace_with(new.clone()), SettingsChange::None);
     new.settings.max_attempts += 1;
-    let before = held.settings.clone();
-    assert_eq!(held.replace_with(new), SettingsChange::LeftToFleetPolicy);
-    assert_eq!(held.settings, before);
+    let before = active.settings.clone();
+    assert_eq!(active.replace_with(new), SettingsChange::LeftToFleetPolicy);
+    assert_eq!(active.settings, before);
 }
 
-/// Guards against an operator's file that ends amid a number, which TOML can't tell.
+/// Guards against an operator's file truncated inside a number, which still parses as TOML.
 #[test]
-fn an_operators_file_is_cut_short_without_its_last_line_end() {
+fn operator_file_without_final_newline_is_rejected_as_cut_short() {
     let text = toml::to_string(&table()).unwrap() + "max_out = 120\n";
-    let held = Config::from_toml(&text).unwrap();
-    assert!(held.check_replacement(&held).is_ok());
+    let active = Config::from_toml(&text).unwrap();
+    assert!(active.check_replacement(&active).is_ok());
     let cut = Config::from_toml(&text[..text.len() - 2]).unwrap();
     assert!(
-        held.check_replacement(&cut)
+        active
+            .check_replacement(&cut)
             .unwrap_err()
             .to_string()
             .contains("cut short")
@@ -265,9 +267,9 @@
         ..ProptestConfig::with_cases(512)
     })]
 
-    /// Guards against a file that is read while it is written: it means the same, or is turned down whole.
+    /// Guards against a file that is read while it is being written: a prefix of it is rejected or has the same meaning.
     #[test]
-    fn a_file_cut_anywhere_means_the_same_or_is_turned_down(cut in any::<Index>(), indented: bool) {
+    fn truncated_file_has_the_same_meaning_or_is_rejected(cut in any::<Index>(), indented: bool) {
         let plain = table().to_string();
         let text = if indented { serde_json::to_string_pretty(&table()).unwrap() + "\n" } else { plain };
         if let Ok(new) = load(&text[..cut.index(text.len() + 1)]) {
@@ -275,28 +277,28 @@
         }
     }
 
-    /// The same for keys that are lost, any number of them, at any depth.
+    /// A file that has lost any number of keys, at any depth, is rejected.
     #[test]
-    fn a_file_that_has_lost_keys_is_turned_down(lost in prop::collection::vec(any::<Index>(), 0..4)) {
+    fn file_that_has_lost_keys_is_rejected(lost in prop::collection::vec(any::<Index>(), 0..4)) {
         let mut table = table();
         for index in &lost {
-            let left = fields(&table, "");
-            remove(&mut table, &left[index.index(left.len())]);
+            let remaining = fields(&table, "");
+            remove(&mut table, &remaining[index.index(remaining.len())]);
         }
         prop_assert_eq!(load(&table.to_string()).is_ok(), lost.is_empty());
     }
 
-    /// Bytes lost amid the file: what loads has all keys and usable numbers, whatever the bytes were.
+    /// A file that has lost bytes in the middle is rejected, or has classes with usable names and numbers.
     #[test]
-    fn a_file_that_has_lost_bytes_is_whole_or_turned_down(from in any::<Index>(), bytes in 1..200usize) {
+    fn file_that_has_lost_bytes_is_usable_or_rejected(from in any::<Index>(), bytes in 1..200usize) {
         let text = table().to_string();
         let from = from.index(text.len());
         let rest = &text[(from + bytes).min(text.len())..];
         if let Ok(new) = load(&format!("{}{rest}", &text[..from])) {
             prop_assert!(new.settings.max_attempts > 0);
             prop_assert!(!new.settings.classes.is_empty());
-            let whole = new.settings.classes.iter().all(|c| c.client_timeout > 0 && c.ttft_objective > 0 && !c.name.is_empty());
-            prop_assert!(whole, "{:?}", new.settings.classes);
+            let usable = new.settings.classes.iter().all(|c| c.client_timeout > 0 && c.ttft_objective > 0 && !c.name.is_empty());
+            prop_assert!(usable, "{:?}", new.settings.classes);
         }
     }
 }
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -1,13 +1,13 @@
 use super::*;
 
 #[test]
-fn nested_settings_flatten_to_the_wire_s_paths() {
+fn nested_settings_flatten_to_paths_of_the_init_message() {
     let value = serde_json::json!({"a": {"b": [1.5, 2], "c": null, "name": "x y"},
         "classes": [{"n": "p"}, {"n": "q"}], "none": [], "on": true});
     let mut pairs = Vec::new();
     flatten("", &value, &mut pairs);
     let text: Vec<String> = pairs.into_iter().map(|(k, v)| format!("{k}={v}")).collect();
-    let wanted = [
+    let expected = [
         "a.b=1.5,2",
         "a.name=x_y",
         "classes.count=2",
@@ -16,12 +16,12 @@
         "none=",
         "on=true",
     ];
-    assert_eq!(text, wanted);
+    assert_eq!(text, expected);
 }
 
-/// Guards against a fleet on the platform, where conductors share nothing.
+/// Routers on the platform share no state, so a `fleet` table in the platform's file must not enable a fleet.
 #[test]
-fn the_platform_switches_no_fleet_on() {
+fn platform_file_ignores_the_fleet_table() {
     let file = include_str!("../../deploy/fleet/c1.toml");
     assert!(Config::from_toml(file).unwrap().fleet.is_some());
     let value: Value = toml::from_str(file).unwrap();
@@ -34,9 +34,9 @@
     );
 }
 
-/// Guards against a door that opens where nobody asked for one, or elsewhere than the file says.
+/// Guards against an admin endpoint that is opened without being configured, or at an address other than the file's.
 #[test]
-fn the_file_s_door_outranks_the_environment_s_and_without_either_there_is_none() {
+fn admin_address_of_the_file_overrides_the_environment_and_defaults_to_none() {
     let file = |ops: Option<&str>| {
         let mut value: Value = toml::from_str(include_str!("../../deploy/fleet/c1.toml")).unwrap();
         if let Some(ops) = ops {
@@ -50,19 +50,19 @@
             env.clone().filter(|_| name == "NODE_OPS")
         })
     };
-    let door = |ops, env| {
+    let admin_address = |ops, env| {
         read(ops, env)
             .unwrap()
             .ops
             .map(|address| address.to_string())
     };
-    assert_eq!(door(None, None), None);
+    assert_eq!(admin_address(None, None), None);
     assert_eq!(
-        door(None, Some("127.0.0.1:9000")).as_deref(),
+        admin_address(None, Some("127.0.0.1:9000")).as_deref(),
         Some("127.0.0.1:9000")
     );
     assert_eq!(
-        door(Some("127.0.0.1:9001"), Some("127.0.0.1:9000")).as_deref(),
+        admin_address(Some("127.0.0.1:9001"), Some("127.0.0.1:9000")).as_deref(),
         Some("127.0.0.1:9001")
     );
     assert!(
@@ -71,9 +71,9 @@
             .to_string()
             .contains("NODE_OPS")
     );
-    let (none, one) = (
+    let (without_admin, with_admin) = (
         read(None, None).unwrap(),
         read(None, Some("127.0.0.1:9000")).unwrap(),
     );
-    assert_eq!(none.differences(&one), ["ops"]);
+    assert_eq!(without_admin.differences(&with_admin), ["ops"]);
 }
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -244,7 +244,7 @@
         (without("give_up_us = 6000000\n"), "give_up_us"),
         (
             good.replace("give_up_us = 6000000", "give_up_us = 0"),
-            "0 is no number above 0",
+            "0 is not a number above 0",
         ),
         (
             good.replace("give_up_us = 6000000", "give_up_us = \"soon\""),
@@ -252,7 +252,7 @@
         ),
         (
             with_attempts(&good, "0"),
-            "max_attempts: 0 is no number above 0",
+            "max_attempts: 0 is not a number above 0",
         ),
         (with_attempts(&good, "-1"), "max_attempts"),
         (with_attempts(&good, "\"many\""), "max_attempts"),
