--- a/src/bin/whinhaven-drill.rs
+++ b/src/bin/whinhaven-drill.rs
@@ -1,4 +1,5 @@
-//! Hosts decision modules on the simulator's wire: standard input to standard output.
+//! Adapter to the simulator: runs one routing policy for each simulated router, with the line protocol on standard input and
+//! output.
 
 use std::process::ExitCode;
 
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,130 +1,128 @@
-//! The command line.
+//! Command-line arguments of `whinhaven`.
 
 use crate::logs::LogFormat;
 use clap::error::ErrorKind;
 use clap::{Args, Parser, Subcommand};
 use std::path::PathBuf;
 
-/// A request router for language models served by separate readers and writers.
+/// A request router for language models served by separate prefill and decode workers.
 ///
-/// Without a command it serves on the platform: NODE_CONFIG names the configuration.
+/// Without a command it serves with the platform's JSON configuration file, whose path is in NODE_CONFIG.
 #[derive(Debug, Parser)]
 #[command(name = "whinhaven", version)]
 pub struct Cli {
-    /// How log lines are written on standard error.
+    /// Format of the log lines on standard error.
     #[arg(long, global = true, value_enum, default_value_t = LogFormat::Text)]
     pub log_format: LogFormat,
-    /// What to do.
+    /// The command; `None` serves on the platform.
     #[command(subcommand)]
     pub command: Option<Command>,
 }
 
-/// What to do.
+/// A command of the program.
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Serve by an operator's file.
+    /// Serve with an operator's file.
     Serve {
-        /// The operator's file.
+        /// Operator's file (TOML).
         file: PathBuf,
     },
-    /// Write an operator's file from another program's configuration.
+    /// Convert another program's configuration to an operator's file.
     Import {
-        /// Which program's.
+        /// The program whose configuration is converted.
         #[command(subcommand)]
-        from: From,
+        source: ImportSource,
     },
     /// Validate an operator's file and exit.
     Check {
-        /// The operator's file.
+        /// Operator's file (TOML).
         file: PathBuf,
     },
-    /// Plans for the loss of a whole site.
+    /// Make and check plans for the loss of a whole site.
     Sites(whinhaven::fleet::sites::command::SitesArgs),
-    /// Ask the fleet that an operator's file belongs to.
+    /// Query or change the fleet that an operator's file configures.
     Fleet {
-        /// What to ask.
+        /// The fleet command.
         #[command(subcommand)]
-        ask: Ask,
+        command: FleetCommand,
     },
-    /// Change or look at the policy that all conductors of a fleet share.
+    /// Show or change the policy that all routers of a fleet share.
     Policy {
-        /// What to do.
+        /// The policy command.
         #[command(subcommand)]
-        what: Policy,
+        command: PolicyCommand,
     },
 }
 
-/// What can be done about the policy.
+/// A command on the policy of a fleet.
 #[derive(Debug, Subcommand)]
-pub enum Policy {
-    /// Shows what differs, proposes, and waits until it is in force everywhere or nowhere.
+pub enum PolicyCommand {
+    /// Show the differences, propose the new policy, and wait until the proposal is applied or rejected.
     Propose {
-        /// The new [settings] table: a file with it, or with its fields alone.
+        /// File with the new policy: either a [settings] table, or its fields at top level.
         new: PathBuf,
-        /// The operator's file of any member.
+        /// Operator's file of any member.
         file: PathBuf,
-        /// Have all conductors check it, and change nothing.
+        /// Have all routers validate the proposal without applying it.
         #[arg(long)]
         only_check: bool,
     },
-    /// The proposals so far: who, when, what differed, what came of it.
+    /// List past proposals with author, time, differences and outcome.
     History {
-        /// The operator's file of any member.
+        /// Operator's file of any member.
         file: PathBuf,
     },
-    /// Ends the proposal under way: in force nowhere.
+    /// Abort the pending proposal; it is not applied anywhere.
     Abort {
-        /// The operator's file of any member.
+        /// Operator's file of any member.
         file: PathBuf,
     },
-    /// The epoch in force, who holds it, and its content.
+    /// Show the active epoch, how many members have applied it, and its content.
     Show {
-        /// The operator's file of any member.
+        /// Operator's file of any member.
         file: PathBuf,
     },
 }
 
-/// Whose configuration can be imported.
+/// A program whose configuration can be imported.
 #[derive(Debug, Subcommand)]
-pub enum From {
-    /// HAProxy's.
+pub enum ImportSource {
+    /// Import a configuration of HAProxy.
     Haproxy {
-        /// HAProxy's configuration.
+        /// HAProxy's configuration file.
         file: PathBuf,
     },
 }
 
-/// What the fleet can be asked.
+/// A command on a fleet.
 #[derive(Debug, Subcommand)]
-pub enum Ask {
-    /// Members with site, incarnation and health; leader and term; leases with holder and token.
-    Status(Where),
-    /// Has other members vote: all the names that shall, one voter is changed at a time.
+pub enum FleetCommand {
+    /// Show members with site, incarnation and health, leader and term, and leases with holder and token.
+    Status(StatusArgs),
+    /// Replace the set of voters; the fleet changes one voter at a time.
     Voters {
-        /// The operator's file of any member.
+        /// Operator's file of any member.
         file: PathBuf,
-        /// Who shall vote.
+        /// Names of all members of the new set of voters.
         #[arg(required = true)]
         names: Vec<String>,
     },
 }
 
-/// Whom to ask and how to print.
+/// Arguments of `whinhaven fleet status`.
 #[derive(Debug, Args)]
-pub struct Where {
-    /// The operator's file of any member; its own conductor is asked first, then its peers.
+pub struct StatusArgs {
+    /// Operator's file of any member; its own router is asked first, then its peers.
     pub file: PathBuf,
-    /// Print JSON.
+    /// Print the status as JSON.
     #[arg(long)]
     pub json: bool,
 }
 
-/// Reads the command line.
+/// Parses the command line. For `--help` and `--version` it prints the text and exits the process.
 ///
 /// # Errors
-/// What is wrong with it, in one line.
-///
-/// Asked for help or its version, it prints that and ends the process.
+/// The arguments are invalid; the text is one line.
 pub fn parse() -> Result<Cli, String> {
     Cli::try_parse().map_err(|error| {
         if !error.use_stderr() {
@@ -133,7 +131,7 @@
         if error.kind() == ErrorKind::DisplayHelpOnMissingArgumentOrSubcommand {
             return "a command is missing; whinhaven --help lists them".to_owned();
         }
-        // Clap's text has the fault first, then usage and hints in paragraphs of their own.
+        // The first paragraph of clap's text is the error; usage and hints follow in paragraphs of their own.
         let text = error.render().to_string();
         let fault: Vec<&str> = text
             .lines()
--- a/src/haproxy.rs
+++ b/src/haproxy.rs
@@ -1,35 +1,35 @@
-//! Imports HAProxy's configuration: writes an operator's file of what can be carried over, and lists the rest.
+//! Imports HAProxy's configuration: converts it to an operator's file and lists the directives that are not carried over.
 //!
-//! HAProxy knows neither readers and writers nor classes. A backend named for one of the roles gets it (see
-//! [`role`]); servers of any other do both. There is one class, never repeated: the safe choice for traffic of
-//! which nothing is told.
+//! HAProxy has neither prefill and decode workers nor request classes. The name of a backend may state the role of its
+//! servers (see [`role`]); servers of all other backends get both roles. All requests get one class, which is never
+//! retried once it may have run: the safe choice for traffic whose effects are unknown.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 use std::net::{Ipv4Addr, Ipv6Addr, SocketAddr};
 use toml::{Table, Value};
 
-/// Why a file can't be imported, and where.
+/// The file can't be imported.
 #[derive(Debug, PartialEq, thiserror::Error)]
-#[error("line {line}: {what}")]
+#[error("line {line}: {message}")]
 pub struct ImportError {
-    /// The line, from 1; one past the last where something is missing from the whole file.
+    /// Number of the invalid line, from 1; one past the last line if something is missing from the whole file.
     pub line: usize,
-    /// What is wrong.
-    pub what: String,
+    /// Directive or value at fault, and why it is invalid.
+    pub message: String,
 }
 
-/// What came of an import.
+/// Result of an import.
 #[derive(Debug)]
 pub struct Import {
-    /// The operator's file; what could not be carried over stands at its top.
+    /// Text of the operator's file; comments at its top list what is not carried over.
     pub file: String,
-    /// What could not be carried over: line, and why.
-    pub left_out: Vec<(usize, String)>,
+    /// Directives that are not carried over: line number, and the directive or the reason.
+    pub skipped: Vec<(usize, String)>,
 }
 
-/// Sections that HAProxy knows and an operator's file has nothing for.
-const OTHER_SECTIONS: [&str; 15] = [
+/// Sections of HAProxy that have no counterpart in an operator's file.
+const UNSUPPORTED_SECTIONS: [&str; 15] = [
     "acme",
     "cache",
     "crt-store",
@@ -46,21 +46,21 @@
     "userlist",
     "dynamic-update",
 ];
-/// Descriptors beside those of connections.
+/// File descriptors needed in addition to those of client and server connections.
 const SPARE_SOCKETS: u64 = 64;
 
-/// What a proxy section says, defaults taken over.
+/// A proxy section, including the values inherited from its defaults section. Times are in microseconds.
 #[derive(Clone, Debug, Default)]
 struct Proxy {
     line: usize,
     binds: Vec<(usize, SocketAddr)>,
     servers: Vec<Server>,
     default_backend: Option<(usize, String)>,
-    connect: Option<u64>,
-    server: Option<u64>,
-    keep_alive: Option<u64>,
+    connect_timeout: Option<u64>,
+    server_timeout: Option<u64>,
+    keep_alive_timeout: Option<u64>,
     retries: Option<u64>,
-    takes_clients: bool,
+    accepts_clients: bool,
 }
 
 #[derive(Clone, Debug)]
@@ -75,61 +75,66 @@
     Global,
     Defaults(String),
     Proxy(String),
-    Other,
+    Unsupported,
 }
 
 #[derive(Default)]
-struct Reader {
+struct Importer {
     defaults: BTreeMap<String, Proxy>,
     last_defaults: Option<String>,
     proxies: BTreeMap<String, Proxy>,
     order: Vec<String>,
     maxconn: Option<u64>,
-    left_out: Vec<(usize, String)>,
+    skipped: Vec<(usize, String)>,
 }
 
-fn fail<T>(line: usize, what: impl Into<String>) -> Result<T, ImportError> {
+fn fail<T>(line: usize, message: impl Into<String>) -> Result<T, ImportError> {
     Err(ImportError {
         line,
-        what: what.into(),
+        message: message.into(),
     })
 }
 
-/// Reads HAProxy's configuration and writes the operator's file.
+/// Converts HAProxy's configuration to an operator's file.
 ///
 /// # Errors
-/// The first line that is malformed, or what the whole file lacks.
+/// A line is malformed (the first one is reported), or the file lacks a section that an operator's file needs.
 pub fn import(text: &str) -> Result<Import, ImportError> {
-    let mut reader = Reader::default();
+    let mut importer = Importer::default();
     let mut section = None;
     for (i, raw) in text.lines().enumerate() {
         let line = i + 1;
-        let words = words(line, raw)?;
+        let words = split_words(line, raw)?;
         let words: Vec<&str> = words.iter().map(String::as_str).collect();
         if let Some((keyword, rest)) = words.split_first() {
-            match reader.section(line, keyword, rest)? {
-                Some(begun) => section = Some(begun),
-                None => reader.directive(line, section.as_ref(), keyword, rest)?,
+            match importer.section(line, keyword, rest)? {
+                Some(opened) => section = Some(opened),
+                None => importer.directive(line, section.as_ref(), keyword, rest)?,
             }
         }
     }
-    reader.write(text.lines().count() + 1)
+    importer.write(text.lines().count() + 1)
 }
 
-/// Splits a line as HAProxy does: quotes, backslashes, comments.
-fn words(line: usize, raw: &str) -> Result<Vec<String>, ImportError> {
+/// Splits a line into words as HAProxy does, with its rules for quotes, backslashes and comments.
+fn split_words(line: usize, raw: &str) -> Result<Vec<String>, ImportError> {
     let (mut words, mut word, mut quote) = (Vec::new(), None::<String>, None);
-    let mut letters = raw.chars();
-    while let Some(c) = letters.next() {
+    let mut chars = raw.chars();
+    while let Some(c) = chars.next() {
         match (c, quote) {
             (c, Some(q)) if c == q => quote = None,
             ('"' | '\'', None) => {
                 quote = Some(c);
                 word.get_or_insert_default();
             }
-            ('\\', None | Some('"')) => match letters.next() {
+            ('\\', None | Some('"')) => match chars.next() {
                 Some(next) => word.get_or_insert_default().push(next),
-                None => return fail(line, "nothing follows the backslash"),
+                None => {
+                    return fail(
+                        line,
+                        "the line ends after a backslash: put the escaped character behind it, or remove it",
+                    );
+                }
             },
             ('#', None) => break,
             (c, None) if c.is_whitespace() => words.extend(word.take()),
@@ -137,14 +142,14 @@
         }
     }
     if quote.is_some() {
-        return fail(line, "a quote is not closed");
+        return fail(line, "a quote is not closed at the end of the line");
     }
     words.extend(word);
     Ok(words)
 }
 
-/// A length of time in microseconds; without a unit, milliseconds.
-fn time(line: usize, text: &str) -> Result<u64, ImportError> {
+/// Parses a duration and returns it in microseconds; a number without a unit is in milliseconds.
+fn parse_duration(line: usize, text: &str) -> Result<u64, ImportError> {
     let digits = text
         .find(|c: char| !c.is_ascii_digit())
         .unwrap_or(text.len());
@@ -155,27 +160,41 @@
         "m" => 60_000_000,
         "h" => 3_600_000_000,
         "d" => 86_400_000_000,
-        other => return fail(line, format!("unknown unit of time {other:?} in {text:?}")),
+        other => {
+            return fail(
+                line,
+                format!("unknown time unit {other:?} in {text:?}; use us, ms, s, m, h or d"),
+            );
+        }
     };
     let number = text[..digits]
         .parse::<u64>()
         .ok()
         .and_then(|n| n.checked_mul(unit));
-    // Settings are signed numbers in TOML.
-    let time = number.filter(|t| i64::try_from(*t).is_ok());
-    time.map_or_else(
-        || fail(line, format!("{text:?} is not a length of time")),
+    // Integers in TOML are signed.
+    let duration = number.filter(|t| i64::try_from(*t).is_ok());
+    duration.map_or_else(
+        || fail(line, format!("{text:?} is not a duration, or is too long")),
         Ok,
     )
 }
 
-fn number(line: usize, text: &str) -> Result<u64, ImportError> {
+fn parse_number(line: usize, text: &str) -> Result<u64, ImportError> {
     let number = text.parse().ok().filter(|n| *n <= u64::from(u32::MAX));
-    number.map_or_else(|| fail(line, format!("{text:?} is not a number")), Ok)
+    number.map_or_else(
+        || {
+            fail(
+                line,
+                format!("{text:?} is not a number from 0 to {}", u32::MAX),
+            )
+        },
+        Ok,
+    )
 }
 
-/// An address with a port; `None` for what HAProxy takes and a conductor can't: names, sockets of other kinds.
-fn address(line: usize, text: &str) -> Result<Option<SocketAddr>, ImportError> {
+/// Parses an address with a port. `None`: HAProxy accepts the address but a router does not, such as a host name, a port
+/// range or a Unix socket.
+fn parse_address(line: usize, text: &str) -> Result<Option<SocketAddr>, ImportError> {
     let plain = text
         .strip_prefix("ipv4@")
         .or(text.strip_prefix("ipv6@"))
@@ -184,13 +203,13 @@
         return Ok(None);
     }
     let Some((host, port)) = plain.rsplit_once(':') else {
-        return fail(line, format!("{text:?} has no port"));
+        return fail(line, format!("address {text:?} has no port"));
     };
     if port.contains('-') || port.starts_with('+') {
         return Ok(None);
     }
     let Some(port) = port.parse::<u16>().ok().filter(|p| *p > 0) else {
-        return fail(line, format!("{port:?} is not a port"));
+        return fail(line, format!("{port:?} is not a port from 1 to 65535"));
     };
     let host = host.trim_start_matches('[').trim_end_matches(']');
     Ok(match host {
@@ -200,7 +219,7 @@
     })
 }
 
-/// The role that a backend's name stands for.
+/// The role, as in `role_by_kind` of an operator's file, that a backend's name stands for.
 pub fn role(backend: &str) -> &'static str {
     match backend {
         "prompt" | "read" | "reader" | "readers" => "read",
@@ -209,11 +228,12 @@
     }
 }
 
-impl Reader {
-    fn leave(&mut self, line: usize, what: impl Into<String>) {
-        self.left_out.push((line, what.into()));
+impl Importer {
+    fn skip(&mut self, line: usize, reason: impl Into<String>) {
+        self.skipped.push((line, reason.into()));
     }
 
+    /// Opens the section that a line begins; `None` if the line begins none.
     fn section(
         &mut self,
         line: usize,
@@ -227,13 +247,13 @@
             [name, "from", from] => (*name, Some(*from)),
             [name, ..] => (*name, None),
         };
-        let inherited = |reader: &Self| match from {
-            None => Ok(reader
+        let inherited = |importer: &Self| match from {
+            None => Ok(importer
                 .last_defaults
                 .as_ref()
-                .map(|d| reader.defaults[d].clone())
+                .map(|d| importer.defaults[d].clone())
                 .unwrap_or_default()),
-            Some(from) => reader.defaults.get(from).cloned().map_or_else(
+            Some(from) => importer.defaults.get(from).cloned().map_or_else(
                 || fail(line, format!("no defaults section is named {from:?}")),
                 Ok,
             ),
@@ -246,7 +266,7 @@
                 } else {
                     Proxy::default()
                 };
-                // Those without a name are told apart by their lines.
+                // A defaults section without a name is identified by its line.
                 let key = if name.is_empty() {
                     format!("\n{line}")
                 } else {
@@ -261,35 +281,39 @@
                     return fail(line, format!("{keyword} has no name"));
                 }
                 if keyword == "frontend" && matches!(rest, [_, second, ..] if *second != "from") {
-                    return fail(line, "a frontend's address belongs on a bind line");
+                    return fail(
+                        line,
+                        "the address of a frontend must be on a bind line, not in the frontend line",
+                    );
                 }
-                // HAProxy allows a frontend and a backend of one name.
+                // HAProxy allows a frontend and a backend with the same name.
                 let key = if keyword == "backend" {
                     name.to_owned()
                 } else {
                     format!("{keyword} {name}")
                 };
                 if self.proxies.contains_key(&key) {
-                    return fail(line, format!("{keyword} {name:?} is there already"));
+                    return fail(line, format!("{keyword} {name:?} is defined twice"));
                 }
-                let takes_clients = keyword != "backend";
+                let accepts_clients = keyword != "backend";
                 let proxy = Proxy {
                     line,
-                    takes_clients,
+                    accepts_clients,
                     ..inherited(self)?
                 };
                 self.proxies.insert(key.clone(), proxy);
                 self.order.push(key.clone());
                 Ok(Some(Section::Proxy(key)))
             }
-            other if OTHER_SECTIONS.contains(&other) => {
-                self.leave(line, format!("section {other} has no counterpart"));
-                Ok(Some(Section::Other))
+            other if UNSUPPORTED_SECTIONS.contains(&other) => {
+                self.skip(line, format!("section {other} has no counterpart"));
+                Ok(Some(Section::Unsupported))
             }
             _ => Ok(None),
         }
     }
 
+    /// Reads a line inside a section.
     fn directive(
         &mut self,
         line: usize,
@@ -298,9 +322,9 @@
         rest: &[&str],
     ) -> Result<(), ImportError> {
         let proxy = match section {
-            None => return fail(line, format!("{keyword:?} stands outside of any section")),
-            Some(Section::Other) => {
-                self.leave(
+            None => return fail(line, format!("{keyword:?} is outside of any section")),
+            Some(Section::Unsupported) => {
+                self.skip(
                     line,
                     format!("{keyword}, in a section that has no counterpart"),
                 );
@@ -308,9 +332,9 @@
             }
             Some(Section::Global) => {
                 match (keyword, rest) {
-                    ("maxconn", [count, ..]) => self.maxconn = Some(number(line, count)?),
-                    ("maxconn", []) => return fail(line, "maxconn has no number"),
-                    _ => self.leave(line, format!("global {keyword} has no counterpart")),
+                    ("maxconn", [count, ..]) => self.maxconn = Some(parse_number(line, count)?),
+                    ("maxconn", []) => return fail(line, "maxconn has no value: add a number"),
+                    _ => self.skip(line, format!("global {keyword} has no counterpart")),
                 }
                 return Ok(());
             }
@@ -318,28 +342,28 @@
             Some(Section::Proxy(name)) => self.proxies.get_mut(name),
         };
         let Some(proxy) = proxy else {
-            return fail(line, "the section is lost");
+            return fail(line, format!("{keyword:?} is in an unknown section"));
         };
         let in_defaults = matches!(section, Some(Section::Defaults(_)));
-        let mut left = Vec::new();
+        let mut skipped = Vec::new();
         match (keyword, rest) {
             ("bind" | "server", _) if in_defaults => {
-                return fail(line, format!("{keyword} does not belong into defaults"));
+                return fail(line, format!("{keyword} is not allowed in a defaults section"));
             }
-            ("bind", [at, options @ ..]) => {
-                for at in at.split(',') {
-                    match address(line, at)? {
+            ("bind", [addresses, options @ ..]) => {
+                for text in addresses.split(',') {
+                    match parse_address(line, text)? {
                         Some(address) => proxy.binds.push((line, address)),
-                        None => left.push(format!("bind {at}: not an address with one port")),
+                        None => skipped.push(format!("bind {text}: not an IP address with one port")),
                     }
                 }
                 if !options.is_empty() {
-                    left.push(format!("bind options {}", options.join(" ")));
+                    skipped.push(format!("bind options {}", options.join(" ")));
                 }
             }
-            ("server", [name, at, options @ ..]) => match address(line, at)? {
-                None => left.push(format!(
-                    "server {name}: {at} is no address (there is no DNS here)"
+            ("server", [name, text, options @ ..]) => match parse_address(line, text)? {
+                None => skipped.push(format!(
+                    "server {name}: {text} is not an IP address with one port; host names are not resolved"
                 )),
                 Some(address) => {
                     let mut server = Server {
@@ -348,73 +372,80 @@
                         weight: 1,
                         disabled: false,
                     };
-                    left.extend(server.options(line, options)?);
+                    skipped.extend(server.options(line, options)?);
                     proxy.servers.push(server);
                 }
             },
-            ("timeout", [which, length, ..]) => {
-                let length = time(line, length)?;
-                match *which {
-                    "connect" => proxy.connect = Some(length),
-                    "server" => proxy.server = Some(length),
-                    "http-keep-alive" => proxy.keep_alive = Some(length),
-                    other => left.push(format!("timeout {other}")),
+            ("timeout", [kind, duration, ..]) => {
+                let duration = parse_duration(line, duration)?;
+                match *kind {
+                    "connect" => proxy.connect_timeout = Some(duration),
+                    "server" => proxy.server_timeout = Some(duration),
+                    "http-keep-alive" => proxy.keep_alive_timeout = Some(duration),
+                    other => skipped.push(format!("timeout {other}")),
                 }
             }
-            ("retries", [count, ..]) => proxy.retries = Some(number(line, count)?),
+            ("retries", [count, ..]) => proxy.retries = Some(parse_number(line, count)?),
             ("default_backend", [name, ..]) => proxy.default_backend = Some((line, (*name).into())),
             ("bind" | "server" | "timeout" | "retries" | "default_backend", _) => {
                 return fail(line, format!("{keyword} lacks a value"));
             }
             ("mode", ["http"]) => {}
-            ("mode", [mode]) => left.push(format!("mode {mode}: requests are taken over HTTP")),
-            ("balance", _) => left.push("balance: the module decides where requests go".into()),
-            _ => left.push(format!("{keyword} has no counterpart")),
+            ("mode", [mode]) => skipped.push(format!("mode {mode}: only HTTP requests are served")),
+            ("balance", _) => skipped.push("balance: the module decides where requests go".into()),
+            _ => skipped.push(format!("{keyword} has no counterpart")),
         }
-        for what in left {
-            self.leave(line, what);
+        for reason in skipped {
+            self.skip(line, reason);
         }
         Ok(())
     }
 
+    /// Builds the operator's file. Errors of the whole file are reported at `end`, one past its last line.
     fn write(mut self, end: usize) -> Result<Import, ImportError> {
-        let is_open = |key: &&String| {
-            !self.proxies[*key].binds.is_empty() && self.proxies[*key].takes_clients
+        let accepts_clients = |key: &&String| {
+            !self.proxies[*key].binds.is_empty() && self.proxies[*key].accepts_clients
         };
-        let Some(open) = self.order.iter().find(is_open).cloned() else {
-            return fail(end, "no frontend or listen section with an address to bind");
+        let Some(front_key) = self.order.iter().find(accepts_clients).cloned() else {
+            return fail(
+                end,
+                "the file has no frontend or listen section with a bind address that can be imported",
+            );
         };
-        let front = self.proxies[&open].clone();
+        let front = self.proxies[&front_key].clone();
         let mut used: Vec<(String, Proxy)> = Vec::new();
         if !front.servers.is_empty() {
-            used.push((open.trim_start_matches("listen ").to_owned(), front.clone()));
+            used.push((
+                front_key.trim_start_matches("listen ").to_owned(),
+                front.clone(),
+            ));
         }
         if let Some((line, name)) = &front.default_backend {
-            let found = self
+            let backend = self
                 .proxies
                 .get(name)
                 .or_else(|| self.proxies.get(&format!("listen {name}")));
-            let Some(backend) = found else {
-                return fail(*line, format!("no backend is named {name:?}"));
+            let Some(backend) = backend else {
+                return fail(*line, format!("default_backend {name:?} is not defined"));
             };
             used.push((name.clone(), backend.clone()));
         }
         for key in self.order.clone() {
             let proxy = self.proxies[&key].clone();
-            let taken = used
+            let is_used = used
                 .iter()
                 .any(|(name, p)| p.line == proxy.line || *name == key);
-            if key != open && !taken && !proxy.takes_clients && role(&key) != "both" {
+            if key != front_key && !is_used && !proxy.accepts_clients && role(&key) != "both" {
                 used.push((key, proxy));
-            } else if key != open && !taken {
-                self.leave(proxy.line, format!("{key}: not reached from {open}"));
+            } else if key != front_key && !is_used {
+                self.skip(proxy.line, format!("{key}: not used by {front_key}"));
             }
         }
         for (line, address) in front.binds.iter().skip(1) {
-            self.leave(
+            self.skip(
                 *line,
                 format!(
-                    "bind {address}: one address is listened on, {}",
+                    "bind {address}: the router listens on one address only, {}",
                     front.binds[0].1
                 ),
             );
@@ -439,31 +470,35 @@
             }
         }
         if hosts.is_empty() {
-            return fail(end, format!("{open} leads to no server"));
+            return fail(
+                end,
+                format!("{front_key} has no server that can be imported"),
+            );
         }
         let table = self.file(&front, &used, hosts);
-        self.left_out.sort();
+        self.skipped.sort();
         let mut file = String::from(
             "# Imported from HAProxy's configuration. Start: whinhaven serve THIS-FILE\n",
         );
-        for (line, what) in &self.left_out {
+        for (line, reason) in &self.skipped {
             let _ = writeln!(
                 file,
                 "# line {line}, not carried over: {}",
-                what.replace(char::is_control, " ")
+                reason.replace(char::is_control, " ")
             );
         }
         file.push('\n');
         file += &toml::to_string(&table).map_err(|e| ImportError {
             line: end,
-            what: e.to_string(),
+            message: e.to_string(),
         })?;
         Ok(Import {
             file,
-            left_out: self.left_out,
+            skipped: self.skipped,
         })
     }
 
+    /// Builds the tables of the operator's file. `used` are the backends that the front uses, by name.
     fn file(&self, front: &Proxy, used: &[(String, Proxy)], hosts: Vec<Value>) -> Table {
         let table = |pairs: &[(&str, Value)]| {
             Value::Table(
@@ -474,11 +509,13 @@
             )
         };
         let int = |n: u64| Value::from(i64::try_from(n).unwrap_or(i64::MAX));
-        // Servers' side of things is said where the servers are, as in HAProxy.
-        let of = |get: fn(&Proxy) -> Option<u64>| {
+        // As in HAProxy, the backends' timeouts and retries come before the frontend's.
+        let first_set = |get: fn(&Proxy) -> Option<u64>| {
             used.iter().find_map(|(_, p)| get(p)).or_else(|| get(front))
         };
-        let give_up = of(|p| p.server).unwrap_or(30_000_000).max(1_000_000);
+        let give_up_us = first_set(|p| p.server_timeout)
+            .unwrap_or(30_000_000)
+            .max(1_000_000);
         let mut kinds: Vec<&str> = Vec::new();
         used.iter()
             .filter(|(_, p)| !p.servers.is_empty())
@@ -488,8 +525,8 @@
         let class = table(&[
             ("name", Value::from("default")),
             ("effect", Value::from("non_idempotent")),
-            ("objective_us", int(give_up / 4)),
-            ("give_up_us", int(give_up)),
+            ("objective_us", int(give_up_us / 4)),
+            ("give_up_us", int(give_up_us)),
         ]);
         let settings = table(&[
             ("my_zone", Value::from("here")),
@@ -506,17 +543,20 @@
             (
                 "permissions",
                 table(&[
-                    ("max_attempts", int(of(|p| p.retries).unwrap_or(3) + 1)),
+                    (
+                        "max_attempts",
+                        int(first_set(|p| p.retries).unwrap_or(3) + 1),
+                    ),
                     ("may_cancel", Value::from(true)),
                     ("retry_after", Value::from(true)),
                     ("max_retry_after_us", int(2_000_000)),
                     (
                         "connect_timeout_us",
-                        int(of(|p| p.connect).unwrap_or(250_000)),
+                        int(first_set(|p| p.connect_timeout).unwrap_or(250_000)),
                     ),
                     (
                         "idle_close_us",
-                        int(of(|p| p.keep_alive).unwrap_or(30_000_000)),
+                        int(first_set(|p| p.keep_alive_timeout).unwrap_or(30_000_000)),
                     ),
                 ]),
             ),
@@ -541,10 +581,10 @@
         let mut file = Table::new();
         file.insert("name".into(), Value::from("imported"));
         file.insert("listen".into(), Value::from(front.binds[0].1.to_string()));
-        if let Some(most) = self.maxconn {
+        if let Some(maxconn) = self.maxconn {
             file.insert(
                 "limits".into(),
-                table(&[("sockets", int((2 * most + SPARE_SOCKETS).max(256)))]),
+                table(&[("sockets", int((2 * maxconn + SPARE_SOCKETS).max(256)))]),
             );
         }
         file.insert("settings".into(), settings);
@@ -554,25 +594,25 @@
 }
 
 impl Server {
-    /// Takes options in; gives back those that can't be carried over.
+    /// Applies the options of a server line. Returns a description of those that are not carried over, if any.
     fn options(&mut self, line: usize, options: &[&str]) -> Result<Option<String>, ImportError> {
-        let mut left = Vec::new();
+        let mut skipped = Vec::new();
         let mut options = options.iter();
         while let Some(option) = options.next() {
             match *option {
                 "weight" => match options.next() {
-                    Some(weight) => self.weight = number(line, weight)?,
-                    None => return fail(line, "weight has no number"),
+                    Some(weight) => self.weight = parse_number(line, weight)?,
+                    None => return fail(line, "weight has no value: add a number"),
                 },
                 "disabled" => self.disabled = true,
                 "enabled" => {}
-                other => left.push(other),
+                other => skipped.push(other),
             }
         }
-        // HAProxy sends nothing new to a server of weight 0.
+        // HAProxy sends no new requests to a server of weight 0.
         if self.weight == 0 {
             (self.weight, self.disabled) = (1, true);
         }
-        Ok((!left.is_empty()).then(|| format!("server {}: {}", self.name, left.join(" "))))
+        Ok((!skipped.is_empty()).then(|| format!("server {}: {}", self.name, skipped.join(" "))))
     }
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The conductor's program.
+//! The router's program: command line, log, and one function for each command.
 
 mod cli;
 mod logs;
@@ -7,7 +7,7 @@
 mod run;
 mod signals;
 
-use cli::{Ask, Command, From, Where};
+use cli::{Command, FleetCommand, ImportSource, StatusArgs};
 use run::{ConfigSource, read_file};
 use std::path::Path;
 use std::process::ExitCode;
@@ -18,10 +18,10 @@
 fn main() -> ExitCode {
     let cli = match cli::parse() {
         Ok(cli) => cli,
-        Err(fault) => return failed(&fault),
+        Err(error) => return failed(&error),
     };
     logs::start(cli.log_format);
-    let done = match cli.command {
+    let result = match cli.command {
         None => ConfigSource::platform_file()
             .and_then(run::serve)
             .map_err(|e| e.to_string()),
@@ -29,44 +29,44 @@
             run::serve(ConfigSource::operator_file(file)).map_err(|e| e.to_string())
         }
         Some(Command::Import {
-            from: From::Haproxy { file },
+            source: ImportSource::Haproxy { file },
         }) => import(&file).map_err(|e| e.to_string()),
         Some(Command::Check { file }) => check(&file).map_err(|e| e.to_string()),
         Some(Command::Sites(sites)) => sites.run().map_err(|e| e.to_string()),
         Some(Command::Fleet {
-            ask: Ask::Status(at),
-        }) => status(&at),
-        Some(Command::Policy { what }) => policies::run(&what),
+            command: FleetCommand::Status(args),
+        }) => status(&args),
+        Some(Command::Policy { command }) => policies::run(&command),
         Some(Command::Fleet {
-            ask: Ask::Voters { file, names },
+            command: FleetCommand::Voters { file, names },
         }) => voters(&file, &names),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => failed(&fault),
+        Err(error) => failed(&error),
     }
 }
 
-fn failed(fault: &str) -> ExitCode {
-    eprintln!("whinhaven: {fault}");
+fn failed(error: &str) -> ExitCode {
+    eprintln!("whinhaven: {error}");
     ExitCode::FAILURE
 }
 
-/// Writes the operator's file to standard output, and what could not be carried over to standard error.
+/// Writes the operator's file to standard output, and the directives that were not carried over to standard error.
 fn import(file: &Path) -> Result<(), ConfigError> {
     let import =
         whinhaven::haproxy::import(&read_file(file)?).map_err(|e| ConfigError(e.to_string()))?;
     print!("{}", import.file);
-    for (line, what) in import.left_out {
-        eprintln!("line {line}, not carried over: {what}");
+    for (line, reason) in import.skipped {
+        eprintln!("line {line}, not carried over: {reason}");
     }
     Ok(())
 }
 
-/// Says what an operator's file sets up.
+/// Validates an operator's file and prints what it configures.
 fn check(file: &Path) -> Result<(), ConfigError> {
     let config = ConfigSource::operator_file(file.to_owned()).load()?;
-    let mut parts = vec![format!("{} would serve on {}", config.name, config.listen)];
+    let mut parts = vec![format!("{} serves on {}", config.name, config.listen)];
     parts.extend(config.tools.map(|t| format!("tool calls go to {}", t.dial)));
     parts.extend(config.fleet.map(|f| {
         let role = if f.voters.contains(&f.name) {
@@ -81,18 +81,21 @@
             f.peer
         )
     }));
-    println!("{}: good: {}", file.display(), parts.join(", "));
+    println!("{}: valid: {}", file.display(), parts.join(", "));
     Ok(())
 }
 
-/// Asks the conductor of an operator's file, or one of its peers.
+/// Sends a request to the router that an operator's file configures or, if it does not answer, to one of its peers.
 fn ask(file: &Path, request: Request) -> Result<Reply, String> {
     let config = ConfigSource::operator_file(file.to_owned())
         .load()
         .map_err(|e| e.to_string())?;
-    let fleet = config
-        .fleet
-        .ok_or_else(|| format!("{}: there is no [fleet] table", file.display()))?;
+    let fleet = config.fleet.ok_or_else(|| {
+        format!(
+            "{}: the [fleet] table is missing; this router is in no fleet",
+            file.display()
+        )
+    })?;
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
@@ -101,10 +104,10 @@
         .block_on(admin::ask(&fleet, request))
 }
 
-/// Prints how a conductor sees its fleet.
-fn status(at: &Where) -> Result<(), String> {
-    match ask(&at.file, Request::Status)? {
-        Reply::Status(report) if at.json => println!("{}", report.json()),
+/// Prints the status of the fleet as one of its routers sees it.
+fn status(args: &StatusArgs) -> Result<(), String> {
+    match ask(&args.file, Request::Status)? {
+        Reply::Status(report) if args.json => println!("{}", report.json()),
         Reply::Status(report) => print!("{}", admin::table(&report)),
         other => return Err(unexpected(other)),
     }
@@ -117,7 +120,7 @@
         .map(|name| MemberName::try_from(name.as_str()))
         .collect();
     match ask(file, Request::Voters(names.map_err(|e| e.to_string())?))? {
-        Reply::Asked => println!("asked; whinhaven fleet status tells what comes of it"),
+        Reply::Asked => println!("accepted; whinhaven fleet status shows the progress"),
         other => return Err(unexpected(other)),
     }
     Ok(())
@@ -125,7 +128,7 @@
 
 fn unexpected(reply: Reply) -> String {
     match reply {
-        Reply::Refused(why) => why,
-        _ => "the conductor answered something else; is it of another version?".into(),
+        Reply::Refused(reason) => reason,
+        _ => "unexpected reply from the router; check that it runs the same version".into(),
     }
 }
--- a/src/policies.rs
+++ b/src/policies.rs
@@ -1,6 +1,6 @@
-//! `whinhaven policy`: proposes, waits, and tells what came of it.
+//! The commands of `whinhaven policy`.
 
-use crate::cli::Policy;
+use crate::cli::PolicyCommand;
 use crate::run::{ConfigSource, read_file};
 use crate::unexpected;
 use std::path::Path;
@@ -10,31 +10,34 @@
 use whinhaven::fleet::policy_epoch::{self as epoch, Command, Outcome, Past};
 use whinhaven::fleet::transport::admin::{self, Policies, Reply, Request};
 
-/// Between two looks at how a proposal goes.
-const LOOK: Duration = Duration::from_millis(100);
-/// All members that live have said by then that they have gone over, or it is told how many have.
-const ALL_OVER: Duration = Duration::from_secs(5);
-/// Beyond the time that a proposal may take by the leader's clock, which may have changed meanwhile.
-const BEYOND: Duration = Duration::from_secs(30);
+/// Interval between two polls of a proposal's state.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Maximum wait for all live members to apply an epoch; after that the number that have applied it is printed.
+const APPLY_TIMEOUT: Duration = Duration::from_secs(5);
+/// Added to the time that a proposal may take by the leader's clock, since the leader may change meanwhile.
+const DECISION_MARGIN: Duration = Duration::from_secs(30);
 
-/// A fleet, asked through one of its members.
-struct Asker {
+/// Client of a fleet, through one of its members.
+struct FleetClient {
     fleet: FleetConfig,
     runtime: tokio::runtime::Runtime,
 }
 
-impl Asker {
+impl FleetClient {
     fn new(file: &Path) -> Result<Self, String> {
         let config = ConfigSource::operator_file(file.to_owned())
             .load()
             .map_err(|e| e.to_string())?;
-        let fleet = config
-            .fleet
-            .ok_or_else(|| format!("{}: there is no [fleet] table", file.display()))?;
+        let fleet = config.fleet.ok_or_else(|| {
+            format!(
+                "{}: the [fleet] table is missing; this router is in no fleet",
+                file.display()
+            )
+        })?;
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build();
-        Ok(Asker {
+        Ok(FleetClient {
             fleet,
             runtime: runtime.map_err(|e| format!("runtime: {e}"))?,
         })
@@ -61,125 +64,134 @@
     }
 }
 
-/// Does what the command line says.
+/// Runs a policy command.
 ///
 /// # Errors
-/// One line: why it is in force nowhere, or can't be told.
-pub fn run(what: &Policy) -> Result<(), String> {
-    match what {
-        Policy::Propose {
+/// One line: why the proposal was rejected, or why its outcome or the policy could not be read.
+pub fn run(command: &PolicyCommand) -> Result<(), String> {
+    match command {
+        PolicyCommand::Propose {
             new,
             file,
             only_check,
         } => propose(new, file, *only_check),
-        Policy::History { file } => history(&Asker::new(file)?.policies()?),
-        Policy::Abort { file } => abort(&Asker::new(file)?),
-        Policy::Show { file } => show(&Asker::new(file)?.policies()?),
+        PolicyCommand::History { file } => history(&FleetClient::new(file)?.policies()?),
+        PolicyCommand::Abort { file } => abort(&FleetClient::new(file)?),
+        PolicyCommand::Show { file } => show(&FleetClient::new(file)?.policies()?),
     }
 }
 
-/// The policy in a file: that of its table `[settings]`, or of the whole file.
-fn policy_of(file: &Path) -> Result<String, String> {
+/// Reads the policy from the `[settings]` table of a file or, without that table, from the whole file.
+fn read_policy(file: &Path) -> Result<String, String> {
     let text = read_file(file).map_err(|e| e.to_string())?;
-    let fault = |what: String| format!("{}: {what}", file.display());
+    let in_file = |error: String| format!("{}: {error}", file.display());
     if text.trim().is_empty() {
-        return Err(fault("empty".to_owned()));
+        return Err(in_file("the file is empty".to_owned()));
     }
     let mut value: serde_json::Value = toml::from_str(&text).map_err(|e| {
         let line = e.span().map_or(0, |s| {
             text[..s.start.min(text.len())].lines().count().max(1)
         });
-        fault(format!("line {line}: {}", e.message().replace('\n', " ")))
+        in_file(format!("line {line}: {}", e.message().replace('\n', " ")))
     })?;
     let settings = value
         .get_mut("settings")
         .map(serde_json::Value::take)
         .unwrap_or(value);
-    let (policy, own) = content::take(&settings).map_err(fault)?;
+    let (policy, local_fields) = content::take(&settings).map_err(in_file)?;
     if policy.len() > epoch::MOST_CONTENT {
-        return Err(fault(format!(
-            "{} bytes are above {}",
+        return Err(in_file(format!(
+            "the policy has {} bytes, above the maximum of {}",
             policy.len(),
             epoch::MOST_CONTENT
         )));
     }
-    if !own.is_empty() {
-        println!("each conductor's own, not proposed: {}", own.join(", "));
+    if !local_fields.is_empty() {
+        println!(
+            "set by each router's own file, not proposed: {}",
+            local_fields.join(", ")
+        );
     }
     Ok(policy)
 }
 
 fn propose(new: &Path, file: &Path, only_check: bool) -> Result<(), String> {
-    let asker = Asker::new(file)?;
-    let content = policy_of(new)?;
-    let before = asker.policies()?;
+    let client = FleetClient::new(file)?;
+    let content = read_policy(new)?;
+    let before = client.policies()?;
     let differences = content::differences(before.table.content(), &content);
     for line in &differences {
         println!("{line}");
     }
     if differences.is_empty() {
-        println!("nothing differs from epoch {}", before.table.epoch());
+        println!("no differences from epoch {}", before.table.epoch());
         return Ok(());
     }
-    let since = SystemTime::now()
+    let since_epoch = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
-    let mark = (since.as_nanos() as u64) ^ (u64::from(std::process::id()) << 40);
+    let mark = (since_epoch.as_nanos() as u64) ^ (u64::from(std::process::id()) << 40);
     let command = Command::Propose {
         mark,
         content,
         base: before.table.epoch(),
         only_check,
-        at_us: since.as_micros() as u64,
+        at_us: since_epoch.as_micros() as u64,
         difference: differences.join("; "),
     };
-    let proposal = asker
+    let proposal = client
         .command(command)
-        .map_err(|e| format!("nowhere: {e}"))?;
+        .map_err(|e| format!("proposal rejected, applied nowhere: {e}"))?;
     println!("proposal {proposal} over epoch {}", before.table.epoch());
-    let within = asker.fleet.policy.as_ref().map_or(30_000, |p| p.within_ms);
-    let until = Instant::now() + Duration::from_millis(within) + BEYOND;
+    let within_ms = client.fleet.policy.as_ref().map_or(30_000, |p| p.within_ms);
+    let deadline = Instant::now() + Duration::from_millis(within_ms) + DECISION_MARGIN;
     let past = loop {
-        // A member that has just died answers nothing: the next one does.
-        let found = asker
+        // An error is not final: if the member asked has just died, the next poll reaches another one.
+        let found = client
             .policies()
             .ok()
             .and_then(|p| p.table.past().find(|p| p.mark == mark).cloned());
         match found {
             Some(past) => break past,
-            None if Instant::now() > until => {
+            None if Instant::now() > deadline => {
                 return Err(
-                    "not decided yet; whinhaven policy history tells what comes of it".to_owned(),
+                    "proposal not decided yet; whinhaven policy history will show its outcome"
+                        .to_owned(),
                 );
             }
-            None => std::thread::sleep(LOOK),
+            None => std::thread::sleep(POLL_INTERVAL),
         }
     };
     match past.outcome {
         Outcome::Checked => println!(
-            "checked: all {} could; nothing was changed",
+            "checked: all {} live members could apply it; nothing was changed",
             before.living.len()
         ),
-        Outcome::Nowhere(why) => return Err(format!("nowhere: {why}")),
-        Outcome::Epoch(epoch) => println!("epoch {epoch} in force at {}", in_force(&asker, epoch)?),
+        Outcome::Nowhere(reason) => {
+            return Err(format!("proposal rejected, applied nowhere: {reason}"));
+        }
+        Outcome::Epoch(epoch) => println!(
+            "epoch {epoch} in force at {}",
+            count_applied(&client, epoch)?
+        ),
     }
     Ok(())
 }
 
-/// At how many of the members that live.
-fn in_force(asker: &Asker, epoch: u64) -> Result<String, String> {
-    let until = Instant::now() + ALL_OVER;
+/// Waits until all live members have applied an epoch, at most [`APPLY_TIMEOUT`]. Returns how many of them have.
+fn count_applied(client: &FleetClient, epoch: u64) -> Result<String, String> {
+    let deadline = Instant::now() + APPLY_TIMEOUT;
     loop {
-        let Policies { table, living, .. } = asker.policies()?;
-        let over = living.intersection(table.over()).count();
-        if over == living.len() || table.epoch() != epoch || Instant::now() > until {
-            return Ok(format!("{over} of {}", living.len()));
+        let Policies { table, living, .. } = client.policies()?;
+        let applied = living.intersection(table.over()).count();
+        if applied == living.len() || table.epoch() != epoch || Instant::now() > deadline {
+            return Ok(format!("{applied} of {}", living.len()));
         }
-        std::thread::sleep(LOOK);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
-fn line(past: &Past) -> String {
+fn history_line(past: &Past) -> String {
     let Past {
         proposal,
         by,
@@ -192,16 +204,16 @@
     let outcome = match outcome {
         Outcome::Epoch(epoch) => format!("epoch {epoch}"),
         Outcome::Checked => "checked".to_owned(),
-        Outcome::Nowhere(why) => format!("nowhere: {why}"),
+        Outcome::Nowhere(reason) => format!("rejected, applied nowhere: {reason}"),
     };
     format!(
-        "proposal {proposal} by {by} at {at_us} us, digest {digest:016x}: {outcome} ({difference})"
+        "proposal {proposal} by {by} at {at_us} us since 1970, digest {digest:016x}: {outcome} ({difference})"
     )
 }
 
 fn history(policies: &Policies) -> Result<(), String> {
     for past in policies.table.past() {
-        println!("{}", line(past));
+        println!("{}", history_line(past));
     }
     if let Some(open) = policies.table.open() {
         let stage = if open.closing { "closing" } else { "asked" };
@@ -215,25 +227,28 @@
 
 fn show(policies: &Policies) -> Result<(), String> {
     let Policies { table, living, .. } = policies;
-    let over = living.intersection(table.over()).count();
+    let applied = living.intersection(table.over()).count();
     println!(
         "epoch {}, digest {:016x}",
         table.epoch(),
         epoch::digest(table.content())
     );
-    println!("in force at {over} of {} that may act", living.len());
+    println!("in force at {applied} of {} live members", living.len());
     println!("{}", table.content());
     Ok(())
 }
 
-fn abort(asker: &Asker) -> Result<(), String> {
-    let policies = asker.policies()?;
-    let open = policies.table.open().ok_or("no proposal is under way")?;
+fn abort(client: &FleetClient) -> Result<(), String> {
+    let policies = client.policies()?;
+    let open = policies
+        .table
+        .open()
+        .ok_or("there is no pending proposal")?;
     let cause = "aborted by the operator".to_owned();
-    asker.command(Command::Abort {
+    client.command(Command::Abort {
         proposal: open.proposal,
         cause,
     })?;
-    println!("proposal {} is in force nowhere", open.proposal);
+    println!("proposal {} aborted, applied nowhere", open.proposal);
     Ok(())
 }
