--- a/src/counters.rs
+++ b/src/counters.rs
@@ -1,20 +1,20 @@
-//! Counts of what a conductor takes in, sends and answers; printed on SIGUSR1 and at exit.
+//! Counters of a router's requests, attempts, connections and fleet messages; logged on SIGUSR1 and at exit.
 
 use std::cell::Cell;
 use std::fmt;
 
 macro_rules! counters {
-    ($(#[$whole:meta])* $all:ident { $($(#[$doc:meta])* $name:ident),* $(,)? }) => {
-        $(#[$whole])*
+    ($(#[$struct_meta:meta])* $struct_name:ident { $($(#[$doc:meta])* $name:ident),* $(,)? }) => {
+        $(#[$struct_meta])*
         #[derive(Debug, Default)]
-        pub struct $all { $($(#[$doc])* pub $name: Count),* }
+        pub struct $struct_name { $($(#[$doc])* pub $name: Count),* }
 
-        impl fmt::Display for $all {
+        impl fmt::Display for $struct_name {
             fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-                let mut gap = "";
+                let mut separator = "";
                 $(
-                    write!(f, "{gap}{}={}", stringify!($name), self.$name.get())?;
-                    gap = " ";
+                    write!(f, "{separator}{}={}", stringify!($name), self.$name.get())?;
+                    separator = " ";
                 )*
                 Ok(())
             }
@@ -22,127 +22,127 @@
     };
 }
 
-/// A number that only grows.
+/// A counter that never decreases, for use on a single thread.
 #[derive(Debug, Default)]
 pub struct Count(Cell<u64>);
 
 impl Count {
-    /// Adds one.
+    /// Increments the counter by one.
     pub fn up(&self) {
         self.0.set(self.0.get() + 1);
     }
 
-    /// Adds some.
-    pub fn add(&self, some: usize) {
-        self.0.set(self.0.get() + some as u64);
+    /// Increments the counter by `amount`.
+    pub fn add(&self, amount: usize) {
+        self.0.set(self.0.get() + amount as u64);
     }
 
-    /// The number.
+    /// The current value.
     pub fn get(&self) -> u64 {
         self.0.get()
     }
 }
 
 counters! {
-    /// The counters of one conductor.
+    /// Counters of one router.
     Counters {
         /// Client connections accepted.
         connections_in,
-        /// Accepts that failed for what their one connection was.
+        /// Accepts that failed because of the accepted connection itself, such as one that was already reset.
         accepts_of_one_failed,
-        /// Accepts that failed for want of something on this machine.
+        /// Accepts that failed because this machine lacked a resource, such as file descriptors.
         accepts_failed,
-        /// Client connections refused for want of sockets.
+        /// Client connections rejected because the limit on sockets was reached.
         connections_over_bound,
-        /// Requests taken.
+        /// Requests accepted.
         taken,
-        /// Requests answered with a 4xx for what they are.
+        /// Requests answered with a 4xx status because they are invalid.
         bad_requests,
-        /// Client connections, idle or with half a request, closed to make room for others.
+        /// Client connections, idle or with an incomplete request, closed to make room for others.
         connections_evicted,
-        /// Client connections closed before their request had come whole.
+        /// Client connections closed because their request was not complete in time.
         slow_clients,
-        /// Requests refused before the module saw them, for want of room.
+        /// Requests rejected before routing saw them, because a capacity limit was reached.
         over_bound,
-        /// Requests refused since this conductor's right to act in its fleet has ended.
+        /// Requests rejected because this router has lost its right to act in its fleet.
         cut_off,
-        /// Requests rejected since they came late while the process stops.
+        /// Requests rejected because they arrived late while the process was stopping.
         rejected_stopping,
         /// Connections opened to model hosts.
         connections_out,
-        /// Connects that failed for want of something on this machine and were tried again.
+        /// Connects that failed because this machine lacked a resource, and were retried.
         connects_repeated,
-        /// Connects given up for that.
+        /// Connects that failed for good because this machine lacked a resource.
         connects_failed_locally,
-        /// Kept connections that were reset as soon as a request was written to them.
+        /// Pooled connections that were reset as soon as a request was written to them.
         stale_connections,
         /// Requests sent to model hosts.
         sent,
         /// Attempts whose last byte was written to a model host.
         written_whole,
-        /// Sends held back since the model host drains or is gone, or since the client has left.
+        /// Sends suppressed because the model host is draining or gone, or because the client has disconnected.
         held_back,
-        /// Sends held back since the request may have run and the time in which a repeat is dropped was over.
+        /// Sends suppressed because the request may have run already and its deduplication window had ended.
         repeats_held_back,
-        /// Sends that were decided and not permitted.
+        /// Sends that routing decided on but the rules for retries did not permit.
         sends_refused,
-        /// Calls beside the attempts that were not written: what they were for was over by then.
+        /// Calls other than attempts that were not written, because their purpose had lapsed by then.
         calls_refused,
-        /// Attempts that ended: prompt read.
+        /// Attempts that ended: the prompt was prefilled.
         ended_read,
-        /// Attempts that ended: answer streamed to its end.
+        /// Attempts that ended: the response was streamed to its end.
         ended_served,
-        /// Attempts that ended: turned away, state missing included.
+        /// Attempts that ended: rejected by the worker, including for missing KV state.
         ended_turned_away,
-        /// Attempts that ended: no connection.
+        /// Attempts that ended: the connect failed.
         ended_no_connection,
-        /// Attempts that ended: connection lost.
+        /// Attempts that ended: the connection was lost.
         ended_lost,
-        /// Attempts that ended: no answer in time.
+        /// Attempts that ended: no response in time.
         ended_no_answer,
-        /// Attempts that ended: an error of the model host.
+        /// Attempts that ended: the model host answered with an error.
         ended_error,
-        /// Attempts that ended: dropped.
+        /// Attempts that ended: cancelled by the router.
         ended_dropped,
         /// Attempts that ended: never sent.
         ended_not_sent,
-        /// Answers begun to stream to clients.
+        /// Responses whose stream to the client began.
         answered_stream,
-        /// Requests refused.
+        /// Requests answered with a rejection; a retry is harmless.
         answered_refused,
-        /// Requests failed.
+        /// Requests answered with a failure.
         answered_failed,
-        /// Clients that left before their answer's end.
+        /// Clients that disconnected before the end of their response.
         clients_left,
         /// Streams that broke after their first event.
         streams_broken,
-        /// Calls that let go of held states.
+        /// Calls that release KV state on a model host.
         releases,
-        /// Those of them ordered since a send had not been answered in time.
+        /// Release calls made because a send had not been answered in time.
         releases_behind_sends,
-        /// Releases that a model host took.
+        /// Release calls that a model host accepted.
         releases_taken,
-        /// Calls to release what a host that was silent may have got late.
+        /// Release calls for KV state that a silent model host may have created late.
         late_releases,
-        /// Releases that no model host took.
+        /// Release calls that no model host accepted.
         releases_failed,
-        /// Lists and changes of lists received.
+        /// Endpoint lists and incremental updates received from discovery.
         lists,
-        /// Watches of discovery that broke or fell silent.
+        /// Discovery watches that broke or went silent.
         watches_lost,
-        /// Configurations taken in on SIGHUP.
+        /// Configurations applied on SIGHUP.
         reloads,
-        /// Configurations that could not be used on SIGHUP.
+        /// Configurations rejected on SIGHUP.
         reloads_failed,
-        /// Tool calls that writers asked for.
+        /// Tool calls that decode workers requested.
         tool_calls,
-        /// Tool calls whose bytes went out to the tool side.
+        /// Tool calls whose bytes were sent to the tool server.
         tool_runs,
         /// Tool calls answered from the ledger.
         tool_repeats,
-        /// Tool calls answered with an error of the front's own.
+        /// Tool calls answered with an error by the tool-call frontend itself.
         tool_errors,
-        /// Rules that the module's orders broke, by the driver's own account.
+        /// Rule violations by actions of the routing policy, as detected by the dispatcher.
         violations,
         /// Panics that were caught.
         panics,
@@ -150,71 +150,71 @@
 }
 
 counters! {
-    /// The counters of what a conductor has to do with the others of its fleet.
+    /// Counters of a router's communication with the other members of its fleet.
     FleetCounters {
         /// Datagrams sent to members.
         datagrams_out,
-        /// Datagrams of members taken.
+        /// Datagrams accepted from members.
         datagrams_in,
-        /// Datagrams that the system did not take, or that were too long.
+        /// Datagrams not sent, because the operating system refused them or they were too long.
         datagrams_lost,
         /// Frames written to connections to members.
         frames_out,
-        /// Frames of members taken from connections.
+        /// Frames accepted from members over connections.
         frames_in,
-        /// Bytes sent to members, seals included and the system's headers not.
+        /// Bytes sent to members, including authentication codes but not the operating system's headers.
         bytes_out,
         /// Connections opened to members.
         links_opened,
         /// Connections to members that broke.
         links_lost,
-        /// Messages that were dropped, the oldest first, since the queue to their receiver was full.
+        /// Messages dropped, the oldest first, because the queue to their receiver was full.
         queue_drops,
         /// Connections accepted at the peer address.
         peers_accepted,
-        /// Connections at the peer address closed before they had proven anything, to make room or for taking too long.
+        /// Connections at the peer address closed before they had sent an authentic frame, to make room or after a timeout.
         peers_unproven,
-        /// Requests of administrators answered.
+        /// Administrative requests answered.
         admin_requests,
-        /// Refused: cut off, or no frame at all.
+        /// Frames rejected: truncated, or not a frame at all.
         refused_malformed,
-        /// Refused: larger than it may be.
+        /// Frames rejected: above the maximum size.
         refused_too_long,
-        /// Refused: of another version.
+        /// Frames rejected: of another protocol version.
         refused_version,
-        /// Refused: a datagram's frame on a connection, or the other way.
+        /// Frames rejected: a datagram's frame on a connection, or a connection's frame in a datagram.
         refused_channel,
-        /// Refused: meant for another member.
+        /// Frames rejected: addressed to another member.
         refused_receiver,
-        /// Refused: says that it is from this very member.
+        /// Frames rejected: the sender's name is this member's own.
         refused_own_name,
-        /// Refused: no key of ours vouches for it.
+        /// Frames rejected: no configured key verifies the authentication code.
         refused_mac,
-        /// Refused: from an earlier life of its sender.
+        /// Frames rejected: from an earlier incarnation of the sender.
         refused_old_incarnation,
-        /// Refused: taken before.
+        /// Frames rejected: accepted before (replay).
         refused_replay,
-        /// Refused: not the next frame of its connection.
+        /// Frames rejected: not the next frame of the connection.
         refused_order,
-        /// Refused: of another sender than its connection.
+        /// Frames rejected: the sender is not the one of the connection.
         refused_other_sender,
-        /// Refused: too many senders.
+        /// Frames rejected: the limit on tracked senders is reached.
         refused_too_many_senders,
-        /// Refused or made to wait: sent faster than it may be.
+        /// Frames rejected or delayed: the sender exceeds its rate limit.
         refused_rate,
-        /// Refused: well sealed, but what is in it can't be read.
+        /// Frames rejected: authentic, but the payload can't be decoded.
         refused_payload,
-        /// Changes of what is believed of members.
+        /// Changes of the membership view.
         view_changes,
-        /// Leaders heard of, one for each term.
+        /// Leaders learned of, one for each term.
         leaders,
-        /// Own leases granted, the life lease included.
+        /// Leases granted to this member, including its session lease.
         leases_granted,
-        /// Own leases lost.
+        /// Leases that this member has lost.
         leases_lost,
-        /// Acts under leases.
+        /// Actions performed under a lease.
         lease_acts,
-        /// Lives of members that the log has ended.
+        /// Incarnations of members whose end was committed to the log.
         deaths,
         /// Writes to the store.
         writes,
--- a/src/logs.rs
+++ b/src/logs.rs
@@ -1,4 +1,4 @@
-//! Log lines on standard error: plain text, or one JSON object a line with the event's key-values.
+//! Log output on standard error: plain text, or one JSON object per line with the key-values of the event.
 
 use clap::ValueEnum;
 use log::kv::{Error, Key, Value, VisitSource, VisitValue};
@@ -9,27 +9,27 @@
 /// How log lines are written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum LogFormat {
-    /// Level and module in front.
+    /// Plain text with time, level and module in front.
     Text,
-    /// One JSON object a line: `time`, `level`, `target`, `message`, and the event's key-values beside them.
+    /// One JSON object per line: `time`, `level`, `target`, `message`, and the key-values of the event.
     Json,
 }
 
-/// Starts the log.
+/// Installs the global logger. `RUST_LOG` overrides the default filter.
 pub fn start(format: LogFormat) {
-    // What comes once a period is for whoever reads by program.
-    let quiet = format!("info,{RENEWALS}=warn,{ACTS}=warn,{BEGINS}=warn,{WORK}=warn");
+    // Events that recur every period are meant for programs, so the text format omits them by default.
+    let text_filter = format!("info,{RENEWALS}=warn,{ACTS}=warn,{BEGINS}=warn,{WORK}=warn");
     let default = if format == LogFormat::Json {
         "info"
     } else {
-        &quiet
+        &text_filter
     };
     let mut builder =
         env_logger::Builder::from_env(env_logger::Env::default().default_filter_or(default));
     if format == LogFormat::Json {
         builder.format(|out, record| {
             let time = out.timestamp_micros().to_string();
-            let mut line = object(record, &time);
+            let mut line = json_object(record, &time);
             line.push(b'\n');
             out.write_all(&line)
         });
@@ -37,7 +37,7 @@
     builder.init();
 }
 
-fn object(record: &log::Record, time: &str) -> Vec<u8> {
+fn json_object(record: &log::Record, time: &str) -> Vec<u8> {
     let mut fields = Fields(Map::new());
     for (name, text) in [
         ("time", time),
@@ -49,7 +49,7 @@
     fields
         .0
         .insert("message".into(), record.args().to_string().into());
-    // A key-value that can't be read is left out; the line is written all the same.
+    // If a key-value can't be converted, the line is written without it and those after it.
     let _ = record.key_values().visit(&mut fields);
     serde_json::to_vec(&fields.0).unwrap_or_default()
 }
@@ -58,16 +58,16 @@
 
 impl<'kvs> VisitSource<'kvs> for Fields {
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), Error> {
-        let mut read = Read(Json::Null);
-        value.visit(&mut read)?;
-        self.0.insert(key.as_str().to_owned(), read.0);
+        let mut converted = JsonValue(Json::Null);
+        value.visit(&mut converted)?;
+        self.0.insert(key.as_str().to_owned(), converted.0);
         Ok(())
     }
 }
 
-struct Read(Json);
+struct JsonValue(Json);
 
-impl<'v> VisitValue<'v> for Read {
+impl<'v> VisitValue<'v> for JsonValue {
     fn visit_any(&mut self, value: Value) -> Result<(), Error> {
         self.0 = value.to_string().into();
         Ok(())
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,6 +1,7 @@
-//! The simulator's wire: parses batches of events, hosts one [`Policy`] for each router, writes the actions.
+//! Adapter to the simulator's line protocol: parses batches of events, runs one [`Policy`] for each simulated router, and
+//! writes the resulting actions.
 //!
-//! Nothing is decided here and nothing is shared between the hosted instances.
+//! All decisions are made by the policies, which share no state.
 
 use crate::routing::policy::Policy;
 use crate::routing::types::*;
@@ -9,33 +10,33 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::sync::Arc;
 
-/// Why the host stopped.
+/// The protocol session failed.
 #[derive(Debug, thiserror::Error)]
 pub enum WireError {
-    /// A line that the wire does not allow.
-    #[error("line {line}: {what}")]
+    /// A line of the input violates the protocol.
+    #[error("line {line}: {message}")]
     Malformed {
-        /// Its number, from 1.
+        /// Number of the line, from 1.
         line: u64,
-        /// What is wrong, with the field and its value.
-        what: String,
+        /// What is invalid, with the field and its value.
+        message: String,
     },
-    /// Reading or writing failed.
-    #[error("wire: {0}")]
+    /// Reading the input or writing the output failed.
+    #[error("simulator connection: {0}")]
     Io(#[from] io::Error),
 }
 
 type Parsed<T> = Result<T, String>;
 
-/// Serves the wire until the input ends.
+/// Serves the protocol until the end of the input.
 ///
 /// # Errors
-/// [`WireError::Malformed`] at the first line that can't be understood, or at an end of input inside a batch;
-/// [`WireError::Io`] when reading or writing fails.
+/// [`WireError::Malformed`] at the first invalid line, or if the input ends inside a batch;
+/// [`WireError::Io`] if reading or writing fails.
 pub fn serve(input: impl BufRead, output: impl Write) -> Result<(), WireError> {
-    let mut host = Host {
-        instances: BTreeMap::new(),
-        out: io::BufWriter::new(output),
+    let mut simulator = Simulator {
+        policies: BTreeMap::new(),
+        output: io::BufWriter::new(output),
     };
     let mut lines = Lines {
         input,
@@ -43,14 +44,14 @@
         text: String::new(),
     };
     while lines.next()? {
-        let opening = lines.text.clone();
-        let mut fields = Fields::new(&opening);
+        let first_line = lines.text.clone();
+        let mut fields = Fields::new(&first_line);
         let now = match fields.text("message") {
             Ok("TICK") => fields.number("clock_us"),
             Ok(other) => Err(format!("message: expected TICK, found {other:?}")),
             Err(e) => Err(e),
         }
-        .map_err(|what| lines.malformed(what))?;
+        .map_err(|message| lines.malformed(message))?;
         loop {
             if !lines.next()? {
                 lines.number += 1;
@@ -59,10 +60,10 @@
             if lines.text == "EOB" {
                 break;
             }
-            host.event(now, &mut lines)?;
+            simulator.event(now, &mut lines)?;
         }
-        host.out.write_all(b"OK\n")?;
-        host.out.flush()?;
+        simulator.output.write_all(b"OK\n")?;
+        simulator.output.flush()?;
     }
     Ok(())
 }
@@ -89,29 +90,29 @@
         Ok(true)
     }
 
-    fn malformed(&self, what: String) -> WireError {
+    fn malformed(&self, message: String) -> WireError {
         WireError::Malformed {
             line: self.number,
-            what,
+            message,
         }
     }
 }
 
 struct Fields<'a> {
     message: &'a str,
-    rest: std::str::Split<'a, char>,
+    remaining: std::str::Split<'a, char>,
 }
 
 impl<'a> Fields<'a> {
     fn new(line: &'a str) -> Self {
         Fields {
             message: line.split('\t').next().unwrap_or(""),
-            rest: line.split('\t'),
+            remaining: line.split('\t'),
         }
     }
 
     fn text(&mut self, field: &str) -> Parsed<&'a str> {
-        self.rest
+        self.remaining
             .next()
             .ok_or_else(|| format!("{}: field {field} is missing", self.message))
     }
@@ -120,25 +121,25 @@
         Ok(Some(self.text(field)?).filter(|v| *v != "-" && !v.is_empty()))
     }
 
-    fn maybe<T: std::str::FromStr>(&mut self, field: &str) -> Parsed<Option<T>> {
+    fn optional_number<T: std::str::FromStr>(&mut self, field: &str) -> Parsed<Option<T>> {
         let message = self.message;
         self.optional(field)?
-            .map(|v| v.parse().map_err(|_| bad(message, field, v)))
+            .map(|v| v.parse().map_err(|_| invalid_field(message, field, v)))
             .transpose()
     }
 
     fn number<T: std::str::FromStr>(&mut self, field: &str) -> Parsed<T> {
-        self.maybe(field)?
-            .ok_or_else(|| bad(self.message, field, "-"))
+        self.optional_number(field)?
+            .ok_or_else(|| invalid_field(self.message, field, "-"))
     }
 
     fn count(&mut self, field: &str) -> Parsed<u64> {
-        // Token counts are "numbers" on the wire and may come with a fraction.
-        let value: f64 = self.maybe(field)?.unwrap_or(0.0);
+        // The protocol sends token counts as numbers that may have a fraction.
+        let value: f64 = self.optional_number(field)?.unwrap_or(0.0);
         if value.is_finite() && value >= 0.0 {
             Ok(value as u64)
         } else {
-            Err(bad(self.message, field, &value.to_string()))
+            Err(invalid_field(self.message, field, &value.to_string()))
         }
     }
 
@@ -146,56 +147,58 @@
         match self.optional(field)? {
             Some("1") => Ok(true),
             Some("0") | None => Ok(false),
-            Some(v) => Err(bad(self.message, field, v)),
+            Some(v) => Err(invalid_field(self.message, field, v)),
         }
     }
 
-    fn report(&mut self) -> Parsed<Option<LoadReport>> {
+    fn load_report(&mut self) -> Parsed<Option<LoadReport>> {
         let Some(text) = self.optional("health_info")? else {
             return Ok(None);
         };
         read_report(text)
             .map(Some)
-            .map_err(|pair| bad(self.message, "health_info", &pair))
+            .map_err(|pair| invalid_field(self.message, "health_info", &pair))
     }
 }
 
-/// Reads a load report: name:value (or name=value) pairs set apart by commas; unknown names are skipped.
+/// Parses a load report: `name:value` or `name=value` pairs, separated by commas. Unknown names are ignored.
 ///
 /// # Errors
-/// The pair that can't be read.
+/// A pair can't be parsed; the text is that pair.
 pub fn read_report(text: &str) -> Result<LoadReport, String> {
     let mut report = LoadReport::default();
     for pair in text.split(',') {
         let (name, value) = pair.split_once([':', '=']).ok_or_else(|| pair.to_owned())?;
-        let slot = match name.trim() {
+        let metric = match name.trim() {
             "busy_reqs" => &mut report.active_requests,
             "pending" => &mut report.queued_requests,
             "x0" => &mut report.memory_share,
             "x1" => &mut report.queued_tokens,
             _ => continue,
         };
-        *slot = Some(value.trim().parse().map_err(|_| pair.to_owned())?);
+        *metric = Some(value.trim().parse().map_err(|_| pair.to_owned())?);
     }
-    // Waiting tokens are counted in thousands.
+    // The report counts queued tokens in thousands.
     report.queued_tokens = report.queued_tokens.map(|k| k * 1000.0);
     Ok(report)
 }
 
-fn bad(message: &str, field: &str, value: &str) -> String {
-    format!("{message}: field {field} has the value {value:?}")
+fn invalid_field(message: &str, field: &str, value: &str) -> String {
+    format!("{message}: field {field} has the invalid value {value:?}")
 }
 
-fn worker(text: &str) -> WorkerId {
+fn worker_id(text: &str) -> WorkerId {
     WorkerId(Arc::from(text))
 }
 
-struct Host<W: Write> {
-    instances: BTreeMap<u32, Policy>,
-    out: io::BufWriter<W>,
+/// The simulated routers' policies, by router number.
+struct Simulator<W: Write> {
+    policies: BTreeMap<u32, Policy>,
+    output: io::BufWriter<W>,
 }
 
-impl<W: Write> Host<W> {
+impl<W: Write> Simulator<W> {
+    /// Handles the event on the current line; an endpoint list continues on the lines after it.
     fn event<R: BufRead>(&mut self, now: Micros, lines: &mut Lines<R>) -> Result<(), WireError> {
         let text = lines.text.clone();
         let mut fields = Fields::new(&text);
@@ -204,29 +207,28 @@
             let router: u32 = fields.number("router")?;
             if message == "INIT" {
                 let seed = fields.number("nonce64")?;
-                let settings = read_settings(fields.rest.filter_map(|f| f.split_once('=')))?;
+                let settings = read_settings(fields.remaining.filter_map(|f| f.split_once('=')))?;
                 let mut policy = Policy::new(settings, seed);
                 policy.handle(now, Event::SlowStart { allowed: true }, &mut Vec::new());
-                self.instances.insert(router, policy);
+                self.policies.insert(router, policy);
                 return Ok((router, None));
             }
-            if !self.instances.contains_key(&router) {
-                return Err(
-                    bad(message, "router", &router.to_string()) + ", an instance that is not known"
-                );
+            if !self.policies.contains_key(&router) {
+                return Err(invalid_field(message, "router", &router.to_string())
+                    + ": no INIT was received for this router");
             }
             if message == "SHUTDOWN" {
-                self.instances.remove(&router);
+                self.policies.remove(&router);
                 return Ok((router, None));
             }
-            Ok((router, Some(event(message, &mut fields)?)))
+            Ok((router, Some(parse_event(message, &mut fields)?)))
         })();
-        let (router, incoming) = parsed.map_err(|what| lines.malformed(what))?;
-        let event = match incoming {
+        let (router, parsed_event) = parsed.map_err(|message| lines.malformed(message))?;
+        let event = match parsed_event {
             None => return Ok(()),
-            Some(Incoming::Event(event)) => event,
-            Some(Incoming::List { kind, count }) => {
-                let mut entries = Vec::new();
+            Some(ParsedEvent::Complete(event)) => event,
+            Some(ParsedEvent::EndpointList { update, count }) => {
+                let mut endpoints = Vec::new();
                 for _ in 0..count {
                     if !lines.next()? {
                         lines.number += 1;
@@ -235,90 +237,93 @@
                         );
                     }
                     let text = lines.text.clone();
-                    entries.push(
-                        entry(&mut Fields::new(&text)).map_err(|what| lines.malformed(what))?,
+                    endpoints.push(
+                        parse_endpoint(&mut Fields::new(&text))
+                            .map_err(|message| lines.malformed(message))?,
                     );
                 }
-                Event::EndpointsUpdated {
-                    update: kind,
-                    endpoints: entries,
-                }
+                Event::EndpointsUpdated { update, endpoints }
             }
         };
-        let Some(policy) = self.instances.get_mut(&router) else {
+        let Some(policy) = self.policies.get_mut(&router) else {
             return Ok(());
         };
         let mut actions = Vec::new();
         match catch_unwind(AssertUnwindSafe(|| policy.handle(now, event, &mut actions))) {
             Ok(()) => {
                 for action in actions {
-                    write_action(&mut self.out, router, &action)?;
+                    write_action(&mut self.output, router, &action)?;
                 }
             }
             Err(panic) => {
-                let what = panic
+                let message = panic
                     .downcast_ref::<String>()
                     .map(String::as_str)
                     .or_else(|| panic.downcast_ref::<&str>().copied())
                     .unwrap_or("panic");
-                writeln!(self.out, "EXCEPTION\t{router}\t{}", one_line(what))?;
+                writeln!(self.output, "EXCEPTION\t{router}\t{}", one_line(message))?;
             }
         }
         Ok(())
     }
 }
 
-enum Incoming {
-    Event(Event),
-    List { kind: EndpointUpdate, count: u64 },
+enum ParsedEvent {
+    Complete(Event),
+    /// The endpoints follow, one on each of the next `count` lines.
+    EndpointList {
+        update: EndpointUpdate,
+        count: u64,
+    },
 }
 
-fn event(message: &str, f: &mut Fields<'_>) -> Parsed<Incoming> {
+fn parse_event(message: &str, fields: &mut Fields<'_>) -> Parsed<ParsedEvent> {
     let event = match message {
         "MEMBERSHIP" => {
-            let kind = match f.text("kind")? {
+            let update = match fields.text("kind")? {
                 "INCREMENTAL" => EndpointUpdate::Incremental,
                 "FULL" => EndpointUpdate::Full,
                 "SAVED" => EndpointUpdate::Restored,
                 "FAILED" => EndpointUpdate::Failed,
-                other => return Err(bad(message, "kind", other)),
+                other => return Err(invalid_field(message, "kind", other)),
             };
-            f.maybe::<i64>("version")?;
-            return Ok(Incoming::List {
-                kind,
-                count: f.maybe("members")?.unwrap_or(0),
+            fields.optional_number::<i64>("version")?;
+            return Ok(ParsedEvent::EndpointList {
+                update,
+                count: fields.optional_number("members")?.unwrap_or(0),
             });
         }
-        "ASK" => Event::RequestArrived(ask(f)?),
+        "ASK" => Event::RequestArrived(parse_request(fields)?),
         "UNDER_WAY" => {
-            let request = RequestId(f.number("txn")?);
-            f.text("worker")?;
-            let elapsed = f.number("spent_us")?;
+            let request = RequestId(fields.number("txn")?);
+            fields.text("worker")?;
+            let elapsed = fields.number("spent_us")?;
             Event::StreamStarted {
                 request,
                 elapsed,
-                attempt: AttemptIndex(f.number("hop")?),
+                attempt: AttemptIndex(fields.number("hop")?),
             }
         }
         "SEAT_NEWS" => {
-            let request = RequestId(f.number("txn")?);
-            f.text("hop")?;
-            let worker = worker(f.text("worker")?);
+            let request = RequestId(fields.number("txn")?);
+            fields.text("hop")?;
+            let worker = worker_id(fields.text("worker")?);
             Event::ReservationResult {
                 request,
                 worker,
-                held: f.number::<u8>("kind")? == 1,
+                held: fields.number::<u8>("kind")? == 1,
             }
         }
         "CLOSED_ATTEMPT" => {
-            let request = RequestId(f.number("txn")?);
-            let attempt = AttemptIndex(f.number("hop")?);
-            f.text("worker")?;
-            let outcome = outcome(f)?;
-            let elapsed = f.maybe("spent_us")?.unwrap_or(0);
-            let settled = f.flag("settled")?;
-            let kept = f.count("detail")?;
-            let outcome = if outcome == AttemptOutcome::Rejected && kept == 1 {
+            let request = RequestId(fields.number("txn")?);
+            let attempt = AttemptIndex(fields.number("hop")?);
+            fields.text("worker")?;
+            let outcome = parse_outcome(fields)?;
+            let elapsed = fields.optional_number("spent_us")?.unwrap_or(0);
+            let settled = fields.flag("settled")?;
+            let detail = fields.count("detail")?;
+            // `detail` is the number of cached tokens, except in a rejection, where 1 stands for missing KV state.
+            let outcome = if outcome == AttemptOutcome::Rejected && detail == 1 {
                 AttemptOutcome::KvStateMissing
             } else {
                 outcome
@@ -329,27 +334,27 @@
                 outcome,
                 elapsed,
                 request_finished: settled,
-                cached_tokens: kept,
-                report: f.report()?,
+                cached_tokens: detail,
+                report: fields.load_report()?,
             })
         }
         "CLIENT_LEFT" => Event::ClientDisconnected {
-            request: RequestId(f.number("txn")?),
+            request: RequestId(fields.number("txn")?),
         },
-        "ALARM" => Event::Timer(TimerId(f.number("name")?)),
+        "ALARM" => Event::Timer(TimerId(fields.number("name")?)),
         "PROBED" => {
-            let worker = worker(f.text("worker")?);
-            let outcome = outcome(f)?;
-            f.text("spent_us")?;
+            let worker = worker_id(fields.text("worker")?);
+            let outcome = parse_outcome(fields)?;
+            fields.text("spent_us")?;
             Event::HealthCheckCompleted {
                 worker,
                 outcome,
-                report: f.report()?,
+                report: fields.load_report()?,
             }
         }
         "PEER_DATA" => {
-            let from = f.number("src_peer")?;
-            let hex = f.optional("payload")?.unwrap_or("");
+            let from = fields.number("src_peer")?;
+            let hex = fields.optional("payload")?.unwrap_or("");
             let payload = (0..hex.len())
                 .step_by(2)
                 .map(|i| {
@@ -357,33 +362,36 @@
                         .and_then(|h| u8::from_str_radix(h, 16).ok())
                 })
                 .collect::<Option<Vec<u8>>>()
-                .ok_or_else(|| bad(message, "payload", hex))?;
+                .ok_or_else(|| invalid_field(message, "payload", hex))?;
             Event::GossipReceived { from, payload }
         }
         other => return Err(format!("unknown message {other:?}")),
     };
-    Ok(Incoming::Event(event))
+    Ok(ParsedEvent::Complete(event))
 }
 
-fn ask(f: &mut Fields<'_>) -> Parsed<RequestSpec> {
-    let request = RequestId(f.number("txn")?);
-    let deadline = f.number("client_deadline_us")?;
-    let session = f.optional("session_id")?.map(Arc::from);
-    let tenant = f
+fn parse_request(fields: &mut Fields<'_>) -> Parsed<RequestSpec> {
+    let request = RequestId(fields.number("txn")?);
+    let deadline = fields.number("client_deadline_us")?;
+    let session = fields.optional("session_id")?.map(Arc::from);
+    let tenant = fields
         .optional("project")?
         .filter(|t| *t != "0")
         .map(String::from);
-    let hint: Option<Micros> = f.maybe::<f64>("work_hint_us")?.map(|h| h as u64);
-    let max_tokens = f.count("max_tokens")?;
-    let prompt_tokens = f.count("prompt_tokens")?;
-    let prefix_tokens = f.count("n_prefix")?;
-    let prefix = f
+    let hint: Option<Micros> = fields
+        .optional_number::<f64>("work_hint_us")?
+        .map(|h| h as u64);
+    let max_tokens = fields.count("max_tokens")?;
+    let prompt_tokens = fields.count("prompt_tokens")?;
+    let prefix_tokens = fields.count("n_prefix")?;
+    let prefix = fields
         .optional("system_prompt")?
         .filter(|p| *p != "0")
         .map(Arc::from);
-    let class = f.text("priority")?.to_owned();
-    let bits: u64 = f.maybe("attrs")?.unwrap_or(0);
-    let hint = hint.filter(|h| bits & 1 == 1 && *h > 0);
+    let class = fields.text("priority")?.to_owned();
+    let attributes: u64 = fields.optional_number("attrs")?.unwrap_or(0);
+    // Bit 0 states that the hint is valid.
+    let hint = hint.filter(|h| attributes & 1 == 1 && *h > 0);
     Ok(RequestSpec {
         request,
         deadline,
@@ -398,8 +406,8 @@
     })
 }
 
-fn outcome(f: &mut Fields<'_>) -> Parsed<AttemptOutcome> {
-    Ok(match f.text("disposition")? {
+fn parse_outcome(fields: &mut Fields<'_>) -> Parsed<AttemptOutcome> {
+    Ok(match fields.text("disposition")? {
         "served" => AttemptOutcome::Served,
         "half_done" => AttemptOutcome::Prefilled,
         "server_error" => AttemptOutcome::Error,
@@ -409,26 +417,26 @@
         "connection_lost" => AttemptOutcome::ConnectionLost,
         "called_off" => AttemptOutcome::Cancelled,
         "not_sent" => AttemptOutcome::NotSent,
-        other => return Err(bad(f.message, "disposition", other)),
+        other => return Err(invalid_field(fields.message, "disposition", other)),
     })
 }
 
-fn entry(f: &mut Fields<'_>) -> Parsed<Endpoint> {
-    if f.text("message")? != "ENTRY" {
-        return Err(format!("expected ENTRY, found {:?}", f.message));
+fn parse_endpoint(fields: &mut Fields<'_>) -> Parsed<Endpoint> {
+    if fields.text("message")? != "ENTRY" {
+        return Err(format!("expected ENTRY, found {:?}", fields.message));
     }
-    let worker = worker(f.text("worker")?);
-    let zone = f.text("campus")?.to_owned();
-    let kind = f.text("shape")?.to_owned();
-    let cell = f.maybe("cluster")?.unwrap_or(0);
-    let status = match f.text("status")? {
+    let worker = worker_id(fields.text("worker")?);
+    let zone = fields.text("campus")?.to_owned();
+    let kind = fields.text("shape")?.to_owned();
+    let cell = fields.optional_number("cluster")?.unwrap_or(0);
+    let status = match fields.text("status")? {
         "in_service" => Status::Ready,
         "terminating" => Status::Draining,
         "terminated" => Status::Gone,
-        other => return Err(bad("ENTRY", "status", other)),
+        other => return Err(invalid_field("ENTRY", "status", other)),
     };
-    let weight = f.maybe("scale")?.unwrap_or(1.0);
-    let started = f.maybe("since_us")?.filter(|s| *s > 0);
+    let weight = fields.optional_number("scale")?.unwrap_or(1.0);
+    let started = fields.optional_number("since_us")?.filter(|s| *s > 0);
     Ok(Endpoint {
         worker,
         zone,
@@ -440,52 +448,53 @@
     })
 }
 
-struct Pairs<'a>(BTreeMap<&'a str, &'a str>);
+/// Settings by path.
+struct SettingPairs<'a>(BTreeMap<&'a str, &'a str>);
 
-impl Pairs<'_> {
+impl SettingPairs<'_> {
     fn text(&self, key: &str) -> Parsed<&str> {
         self.0
             .get(key)
             .copied()
-            .ok_or_else(|| format!("INIT: setting {key} is missing"))
+            .ok_or_else(|| format!("settings: field {key} is missing"))
     }
 
-    fn get<T: std::str::FromStr>(&self, key: &str) -> Parsed<Option<T>> {
+    fn optional<T: std::str::FromStr>(&self, key: &str) -> Parsed<Option<T>> {
         self.0
             .get(key)
-            .map(|v| v.parse().map_err(|_| bad("INIT", key, v)))
+            .map(|v| v.parse().map_err(|_| invalid_field("settings", key, v)))
             .transpose()
     }
 
-    fn need<T: std::str::FromStr>(&self, key: &str) -> Parsed<T> {
-        self.get(key)?
-            .ok_or_else(|| format!("INIT: setting {key} is missing"))
+    fn required<T: std::str::FromStr>(&self, key: &str) -> Parsed<T> {
+        self.optional(key)?
+            .ok_or_else(|| format!("settings: field {key} is missing"))
     }
 
-    /// A number from `least` to `most`, if it is stated.
-    fn number(&self, key: &str, least: f64, most: f64) -> Parsed<Option<f64>> {
-        in_range(key, self.get(key)?, least, most)
+    /// A number from `min` to `max`; `None` if the setting is absent.
+    fn number(&self, key: &str, min: f64, max: f64) -> Parsed<Option<f64>> {
+        in_range(key, self.optional(key)?, min, max)
     }
 
-    /// The same of a list's item.
-    fn nth_number(&self, key: &str, index: usize, least: f64, most: f64) -> Parsed<Option<f64>> {
-        in_range(key, self.nth(key, index)?, least, most)
+    /// An item of a list of numbers from `min` to `max`; `None` if the setting or the item is absent.
+    fn nth_number(&self, key: &str, index: usize, min: f64, max: f64) -> Parsed<Option<f64>> {
+        in_range(key, self.nth(key, index)?, min, max)
     }
 
     fn optional_micros(&self, key: &str) -> Parsed<Option<Micros>> {
-        Ok(self.number(key, 0.0, MOST_MICROS)?.map(|v| v as Micros))
+        Ok(self.number(key, 0.0, MAX_MICROS)?.map(|v| v as Micros))
     }
 
     fn micros(&self, key: &str) -> Parsed<Micros> {
         self.optional_micros(key)?
-            .ok_or_else(|| format!("INIT: setting {key} is missing"))
+            .ok_or_else(|| format!("settings: field {key} is missing"))
     }
 
     fn flag(&self, key: &str) -> Parsed<bool> {
         match self.0.get(key).copied() {
             Some("true" | "1") => Ok(true),
             Some("false" | "0") | None => Ok(false),
-            Some(v) => Err(bad("INIT", key, v)),
+            Some(v) => Err(invalid_field("settings", key, v)),
         }
     }
 
@@ -499,43 +508,43 @@
     fn nth<T: std::str::FromStr>(&self, key: &str, index: usize) -> Parsed<Option<T>> {
         self.list(key)
             .get(index)
-            .map(|v| v.parse().map_err(|_| bad("INIT", key, v)))
+            .map(|v| v.parse().map_err(|_| invalid_field("settings", key, v)))
             .transpose()
     }
 }
 
-/// The longest time that settings may state: some thirty years.
-const MOST_MICROS: f64 = 1e15;
-/// The largest memory, in tokens, that settings may state.
-const MOST_MEMORY: f64 = 1e12;
-/// The largest rate, in requests a second, and the largest multiple that settings may state.
-const MOST_RATE: f64 = 1e9;
+/// Largest duration in settings, about 30 years, in microseconds.
+const MAX_MICROS: f64 = 1e15;
+/// Largest KV-state memory of a worker in settings, in tokens.
+const MAX_MEMORY_TOKENS: f64 = 1e12;
+/// Largest rate (in requests per second), weight or factor in settings.
+const MAX_RATE: f64 = 1e9;
 
-/// A figure that is no finite number from `least` to `most` would make nonsense of all that follows from it.
-fn in_range(key: &str, value: Option<f64>, least: f64, most: f64) -> Parsed<Option<f64>> {
+/// Rejects a number that is not finite or not from `min` to `max`, since all estimates based on it would be meaningless.
+fn in_range(key: &str, value: Option<f64>, min: f64, max: f64) -> Parsed<Option<f64>> {
     match value {
-        Some(v) if !(least..=most).contains(&v) => Err(bad("INIT", key, &v.to_string())),
+        Some(v) if !(min..=max).contains(&v) => Err(invalid_field("settings", key, &v.to_string())),
         value => Ok(value),
     }
 }
 
-/// Reads the settings from path and value pairs, in the form of the wire's INIT. Unknown paths are skipped.
+/// Parses settings from path and value pairs, as in the protocol's INIT message. Unknown paths are ignored.
 ///
 /// # Errors
-/// A line that names the setting that is missing or has a value that can't be used.
+/// A setting is missing or invalid; the text is one line that names it.
 pub fn read_settings<'a>(
     fields: impl Iterator<Item = (&'a str, &'a str)>,
 ) -> Result<RoutingConfig, String> {
-    let pairs = Pairs(fields.collect());
+    let pairs = SettingPairs(fields.collect());
     let mut kinds = Vec::new();
     for (i, name) in pairs.list("skus").into_iter().enumerate() {
         let role = match pairs.list("family_info.role_by_kind").get(i).copied() {
             Some("read") => Role::Prefill,
             Some("write") => Role::Decode,
             Some("both") | None => Role::Mixed,
-            Some(v) => return Err(bad("INIT", "family_info.role_by_kind", v)),
+            Some(v) => return Err(invalid_field("settings", "family_info.role_by_kind", v)),
         };
-        let memory = pairs.nth_number("family_info.kv_tokens", i, 1.0, MOST_MEMORY)?;
+        let memory = pairs.nth_number("family_info.kv_tokens", i, 1.0, MAX_MEMORY_TOKENS)?;
         kinds.push(WorkerKind {
             name: name.to_owned(),
             role,
@@ -543,87 +552,89 @@
         });
     }
     let mut classes = Vec::new();
-    for i in 0..pairs.need::<usize>("classes.count")? {
+    for i in 0..pairs.required::<usize>("classes.count")? {
         let key = |name: &str| format!("classes.{i}.{name}");
-        let effect = match pairs.text(&key("effect"))? {
+        let idempotency = match pairs.text(&key("effect"))? {
             "read_like" => Idempotency::Idempotent,
             "non_idempotent" => Idempotency::NonIdempotent,
             "idempotency_key" => Idempotency::WithKey(match pairs.text(&key("dedup_scope"))? {
                 "all" => DeduplicationScope::All,
                 "zone" => DeduplicationScope::Zone,
                 "cell" => DeduplicationScope::Cell,
-                v => return Err(bad("INIT", &key("dedup_scope"), v)),
+                v => return Err(invalid_field("settings", &key("dedup_scope"), v)),
             }),
-            v => return Err(bad("INIT", &key("effect"), v)),
+            v => return Err(invalid_field("settings", &key("effect"), v)),
         };
-        // Zero: nothing is stated.
-        let per_1000 = "family_info.aim_us_per_1000_prompt_tokens";
-        let per_1000 = pairs.nth_number(per_1000, i, 0.0, MOST_MICROS)?;
-        let token_aim = pairs.nth_number("family_info.token_aim_us", i, 0.0, MOST_MICROS)?;
+        // 0 stands for an absent objective.
+        let per_1000_key = "family_info.aim_us_per_1000_prompt_tokens";
+        let per_1000 = pairs.nth_number(per_1000_key, i, 0.0, MAX_MICROS)?;
+        let inter_token_objective =
+            pairs.nth_number("family_info.token_aim_us", i, 0.0, MAX_MICROS)?;
         classes.push(RequestClass {
             name: pairs.text(&key("name"))?.to_owned(),
-            idempotency: effect,
+            idempotency,
             deduplication_window: pairs
                 .optional_micros(&key("repeat_window_us"))?
                 .unwrap_or(0),
             ttft_objective: pairs.micros(&key("objective_us"))?,
             ttft_objective_per_1000_tokens: per_1000.unwrap_or(0.0) as Micros,
-            inter_token_objective: token_aim.unwrap_or(0.0) as Micros,
+            inter_token_objective: inter_token_objective.unwrap_or(0.0) as Micros,
             client_timeout: pairs.micros(&key("give_up_us"))?,
-            priority_weight: pairs.number(&key("value"), 0.0, MOST_RATE)?.unwrap_or(1.0),
+            priority_weight: pairs.number(&key("value"), 0.0, MAX_RATE)?.unwrap_or(1.0),
             late_value_share: pairs.number(&key("late_share"), 0.0, 1.0)?.unwrap_or(0.0),
         });
     }
     let mut tenants = Vec::new();
-    for i in 0..pairs.get::<usize>("tenants.count")?.unwrap_or(0) {
-        let quota = format!("tenants.{i}.quota_rps");
-        let quota_per_s = pairs.number(&quota, f64::MIN_POSITIVE, MOST_RATE)?;
+    for i in 0..pairs.optional::<usize>("tenants.count")?.unwrap_or(0) {
+        let quota_key = format!("tenants.{i}.quota_rps");
+        let quota_per_s = pairs.number(&quota_key, f64::MIN_POSITIVE, MAX_RATE)?;
         tenants.push(Tenant {
             name: pairs.text(&format!("tenants.{i}.name"))?.to_owned(),
-            quota_per_s: quota_per_s.ok_or_else(|| format!("INIT: setting {quota} is missing"))?,
+            quota_per_s: quota_per_s
+                .ok_or_else(|| format!("settings: field {quota_key} is missing"))?,
         });
     }
-    let reports = match pairs.0.get("load_report.how").copied() {
+    let load_reporting = match pairs.0.get("load_report.how").copied() {
         Some("answers") => LoadReporting::Responses,
         Some("probe") => LoadReporting::HealthChecks,
         Some("none") | None => LoadReporting::None,
-        Some(v) => return Err(bad("INIT", "load_report.how", v)),
+        Some(v) => return Err(invalid_field("settings", "load_report.how", v)),
     };
-    let optional = |key: &str| pairs.optional_micros(key);
-    let needed = |key: &str, least: f64, most: f64| {
+    let optional_micros = |key: &str| pairs.optional_micros(key);
+    let required_number = |key: &str, min: f64, max: f64| {
         pairs
-            .number(key, least, most)?
-            .ok_or_else(|| format!("INIT: setting {key} is missing"))
+            .number(key, min, max)?
+            .ok_or_else(|| format!("settings: field {key} is missing"))
     };
     Ok(RoutingConfig {
-        index: pairs.get("self_index")?,
-        routers: pairs.need::<u32>("replicas_of_me")?.max(1),
+        index: pairs.optional("self_index")?,
+        routers: pairs.required::<u32>("replicas_of_me")?.max(1),
         zone: pairs.text("my_zone")?.to_owned(),
         kinds,
         classes,
         tenants,
         over_quota_weight: pairs
-            .number("over_share_worth", 0.0, MOST_RATE)?
+            .number("over_share_worth", 0.0, MAX_RATE)?
             .unwrap_or(1.0),
-        load_reporting: reports,
+        load_reporting,
         endpoints_require_subscription: pairs.text("registry_mode")? == "on_request",
-        endpoint_update_limit: optional("rules.ask_within_us")?.unwrap_or(Micros::MAX),
+        endpoint_update_limit: optional_micros("rules.ask_within_us")?.unwrap_or(Micros::MAX),
         health_checks_allowed: pairs.flag("permissions.probes")?,
         gossip_allowed: pairs.flag("permissions.may_tell")?,
         cancellation_allowed: pairs.flag("permissions.may_cancel")?,
         hedging_allowed: pairs.flag("permissions.second_copies")?,
         decode_workers_prefill: pairs.flag("family_info.self_prefill")?,
         advises_retry_after: pairs.flag("permissions.retry_after")?,
-        max_retry_after: optional("permissions.max_retry_after_us")?.unwrap_or(0),
-        max_attempts: pairs.need("permissions.max_attempts")?,
-        connect_timeout: optional("permissions.connect_timeout_us")?.unwrap_or(0),
-        batch_interval: optional("tick_us")?.unwrap_or(0),
-        kv_state_hold_limit: optional("family_info.release_us")?.unwrap_or(Micros::MAX),
-        response_grace: optional("rules.answer_slack_us")?.unwrap_or(0),
+        max_retry_after: optional_micros("permissions.max_retry_after_us")?.unwrap_or(0),
+        max_attempts: pairs.required("permissions.max_attempts")?,
+        connect_timeout: optional_micros("permissions.connect_timeout_us")?.unwrap_or(0),
+        batch_interval: optional_micros("tick_us")?.unwrap_or(0),
+        kv_state_hold_limit: optional_micros("family_info.release_us")?.unwrap_or(Micros::MAX),
+        response_grace: optional_micros("rules.answer_slack_us")?.unwrap_or(0),
         drain_grace: pairs.micros("rules.drain_grace_us")?,
-        slow_start_initial_capacity: needed("rules.cold_from", 0.0, 1.0)?,
+        slow_start_initial_capacity: required_number("rules.cold_from", 0.0, 1.0)?,
         slow_start_duration: pairs.micros("rules.cold_us")?,
-        overload_factor: needed("rules.fall_multiple", f64::MIN_POSITIVE, MOST_RATE)?,
+        overload_factor: required_number("rules.fall_multiple", f64::MIN_POSITIVE, MAX_RATE)?,
         overload_window: pairs.micros("rules.fall_us")?,
     })
 }
@@ -632,7 +643,7 @@
     text.replace(['\n', '\r', '\t'], " ")
 }
 
-fn write_action(out: &mut impl Write, router: u32, action: &Action) -> io::Result<()> {
+fn write_action(output: &mut impl Write, router: u32, action: &Action) -> io::Result<()> {
     let or_dash = |v: Option<Micros>| v.map_or_else(|| "-".to_owned(), |v| v.to_string());
     match action {
         Action::Send {
@@ -642,7 +653,7 @@
             ..
         } => {
             writeln!(
-                out,
+                output,
                 "DELIVER\t{router}\t{}\t{}\t{}",
                 request.0,
                 worker.0,
@@ -652,11 +663,11 @@
         Action::SendDenied {
             request,
             worker,
-            denial: refusal,
+            denial,
         } => {
             writeln!(
-                out,
-                "LOG\t{router}\t{} not sent to {}: {refusal}",
+                output,
+                "LOG\t{router}\t{} not sent to {}: {denial}",
                 request.0, worker.0
             )
         }
@@ -666,18 +677,22 @@
             ..
         } => {
             writeln!(
-                out,
+                output,
                 "DECLINE\t{router}\t{}\t{}",
                 request.0,
                 or_dash(*retry_after)
             )
         }
-        Action::Fail { request, .. } => writeln!(out, "FAIL\t{router}\t{}", request.0),
+        Action::Fail { request, .. } => writeln!(output, "FAIL\t{router}\t{}", request.0),
         Action::Cancel { request, attempt } => {
-            writeln!(out, "DROP_ATTEMPT\t{router}\t{}\t{}", request.0, attempt.0)
+            writeln!(
+                output,
+                "DROP_ATTEMPT\t{router}\t{}\t{}",
+                request.0, attempt.0
+            )
         }
-        Action::Release { request, .. } => writeln!(out, "DROP_STATE\t{router}\t{}", request.0),
-        Action::Timer { at, timer } => writeln!(out, "AFTER\t{router}\t{at}\t{}", timer.0),
-        Action::Subscribe => writeln!(out, "TRACK\t{router}\t1"),
+        Action::Release { request, .. } => writeln!(output, "DROP_STATE\t{router}\t{}", request.0),
+        Action::Timer { at, timer } => writeln!(output, "AFTER\t{router}\t{at}\t{}", timer.0),
+        Action::Subscribe => writeln!(output, "TRACK\t{router}\t1"),
     }
 }
