--- a/src/admin/connections.rs
+++ b/src/admin/connections.rs
@@ -1,4 +1,5 @@
-//! Connections of the admin endpoint, and how a new one displaces an old one.
+//! Open connections of the admin endpoint. Above the limit, a new connection displaces the oldest one without a
+//! complete request.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -7,15 +8,15 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Most connections at once; one more is accepted to find out which one it displaces.
+/// Maximum number of concurrent connections. One more is accepted, and then an older one is displaced.
 pub const MAX_CONNECTIONS: usize = 32;
-/// A connection is not displaced before: what it has sent may not have been read yet.
+/// Minimum age at which a connection may be displaced, since a request that it has sent may not have been read before.
 const MIN_CONNECTION_AGE: Duration = Duration::from_millis(50);
 
 /// A connection of the admin endpoint.
 pub struct Connection {
     accepted_at: Instant,
-    /// Whether its request is complete and the response is being made.
+    /// Whether the request is complete and its response is being prepared.
     pub is_answering: Cell<bool>,
     /// Notified when the connection has to make room for another one.
     pub displaced: Notify,
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Waits until there are at most [`MAX_CONNECTIONS`]: the oldest one without a complete request is displaced.
+    /// Waits until at most [`MAX_CONNECTIONS`] are open, displacing the oldest ones without a complete request.
     pub async fn make_room(&self) {
         while self.open.borrow().len() > MAX_CONNECTIONS {
             let oldest = self
@@ -75,7 +76,7 @@
     }
 }
 
-/// Keeps a connection among the open ones until it is dropped.
+/// Guard of an open connection; dropping it removes the connection from [`Connections`].
 pub struct ConnectionSlot {
     connections: Rc<Connections>,
     pub connection: Rc<Connection>,
--- a/src/admin/metrics.rs
+++ b/src/admin/metrics.rs
@@ -1,8 +1,8 @@
-//! Metrics for operators: how requests of each class ended, requests in flight, what is known of model hosts.
+//! Metrics for operators: outcomes of requests by class, requests in progress, and the number of known model hosts.
 //!
-//! [`Metrics`] hands out one [`RequestMetrics`] for each request as its head arrives. It is ended once, by the status of
-//! a short response or by the end of a stream, where the response leaves for the client: whichever part worded the
-//! response, it is counted. The names in the report are fixed; see `docs/operations.md`.
+//! [`Metrics`] creates one [`RequestMetrics`] for each request when its head has arrived. It is ended once, by the status
+//! of a short response or by the end of a stream, at the point where the response is sent to the client, so responses of
+//! all modules are counted. The names in the report are fixed; see `docs/operations.md`.
 
 use crate::counters::Count;
 use crate::routing::types::RequestClass;
@@ -24,7 +24,7 @@
 }
 
 impl RequestOutcome {
-    /// What a short response of this status means to the client. The status of a stream says nothing of its end.
+    /// The outcome of a short response with this status. Not for streams, whose status does not tell how they end.
     pub fn of_status(status: StatusCode) -> Self {
         match status {
             StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
@@ -86,7 +86,7 @@
         classes.entry(name.to_owned()).or_default().clone()
     }
 
-    /// The current values, also of classes of which no request has ended yet.
+    /// The current values, including classes of which no request has ended yet.
     pub fn report(&self, known: &[RequestClass], gauges: Gauges) -> MetricsReport {
         known.iter().for_each(|class| _ = self.class(&class.name));
         let mut samples = Vec::new();
@@ -142,7 +142,7 @@
     value: u64,
 }
 
-/// The values at one moment; displayed as one `conductor.NAME=VALUE` a line.
+/// The values at one instant, formatted with one `conductor.NAME=VALUE` or `conductor.NAME.CLASS=VALUE` per line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MetricsReport(Vec<Sample>);
 
@@ -163,14 +163,14 @@
 #[derive(Debug)]
 pub struct RequestMetrics {
     metrics: Rc<Metrics>,
-    /// The class, if the configuration has it.
+    /// Counts of the request's class; `None` if the configuration does not name the class.
     class: Option<Rc<OutcomeCounts>>,
     in_progress: Cell<bool>,
     ended: Cell<bool>,
 }
 
 impl RequestMetrics {
-    /// The request is complete: it is in progress from now on.
+    /// Marks the request as in progress; called once it has been received completely.
     pub fn begin_progress(&self) {
         if !self.ended.get() && !self.in_progress.replace(true) {
             self.metrics
@@ -179,7 +179,7 @@
         }
     }
 
-    /// The request has ended; only the first outcome counts.
+    /// Records the outcome of the request; only the first call has an effect.
     pub fn end(&self, outcome: RequestOutcome) {
         if self.ended.replace(true) {
             return;
--- a/src/admin/metrics/tests.rs
+++ b/src/admin/metrics/tests.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_report_names_each_class_of_the_settings_before_anything_of_it_has_ended() {
+fn report_lists_all_configured_classes_before_any_request_has_ended() {
     let metrics = Rc::new(Metrics::default());
     let gauges = Gauges {
         upstream_tries: 1,
@@ -29,17 +29,17 @@
         loads: 4,
         load_errors: 5,
     };
-    let wanted = "conductor.passed.chat=0\nconductor.dropped.chat=0\nconductor.bad_gateway.chat=0\n\
+    let expected = "conductor.passed.chat=0\nconductor.dropped.chat=0\nconductor.bad_gateway.chat=0\n\
                   conductor.upstream_tries=1\nconductor.in_progress=0\nconductor.known_model_hosts=2\n\
                   conductor.skipped_model_hosts=3\nconductor.loads=4\nconductor.load_errors=5\n";
     assert_eq!(
         metrics.report(&classes(&["chat"]), gauges).to_string(),
-        wanted
+        expected
     );
 }
 
 #[test]
-fn a_request_is_counted_once_and_in_progress_from_its_last_byte_to_its_end() {
+fn request_is_counted_once_and_in_progress_from_its_last_byte_to_its_end() {
     let (metrics, known) = (Rc::new(Metrics::default()), classes(&["chat"]));
     let request = metrics.begin(Some("chat"), &known);
     assert!(lines(&metrics, &known).contains(&"conductor.in_progress=0".into()));
@@ -69,8 +69,7 @@
     );
 }
 
-/// Guards against memory that grows with each name that a client makes up, and against counts lost at a
-/// reload.
+/// Guards against memory that grows with every class name that clients invent, and against counts lost at a reload.
 #[test]
 fn unknown_classes_are_not_counted_and_removed_classes_keep_their_counts() {
     let (metrics, known) = (Rc::new(Metrics::default()), classes(&["chat"]));
@@ -94,10 +93,10 @@
 
 #[test]
 fn only_429_and_503_count_as_rejected() {
-    let of = |status| RequestOutcome::of_status(StatusCode::from_u16(status).unwrap());
-    assert_eq!([429, 503].map(of), [RequestOutcome::Rejected; 2]);
+    let outcome_of = |status| RequestOutcome::of_status(StatusCode::from_u16(status).unwrap());
+    assert_eq!([429, 503].map(outcome_of), [RequestOutcome::Rejected; 2]);
     assert_eq!(
-        [400, 409, 413, 500, 502, 504].map(of),
+        [400, 409, 413, 500, 502, 504].map(outcome_of),
         [RequestOutcome::Failed; 6]
     );
 }
--- a/src/admin/server.rs
+++ b/src/admin/server.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 server of the admin endpoint: one request a connection.
+//! HTTP/1.1 server of the admin endpoint, with one request per connection.
 //!
 //! Nothing here waits on requests of clients, model hosts or discovery. A caller that does not complete its request can't
 //! delay the others: connections are few, their time is bounded, and the oldest one without a complete request
@@ -28,22 +28,23 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::oneshot;
 
-/// Descriptors that the endpoint may hold: its listener, its connections, and the one that is just accepted.
+/// Maximum number of file descriptors of the endpoint: its listener, its connections, and one that was just accepted.
 pub const ADMIN_SOCKETS: usize = MAX_CONNECTIONS + 2;
 /// Time from the accept until a request has to be complete.
 pub(super) const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time that a caller has to read the response and close: a socket closed over unread bytes is reset.
+/// Time that a caller has to read the response and close. Closing a socket with unread bytes would reset the connection
+/// and could discard the response.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
-/// Bytes that are read and discarded meanwhile.
+/// Maximum number of bytes read and discarded within [`LINGER_TIMEOUT`].
 const MAX_LINGER_BYTES: usize = 64 * 1024;
-/// Longest head of a request, in bytes.
+/// Maximum size of a request head, in bytes.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// Longest body of a request, in bytes; no request needs one.
+/// Maximum size of a request body, in bytes; no request needs a body.
 const MAX_BODY_BYTES: usize = 4 * 1024;
-/// How long metrics wait for the dispatcher; after that the count of avoided workers is the last one known.
+/// How long the metrics report waits for the dispatcher; after that it uses the last known count of avoided workers.
 const DISPATCHER_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// What the requests read and switch.
+/// The admin endpoint, with the state that its requests read or change.
 pub struct AdminServer {
     /// State shared with the clients' connections.
     pub shared: Rc<Shared>,
@@ -69,7 +70,7 @@
                     tokio::task::spawn_local(self.clone().serve_connection(stream, slot));
                 }
                 Err(error) => {
-                    log::warn!("admin endpoint: accept: {error}");
+                    log::warn!("admin endpoint: accept failed: {error}; accepting again");
                     if let Some(pause) = accept_retry_delay(&error) {
                         tokio::time::sleep(pause).await;
                     }
@@ -103,8 +104,10 @@
             .without_shutdown();
         match tokio::time::timeout(REQUEST_TIMEOUT, serving).await {
             Ok(Ok(parts)) => linger(parts.io.into_inner().0).await,
-            Ok(Err(error)) => log::debug!("admin endpoint: {error}"),
-            Err(_) => log::debug!("admin endpoint: incomplete request"),
+            Ok(Err(error)) => log::debug!("admin endpoint: connection failed: {error}"),
+            Err(_) => log::debug!(
+                "admin endpoint: request incomplete after {REQUEST_TIMEOUT:?}; closing the connection"
+            ),
         }
     }
 
@@ -131,7 +134,7 @@
         if route.method() != method {
             let mut response = plain(StatusCode::METHOD_NOT_ALLOWED, "wrong method\n");
             let allowed = HeaderValue::from_str(route.method().as_str())
-                .expect("a method is a header's value");
+                .expect("HTTP methods are valid header values");
             response.headers_mut().insert(ALLOW, allowed);
             return response;
         }
@@ -228,11 +231,11 @@
 async fn linger(stream: TcpStream) {
     let _ = shutdown_write(&stream);
     let drained = async {
-        let (mut scrap, mut left) = (vec![0; 4 * 1024], MAX_LINGER_BYTES);
-        while left > 0 && stream.readable().await.is_ok() {
-            match retry_interrupted(|| stream.try_read(&mut scrap)) {
+        let (mut discarded, mut remaining) = (vec![0; 4 * 1024], MAX_LINGER_BYTES);
+        while remaining > 0 && stream.readable().await.is_ok() {
+            match retry_interrupted(|| stream.try_read(&mut discarded)) {
                 Ok(0) => return,
-                Ok(n) => left = left.saturating_sub(n),
+                Ok(n) => remaining = remaining.saturating_sub(n),
                 Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => {}
                 Err(_) => return,
             }
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -133,13 +133,13 @@
         }
         // The first paragraph of clap's text is the error; usage and hints follow in paragraphs of their own.
         let text = error.render().to_string();
-        let fault: Vec<&str> = text
+        let message: Vec<&str> = text
             .lines()
             .map(str::trim)
             .take_while(|l| !l.is_empty())
             .collect();
-        let fault = fault.join(" ");
-        let fault = fault.strip_prefix("error: ").unwrap_or(&fault);
-        format!("{fault}; whinhaven --help lists the commands")
+        let message = message.join(" ");
+        let message = message.strip_prefix("error: ").unwrap_or(&message);
+        format!("{message}; whinhaven --help lists the commands")
     })
 }
--- a/src/config.rs
+++ b/src/config.rs
@@ -115,7 +115,7 @@
 }
 
 #[derive(Deserialize)]
-struct Raw {
+struct RawConfig {
     #[serde(default)]
     name: String,
     listen: Option<SocketAddr>,
@@ -245,7 +245,8 @@
         document: Document,
         env: impl Fn(&str) -> Option<String>,
     ) -> Result<Self, ConfigError> {
-        let raw = Raw::deserialize(&document.table).map_err(|e| ConfigError(e.to_string()))?;
+        let raw =
+            RawConfig::deserialize(&document.table).map_err(|e| ConfigError(e.to_string()))?;
         let address = |given: Option<SocketAddr>, name: &str| match (given, env(name)) {
             (Some(address), _) => Ok(Some(address)),
             (None, Some(text)) => text.parse().map(Some).map_err(|_| {
@@ -306,11 +307,11 @@
             .as_ref()
             .filter(|t| records_results && t.max_result_bytes > MAX_RECORDED_RESULT_BYTES)
         {
-            let what = format!(
+            let message = format!(
                 "{} is above {MAX_RECORDED_RESULT_BYTES}, the largest result that [takeover] can record",
                 tools.max_result_bytes
             );
-            return Err(ConfigError(format!("tools.max_result_bytes: {what}")));
+            return Err(ConfigError(format!("tools.max_result_bytes: {message}")));
         }
         let sites = match (&fleet, raw.sites) {
             (Some(fleet), Some(tables)) => {
@@ -319,11 +320,11 @@
                 let sites =
                     Sites::new(tables, &settings).map_err(|e| ConfigError(e.to_string()))?;
                 if sites.site_index(fleet.site.as_str()).is_none() {
-                    let what = format!(
+                    let message = format!(
                         "fleet.site: {} is not listed in [[sites.site]]",
                         fleet.site.as_str()
                     );
-                    return Err(ConfigError(what));
+                    return Err(ConfigError(message));
                 }
                 Some(sites)
             }
--- a/src/config/replacement/tests.rs
+++ b/src/config/replacement/tests.rs
@@ -148,10 +148,10 @@
     for pointer in pointers {
         let text = changed(|table| remove(table, &pointer));
         // The classes of the table differ in effect, so each needs all of its keys.
-        let fault = load(&text).expect_err(&pointer).to_string();
-        assert!(!fault.contains('\n'), "{fault}");
+        let error = load(&text).expect_err(&pointer).to_string();
+        assert!(!error.contains('\n'), "{error}");
         let key = pointer.rsplit('/').next().unwrap();
-        assert!(fault.contains(key), "{pointer}: {fault}");
+        assert!(error.contains(key), "{pointer}: {error}");
     }
 }
 
@@ -176,10 +176,10 @@
         json!([]),
         json!({}),
     ] {
-        let fault = with(invalid.clone())
+        let error = with(invalid.clone())
             .expect_err(&invalid.to_string())
             .to_string();
-        assert!(fault.contains(key), "{invalid}: {fault}");
+        assert!(error.contains(key), "{invalid}: {error}");
     }
 }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,12 +1,11 @@
 //! A request router in front of a language model that separate prefill and decode workers serve.
 //!
-//! All routing decisions are in [`Policy`], which the simulator's adapter ([`wire`]) and the real conductor
-//! share. In the real conductor [`dispatch`] drives it, the server and the client side of [`net`] meet in an
-//! [`exchange`] only, and [`front`] holds what clients speak.
+//! All routing decisions are made by [`Policy`], which the simulator's adapter ([`wire`]) and the router program share. In
+//! the router program [`dispatch`] drives the policy, the server and the client side of [`net`] are connected only by an
+//! [`exchange`] for each request, and [`front`] implements the protocols that clients use.
 //!
-//! [`Policy`] is a state machine without input or output of its own: the caller hands it events with the time,
-//! and carries out the actions that it appends. The same events always give the same actions. Settings, events
-//! and actions are in [`routing::types`]; [`wire`] speaks the simulator's wire.
+//! [`Policy`] is a state machine without I/O: the caller passes it events with their time, and performs the actions that
+//! it returns. The same events always give the same actions. Settings, events and actions are in [`routing::types`].
 //!
 //! ```
 //! use whinhaven::Policy;
--- a/src/logs.rs
+++ b/src/logs.rs
@@ -17,7 +17,7 @@
 
 /// Installs the global logger. `RUST_LOG` overrides the default filter.
 pub fn start(format: LogFormat) {
-    // Events that recur every period are meant for programs, so the text format omits them by default.
+    // Events that recur every period or request are meant for programs, so the text format omits them by default.
     let text_filter = format!("info,{RENEWALS}=warn,{ACTS}=warn,{BEGINS}=warn,{WORK}=warn");
     let default = if format == LogFormat::Json {
         "info"
--- a/src/policies.rs
+++ b/src/policies.rs
@@ -141,7 +141,7 @@
     };
     let proposal = client
         .command(command)
-        .map_err(|e| format!("proposal rejected, applied nowhere: {e}"))?;
+        .map_err(|e| format!("proposal not accepted, applied nowhere: {e}"))?;
     println!("proposal {proposal} over epoch {}", before.table.epoch());
     let within_ms = client.fleet.policy.as_ref().map_or(30_000, |p| p.within_ms);
     let deadline = Instant::now() + Duration::from_millis(within_ms) + DECISION_MARGIN;
