--- a/src/exchange.rs
+++ b/src/exchange.rs
@@ -31,7 +31,7 @@
     pub id: String,
     /// Path and query.
     pub target: String,
-    /// The client's headers that are meant for whoever answers (see [`crate::front::platform::end_to_end`]).
+    /// The client's headers that are meant for whoever answers (see [`crate::front::platform::end_to_end_headers`]).
     pub headers: HeaderMap,
     /// Its body.
     pub body: Bytes,
--- a/src/front/jsonrpc.rs
+++ b/src/front/jsonrpc.rs
@@ -9,7 +9,7 @@
 use super::ledger::{CallKey, Ledger, Outcome};
 use super::platform::{AnswerBody, refusal};
 use super::record::{Claim, Claimed};
-use super::shared::{COME_BACK, CUT_OFF, MOST_BODY, Shared};
+use super::shared::{MAX_BODY_BYTES, RETRY_AFTER_CUT_OFF, RETRY_AFTER_OVERLOAD, Shared};
 use crate::config::ToolSettings;
 use crate::exchange::{
     Answer, DisconnectNotifier, Frame, StreamReceiver, UpstreamRequest, is_plain_id,
@@ -467,7 +467,7 @@
     }
 
     /// Lets go of what has had its time, also when no call comes any more.
-    pub fn tidy(&self) {
+    pub fn sweep(&self) {
         self.ledger.sweep();
     }
 
@@ -671,7 +671,7 @@
     /// Checks a request and takes it to its first event.
     async fn begin(self: &Rc<Self>, message: Message) -> Result<Begun, Fault> {
         // What no epoch names is told at once; what one of two names, when it begins.
-        if self.shared.gate.is_none() && !self.shared.knows(&message.method) {
+        if self.shared.gate.is_none() && !self.shared.has_class(&message.method) {
             return Err(NO_METHOD);
         }
         let params = message.params.as_ref().ok_or(PARAMS)?;
@@ -693,12 +693,12 @@
             resume: params.resume.as_ref(),
         };
         let body = Bytes::from(encode(&prompt));
-        if body.len() > MOST_BODY {
+        if body.len() > MAX_BODY_BYTES {
             return Err(TOO_LONG);
         }
         if !(self.shared.may_serve)() {
             self.shared.counters.cut_off.up();
-            return Err(Fault::refused(Some(CUT_OFF)));
+            return Err(Fault::refused(Some(RETRY_AFTER_CUT_OFF)));
         }
         // First of all: what is rejected must not take a stream from its client.
         let permit = self
@@ -712,18 +712,20 @@
             pass = self.shared.begin(deadline) => pass.map_err(|advice| Fault::refused(Some(advice)))?,
             _ = in_hand.stop.wait_for(|s| *s != Stop::No) => return Err(CANCELLED),
         };
-        if !self.shared.knows(&message.method) {
+        if !self.shared.has_class(&message.method) {
             return Err(NO_METHOD);
         }
-        let once = self.shared.is_once(&message.method);
+        let once = self.shared.is_at_most_once(&message.method);
         let claim = match self.claim(once, &params, deadline, &mut in_hand).await? {
             Ok(claim) => claim,
             Err(answer) => return recorded(message.id, in_hand.name.clone(), &params, answer),
         };
         // SIGHUP may have changed the class meanwhile, and the claim would promise what the dispatcher does not keep.
-        if !self.shared.knows(&message.method) || self.shared.is_once(&message.method) != once {
+        if !self.shared.has_class(&message.method)
+            || self.shared.is_at_most_once(&message.method) != once
+        {
             claim.iter().for_each(Claim::refused);
-            return Err(Fault::refused(Some(COME_BACK)));
+            return Err(Fault::refused(Some(RETRY_AFTER_OVERLOAD)));
         }
         // One token is four characters.
         let prompt_tokens = params.prompt_len.unwrap_or(body.len() as u64 / 4);
@@ -744,7 +746,7 @@
             "{:016x}",
             xxh3_64_with_seed(&in_hand.number.to_le_bytes(), self.seed)
         );
-        let target = super::platform::PATH.to_owned();
+        let target = super::platform::COMPLETIONS_PATH.to_owned();
         let call = UpstreamRequest {
             id,
             target,
@@ -830,7 +832,7 @@
             Claimed::Ended(answer) => Ok(Err(answer)),
             Claimed::InHand => Err(IN_HAND),
             Claimed::Begun => Err(BROKEN),
-            Claimed::NotNow => Err(Fault::refused(Some(CUT_OFF))),
+            Claimed::NotNow => Err(Fault::refused(Some(RETRY_AFTER_CUT_OFF))),
         }
     }
 
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -1,4 +1,5 @@
-//! What clients speak: the platform's protocol, and JSON-RPC with tool calls relayed mid-stream.
+//! The two protocol front ends: the platform's HTTP protocol, and JSON-RPC 2.0 with tool calls that are relayed in the
+//! middle of a response stream.
 
 pub mod jsonrpc;
 pub mod ledger;
--- a/src/front/shared.rs
+++ b/src/front/shared.rs
@@ -1,4 +1,4 @@
-//! What the server's connections and the fronts share.
+//! State and limits that the client connections and both protocol front ends share.
 
 use crate::admin::metrics::Metrics;
 use crate::counters::Counters;
@@ -10,58 +10,59 @@
 use std::collections::HashSet;
 use std::rc::Rc;
 
-/// No body is longer.
-pub const MOST_BODY: usize = 256 * 1024;
-/// Advice to clients that came when there was no room.
-pub const COME_BACK: Micros = 500_000;
-/// Advice to clients of a conductor that is cut off from its fleet: another one is better tried first.
-pub const CUT_OFF: Micros = 1_000_000;
+/// The maximum length of a request body, in bytes.
+pub const MAX_BODY_BYTES: usize = 256 * 1024;
+/// `Retry-After` advice for requests that are rejected because a capacity limit is reached.
+pub const RETRY_AFTER_OVERLOAD: Micros = 500_000;
+/// `Retry-After` advice from a router that may not serve (cut off from its fleet, or stopping). It is longer than
+/// [`RETRY_AFTER_OVERLOAD`], so that clients try another router first.
+pub const RETRY_AFTER_CUT_OFF: Micros = 1_000_000;
 
-/// What all connections of the edge share.
+/// State shared by all client connections and front ends.
 pub struct Shared {
-    /// The core.
+    /// Submits requests to the dispatcher.
     pub dispatcher: DispatcherHandle,
-    /// Classes that the settings in force name.
+    /// The request classes of the current configuration.
     pub classes: RefCell<Vec<RequestClass>>,
-    /// Lets requests begin under the fleet's policy, where there is one.
+    /// Holds requests back while the fleet changes its policy; `None` without a fleet policy.
     pub gate: Option<Rc<Gate>>,
-    /// Whether the conductor can serve.
+    /// Whether this router is ready to serve (for readiness checks).
     pub ready: Box<dyn Fn() -> bool>,
-    /// Whether new requests may be taken: in a fleet, whether the conductor's right to act stands at this moment.
+    /// Whether new requests may be accepted. In a fleet this requires that the router's session lease is valid now.
     pub may_serve: Box<dyn Fn() -> bool>,
-    /// The shutdown of the process.
+    /// The shutdown state of the process; it issues admission permits.
     pub shutdown: Shutdown,
-    /// Counters.
+    /// The process-wide counters.
     pub counters: Rc<Counters>,
-    /// How requests of each class ended, for operators.
+    /// Request metrics per class, for operators.
     pub metrics: Rc<Metrics>,
-    /// Bytes of bodies that may be held at once.
-    pub budget: Cell<usize>,
-    /// Ids in hand.
-    pub ids: RefCell<HashSet<String>>,
+    /// Bytes left of the memory budget for request bodies. Reserve from it with [`BudgetReservation`].
+    pub body_budget: Cell<usize>,
+    /// The ids of requests in progress. [`ActiveRequestId`] removes an id when it is dropped.
+    pub active_ids: RefCell<HashSet<String>>,
 }
 
 impl Shared {
-    /// Whether the settings in force name this class.
-    pub fn knows(&self, class: &str) -> bool {
-        self.classes.borrow().iter().any(|c| c.name == class)
+    /// Whether the current configuration defines this class.
+    pub fn has_class(&self, name: &str) -> bool {
+        self.classes.borrow().iter().any(|c| c.name == name)
     }
 
-    /// Whether requests of this class must not run twice.
-    pub fn is_once(&self, class: &str) -> bool {
-        once(&self.classes.borrow()).any(|c| c.name == class)
+    /// Whether requests of this class must not run more than once.
+    pub fn is_at_most_once(&self, name: &str) -> bool {
+        once(&self.classes.borrow()).any(|c| c.name == name)
     }
 
-    /// Admits a request that has just come whole.
+    /// Admits a request that has just been received in full.
     ///
     /// # Errors
-    /// The process stops, and the request came late: the advice when to come back. Another router is better tried first.
+    /// The `Retry-After` advice ([`RETRY_AFTER_CUT_OFF`]) if the process is shutting down and no longer admits requests.
     pub fn admit(&self, id: &str) -> Result<AdmissionPermit, Micros> {
         match self.shutdown.permit_admission() {
             Ok(permit) => {
                 if let Some(elapsed) = self.shutdown.elapsed() {
                     log::info!(
-                        "request {id}: came whole {} ms after the signal to stop",
+                        "request {id}: admitted; received in full {} ms after the shutdown signal",
                         elapsed.as_millis()
                     );
                 }
@@ -70,15 +71,17 @@
             Err(denial) => {
                 self.counters.rejected_stopping.up();
                 log::info!("request {id}: rejected: {denial}");
-                Err(CUT_OFF)
+                Err(RETRY_AFTER_CUT_OFF)
             }
         }
     }
 
-    /// Lets a request begin; hold on to the pass until the dispatcher has the request.
+    /// Waits until the fleet's policy lets a request start. Keep the returned pass until the request is submitted to the
+    /// dispatcher; it is `None` without a fleet policy.
     ///
     /// # Errors
-    /// It can't begin now: the advice when to come back.
+    /// The `Retry-After` advice: the router may not act or lacks the current policy epoch ([`RETRY_AFTER_CUT_OFF`]), or a
+    /// policy change does not finish before `deadline`, or too many requests wait for it ([`RETRY_AFTER_OVERLOAD`]).
     pub async fn begin(&self, deadline: Micros) -> Result<Option<Pass>, Micros> {
         let Some(gate) = &self.gate else {
             return Ok(None);
@@ -87,61 +90,62 @@
             Ok(pass) => Ok(Some(pass)),
             Err(Shut::CutOff) => {
                 self.counters.cut_off.up();
-                Err(CUT_OFF)
+                Err(RETRY_AFTER_CUT_OFF)
             }
             Err(Shut::Waited) => {
                 self.counters.over_bound.up();
-                Err(COME_BACK)
+                Err(RETRY_AFTER_OVERLOAD)
             }
         }
     }
 }
 
-/// Bytes of the budget, given back when dropped.
-pub struct Held(Rc<Shared>, usize);
+/// Bytes reserved from [`Shared::body_budget`], returned on drop.
+pub struct BudgetReservation(Rc<Shared>, usize);
 
-impl Held {
-    /// None yet.
+impl BudgetReservation {
+    /// An empty reservation.
     pub fn new(shared: Rc<Shared>) -> Self {
-        Held(shared, 0)
+        BudgetReservation(shared, 0)
     }
 
-    /// Takes more, as bytes come: a length that is only claimed takes nothing from others.
+    /// Reserves `bytes` more; returns `false` and reserves nothing if the budget has too little left. Call it as bytes
+    /// arrive, so that a request that only announces a long body takes no budget from others.
     pub fn grow(&mut self, bytes: usize) -> bool {
-        let left = self.0.budget.get().checked_sub(bytes);
+        let left = self.0.body_budget.get().checked_sub(bytes);
         if let Some(left) = left {
-            self.0.budget.set(left);
+            self.0.body_budget.set(left);
             self.1 += bytes;
         }
         left.is_some()
     }
 
-    /// Gives back what is more than this.
+    /// Returns everything beyond `bytes` to the budget.
     pub fn shrink_to(&mut self, bytes: usize) {
-        let over = self.1.saturating_sub(bytes);
-        self.0.budget.set(self.0.budget.get() + over);
-        self.1 -= over;
+        let excess = self.1.saturating_sub(bytes);
+        self.0.body_budget.set(self.0.body_budget.get() + excess);
+        self.1 -= excess;
     }
 }
 
-impl Drop for Held {
+impl Drop for BudgetReservation {
     fn drop(&mut self) {
-        self.0.budget.set(self.0.budget.get() + self.1);
+        self.0.body_budget.set(self.0.body_budget.get() + self.1);
     }
 }
 
-/// An id in hand, free again when dropped.
-pub struct InHand(Rc<Shared>, String);
+/// Removes an id from [`Shared::active_ids`] on drop.
+pub struct ActiveRequestId(Rc<Shared>, String);
 
-impl InHand {
-    /// Over an id that has been entered.
+impl ActiveRequestId {
+    /// Takes over an id that the caller has inserted into [`Shared::active_ids`].
     pub fn new(shared: Rc<Shared>, id: String) -> Self {
-        InHand(shared, id)
+        ActiveRequestId(shared, id)
     }
 }
 
-impl Drop for InHand {
+impl Drop for ActiveRequestId {
     fn drop(&mut self) {
-        self.0.ids.borrow_mut().remove(&self.1);
+        self.0.active_ids.borrow_mut().remove(&self.1);
     }
 }
--- a/src/net/client_connection.rs
+++ b/src/net/client_connection.rs
@@ -8,7 +8,7 @@
 use crate::admin::metrics::{RequestMetrics, RequestOutcome};
 use crate::counters::Counters;
 use crate::front::platform::{self, AnswerBody};
-use crate::front::shared::{Held, MOST_BODY};
+use crate::front::shared::{BudgetReservation, MAX_BODY_BYTES};
 use crate::routing::policy::close_permit::{
     CloseCause, CloseDenial, ClosePermit, ConnectionState, permit_close,
 };
@@ -41,7 +41,7 @@
 /// closed over unread bytes is reset, and what the client has not read is lost with it.
 pub(super) const LINGER: Duration = Duration::from_secs(1);
 /// Bytes that are read and forgotten meanwhile.
-const MOST_LINGER: usize = 2 * MOST_BODY;
+const MOST_LINGER: usize = 2 * MAX_BODY_BYTES;
 /// For a request that did not come in time.
 const TOO_SLOW: &[u8] =
     b"HTTP/1.1 408 Request Timeout\r\nconnection: close\r\ncontent-length: 0\r\n\r\n";
@@ -102,12 +102,12 @@
 
 impl Body for Answering {
     type Data = Bytes;
-    type Error = platform::Broken;
+    type Error = platform::StreamBroken;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<hyper::body::Frame<Bytes>, platform::Broken>>> {
+    ) -> Poll<Option<Result<hyper::body::Frame<Bytes>, platform::StreamBroken>>> {
         // hyper drops what a slow client has not taken yet when a body fails; it asks again once that is written.
         if matches!(self.body, AnswerBody::Breaking) && self.watch.is_blocked() {
             return Poll::Pending;
@@ -197,7 +197,7 @@
     service: S,
     stage: watch::Receiver<Stage>,
     watch: &Rc<Watch>,
-    room: Held,
+    room: BudgetReservation,
     counters: &Counters,
 ) where
     S: RequestService,
@@ -241,7 +241,7 @@
     service: S,
     mut stage: watch::Receiver<Stage>,
     watch: &Rc<Watch>,
-    mut room: Held,
+    mut room: BudgetReservation,
 ) -> Served
 where
     S: RequestService,
--- a/src/net/framing.rs
+++ b/src/net/framing.rs
@@ -4,7 +4,7 @@
 //! service can see it. Such a head may hide a second request in its body, so heads are looked at here, as bytes.
 
 use super::stream::{self, retry_interrupted};
-use crate::front::shared::Held;
+use crate::front::shared::BudgetReservation;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::io::{self, IoSlice};
@@ -160,7 +160,7 @@
     /// Reads on behind the request in hand; resolves when bytes have come, and tells whether the client has gone
     /// instead. hyper reads no further than to the first bytes there: the end behind them would go unseen. What is kept
     /// takes `room`.
-    pub async fn read_ahead(&self, socket: &TcpStream, room: &mut Held) -> bool {
+    pub async fn read_ahead(&self, socket: &TcpStream, room: &mut BudgetReservation) -> bool {
         let mut scrap = [0; 4096];
         match socket
             .readable()
@@ -198,7 +198,7 @@
 }
 
 impl Ahead {
-    fn keep(&mut self, bytes: &[u8], room: &mut Held) {
+    fn keep(&mut self, bytes: &[u8], room: &mut BudgetReservation) {
         self.cut =
             self.cut || self.bytes.len() + bytes.len() > MOST_AHEAD || !room.grow(bytes.len());
         if self.cut {
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -10,8 +10,11 @@
 use crate::counters::Counters;
 use crate::exchange::UpstreamRequest;
 use crate::front::jsonrpc;
-use crate::front::platform::{self, AnswerBody, end_to_end, plain};
-use crate::front::shared::{COME_BACK, CUT_OFF, Held, InHand, MOST_BODY, Shared};
+use crate::front::platform::{self, AnswerBody, end_to_end_headers, plain};
+use crate::front::shared::{
+    ActiveRequestId, BudgetReservation, MAX_BODY_BYTES, RETRY_AFTER_CUT_OFF, RETRY_AFTER_OVERLOAD,
+    Shared,
+};
 use crate::routing::types::Micros;
 use bytes::{Bytes, BytesMut};
 use futures_util::FutureExt;
@@ -63,7 +66,8 @@
 
     /// Begins the request_metrics of a request whose head has come; ahead of all that may refuse it.
     fn request_metrics(&self, request: &Request<Incoming>) -> Rc<RequestMetrics> {
-        let asks = request.uri().path() == platform::PATH && request.method() == Method::POST;
+        let asks =
+            request.uri().path() == platform::COMPLETIONS_PATH && request.method() == Method::POST;
         let class = request.headers().get("x-class").filter(|_| asks);
         let class = class.and_then(|value| value.to_str().ok()).map(str::trim);
         self.shared
@@ -102,11 +106,11 @@
             };
         }
         match (path, request.method()) {
-            (platform::PATH, &Method::POST) => {
+            (platform::COMPLETIONS_PATH, &Method::POST) => {
                 self.platform(request, arrived, &watch, &request_metrics)
                     .await
             }
-            (platform::PATH | "/healthz", _) => {
+            (platform::COMPLETIONS_PATH | "/healthz", _) => {
                 self.bad(StatusCode::METHOD_NOT_ALLOWED, "wrong method\n")
             }
             _ => self.bad(StatusCode::NOT_FOUND, "no such path\n"),
@@ -123,14 +127,14 @@
         let shared = self.shared.clone();
         if !(shared.may_serve)() {
             shared.counters.cut_off.up();
-            return platform::refusal(Some(CUT_OFF));
+            return platform::refusal(Some(RETRY_AFTER_CUT_OFF));
         }
         let (head, body) = request.into_parts();
         let mut intake = match platform::decode(&head.headers, arrived) {
             Ok(intake) => intake,
             Err(what) => return self.bad(StatusCode::BAD_REQUEST, what),
         };
-        if shared.gate.is_none() && !shared.knows(&intake.ask.class) {
+        if shared.gate.is_none() && !shared.has_class(&intake.spec.class) {
             return self.bad(StatusCode::BAD_REQUEST, "unknown class\n");
         }
         let (body, mut held) = match self.body(body, watch).await {
@@ -142,7 +146,7 @@
             Ok(permit) => permit,
             Err(advice) => return platform::refusal(Some(advice)),
         };
-        let headers = end_to_end(&head.headers);
+        let headers = end_to_end_headers(&head.headers);
         if !held.grow(
             headers
                 .iter()
@@ -150,31 +154,31 @@
                 .sum(),
         ) {
             shared.counters.over_bound.up();
-            return platform::refusal(Some(COME_BACK));
+            return platform::refusal(Some(RETRY_AFTER_OVERLOAD));
         }
-        if !intake.stated {
+        if !intake.has_prompt_length {
             // One token is four characters.
-            intake.ask.prompt_tokens = body.len() as u64 / 4;
+            intake.spec.prompt_tokens = body.len() as u64 / 4;
         }
-        let pass = match shared.begin(intake.ask.deadline).await {
+        let pass = match shared.begin(intake.spec.deadline).await {
             Ok(pass) => pass,
             Err(advice) => return platform::refusal(Some(advice)),
         };
         // Only now: the classes are those of the epoch it begins under.
-        if !shared.knows(&intake.ask.class) {
+        if !shared.has_class(&intake.spec.class) {
             return self.bad(StatusCode::BAD_REQUEST, "unknown class\n");
         }
         // Model hosts tell requests apart by their ids: two at once under one would share what is held. An id is in
         // hand until the last attempt and release of its request are over, or another client could send a second
         // copy of a request whose stream still runs.
-        if !shared.ids.borrow_mut().insert(intake.id.clone()) {
+        if !shared.active_ids.borrow_mut().insert(intake.id.clone()) {
             return self.bad(StatusCode::CONFLICT, "a request with this id is in hand\n");
         }
-        let in_hand = InHand::new(shared.clone(), intake.id.clone());
+        let in_hand = ActiveRequestId::new(shared.clone(), intake.id.clone());
         let target = head
             .uri
             .path_and_query()
-            .map_or(platform::PATH, |p| p.as_str())
+            .map_or(platform::COMPLETIONS_PATH, |p| p.as_str())
             .to_owned();
         let lifetime_guards: Option<Rc<dyn Any>> = Some(Rc::new((in_hand, held)));
         let call = UpstreamRequest {
@@ -185,7 +189,7 @@
             lifetime_guards,
             claim_key: None,
         };
-        let asked = shared.dispatcher.submit(intake.ask, call, permit);
+        let asked = shared.dispatcher.submit(intake.spec, call, permit);
         drop(pass);
         let (answer, presence) = asked.answer().await;
         platform::encode(answer, presence)
@@ -197,12 +201,12 @@
         &self,
         mut body: Incoming,
         watch: &Watch,
-    ) -> Result<(Bytes, Held), Response<AnswerBody>> {
+    ) -> Result<(Bytes, BudgetReservation), Response<AnswerBody>> {
         let too_long = || self.bad(StatusCode::PAYLOAD_TOO_LARGE, "body too long\n");
-        if body.size_hint().lower() > MOST_BODY as u64 {
+        if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
             return Err(too_long());
         }
-        let (mut whole, mut held) = (BytesMut::new(), Held::new(self.shared.clone()));
+        let (mut whole, mut held) = (BytesMut::new(), BudgetReservation::new(self.shared.clone()));
         while let Some(frame) = body.frame().await {
             let Ok(frame) = frame else {
                 return Err(self.bad(StatusCode::BAD_REQUEST, "body broken\n"));
@@ -210,12 +214,12 @@
             let Ok(data) = frame.into_data() else {
                 continue;
             };
-            if whole.len() + data.len() > MOST_BODY {
+            if whole.len() + data.len() > MAX_BODY_BYTES {
                 return Err(too_long());
             }
             if !held.grow(data.len()) {
                 self.shared.counters.over_bound.up();
-                return Err(platform::refusal(Some(COME_BACK)));
+                return Err(platform::refusal(Some(RETRY_AFTER_OVERLOAD)));
             }
             whole.extend_from_slice(&data);
         }
@@ -417,7 +421,10 @@
         if over {
             counters.connections_over_bound.up();
         }
-        let (stage, room) = (self.stage.clone(), Held::new(self.edge.shared.clone()));
+        let (stage, room) = (
+            self.stage.clone(),
+            BudgetReservation::new(self.edge.shared.clone()),
+        );
         let edge = self.edge.clone();
         tokio::task::spawn_local(async move {
             let _place = place;
@@ -434,7 +441,7 @@
                         request_metrics: request_metrics.clone(),
                     };
                     let mut response = if over {
-                        platform::refusal(Some(COME_BACK))
+                        platform::refusal(Some(RETRY_AFTER_OVERLOAD))
                     } else {
                         answer_always(service.oneshot(arrival), &counters).await
                     };
@@ -468,7 +475,7 @@
         Ok(Ok(response)) => response,
         Ok(Err(_)) => {
             counters.over_bound.up();
-            platform::refusal(Some(COME_BACK))
+            platform::refusal(Some(RETRY_AFTER_OVERLOAD))
         }
         Err(_) => {
             counters.panics.up();
--- a/src/net/server/tests.rs
+++ b/src/net/server/tests.rs
@@ -87,8 +87,8 @@
         may_serve: Box::new(|| true),
         metrics: Rc::default(),
         counters: Rc::default(),
-        budget: Cell::new(budget),
-        ids: RefCell::default(),
+        body_budget: Cell::new(budget),
+        active_ids: RefCell::default(),
     })
 }
 
@@ -143,7 +143,7 @@
             self.counters.clone(),
             self.stage.subscribe(),
         );
-        let (answer, room) = (Rc::new(answer), Held::new(shared(64 * 1024)));
+        let (answer, room) = (Rc::new(answer), BudgetReservation::new(shared(64 * 1024)));
         spawn_local(async move {
             let seen = watch.clone();
             let answerer = move |request: Request<Incoming>| -> Answerer {
@@ -717,18 +717,18 @@
     let mut client = connect(&listener);
     let (stream, _) = listener.accept().await.unwrap();
     let (watch, shared) = (Watch::new(), shared(budget));
-    let mut room = Held::new(shared.clone());
+    let mut room = BudgetReservation::new(shared.clone());
     client.write_all(&[b'a'; 5_000]).unwrap();
     client.shutdown(std::net::Shutdown::Write).unwrap();
     while !watch.read_ahead(&stream, &mut room).await {}
     assert_eq!(
-        (watch.kept_ahead(), shared.budget.get()),
+        (watch.kept_ahead(), shared.body_budget.get()),
         (kept, budget - kept)
     );
     room.shrink_to(2_000);
-    assert_eq!(shared.budget.get(), budget - kept.min(2_000));
+    assert_eq!(shared.body_budget.get(), budget - kept.min(2_000));
     drop(room);
-    assert_eq!(shared.budget.get(), budget);
+    assert_eq!(shared.body_budget.get(), budget);
 }
 
 /// Guards against a deadline that begins anew where a request was written behind another one: it waits unread by hyper
@@ -739,7 +739,7 @@
     let mut client = connect(&listener);
     let (stream, _) = listener.accept().await.unwrap();
     let (stream, watch) = (Rc::new(stream), Watch::new());
-    let mut room = Held::new(shared(64 * 1024));
+    let mut room = BudgetReservation::new(shared(64 * 1024));
     client.write_all(ASKED).unwrap();
     while watch.kept_ahead() < ASKED.len() {
         assert!(!watch.read_ahead(&stream, &mut room).await);
--- a/src/net/upgrade.rs
+++ b/src/net/upgrade.rs
@@ -14,7 +14,7 @@
 use super::server::OVER;
 use crate::config::ConfigError;
 use crate::dispatch::DispatcherEvent;
-use crate::front::shared::{Held, Shared};
+use crate::front::shared::{BudgetReservation, Shared};
 use lock_file::{Claim, Phase, Seat, SeatError};
 use share::{Shares, Split};
 use slow_start::SlowStartRight;
@@ -149,7 +149,7 @@
 impl Sharing {
     /// Looks after the shares for good.
     pub async fn look_after(self: Rc<Self>) {
-        let mut budget: Option<Held> = None;
+        let mut budget: Option<BudgetReservation> = None;
         let mut had_other = false;
         loop {
             let has_other = self.look();
@@ -159,7 +159,7 @@
             if !has_other {
                 budget = None;
             } else if budget.is_none() {
-                let mut part = Held::new(self.shared.clone());
+                let mut part = BudgetReservation::new(self.shared.clone());
                 budget = part.grow(self.left_to_other).then_some(part);
             }
             tokio::time::sleep(LOOK).await;
--- a/src/run.rs
+++ b/src/run.rs
@@ -362,8 +362,8 @@
         shutdown: shutdown.clone(),
         counters: counters.clone(),
         metrics: Rc::new(Metrics::default()),
-        budget: Cell::new(config.limits.memory_mb * 1024 * 1024 / 3),
-        ids: RefCell::default(),
+        body_budget: Cell::new(config.limits.memory_mb * 1024 * 1024 / 3),
+        active_ids: RefCell::default(),
     });
     live.on_change({
         let shared = Rc::downgrade(&shared);
@@ -409,7 +409,7 @@
         spare,
         pool: pool.clone(),
         open: open.clone(),
-        left_to_other: shared.budget.get() / 2,
+        left_to_other: shared.body_budget.get() / 2,
         shared: shared.clone(),
         phase: Cell::new(Phase::Starting),
         other_serves: other_serves.clone(),
@@ -462,7 +462,7 @@
             _ = retire.tick() => {
                 pool.evict_stale();
                 if let Some(front) = &front {
-                    front.tidy();
+                    front.sweep();
                 }
             }
         }
