--- a/src/front/jsonrpc.rs
+++ b/src/front/jsonrpc.rs
@@ -1,14 +1,16 @@
-//! JSON-RPC 2.0 for devices on poor links, with tool calls relayed mid-stream.
+//! The JSON-RPC 2.0 front end, for clients on unreliable links, with tool calls that are relayed in the middle of a
+//! response stream.
 //!
-//! A client posts a request whose method is a class; it gets one JSON object a line: `delta` and `tool`
-//! notifications while the answer streams, then the response. A writer's stream may carry a JSON-RPC request:
-//! that goes to the tool side through the [ledger](super::ledger), its outcome goes back to the writer, and the
-//! stream goes on. When a stream breaks, the client's connection ends without its last chunk; the client comes
-//! again under the same lasting name and says how much it has.
+//! A client posts a request whose method names a request class. The response body has one JSON object per line: `delta`
+//! and `tool` notifications while the answer streams, then the JSON-RPC response. A decode worker's stream may contain a
+//! JSON-RPC request: it is sent to the tool server through the [ledger](super::ledger), its outcome is sent back to the
+//! decode worker, and the stream continues. When a stream breaks, the client's connection is closed without the last
+//! chunk; the client then repeats its request under the same name (`request` in the parameters) and states in `resume`
+//! how much of the answer it has.
 
 use super::ledger::{CallKey, Ledger, Outcome};
 use super::platform::{AnswerBody, refusal};
-use super::record::{Claim, Claimed};
+use super::record::{Claim, ClaimResult};
 use super::shared::{MAX_BODY_BYTES, RETRY_AFTER_CUT_OFF, RETRY_AFTER_OVERLOAD, Shared};
 use crate::config::ToolSettings;
 use crate::exchange::{
@@ -29,42 +31,42 @@
 use tokio::sync::{mpsc, watch};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Most requests of one batch.
-const MOST_BATCH: usize = 16;
-/// The longest event of a writer's stream, and what may pile up while a tool is at work.
-const MOST_EVENT: usize = 128 * 1024;
-/// The most text that a batch collects for one answer.
-const MOST_TEXT: usize = 256 * 1024;
-/// Lines that may wait for a slow client.
-const LINES: usize = 16;
-/// A client that takes nothing for this long is gone.
-const CLIENT_STALLED: Duration = Duration::from_secs(30);
-/// The longest deadline that is believed.
-const MOST_DEADLINE_MS: u64 = 600_000;
-
-/// Keeps `null` apart from a field that isn't there.
-pub(super) fn present<'de, D: Deserializer<'de>>(
-    from: D,
+/// The maximum number of messages in a batch.
+const MAX_BATCH_REQUESTS: usize = 16;
+/// The maximum length of an event in a decode worker's stream, and the amount that may be buffered while a tool runs.
+const MAX_EVENT_BYTES: usize = 128 * 1024;
+/// The maximum text of one answer in a batch, which is collected before it is sent.
+const MAX_BATCH_TEXT_BYTES: usize = 256 * 1024;
+/// The number of lines that may be queued for a slow client.
+const MAX_QUEUED_LINES: usize = 16;
+/// A client that reads nothing for this long is treated as disconnected.
+const CLIENT_STALL_TIMEOUT: Duration = Duration::from_secs(30);
+/// The longest accepted deadline, relative to the request's arrival.
+const MAX_DEADLINE_MS: u64 = 600_000;
+
+/// Deserializes a field so that `null` is `Some` and only a missing field (by `serde(default)`) is `None`.
+pub(super) fn deserialize_present<'de, D: Deserializer<'de>>(
+    deserializer: D,
 ) -> Result<Option<Box<RawValue>>, D::Error> {
-    Box::<RawValue>::deserialize(from).map(Some)
+    Box::<RawValue>::deserialize(deserializer).map(Some)
 }
 
-/// A JSON-RPC request or notification, from a client or from a writer.
+/// A JSON-RPC request or notification, from a client or a decode worker.
 #[derive(Debug, Deserialize)]
 struct Message {
     jsonrpc: String,
-    #[serde(default, deserialize_with = "present")]
+    #[serde(default, deserialize_with = "deserialize_present")]
     id: Option<Box<RawValue>>,
     method: String,
-    #[serde(default, deserialize_with = "present")]
+    #[serde(default, deserialize_with = "deserialize_present")]
     params: Option<Box<RawValue>>,
-    /// When it came: its client's deadline runs from then on.
+    /// The arrival time; the client's deadline is relative to it.
     #[serde(skip)]
     arrived: Micros,
 }
 
 impl Message {
-    /// What the specification asks beyond the fields' types.
+    /// Checks the requirements of the specification that the field types do not express.
     fn is_valid(&self) -> bool {
         let id = self.id.as_ref().is_none_or(|id| is_id(id));
         let params = self
@@ -79,7 +81,7 @@
     !id.get().starts_with(['{', '[', 't', 'f'])
 }
 
-/// What a client asks for.
+/// The parameters of a client's request.
 #[derive(Debug, Deserialize)]
 struct Params {
     request: String,
@@ -95,12 +97,12 @@
     resume: Option<Resume>,
 }
 
-/// What a client has of an answer that broke.
+/// The part of an answer that the client received before the stream broke.
 #[derive(Debug, Deserialize, Serialize)]
 struct Resume {
-    /// `tool` notifications with the state `calling` that came before the last `delta`.
+    /// The number of `tool` notifications with the state `calling` that the client received before its last `delta`.
     calls: u32,
-    /// The text so far.
+    /// The text received so far.
     text: String,
 }
 
@@ -109,7 +111,7 @@
     request: String,
 }
 
-/// What model hosts get.
+/// The request body for model hosts.
 #[derive(Serialize)]
 struct Prompt<'a> {
     model: &'a str,
@@ -125,14 +127,14 @@
     *n == 0
 }
 
-/// An event of a writer's stream: a piece of the answer or a tool call.
+/// An event of a decode worker's stream: a piece of the answer or a tool call.
 #[derive(Deserialize)]
-struct WriterEvent {
+struct DecodeEvent {
     jsonrpc: Option<String>,
-    #[serde(default, deserialize_with = "present")]
+    #[serde(default, deserialize_with = "deserialize_present")]
     id: Option<Box<RawValue>>,
     method: Option<String>,
-    #[serde(default, deserialize_with = "present")]
+    #[serde(default, deserialize_with = "deserialize_present")]
     params: Option<Box<RawValue>>,
     #[serde(default)]
     choices: Vec<Choice>,
@@ -164,13 +166,13 @@
     retry_after: f64,
 }
 
-/// A refusal or a mistake, with the HTTP status that says the same to what stands between.
+/// A JSON-RPC error, with the HTTP status that tells intermediaries the same.
 #[derive(Clone, Debug)]
-struct Fault(StatusCode, ErrorObject);
+struct ErrorResponse(StatusCode, ErrorObject);
 
-impl Fault {
+impl ErrorResponse {
     const fn new(status: StatusCode, code: i32, message: &'static str) -> Self {
-        Fault(
+        ErrorResponse(
             status,
             ErrorObject {
                 code,
@@ -180,7 +182,7 @@
         )
     }
 
-    fn refused(retry_after: Option<Micros>) -> Self {
+    fn rejected(retry_after: Option<Micros>) -> Self {
         let data = retry_after.map(|t| RetryAfter {
             retry_after: t as f64 / 1e6,
         });
@@ -189,41 +191,47 @@
             message: "refused; trying again is harmless",
             data,
         };
-        Fault(StatusCode::SERVICE_UNAVAILABLE, error)
+        ErrorResponse(StatusCode::SERVICE_UNAVAILABLE, error)
     }
 }
 
-const PARSE: Fault = Fault::new(StatusCode::BAD_REQUEST, -32700, "parse error");
-const INVALID: Fault = Fault::new(StatusCode::BAD_REQUEST, -32600, "invalid request");
-const NO_METHOD: Fault = Fault::new(StatusCode::NOT_FOUND, -32601, "method not found");
-const PARAMS: Fault = Fault::new(StatusCode::BAD_REQUEST, -32602, "invalid params");
-const TOO_LONG: Fault = Fault::new(StatusCode::PAYLOAD_TOO_LARGE, -32602, "prompt too long");
-const IN_HAND: Fault = Fault::new(
+const PARSE_ERROR: ErrorResponse =
+    ErrorResponse::new(StatusCode::BAD_REQUEST, -32700, "parse error");
+const INVALID_REQUEST: ErrorResponse =
+    ErrorResponse::new(StatusCode::BAD_REQUEST, -32600, "invalid request");
+const METHOD_NOT_FOUND: ErrorResponse =
+    ErrorResponse::new(StatusCode::NOT_FOUND, -32601, "method not found");
+const INVALID_PARAMS: ErrorResponse =
+    ErrorResponse::new(StatusCode::BAD_REQUEST, -32602, "invalid params");
+const PROMPT_TOO_LONG: ErrorResponse =
+    ErrorResponse::new(StatusCode::PAYLOAD_TOO_LARGE, -32602, "prompt too long");
+const ALREADY_IN_PROGRESS: ErrorResponse = ErrorResponse::new(
     StatusCode::CONFLICT,
     -32003,
     "a request of this name is in hand",
 );
-const FAILED: Fault = Fault::new(StatusCode::BAD_GATEWAY, -32001, "failed; it may have run");
-const CANCELLED: Fault = Fault::new(StatusCode::OK, -32002, "cancelled");
-const NOT_KEPT: Fault = Fault::new(
+const FAILED: ErrorResponse =
+    ErrorResponse::new(StatusCode::BAD_GATEWAY, -32001, "failed; it may have run");
+const CANCELLED: ErrorResponse = ErrorResponse::new(StatusCode::OK, -32002, "cancelled");
+const TEXT_NOT_KEPT: ErrorResponse = ErrorResponse::new(
     StatusCode::GONE,
     -32005,
     "ended; its text is not kept any more",
 );
-const BROKEN: Fault = Fault::new(
+const STREAM_BROKEN: ErrorResponse = ErrorResponse::new(
     StatusCode::BAD_GATEWAY,
     -32004,
     "the stream broke; ask for the rest",
 );
 
-/// A response or a notification to the client.
+/// A JSON-RPC response or notification to the client.
 #[derive(Serialize)]
-struct Line<'a, R: Serialize> {
+struct OutgoingMessage<'a, R: Serialize> {
     jsonrpc: &'static str,
     #[serde(skip_serializing_if = "Option::is_none")]
     method: Option<&'static str>,
     #[serde(skip_serializing_if = "Option::is_none")]
-    params: Option<Notice<'a>>,
+    params: Option<NotificationParams<'a>>,
     #[serde(skip_serializing_if = "Option::is_none")]
     id: Option<&'a RawValue>,
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -233,7 +241,7 @@
 }
 
 #[derive(Serialize)]
-struct Notice<'a> {
+struct NotificationParams<'a> {
     request: &'a str,
     #[serde(skip_serializing_if = "Option::is_none")]
     text: Option<&'a str>,
@@ -244,7 +252,7 @@
 }
 
 #[derive(Serialize)]
-struct Finished<'a> {
+struct CompletionResult<'a> {
     request: &'a str,
     finish: &'a str,
     calls: u32,
@@ -254,42 +262,42 @@
     usage: Option<&'a RawValue>,
 }
 
-/// What is recorded of an answer's last line.
+/// The recorded part of an answer's final line (stored data).
 #[derive(Serialize, Deserialize)]
-struct Last {
+struct FinalLine {
     finish: String,
     calls: u32,
-    #[serde(default, deserialize_with = "present")]
+    #[serde(default, deserialize_with = "deserialize_present")]
     usage: Option<Box<RawValue>>,
 }
 
-/// What goes back to a writer.
+/// The response to a decode worker's tool call.
 #[derive(Serialize)]
-struct ToWriter<'a> {
+struct ToolReply<'a> {
     jsonrpc: &'static str,
     id: &'a RawValue,
     #[serde(skip_serializing_if = "Option::is_none")]
     result: Option<&'a RawValue>,
     #[serde(skip_serializing_if = "Option::is_none")]
-    error: Option<ToWriterError<'a>>,
+    error: Option<ToolReplyError<'a>>,
 }
 
 #[derive(Serialize)]
 #[serde(untagged)]
-enum ToWriterError<'a> {
+enum ToolReplyError<'a> {
     Tool(&'a RawValue),
-    Own(&'a super::ledger::ToolError),
+    Router(&'a super::ledger::CallError),
 }
 
 fn encode<T: Serialize>(message: &T) -> Vec<u8> {
-    // Nothing here can fail to be written: no maps with odd keys, no numbers that JSON lacks.
+    // Serialization of these types cannot fail: they have no maps with non-string keys and no non-finite numbers.
     serde_json::to_vec(message).unwrap_or_default()
 }
 
 fn error_line(id: Option<&RawValue>, error: &ErrorObject) -> Vec<u8> {
-    // The specification wants an id in every response, null where none could be read.
+    // The specification requires an id in every response; it is null if none could be read.
     let id = Some(id.unwrap_or(RawValue::NULL));
-    encode(&Line::<()> {
+    encode(&OutgoingMessage::<()> {
         jsonrpc: "2.0",
         method: None,
         params: None,
@@ -299,75 +307,79 @@
     })
 }
 
-/// A request that this conductor has in hand under a lasting name.
-struct Active {
-    stop: watch::Sender<Stop>,
+/// A named request that this router is processing.
+struct ActiveRequest {
+    stop: watch::Sender<StopSignal>,
     streaming: Rc<Cell<bool>>,
-    number: u64,
+    /// Tells this request from a later one with the same name.
+    serial: u64,
 }
 
+/// Why a request has to stop.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Stop {
-    No,
+enum StopSignal {
+    None,
+    /// The client cancelled the request.
     Cancelled,
+    /// The request continues elsewhere: in a newer request of the same name, or at another router.
     Moved,
 }
 
-/// The front.
+/// The JSON-RPC front end.
 pub struct Front {
     shared: Rc<Shared>,
     ledger: Rc<Ledger>,
-    active: RefCell<HashMap<Rc<str>, Active>>,
-    next: Cell<u64>,
+    active: RefCell<HashMap<Rc<str>, ActiveRequest>>,
+    next_serial: Cell<u64>,
     seed: u64,
-    /// The fleet's records, where other conductors take work over.
+    /// The fleet's request records, if other routers can take over this router's requests.
     work: Option<Rc<Work>>,
-    /// Where clients reach it.
+    /// The HTTP path on which clients reach the front end.
     pub path: String,
 }
 
-/// Takes a request out of the table when it is over.
-struct InHand {
+/// Removes a request from [`Front::active`] on drop.
+struct ActiveGuard {
     front: Rc<Front>,
     name: Rc<str>,
-    number: u64,
+    serial: u64,
     streaming: Rc<Cell<bool>>,
-    stop: watch::Receiver<Stop>,
+    stop: watch::Receiver<StopSignal>,
 }
 
-impl Drop for InHand {
+impl Drop for ActiveGuard {
     fn drop(&mut self) {
         let mut active = self.front.active.borrow_mut();
         if active
             .get(&self.name)
-            .is_some_and(|a| a.number == self.number)
+            .is_some_and(|a| a.serial == self.serial)
         {
             active.remove(&self.name);
         }
     }
 }
 
-/// Where the lines of an answer go: to the client as they come, or into one text.
+/// The destination of an answer: lines that are sent to the client as they arrive, or (in a batch) one collected text.
 enum Sink {
     Lines(mpsc::Sender<Frame>),
     Text(String),
 }
 
 impl Sink {
-    async fn line(&mut self, mut line: Vec<u8>) -> Result<(), Ended> {
+    async fn send_line(&mut self, mut line: Vec<u8>) -> Result<(), RelayError> {
         let Sink::Lines(lines) = self else {
             return Ok(());
         };
         line.push(b'\n');
-        let sending = lines.send(Frame::Data(line.into()));
-        match tokio::time::timeout(CLIENT_STALLED, sending).await {
+        let send = lines.send(Frame::Data(line.into()));
+        match tokio::time::timeout(CLIENT_STALL_TIMEOUT, send).await {
             Ok(Ok(())) => Ok(()),
-            _ => Err(Ended::Left),
+            _ => Err(RelayError::ClientGone),
         }
     }
 
-    /// Resolves when the client is gone.
-    fn gone(&self) -> impl Future<Output = ()> + use<> {
+    /// Resolves when the client has disconnected.
+    fn closed(&self) -> impl Future<Output = ()> + use<> {
         let lines = if let Sink::Lines(lines) = self {
             Some(lines.clone())
         } else {
@@ -382,43 +394,45 @@
     }
 }
 
-/// Why a relay ended before its stream did.
+/// Why relaying a stream failed or was stopped.
 #[derive(Debug, PartialEq, Eq)]
-enum Ended {
-    /// The client is gone.
-    Left,
-    /// The writer is gone or talks nonsense.
-    Broken,
-    /// The client took the request back.
+enum RelayError {
+    /// The client disconnected or stalled, or the request continues elsewhere.
+    ClientGone,
+    /// The decode worker's stream ended early or is malformed.
+    StreamBroken,
+    /// The client cancelled the request.
     Cancelled,
 }
 
-/// A request that was let in, or that ended before.
-enum Begun {
-    /// It streams.
-    Streams(Job, StreamReceiver, DisconnectNotifier),
-    /// It has its answer on record: the rest of its text, and its last line.
+/// The result of starting a request.
+enum StartedRequest {
+    /// The answer streams.
+    Streaming(StreamingRequest, StreamReceiver, DisconnectNotifier),
+    /// The final response was already recorded.
     Recorded {
         id: Option<Box<RawValue>>,
         name: Rc<str>,
+        /// The text that the client does not have yet.
         rest: String,
-        last: Last,
+        last: FinalLine,
     },
 }
 
-/// A request that was let in.
-struct Job {
+/// A request whose answer streams.
+struct StreamingRequest {
     id: Option<Box<RawValue>>,
     name: Rc<str>,
+    /// The number of tool calls so far, including those that the client had before it resumed.
     calls: u32,
     claim: Option<Claim>,
-    /// The answer's text so far, while it may be kept with the record.
+    /// The answer's text so far; `None` without a claim, or once it is too long to be recorded.
     text: Option<String>,
-    in_hand: InHand,
+    guard: ActiveGuard,
 }
 
 impl Front {
-    /// A front over what the server's connections share. With `work`, requests are recorded for other conductors.
+    /// Creates the front end. With `work`, requests are recorded in the fleet, so that other routers can take them over.
     pub fn new(
         shared: Rc<Shared>,
         settings: ToolSettings,
@@ -428,94 +442,97 @@
     ) -> Rc<Self> {
         let path = settings.listen_path.clone();
         let ledger = Ledger::new(settings, connect_timeout, shared.counters.clone());
-        let (active, next) = (RefCell::default(), Cell::new(1));
+        let (active, next_serial) = (RefCell::default(), Cell::new(1));
         let front = Rc::new(Front {
             shared,
             ledger,
             active,
-            next,
+            next_serial,
             seed,
             work: work.clone(),
             path,
         });
         if let Some(work) = work {
-            let moved = Rc::downgrade(&front);
+            let weak_front = Rc::downgrade(&front);
             work.on_moved(move |name| {
-                if let Some(front) = moved.upgrade() {
-                    front.end(name, Stop::Moved);
+                if let Some(front) = weak_front.upgrade() {
+                    front.stop_request(name, StopSignal::Moved);
                 }
             });
         }
         front
     }
 
-    /// A planned stop: ends the connections of what still streams, so that clients ask elsewhere for the rest.
+    /// Ends all active requests for a planned shutdown, so that their clients resume them at another router.
     pub fn hand_over(&self) {
         let names: Vec<Rc<str>> = self.active.borrow().keys().cloned().collect();
-        names.iter().for_each(|name| self.end(name, Stop::Moved));
+        names
+            .iter()
+            .for_each(|name| self.stop_request(name, StopSignal::Moved));
     }
 
-    /// Whether a tool call is out, or its outcome not on record yet.
+    /// Whether a tool call is in flight or its outcome is not recorded yet.
     pub fn is_calling(&self) -> bool {
         self.ledger.is_busy()
     }
 
-    fn end(&self, name: &str, stop: Stop) {
+    fn stop_request(&self, name: &str, signal: StopSignal) {
         if let Some(active) = self.active.borrow().get(name) {
-            active.stop.send_replace(stop);
+            active.stop.send_replace(signal);
         }
     }
 
-    /// Lets go of what has had its time, also when no call comes any more.
+    /// Removes expired ledger entries. Call it regularly, so that entries also expire when no calls arrive.
     pub fn sweep(&self) {
         self.ledger.sweep();
     }
 
-    /// Answers one HTTP message: a request, a notification or a batch.
+    /// Responds to the body of one HTTP request: a JSON-RPC request, notification or batch. Deadlines are relative to
+    /// `arrived`.
     pub async fn respond(self: Rc<Self>, body: Bytes, arrived: Micros) -> Response<AnswerBody> {
         if !body.trim_ascii_start().starts_with(b"[") {
             return match serde_json::from_slice::<Box<RawValue>>(&body) {
-                Err(_) => self.fault(None, PARSE),
+                Err(_) => self.error_response(None, PARSE_ERROR),
                 Ok(raw) => match self.decode(&raw, arrived) {
-                    Err((id, fault)) => self.fault(id.as_deref(), fault),
-                    Ok(message) => self.single(message).await,
+                    Err((id, error)) => self.error_response(id.as_deref(), error),
+                    Ok(message) => self.respond_to_message(message).await,
                 },
             };
         }
         let items = match serde_json::from_slice::<Vec<Box<RawValue>>>(&body) {
-            Err(_) => return self.fault(None, PARSE),
-            Ok(items) if items.is_empty() || items.len() > MOST_BATCH => {
-                return self.fault(None, INVALID);
+            Err(_) => return self.error_response(None, PARSE_ERROR),
+            Ok(items) if items.is_empty() || items.len() > MAX_BATCH_REQUESTS => {
+                return self.error_response(None, INVALID_REQUEST);
             }
             Ok(items) => items,
         };
-        let mut running = Vec::new();
+        let mut tasks = Vec::new();
         for raw in items {
             let front = self.clone();
-            running.push(tokio::task::spawn_local(async move {
-                front.of_batch(&raw, arrived).await
+            tasks.push(tokio::task::spawn_local(async move {
+                front.respond_in_batch(&raw, arrived).await
             }));
         }
         let mut answers = Vec::new();
-        for task in running {
+        for task in tasks {
             if let Ok(Some(answer)) = task.await {
                 answers.push(answer);
             }
         }
         if answers.is_empty() {
-            return empty();
+            return no_content();
         }
         let mut body = vec![b'['];
         body.extend(answers.join(&b','));
         body.push(b']');
-        fixed(StatusCode::OK, body)
+        json_response(StatusCode::OK, body)
     }
 
     fn decode(
         &self,
         raw: &RawValue,
         arrived: Micros,
-    ) -> Result<Message, (Option<Box<RawValue>>, Fault)> {
+    ) -> Result<Message, (Option<Box<RawValue>>, ErrorResponse)> {
         #[derive(Deserialize)]
         struct IdOnly {
             id: Option<Box<RawValue>>,
@@ -528,16 +545,19 @@
         };
         match serde_json::from_str::<Message>(raw.get()) {
             Ok(message) if message.is_valid() => Ok(Message { arrived, ..message }),
-            _ => Err((id(), INVALID)),
+            _ => Err((id(), INVALID_REQUEST)),
         }
     }
 
-    fn fault(&self, id: Option<&RawValue>, fault: Fault) -> Response<AnswerBody> {
-        let Fault(status, error) = fault;
+    fn error_response(
+        &self,
+        id: Option<&RawValue>,
+        ErrorResponse(status, error): ErrorResponse,
+    ) -> Response<AnswerBody> {
         if status.is_client_error() {
             self.shared.counters.bad_requests.up();
         }
-        let mut response = fixed(status, error_line(id, &error));
+        let mut response = json_response(status, error_line(id, &error));
         if let Some(RetryAfter { retry_after }) = error.data {
             let micros = (retry_after * 1e6) as u64;
             if let Some(value) = refusal(Some(micros)).headers_mut().remove("retry-after") {
@@ -547,23 +567,23 @@
         response
     }
 
-    async fn single(self: Rc<Self>, message: Message) -> Response<AnswerBody> {
-        // By the specification nothing answers a notification, whatever becomes of it.
+    async fn respond_to_message(self: Rc<Self>, message: Message) -> Response<AnswerBody> {
+        // By the specification, a notification gets no response, not even an error.
         if message.id.is_none() {
-            self.notified(&message);
-            return empty();
+            self.handle_notification(&message);
+            return no_content();
         }
         let id = message.id.clone();
         if message.method == "cancel" {
             let known = self.cancel(&message);
             return match known {
-                Ok(known) => fixed(StatusCode::OK, result_line(id.as_deref(), known)),
-                Err(fault) => self.fault(id.as_deref(), fault),
+                Ok(known) => json_response(StatusCode::OK, result_line(id.as_deref(), known)),
+                Err(error) => self.error_response(id.as_deref(), error),
             };
         }
-        match self.begin(message).await {
-            Err(fault) => self.fault(id.as_deref(), fault),
-            Ok(Begun::Recorded {
+        match self.start_request(message).await {
+            Err(error) => self.error_response(id.as_deref(), error),
+            Ok(StartedRequest::Recorded {
                 id,
                 name,
                 rest,
@@ -572,9 +592,9 @@
                 let mut body = Vec::new();
                 if !rest.is_empty() {
                     let text = Some(rest.as_str());
-                    body = notice(
+                    body = notification_line(
                         "delta",
-                        Notice {
+                        NotificationParams {
                             request: &name,
                             text,
                             ordinal: None,
@@ -584,106 +604,117 @@
                     body.push(b'\n');
                 }
                 body.extend(last.line(id.as_deref(), &name, None));
-                let mut response = fixed(StatusCode::OK, body);
-                let kind = HeaderValue::from_static("application/x-ndjson");
-                response.headers_mut().insert("content-type", kind);
+                let mut response = json_response(StatusCode::OK, body);
+                let content_type = HeaderValue::from_static("application/x-ndjson");
+                response.headers_mut().insert("content-type", content_type);
                 response
             }
-            Ok(Begun::Streams(job, feed, presence)) => {
-                let (lines, body) = mpsc::channel(LINES);
+            Ok(StartedRequest::Streaming(request, stream, notifier)) => {
+                let (lines, body) = mpsc::channel(MAX_QUEUED_LINES);
                 tokio::task::spawn_local(async move {
                     let mut sink = Sink::Lines(lines.clone());
-                    match self.relay(job, feed, presence, &mut sink).await {
+                    match self.relay(request, stream, notifier, &mut sink).await {
                         Ok(last) => {
-                            if sink.line(last).await.is_ok() {
+                            if sink.send_line(last).await.is_ok() {
                                 let _ = lines.send(Frame::End).await;
                             }
                         }
-                        // Dropped without its end: the client's connection breaks off, and it comes again.
-                        Err(ended) => {
-                            log::info!("tool-call front: a stream ended early: {ended:?}");
+                        // Dropping the sender without `Frame::End` closes the client's connection without the last
+                        // chunk, so the client resumes the request.
+                        Err(error) => {
+                            log::info!(
+                                "json-rpc: response stream ended early ({error:?}); closing the client's connection"
+                            );
                         }
                     }
                 });
                 let mut response = Response::new(AnswerBody::Lines(body));
-                let kind = HeaderValue::from_static("application/x-ndjson");
-                response.headers_mut().insert("content-type", kind);
+                let content_type = HeaderValue::from_static("application/x-ndjson");
+                response.headers_mut().insert("content-type", content_type);
                 response
             }
         }
     }
 
-    async fn of_batch(self: Rc<Self>, raw: &RawValue, arrived: Micros) -> Option<Vec<u8>> {
+    async fn respond_in_batch(self: Rc<Self>, raw: &RawValue, arrived: Micros) -> Option<Vec<u8>> {
         let message = match self.decode(raw, arrived) {
             Ok(message) => message,
-            Err((id, Fault(_, error))) => return Some(error_line(id.as_deref(), &error)),
+            Err((id, ErrorResponse(_, error))) => return Some(error_line(id.as_deref(), &error)),
         };
         if message.id.is_none() {
-            self.notified(&message);
+            self.handle_notification(&message);
             return None;
         }
         let id = message.id.clone();
-        let faulty = |Fault(_, error): Fault| Some(error_line(id.as_deref(), &error));
+        let encode_error =
+            |ErrorResponse(_, error): ErrorResponse| Some(error_line(id.as_deref(), &error));
         if message.method == "cancel" {
-            return self
-                .cancel(&message)
-                .map_or_else(faulty, |known| Some(result_line(id.as_deref(), known)));
+            return self.cancel(&message).map_or_else(encode_error, |known| {
+                Some(result_line(id.as_deref(), known))
+            });
         }
-        match self.clone().begin(message).await {
-            Err(fault) => faulty(fault),
-            Ok(Begun::Recorded {
+        match self.clone().start_request(message).await {
+            Err(error) => encode_error(error),
+            Ok(StartedRequest::Recorded {
                 id,
                 name,
                 rest,
                 last,
             }) => Some(last.line(id.as_deref(), &name, Some(&rest))),
-            Ok(Begun::Streams(job, feed, presence)) => {
+            Ok(StartedRequest::Streaming(request, stream, notifier)) => {
                 let mut sink = Sink::Text(String::new());
-                self.relay(job, feed, presence, &mut sink)
+                self.relay(request, stream, notifier, &mut sink)
                     .await
-                    .map_or_else(|_| faulty(BROKEN), Some)
+                    .map_or_else(|_| encode_error(STREAM_BROKEN), Some)
             }
         }
     }
 
-    fn notified(&self, message: &Message) {
+    fn handle_notification(&self, message: &Message) {
         if message.method != "cancel" || self.cancel(message).is_err() {
             self.shared.counters.bad_requests.up();
-            log::debug!("notification {:?} is of no use here", message.method);
+            log::debug!(
+                "json-rpc: ignoring notification {:?}: unknown method or invalid params",
+                message.method
+            );
         }
     }
 
-    /// Takes a request back: its attempts are dropped, and so are its tool calls in flight.
-    fn cancel(&self, message: &Message) -> Result<bool, Fault> {
+    /// Cancels a request, its attempts and its tool calls in flight. Returns whether the request was active.
+    fn cancel(&self, message: &Message) -> Result<bool, ErrorResponse> {
         let params = message
             .params
             .as_ref()
             .and_then(|p| serde_json::from_str::<CancelParams>(p.get()).ok());
-        let request = params.ok_or(PARAMS)?.request;
+        let request = params.ok_or(INVALID_PARAMS)?.request;
         let active = self.active.borrow();
         let known = active
             .get(request.as_str())
-            .map(|a| a.stop.send_replace(Stop::Cancelled));
+            .map(|a| a.stop.send_replace(StopSignal::Cancelled));
         self.ledger.cancel(&request);
         Ok(known.is_some())
     }
 
-    /// Checks a request and takes it to its first event.
-    async fn begin(self: &Rc<Self>, message: Message) -> Result<Begun, Fault> {
-        // What no epoch names is told at once; what one of two names, when it begins.
+    /// Validates a request, claims it, submits it and waits until its answer starts or fails.
+    async fn start_request(
+        self: &Rc<Self>,
+        message: Message,
+    ) -> Result<StartedRequest, ErrorResponse> {
+        // Without a fleet policy, an unknown class fails at once. With one, the class is checked only after the request has
+        // passed the gate, under the policy epoch that is then in force.
         if self.shared.gate.is_none() && !self.shared.has_class(&message.method) {
-            return Err(NO_METHOD);
+            return Err(METHOD_NOT_FOUND);
         }
-        let params = message.params.as_ref().ok_or(PARAMS)?;
-        let params: Params = serde_json::from_str(params.get()).map_err(|_| PARAMS)?;
-        let short = |v: &Option<String>| v.as_ref().is_none_or(|v| v.len() <= 256);
-        let sane = is_plain_id(&params.request)
-            && (1..=MOST_DEADLINE_MS).contains(&params.deadline_ms)
+        let params = message.params.as_ref().ok_or(INVALID_PARAMS)?;
+        let params: Params = serde_json::from_str(params.get()).map_err(|_| INVALID_PARAMS)?;
+        let is_short = |v: &Option<String>| v.as_ref().is_none_or(|v| v.len() <= 256);
+        let is_valid = is_plain_id(&params.request)
+            && (1..=MAX_DEADLINE_MS).contains(&params.deadline_ms)
             && params.messages.get().starts_with('[')
-            && short(&params.session)
-            && short(&params.prefix);
-        if !sane {
-            return Err(PARAMS);
+            && is_short(&params.session)
+            && is_short(&params.prefix);
+        if !is_valid {
+            return Err(INVALID_PARAMS);
         }
         let prompt = Prompt {
             model: &message.method,
@@ -694,42 +725,45 @@
         };
         let body = Bytes::from(encode(&prompt));
         if body.len() > MAX_BODY_BYTES {
-            return Err(TOO_LONG);
+            return Err(PROMPT_TOO_LONG);
         }
         if !(self.shared.may_serve)() {
             self.shared.counters.cut_off.up();
-            return Err(Fault::refused(Some(RETRY_AFTER_CUT_OFF)));
+            return Err(ErrorResponse::rejected(Some(RETRY_AFTER_CUT_OFF)));
         }
-        // First of all: what is rejected must not take a stream from its client.
+        // Before the request is registered: a rejected request must not end a running stream of the same name.
         let permit = self
             .shared
             .admit(&params.request)
-            .map_err(|advice| Fault::refused(Some(advice)))?;
-        let mut in_hand =
-            self.take_in_hand(params.request.as_str().into(), params.resume.is_some())?;
+            .map_err(|advice| ErrorResponse::rejected(Some(advice)))?;
+        let mut guard = self.register(params.request.as_str().into(), params.resume.is_some())?;
         let deadline = message.arrived + params.deadline_ms * 1000;
         let pass = tokio::select! {
-            pass = self.shared.begin(deadline) => pass.map_err(|advice| Fault::refused(Some(advice)))?,
-            _ = in_hand.stop.wait_for(|s| *s != Stop::No) => return Err(CANCELLED),
+            pass = self.shared.begin(deadline) => pass.map_err(|advice| ErrorResponse::rejected(Some(advice)))?,
+            _ = guard.stop.wait_for(|s| *s != StopSignal::None) => return Err(CANCELLED),
         };
         if !self.shared.has_class(&message.method) {
-            return Err(NO_METHOD);
+            return Err(METHOD_NOT_FOUND);
         }
-        let once = self.shared.is_at_most_once(&message.method);
-        let claim = match self.claim(once, &params, deadline, &mut in_hand).await? {
+        let at_most_once = self.shared.is_at_most_once(&message.method);
+        let claim = match self
+            .claim(at_most_once, &params, deadline, &mut guard)
+            .await?
+        {
             Ok(claim) => claim,
-            Err(answer) => return recorded(message.id, in_hand.name.clone(), &params, answer),
+            Err(answer) => return recorded_answer(message.id, guard.name.clone(), &params, answer),
         };
-        // SIGHUP may have changed the class meanwhile, and the claim would promise what the dispatcher does not keep.
+        // A reload (SIGHUP) may have changed the class in the meantime; the claim would then promise at-most-once execution
+        // that the dispatcher does not guarantee, or the reverse.
         if !self.shared.has_class(&message.method)
-            || self.shared.is_at_most_once(&message.method) != once
+            || self.shared.is_at_most_once(&message.method) != at_most_once
         {
-            claim.iter().for_each(Claim::refused);
-            return Err(Fault::refused(Some(RETRY_AFTER_OVERLOAD)));
+            claim.iter().for_each(Claim::mark_not_executed);
+            return Err(ErrorResponse::rejected(Some(RETRY_AFTER_OVERLOAD)));
         }
-        // One token is four characters.
+        // Estimate: four bytes per token.
         let prompt_tokens = params.prompt_len.unwrap_or(body.len() as u64 / 4);
-        let ask = RequestSpec {
+        let spec = RequestSpec {
             request: RequestId(0),
             deadline,
             session: params.session.map(Into::into),
@@ -741,10 +775,11 @@
             class: message.method,
             tenant: None,
         };
-        // Fresh for every try, as on the platform; what lasts is the client's name for the request.
+        // A new id for each client request, as in the platform's protocol; across resumes, the request is identified by
+        // the client's name for it.
         let id = format!(
             "{:016x}",
-            xxh3_64_with_seed(&in_hand.number.to_le_bytes(), self.seed)
+            xxh3_64_with_seed(&guard.serial.to_le_bytes(), self.seed)
         );
         let target = super::platform::COMPLETIONS_PATH.to_owned();
         let call = UpstreamRequest {
@@ -758,13 +793,13 @@
             lifetime_guards: None,
             claim_key: claim.as_ref().map(Claim::key),
         };
-        let waiting = self.shared.dispatcher.submit(ask, call, permit).answer();
+        let pending_answer = self.shared.dispatcher.submit(spec, call, permit).answer();
         drop(pass);
-        let (answer, presence) = tokio::select! {
-            answered = waiting => answered,
-            stop = async { in_hand.stop.wait_for(|s| *s != Stop::No).await.map_or(Stop::Moved, |s| *s) } => {
-                if let Some(claim) = claim.filter(|_| stop == Stop::Cancelled) {
-                    claim.ends(FinalResponse::Cancelled);
+        let (answer, notifier) = tokio::select! {
+            result = pending_answer => result,
+            stop = async { guard.stop.wait_for(|s| *s != StopSignal::None).await.map_or(StopSignal::Moved, |s| *s) } => {
+                if let Some(claim) = claim.filter(|_| stop == StopSignal::Cancelled) {
+                    claim.complete_in_background(FinalResponse::Cancelled);
                 }
                 return Err(CANCELLED);
             }
@@ -774,166 +809,174 @@
             .map_or((0, String::new()), |r| (r.calls, r.text));
         match answer {
             Answer::Rejected { retry_after } => {
-                claim.iter().for_each(Claim::refused);
-                Err(Fault::refused(retry_after))
+                claim.iter().for_each(Claim::mark_not_executed);
+                Err(ErrorResponse::rejected(retry_after))
             }
             Answer::Failed => {
                 claim
                     .iter()
-                    .for_each(|claim| claim.ends(FinalResponse::Failed));
+                    .for_each(|claim| claim.complete_in_background(FinalResponse::Failed));
                 Err(FAILED)
             }
-            Answer::Stream(feed) => {
-                in_hand.streaming.set(true);
-                claim.iter().for_each(Claim::began);
+            Answer::Stream(stream) => {
+                guard.streaming.set(true);
+                claim.iter().for_each(Claim::response_started);
                 let (id, name, text) = (
                     message.id,
-                    in_hand.name.clone(),
+                    guard.name.clone(),
                     claim.is_some().then_some(text),
                 );
-                Ok(Begun::Streams(
-                    Job {
+                Ok(StartedRequest::Streaming(
+                    StreamingRequest {
                         id,
                         name,
                         calls,
                         claim,
                         text,
-                        in_hand,
+                        guard,
                     },
-                    feed,
-                    presence,
+                    stream,
+                    notifier,
                 ))
             }
         }
     }
 
-    /// Asks the fleet for the request, where it keeps records: a claim, or the answer that it has had already.
+    /// Claims the request in the fleet. Returns `Ok(Ok(None))` if the fleet keeps no records, and `Ok(Err(_))` with the
+    /// final response if one is already recorded.
     async fn claim(
         &self,
-        once: bool,
+        at_most_once: bool,
         params: &Params,
         deadline: Micros,
-        in_hand: &mut InHand,
-    ) -> Result<Result<Option<Claim>, FinalResponse>, Fault> {
+        guard: &mut ActiveGuard,
+    ) -> Result<Result<Option<Claim>, FinalResponse>, ErrorResponse> {
         let Some(work) = self.work.clone() else {
             return Ok(Ok(None));
         };
-        let (name, resumes) = (params.request.clone(), params.resume.is_some());
-        // A task of its own: a claim that comes when nobody waits any more has to be let go of.
-        let asking = tokio::task::spawn_local(async move {
-            Claim::ask(&work, &name, once, resumes, deadline).await
+        let (name, is_resume) = (params.request.clone(), params.resume.is_some());
+        // In a separate task: a claim that is granted after this future was dropped must still be released.
+        let acquire = tokio::task::spawn_local(async move {
+            Claim::acquire(&work, &name, at_most_once, is_resume, deadline).await
         });
-        let claimed = tokio::select! {
-            claimed = asking => claimed.unwrap_or(Claimed::NotNow),
-            _ = in_hand.stop.wait_for(|s| *s != Stop::No) => return Err(CANCELLED),
+        let result = tokio::select! {
+            result = acquire => result.unwrap_or(ClaimResult::Unavailable),
+            _ = guard.stop.wait_for(|s| *s != StopSignal::None) => return Err(CANCELLED),
         };
-        match claimed {
-            Claimed::Mine(claim) => Ok(Ok(Some(claim))),
-            Claimed::Ended(answer) => Ok(Err(answer)),
-            Claimed::InHand => Err(IN_HAND),
-            Claimed::Begun => Err(BROKEN),
-            Claimed::NotNow => Err(Fault::refused(Some(RETRY_AFTER_CUT_OFF))),
+        match result {
+            ClaimResult::Granted(claim) => Ok(Ok(Some(claim))),
+            ClaimResult::Completed(answer) => Ok(Err(answer)),
+            ClaimResult::OwnedElsewhere => Err(ALREADY_IN_PROGRESS),
+            ClaimResult::AlreadyStarted => Err(STREAM_BROKEN),
+            ClaimResult::Unavailable => Err(ErrorResponse::rejected(Some(RETRY_AFTER_CUT_OFF))),
         }
     }
 
-    fn take_in_hand(self: &Rc<Self>, name: Rc<str>, resumes: bool) -> Result<InHand, Fault> {
-        let number = self.next.get();
-        self.next.set(number + 1);
-        let (stop, stopped) = watch::channel(Stop::No);
+    /// Registers a request as active; a resume replaces the stream of the same name.
+    fn register(
+        self: &Rc<Self>,
+        name: Rc<str>,
+        is_resume: bool,
+    ) -> Result<ActiveGuard, ErrorResponse> {
+        let serial = self.next_serial.get();
+        self.next_serial.set(serial + 1);
+        let (stop, stop_receiver) = watch::channel(StopSignal::None);
         let streaming = Rc::new(Cell::new(false));
         let mut active = self.active.borrow_mut();
-        if let Some(before) = active.get(&name) {
-            // Asking for the rest moves a stream that runs. What hasn't begun has no rest: a second try beside
-            // it could run twice what must not.
-            if !resumes || !before.streaming.get() {
-                return Err(IN_HAND);
+        if let Some(previous) = active.get(&name) {
+            // A resume takes over a running stream. A request that is not streaming yet has nothing to resume; starting
+            // it again in parallel could run an at-most-once request twice.
+            if !is_resume || !previous.streaming.get() {
+                return Err(ALREADY_IN_PROGRESS);
             }
-            before.stop.send_replace(Stop::Moved);
+            previous.stop.send_replace(StopSignal::Moved);
         }
         active.insert(
             name.clone(),
-            Active {
+            ActiveRequest {
                 stop,
                 streaming: streaming.clone(),
-                number,
+                serial,
             },
         );
         drop(active);
-        Ok(InHand {
+        Ok(ActiveGuard {
             front: self.clone(),
             name,
-            number,
+            serial,
             streaming,
-            stop: stopped,
+            stop: stop_receiver,
         })
     }
 
-    /// Passes an answer on, with its tool calls, and gives its last line.
+    /// Relays an answer and its tool calls to `sink`, and returns the final line, which the caller sends.
     async fn relay(
         self: &Rc<Self>,
-        mut job: Job,
-        mut feed: StreamReceiver,
-        mut presence: DisconnectNotifier,
+        mut request: StreamingRequest,
+        mut stream: StreamReceiver,
+        mut notifier: DisconnectNotifier,
         sink: &mut Sink,
-    ) -> Result<Vec<u8>, Ended> {
-        let (mut stop, now) = (job.in_hand.stop.clone(), job.in_hand.stop.clone());
-        let mut events = Events::default();
-        let mut answer = Progress {
+    ) -> Result<Vec<u8>, RelayError> {
+        let (mut stop, stop_state) = (request.guard.stop.clone(), request.guard.stop.clone());
+        let mut events = EventParser::default();
+        let mut summary = StreamSummary {
             finish: String::from("stop"),
             usage: None,
         };
-        let ended = loop {
+        let result = loop {
             let frame = tokio::select! {
                 biased;
-                _ = stop.wait_for(|s| *s != Stop::No) => break Err(stopped(&now)),
-                () = sink.gone() => break Err(Ended::Left),
-                frame = feed.next() => frame,
+                _ = stop.wait_for(|s| *s != StopSignal::None) => break Err(stop_error(&stop_state)),
+                () = sink.closed() => break Err(RelayError::ClientGone),
+                frame = stream.next() => frame,
             };
             match frame {
-                Some(Frame::Data(data)) => events.take(&data)?,
+                Some(Frame::Data(data)) => events.push(&data)?,
                 Some(Frame::End) => {
-                    presence.finished();
+                    notifier.finished();
                     break Ok(());
                 }
                 None => {
-                    presence.finished();
-                    break Err(Ended::Broken);
+                    notifier.finished();
+                    break Err(RelayError::StreamBroken);
                 }
             }
-            if let Err(ended) = self
-                .events(&mut events, &mut job, &mut feed, sink, &mut answer)
+            if let Err(error) = self
+                .relay_events(&mut events, &mut request, &mut stream, sink, &mut summary)
                 .await
             {
-                break Err(ended);
+                break Err(error);
             }
         };
-        match ended {
+        match result {
             Ok(()) => {
-                let Progress { finish, usage } = answer;
-                let mut last = Last {
+                let StreamSummary { finish, usage } = summary;
+                let mut last = FinalLine {
                     finish,
-                    calls: job.calls,
+                    calls: request.calls,
                     usage,
                 };
-                if let Some(claim) = &job.claim {
-                    // On record before the client hears it: it is the same then at whichever conductor it asks.
+                if let Some(claim) = &request.claim {
+                    // Recorded before it is sent, so that the client gets the same answer from every router.
                     let answer = FinalResponse::Completed {
-                        text: job.text.take(),
+                        text: request.text.take(),
                         last_line: encode(&last),
                     };
-                    match claim.end(answer).await {
+                    match claim.complete(answer).await {
                         Some(FinalResponse::Completed {
-                            last_line: stands, ..
+                            last_line: recorded,
+                            ..
                         }) => {
-                            last = serde_json::from_slice(&stands).map_err(|_| Ended::Broken)?;
+                            last = serde_json::from_slice(&recorded)
+                                .map_err(|_| RelayError::StreamBroken)?;
                         }
                         Some(FinalResponse::Failed) => {
-                            return Ok(error_line(job.id.as_deref(), &FAILED.1));
+                            return Ok(error_line(request.id.as_deref(), &FAILED.1));
                         }
                         Some(FinalResponse::Cancelled) => {
-                            return Ok(error_line(job.id.as_deref(), &CANCELLED.1));
+                            return Ok(error_line(request.id.as_deref(), &CANCELLED.1));
                         }
-                        None => return Err(Ended::Broken),
+                        None => return Err(RelayError::StreamBroken),
                     }
                 }
                 let text = if let Sink::Text(text) = &*sink {
@@ -941,32 +984,35 @@
                 } else {
                     None
                 };
-                Ok(last.line(job.id.as_deref(), &job.name, text))
+                Ok(last.line(request.id.as_deref(), &request.name, text))
             }
-            // A request taken back has its response all the same.
-            Err(Ended::Cancelled) => {
-                job.claim
+            // A cancelled request still gets a response.
+            Err(RelayError::Cancelled) => {
+                request
+                    .claim
                     .iter()
-                    .for_each(|claim| claim.ends(FinalResponse::Cancelled));
-                Ok(error_line(job.id.as_deref(), &CANCELLED.1))
+                    .for_each(|claim| claim.complete_in_background(FinalResponse::Cancelled));
+                Ok(error_line(request.id.as_deref(), &CANCELLED.1))
             }
-            Err(ended) => Err(ended),
+            Err(error) => Err(error),
         }
     }
 
-    async fn events(
+    /// Relays the events that are complete in `events`.
+    async fn relay_events(
         self: &Rc<Self>,
-        events: &mut Events,
-        job: &mut Job,
-        feed: &mut StreamReceiver,
+        events: &mut EventParser,
+        request: &mut StreamingRequest,
+        stream: &mut StreamReceiver,
         sink: &mut Sink,
-        answer: &mut Progress,
-    ) -> Result<(), Ended> {
-        while let Some(event) = events.next()? {
+        summary: &mut StreamSummary,
+    ) -> Result<(), RelayError> {
+        while let Some(event) = events.next_event()? {
             if event.is_empty() || event == "[DONE]" {
                 continue;
             }
-            let event: WriterEvent = serde_json::from_str(&event).map_err(|_| Ended::Broken)?;
+            let event: DecodeEvent =
+                serde_json::from_str(&event).map_err(|_| RelayError::StreamBroken)?;
             if let Some(method) = event.method {
                 let message = Message {
                     jsonrpc: event.jsonrpc.unwrap_or_default(),
@@ -976,25 +1022,26 @@
                     arrived: self.shared.dispatcher.clock.now(),
                 };
                 if !message.is_valid() {
-                    return Err(Ended::Broken);
+                    return Err(RelayError::StreamBroken);
                 }
-                self.tool_call(message, events, job, feed, sink).await?;
+                self.tool_call(message, events, request, stream, sink)
+                    .await?;
                 continue;
             }
-            answer.usage = event.usage.or(answer.usage.take());
+            summary.usage = event.usage.or(summary.usage.take());
             for choice in event.choices {
                 if let Some(text) = choice.delta.content.filter(|t| !t.is_empty()) {
-                    job.keep(&text);
-                    if let Sink::Text(all) = sink {
-                        if all.len() + text.len() > MOST_TEXT {
-                            return Err(Ended::Broken);
+                    request.append_text(&text);
+                    if let Sink::Text(collected) = sink {
+                        if collected.len() + text.len() > MAX_BATCH_TEXT_BYTES {
+                            return Err(RelayError::StreamBroken);
                         }
-                        all.push_str(&text);
+                        collected.push_str(&text);
                     }
-                    sink.line(notice(
+                    sink.send_line(notification_line(
                         "delta",
-                        Notice {
-                            request: &job.name,
+                        NotificationParams {
+                            request: &request.name,
                             text: Some(&text),
                             ordinal: None,
                             state: None,
@@ -1003,101 +1050,109 @@
                     .await?;
                 }
                 if let Some(reason) = choice.finish_reason {
-                    answer.finish = reason;
+                    summary.finish = reason;
                 }
             }
         }
         Ok(())
     }
 
-    /// Relays one tool call and its outcome. The writer may die, the client may leave or take its request back
-    /// meanwhile: this ends then, the call does not, and its outcome waits in the ledger.
+    /// Relays one tool call and its outcome. If the decode worker fails, or the client disconnects, this returns early, but
+    /// the call continues and its outcome is kept in the ledger. (A cancellation by the client cancels the call, too.)
     async fn tool_call(
         self: &Rc<Self>,
         call: Message,
-        events: &mut Events,
-        job: &mut Job,
-        feed: &mut StreamReceiver,
+        events: &mut EventParser,
+        request: &mut StreamingRequest,
+        stream: &mut StreamReceiver,
         sink: &mut Sink,
-    ) -> Result<(), Ended> {
-        let ordinal = job.calls;
-        job.calls += 1;
-        let told = |state| Notice {
-            request: &job.name,
+    ) -> Result<(), RelayError> {
+        let ordinal = request.calls;
+        request.calls += 1;
+        let tool_notice = |state| NotificationParams {
+            request: &request.name,
             text: None,
             ordinal: Some(ordinal),
             state: Some(state),
         };
         let key = CallKey {
-            request: job.name.clone(),
+            request: request.name.clone(),
             ordinal,
         };
-        let (mut stop, now) = (job.in_hand.stop.clone(), job.in_hand.stop.clone());
-        let gone = sink.gone();
-        tokio::pin!(gone);
-        // Begun before the client hears of it: a client that stalls must not keep the tool waiting.
-        let calling =
-            self.ledger
-                .call(key, job.claim.clone(), &call.method, call.params.as_deref());
-        tokio::pin!(calling);
-        feed.set_paused(true);
-        let mut notify = Some(notice("tool", told("calling")));
-        let mut over = false;
+        let (mut stop, stop_state) = (request.guard.stop.clone(), request.guard.stop.clone());
+        let client_gone = sink.closed();
+        tokio::pin!(client_gone);
+        // The call is started before the client is notified, so that a stalled client does not delay the tool.
+        let pending_outcome = self.ledger.call(
+            key,
+            request.claim.clone(),
+            &call.method,
+            call.params.as_deref(),
+        );
+        tokio::pin!(pending_outcome);
+        stream.set_paused(true);
+        let mut unsent_notice = Some(notification_line("tool", tool_notice("calling")));
+        let mut stream_ended = false;
         let outcome = loop {
             tokio::select! {
                 biased;
-                outcome = &mut calling => break outcome,
-                sent = async { sink.line(notify.clone().unwrap_or_default()).await }, if notify.is_some() => {
+                outcome = &mut pending_outcome => break outcome,
+                sent = async { sink.send_line(unsent_notice.clone().unwrap_or_default()).await }, if unsent_notice.is_some() => {
                     sent?;
-                    notify = None;
+                    unsent_notice = None;
                 }
-                _ = stop.wait_for(|s| *s != Stop::No) => return Err(stopped(&now)),
-                () = &mut gone => return Err(Ended::Left),
-                // What the writer says meanwhile is kept for later; past its bound the writer has to wait.
-                frame = feed.next(), if !over && events.len() < MOST_EVENT => match frame {
-                    Some(Frame::Data(data)) => events.take(&data)?,
-                    Some(Frame::End) => over = true,
-                    None => return Err(Ended::Broken),
+                _ = stop.wait_for(|s| *s != StopSignal::None) => return Err(stop_error(&stop_state)),
+                () = &mut client_gone => return Err(RelayError::ClientGone),
+                // Buffer what the decode worker sends in the meantime; at the limit, stop reading, so that it has to wait.
+                frame = stream.next(), if !stream_ended && events.len() < MAX_EVENT_BYTES => match frame {
+                    Some(Frame::Data(data)) => events.push(&data)?,
+                    Some(Frame::End) => stream_ended = true,
+                    None => return Err(RelayError::StreamBroken),
                 },
             }
         };
-        if let Some(line) = notify {
-            sink.line(line).await?;
+        if let Some(line) = unsent_notice {
+            sink.send_line(line).await?;
         }
         if let Some(id) = &call.id {
             let (result, error) = match &outcome {
                 Outcome::Result(raw) => (Some(&**raw), None),
-                Outcome::ToolSaid(raw) => (None, Some(ToWriterError::Tool(raw))),
-                Outcome::Error(error) => (None, Some(ToWriterError::Own(error))),
+                Outcome::ToolError(raw) => (None, Some(ToolReplyError::Tool(raw))),
+                Outcome::Error(error) => (None, Some(ToolReplyError::Router(error))),
             };
-            let reply = encode(&ToWriter {
+            let reply = encode(&ToolReply {
                 jsonrpc: "2.0",
                 id,
                 result,
                 error,
             });
-            if !feed.reply(reply.into()).await {
-                return Err(Ended::Broken);
+            if !stream.reply(reply.into()).await {
+                return Err(RelayError::StreamBroken);
             }
         }
-        feed.set_paused(false);
+        stream.set_paused(false);
         let state = if matches!(outcome, Outcome::Result(_)) {
             "done"
         } else {
             "error"
         };
-        sink.line(notice("tool", told(state))).await?;
-        // A stream that ended before its call was answered has nothing more to say.
-        if over { Err(Ended::Broken) } else { Ok(()) }
+        sink.send_line(notification_line("tool", tool_notice(state)))
+            .await?;
+        // The stream ended before its tool call was answered, so the answer cannot be complete.
+        if stream_ended {
+            Err(RelayError::StreamBroken)
+        } else {
+            Ok(())
+        }
     }
 }
 
-impl Job {
-    /// Keeps a piece of the answer's text for the record, while there is room for the whole.
-    fn keep(&mut self, piece: &str) {
-        let most = self.claim.as_ref().map_or(0, Claim::most_text);
+impl StreamingRequest {
+    /// Adds to the text that is recorded with the final response; drops all of it once it is too long to be recorded.
+    fn append_text(&mut self, piece: &str) {
+        let max_bytes = self.claim.as_ref().map_or(0, Claim::max_text_bytes);
         if let Some(text) = &mut self.text {
-            if text.len() + piece.len() <= most {
+            if text.len() + piece.len() <= max_bytes {
                 text.push_str(piece);
             } else {
                 self.text = None;
@@ -1106,16 +1161,16 @@
     }
 }
 
-impl Last {
+impl FinalLine {
     fn line(&self, id: Option<&RawValue>, request: &str, text: Option<&str>) -> Vec<u8> {
-        let Last {
+        let FinalLine {
             finish,
             calls,
             usage,
         } = self;
         result_line(
             id,
-            Finished {
+            CompletionResult {
                 request,
                 finish,
                 calls: *calls,
@@ -1126,13 +1181,13 @@
     }
 }
 
-/// What a client gets that asks for an answer on record: the part that it does not have.
-fn recorded(
+/// Answers a request whose final response is already recorded: with the part of the text that the client does not have.
+fn recorded_answer(
     id: Option<Box<RawValue>>,
     name: Rc<str>,
     params: &Params,
     answer: FinalResponse,
-) -> Result<Begun, Fault> {
+) -> Result<StartedRequest, ErrorResponse> {
     let (text, last) = match answer {
         FinalResponse::Failed => return Err(FAILED),
         FinalResponse::Cancelled => return Err(CANCELLED),
@@ -1141,14 +1196,14 @@
             last_line: last,
         } => (text, last),
     };
-    let has = params.resume.as_ref().map_or("", |r| r.text.as_str());
+    let received = params.resume.as_ref().map_or("", |r| r.text.as_str());
     let rest = text
         .as_deref()
-        .and_then(|text| text.strip_prefix(has))
-        .ok_or(NOT_KEPT)?
+        .and_then(|text| text.strip_prefix(received))
+        .ok_or(TEXT_NOT_KEPT)?
         .to_owned();
-    let last = serde_json::from_slice(&last).map_err(|_| NOT_KEPT)?;
-    Ok(Begun::Recorded {
+    let last = serde_json::from_slice(&last).map_err(|_| TEXT_NOT_KEPT)?;
+    Ok(StartedRequest::Recorded {
         id,
         name,
         rest,
@@ -1156,45 +1211,48 @@
     })
 }
 
-fn stopped(stop: &watch::Receiver<Stop>) -> Ended {
-    if *stop.borrow() == Stop::Cancelled {
-        Ended::Cancelled
+fn stop_error(stop: &watch::Receiver<StopSignal>) -> RelayError {
+    if *stop.borrow() == StopSignal::Cancelled {
+        RelayError::Cancelled
     } else {
-        Ended::Left
+        RelayError::ClientGone
     }
 }
 
-struct Progress {
+/// What the final line needs from the events of a stream.
+struct StreamSummary {
     finish: String,
     usage: Option<Box<RawValue>>,
 }
 
-/// Server-sent events out of a stream of bytes.
+/// An incremental parser of server-sent events.
 #[derive(Default)]
-struct Events {
+struct EventParser {
     bytes: BytesMut,
 }
 
-impl Events {
+impl EventParser {
     fn len(&self) -> usize {
         self.bytes.len()
     }
 
-    fn take(&mut self, data: &[u8]) -> Result<(), Ended> {
+    fn push(&mut self, data: &[u8]) -> Result<(), RelayError> {
         self.bytes.extend_from_slice(data);
-        if self.bytes.len() > 2 * MOST_EVENT {
-            Err(Ended::Broken)
+        if self.bytes.len() > 2 * MAX_EVENT_BYTES {
+            Err(RelayError::StreamBroken)
         } else {
             Ok(())
         }
     }
 
-    /// The data of the next whole event; comments and other fields are skipped.
-    fn next(&mut self) -> Result<Option<String>, Ended> {
+    /// Returns the data of the next complete event, or `None` if more bytes are needed. Comments and other fields are
+    /// ignored.
+    fn next_event(&mut self) -> Result<Option<String>, RelayError> {
         let mut data = String::new();
         let mut at = 0;
         while let Some(end) = self.bytes[at..].iter().position(|b| *b == b'\n') {
-            let line = std::str::from_utf8(&self.bytes[at..at + end]).map_err(|_| Ended::Broken)?;
+            let line = std::str::from_utf8(&self.bytes[at..at + end])
+                .map_err(|_| RelayError::StreamBroken)?;
             let line = line.strip_suffix('\r').unwrap_or(line);
             at += end + 1;
             if line.is_empty() {
@@ -1208,17 +1266,17 @@
                 data.push_str(part.strip_prefix(' ').unwrap_or(part));
             }
         }
-        if self.bytes.len() > MOST_EVENT {
-            Err(Ended::Broken)
+        if self.bytes.len() > MAX_EVENT_BYTES {
+            Err(RelayError::StreamBroken)
         } else {
             Ok(None)
         }
     }
 }
 
-fn notice(method: &'static str, params: Notice<'_>) -> Vec<u8> {
+fn notification_line(method: &'static str, params: NotificationParams<'_>) -> Vec<u8> {
     let (method, params) = (Some(method), Some(params));
-    encode(&Line::<()> {
+    encode(&OutgoingMessage::<()> {
         jsonrpc: "2.0",
         method,
         params,
@@ -1230,7 +1288,7 @@
 
 fn result_line(id: Option<&RawValue>, result: impl Serialize) -> Vec<u8> {
     let id = Some(id.unwrap_or(RawValue::NULL));
-    encode(&Line {
+    encode(&OutgoingMessage {
         jsonrpc: "2.0",
         method: None,
         params: None,
@@ -1240,7 +1298,7 @@
     })
 }
 
-fn fixed(status: StatusCode, mut body: Vec<u8>) -> Response<AnswerBody> {
+fn json_response(status: StatusCode, mut body: Vec<u8>) -> Response<AnswerBody> {
     body.push(b'\n');
     let mut response = Response::new(AnswerBody::Fixed(Some(body.into())));
     *response.status_mut() = status;
@@ -1250,7 +1308,7 @@
     response
 }
 
-fn empty() -> Response<AnswerBody> {
+fn no_content() -> Response<AnswerBody> {
     let mut response = Response::new(AnswerBody::Fixed(None));
     *response.status_mut() = StatusCode::NO_CONTENT;
     response
--- a/src/front/jsonrpc/tests.rs
+++ b/src/front/jsonrpc/tests.rs
@@ -1,17 +1,17 @@
 use super::*;
 
 #[test]
-fn events_come_out_whole_wherever_the_bytes_are_cut() {
+fn events_are_parsed_regardless_of_chunk_boundaries() {
     let wire = b": hello\r\ndata: {\"a\":1}\r\n\r\nevent: x\ndata: one\ndata: two\n\ndata: rest";
     for cut in 0..wire.len() {
-        let mut events = Events::default();
-        let mut seen = Vec::new();
+        let mut parser = EventParser::default();
+        let mut parsed = Vec::new();
         for part in [&wire[..cut], &wire[cut..]] {
-            events.take(part).unwrap();
-            while let Some(event) = events.next().unwrap() {
-                seen.push(event);
+            parser.push(part).unwrap();
+            while let Some(event) = parser.next_event().unwrap() {
+                parsed.push(event);
             }
         }
-        assert_eq!(seen, ["{\"a\":1}", "one\ntwo"], "cut at {cut}");
+        assert_eq!(parsed, ["{\"a\":1}", "one\ntwo"], "cut at {cut}");
     }
 }
--- a/src/front/ledger.rs
+++ b/src/front/ledger.rs
@@ -1,7 +1,9 @@
-//! The ledger of tool calls: what keeps a tool from running twice when a stream breaks and resumes.
+//! The ledger of tool calls, which keeps a tool from running twice when a stream breaks and is resumed.
 //!
-//! A call's key is its request's lasting name and its ordinal in the answer, never the writer's id. The entry
-//! stands before the first byte goes out and outlives the stream, the writer and the client's connection.
+//! A call's key consists of the client's name for the request, which stays the same over all resumes, and the call's
+//! ordinal in the answer; the JSON-RPC id that the decode worker chose is not part of it. The entry is inserted before
+//! the first byte of the call is sent, and it outlives the stream, the decode worker's connection and the client's
+//! connection.
 
 use super::record::Claim;
 use crate::config::ToolSettings;
@@ -22,106 +24,108 @@
 use tower::{Service, ServiceExt};
 use xxhash_rust::xxh3::xxh3_128;
 
-/// Between tries to connect to the tool side: nothing has run yet, so trying again is harmless.
-const RECONNECT: Duration = Duration::from_millis(50);
-/// Tries to connect.
-const CONNECTS: u32 = 3;
-/// What an entry takes beside its outcome.
-const ENTRY_BYTES: usize = 256;
+/// The delay between attempts to connect to the tool server. Nothing has run at that point, so a retry is harmless.
+const CONNECT_RETRY_DELAY: Duration = Duration::from_millis(50);
+const MAX_CONNECT_ATTEMPTS: u32 = 3;
+/// The size that is accounted for an entry in addition to its outcome.
+const ENTRY_OVERHEAD_BYTES: usize = 256;
 
-/// A call's lasting name: the request's and the ordinal of the call in its answer.
+/// Identifies a tool call across resumes of its request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct CallKey {
-    /// The request's name, the same over all resumes.
+    /// The client's name for the request, the same over all resumes.
     pub request: Rc<str>,
-    /// Calls of its answer before this one.
+    /// The number of calls before this one in the request's answer.
     pub ordinal: u32,
 }
 
-/// A JSON-RPC error object of the front's own.
+/// A JSON-RPC error object that the router itself reports for a tool call.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct ToolError {
-    /// The code.
+pub struct CallError {
+    /// The JSON-RPC error code, unique among the constants of this module.
     pub code: i32,
-    /// What it means.
+    /// The error text for the decode worker.
     pub message: &'static str,
 }
 
-/// The tool was never reached: it did not run, and a repeat may try again.
-pub const NEVER_RAN: ToolError = ToolError {
+/// The tool server was not reached: the tool did not run, and a repeat of the call tries again.
+pub const TOOL_NOT_REACHED: CallError = CallError {
     code: -32010,
     message: "tool not reached; it did not run",
 };
-/// The call went out and no answer came: it may have run and will not be sent again.
-pub const UNKNOWN: ToolError = ToolError {
+/// The call was sent and no valid response was received: the tool may have run, and the call is not sent again.
+pub const OUTCOME_UNKNOWN: CallError = CallError {
     code: -32011,
     message: "outcome unknown; the call may have run",
 };
-/// The key stands for other arguments already.
-pub const REUSED: ToolError = ToolError {
+/// The ledger has a call with this key but with another method or other parameters.
+pub const ARGUMENTS_DIFFER: CallError = CallError {
     code: -32012,
     message: "call repeated with other arguments",
 };
-/// The arguments are over their bound.
-pub const CALL_TOO_LONG: ToolError = ToolError {
+/// The call is longer than `max_call_bytes`.
+pub const ARGUMENTS_TOO_LONG: CallError = CallError {
     code: -32013,
     message: "arguments too long; the tool did not run",
 };
-/// The result is over its bound.
-pub const RESULT_TOO_LONG: ToolError = ToolError {
+/// The tool's response is longer than `max_result_bytes`.
+pub const RESULT_TOO_LONG: CallError = CallError {
     code: -32014,
     message: "result too long; the tool has run",
 };
-/// No room for another call.
-pub const NO_ROOM: ToolError = ToolError {
+/// The request has reached `max_calls`, or the ledger is full.
+pub const TOO_MANY_CALLS: CallError = CallError {
     code: -32015,
     message: "too many calls; the tool did not run",
 };
-/// The call's client took its request back while the tool was at it.
-pub const CANCELLED: ToolError = ToolError {
+/// The client cancelled the request after the call had been sent.
+pub const CANCELLED: CallError = CallError {
     code: -32016,
     message: "cancelled; the call may have run",
 };
 
-impl ToolError {
-    /// The error of this code; one that says least if there is none.
-    pub fn by_code(code: i32) -> ToolError {
-        let all = [
-            NEVER_RAN,
-            UNKNOWN,
-            REUSED,
-            CALL_TOO_LONG,
+impl CallError {
+    /// Returns the error with this code, or [`OUTCOME_UNKNOWN`], which promises the least, if there is none.
+    pub fn by_code(code: i32) -> CallError {
+        let known_errors = [
+            TOOL_NOT_REACHED,
+            OUTCOME_UNKNOWN,
+            ARGUMENTS_DIFFER,
+            ARGUMENTS_TOO_LONG,
             RESULT_TOO_LONG,
-            NO_ROOM,
+            TOO_MANY_CALLS,
             CANCELLED,
         ];
-        all.into_iter().find(|e| e.code == code).unwrap_or(UNKNOWN)
+        known_errors
+            .into_iter()
+            .find(|e| e.code == code)
+            .unwrap_or(OUTCOME_UNKNOWN)
     }
 }
 
-/// How a call ended.
+/// The outcome of a tool call.
 #[derive(Clone, Debug)]
 pub enum Outcome {
-    /// The tool's result.
+    /// The `result` of the tool's response.
     Result(Rc<RawValue>),
-    /// The tool's own error.
-    ToolSaid(Rc<RawValue>),
-    /// The front's error.
-    Error(ToolError),
+    /// The `error` of the tool's response.
+    ToolError(Rc<RawValue>),
+    /// An error that the router reports.
+    Error(CallError),
 }
 
 #[derive(Clone)]
 enum State {
     InFlight,
-    Ended(Outcome),
+    Completed(Outcome),
 }
 
 struct Entry {
-    arguments: u128,
+    arguments_digest: u128,
     state: watch::Receiver<State>,
-    /// Drops the call while it is in flight.
+    /// Set to `true` to cancel the call while it is in flight.
     cancel: Rc<watch::Sender<bool>>,
-    ended: Option<Instant>,
+    completed_at: Option<Instant>,
     bytes: usize,
 }
 
@@ -138,49 +142,50 @@
 struct ToolResponse {
     jsonrpc: String,
     id: String,
-    #[serde(default, deserialize_with = "super::jsonrpc::present")]
+    #[serde(default, deserialize_with = "super::jsonrpc::deserialize_present")]
     result: Option<Box<RawValue>>,
     error: Option<Box<RawValue>>,
 }
 
-/// The ledger, and the client of the tool side behind it.
+/// The ledger of tool calls, with the client that sends them to the tool server.
 pub struct Ledger {
     entries: RefCell<HashMap<CallKey, Entry>>,
+    /// The accounted size of all entries, bounded by `max_ledger_bytes`.
     bytes: Cell<usize>,
-    swept: Cell<Option<Instant>>,
+    last_sweep: Cell<Option<Instant>>,
     settings: ToolSettings,
     pool: Pool,
     counters: Rc<Counters>,
 }
 
 impl Ledger {
-    /// An empty ledger.
+    /// An empty ledger. `connect_timeout` applies to connections to the tool server.
     pub fn new(
         settings: ToolSettings,
         connect_timeout: Duration,
         counters: Rc<Counters>,
     ) -> Rc<Self> {
-        let keep = Duration::from_secs(5);
+        let idle_timeout = Duration::from_secs(5);
         let pool = Pool::new(
             settings.max_calls_at_once,
             connect_timeout,
-            keep,
+            idle_timeout,
             counters.clone(),
         );
-        let (entries, bytes, swept) = (RefCell::default(), Cell::new(0), Cell::new(None));
+        let (entries, bytes, last_sweep) = (RefCell::default(), Cell::new(0), Cell::new(None));
         Rc::new(Ledger {
             entries,
             bytes,
-            swept,
+            last_sweep,
             settings,
             pool,
             counters,
         })
     }
 
-    /// Answers a call: from the record, with the call in flight, or by running the tool, once for a key.
-    /// Dropping the future leaves the call running: its outcome is wanted when the stream resumes.
-    /// With a claim, the fleet's record goes before this conductor's own.
+    /// Returns the outcome of a call: the recorded one, that of the same call in flight, or that of a new run of the tool.
+    /// The tool runs at most once for a key. Dropping the future leaves the call running, since its outcome is needed when
+    /// the stream is resumed. With a claim, the fleet's record takes precedence over this ledger.
     pub async fn call(
         self: &Rc<Self>,
         key: CallKey,
@@ -189,14 +194,14 @@
         params: Option<&RawValue>,
     ) -> Outcome {
         self.counters.tool_calls.up();
-        let outcome = match self.enter(key, claim, method, params) {
+        let outcome = match self.find_or_start(key, claim, method, params) {
             Ok(mut state) => loop {
-                if let State::Ended(outcome) = &*state.borrow_and_update() {
+                if let State::Completed(outcome) = &*state.borrow_and_update() {
                     break outcome.clone();
                 }
                 if state.changed().await.is_err() {
-                    // Whoever ran it has gone wrong (a panic, say).
-                    break Outcome::Error(UNKNOWN);
+                    // The task that ran the call died without an outcome, for example by a panic.
+                    break Outcome::Error(OUTCOME_UNKNOWN);
                 }
             },
             Err(error) => Outcome::Error(error),
@@ -207,42 +212,45 @@
         outcome
     }
 
-    /// Whether a call is out, or its outcome not on record yet.
+    /// Whether a call is in flight or its outcome is not recorded yet.
     pub fn is_busy(&self) -> bool {
-        self.entries.borrow().values().any(|e| e.ended.is_none())
+        self.entries
+            .borrow()
+            .values()
+            .any(|e| e.completed_at.is_none())
     }
 
-    /// Drops the calls of a request that are in flight; their outcome is unknown from then on.
+    /// Cancels the calls of a request that are in flight. The outcome of those that were already sent is unknown.
     pub fn cancel(&self, request: &str) {
         let entries = self.entries.borrow();
         for entry in entries
             .iter()
-            .filter(|(k, e)| &*k.request == request && e.ended.is_none())
+            .filter(|(k, e)| &*k.request == request && e.completed_at.is_none())
             .map(|(_, e)| e)
         {
             entry.cancel.send_replace(true);
         }
     }
 
-    fn enter(
+    fn find_or_start(
         self: &Rc<Self>,
         key: CallKey,
         claim: Option<Claim>,
         method: &str,
         params: Option<&RawValue>,
-    ) -> Result<watch::Receiver<State>, ToolError> {
-        let arguments = digest(method, params);
+    ) -> Result<watch::Receiver<State>, CallError> {
+        let arguments_digest = digest(method, params);
         if let Some(entry) = self.entries.borrow().get(&key) {
-            // Guards against a model that, after a resume, asks something else in the same place: the recorded
-            // result is no answer to that, and running it would be a second run.
-            if entry.arguments != arguments {
-                return Err(REUSED);
+            // After a resume, a model may make a different call at the same ordinal. The recorded result does not
+            // answer it, and running it would be a second run under the same key.
+            if entry.arguments_digest != arguments_digest {
+                return Err(ARGUMENTS_DIFFER);
             }
             self.counters.tool_repeats.up();
             return Ok(entry.state.clone());
         }
         if key.ordinal >= self.settings.max_calls {
-            return Err(NO_ROOM);
+            return Err(TOO_MANY_CALLS);
         }
         let id = format!("{}/{}", key.request, key.ordinal);
         let message = ToolRequest {
@@ -251,136 +259,146 @@
             method,
             params,
         };
-        let body = serde_json::to_vec(&message).map_err(|_| CALL_TOO_LONG)?;
+        let body = serde_json::to_vec(&message).map_err(|_| ARGUMENTS_TOO_LONG)?;
         if body.len() > self.settings.max_call_bytes {
-            return Err(CALL_TOO_LONG);
+            return Err(ARGUMENTS_TOO_LONG);
         }
         self.sweep();
-        // Nothing that is still remembered is put out to make room: that would allow a second run.
+        // Entries are never evicted before their retention ends: that would allow a second run.
         let full = self.entries.borrow().len() >= self.settings.max_entries;
-        if full || self.bytes.get() + ENTRY_BYTES > self.settings.max_ledger_bytes {
-            return Err(NO_ROOM);
+        if full || self.bytes.get() + ENTRY_OVERHEAD_BYTES > self.settings.max_ledger_bytes {
+            return Err(TOO_MANY_CALLS);
         }
-        let (tell, state) = watch::channel(State::InFlight);
+        let (state_sender, state) = watch::channel(State::InFlight);
         let cancel = Rc::new(watch::Sender::new(false));
         let cancelled = cancel.subscribe();
         let entry = Entry {
-            arguments,
+            arguments_digest,
             state: state.clone(),
             cancel,
-            ended: None,
-            bytes: ENTRY_BYTES,
+            completed_at: None,
+            bytes: ENTRY_OVERHEAD_BYTES,
         };
-        // From here on a repeat finds the call, and only now does a byte of it go out.
+        // The entry is inserted before any byte of the call is sent, so that a repeat finds it.
         self.entries.borrow_mut().insert(key.clone(), entry);
-        self.bytes.set(self.bytes.get() + ENTRY_BYTES);
+        self.bytes.set(self.bytes.get() + ENTRY_OVERHEAD_BYTES);
         let ledger = self.clone();
         tokio::task::spawn_local(async move {
             let recorded = match &claim {
                 Some(claim) => {
                     claim
-                        .call(key.ordinal, arguments, ledger.settings.call_timeout())
+                        .start_call(
+                            key.ordinal,
+                            arguments_digest,
+                            ledger.settings.call_timeout(),
+                        )
                         .await
                 }
                 None => None,
             };
             let outcome = match recorded {
-                // Made before, by whichever conductor, or not to be made.
+                // The call was made before, by this or another router, or must not be made.
                 Some(outcome) => outcome,
                 None => {
                     let outcome = ledger.run(id, Bytes::from(body), cancelled).await;
                     if let Some(claim) = &claim {
-                        claim.call_ended(key.ordinal, &outcome).await;
+                        claim.record_call_outcome(key.ordinal, &outcome).await;
                     }
                     outcome
                 }
             };
             ledger.record(&key, &outcome);
-            tell.send_replace(State::Ended(outcome));
+            state_sender.send_replace(State::Completed(outcome));
         });
         Ok(state)
     }
 
     fn record(&self, key: &CallKey, outcome: &Outcome) {
         let mut entries = self.entries.borrow_mut();
-        if matches!(outcome, Outcome::Error(error) if *error == NEVER_RAN) {
+        if matches!(outcome, Outcome::Error(error) if *error == TOOL_NOT_REACHED) {
             if let Some(entry) = entries.remove(key) {
                 self.bytes.set(self.bytes.get() - entry.bytes);
             }
             return;
         }
         if let Some(entry) = entries.get_mut(key) {
-            entry.ended = Some(Instant::now());
-            if let Outcome::Result(raw) | Outcome::ToolSaid(raw) = outcome {
+            entry.completed_at = Some(Instant::now());
+            if let Outcome::Result(raw) | Outcome::ToolError(raw) = outcome {
                 entry.bytes += raw.get().len();
                 self.bytes.set(self.bytes.get() + raw.get().len());
             }
         }
     }
 
-    /// Forgets outcomes that have been remembered for long enough, and closes connections that idle.
+    /// Removes outcomes that are older than `remember_s` and closes idle connections to the tool server. Runs at most once
+    /// a second; call it regularly, so that entries also expire when no calls arrive.
     pub fn sweep(&self) {
         if self
-            .swept
+            .last_sweep
             .get()
             .is_some_and(|at| at.elapsed() < Duration::from_secs(1))
         {
             return;
         }
-        self.swept.set(Some(Instant::now()));
+        self.last_sweep.set(Some(Instant::now()));
         let remember = Duration::from_secs(self.settings.remember_s);
         self.entries
             .borrow_mut()
-            .retain(|_, e| e.ended.is_none_or(|at| at.elapsed() < remember));
+            .retain(|_, e| e.completed_at.is_none_or(|at| at.elapsed() < remember));
         self.bytes
             .set(self.entries.borrow().values().map(|e| e.bytes).sum());
         self.pool.evict_stale();
     }
 
-    /// Runs the tool. Tried again only while not all of the call has been written: it can't have run.
+    /// Sends the call to the tool server. It is sent again only if not all of it has been written, because then the tool
+    /// cannot have run.
     async fn run(&self, id: String, body: Bytes, mut cancelled: watch::Receiver<bool>) -> Outcome {
         let deadline = tokio::time::sleep(self.settings.call_timeout());
         tokio::pin!(deadline);
         let written = Cell::new(false);
         let outcome = tokio::select! {
-            outcome = self.tries(&id, body, &written) => outcome,
-            () = &mut deadline => Err("no answer in time".into()),
+            outcome = self.run_with_retries(&id, body, &written) => outcome,
+            () = &mut deadline => Err("no response before the call timeout".into()),
             _ = cancelled.wait_for(|c| *c) => {
-                return Outcome::Error(if written.get() { CANCELLED } else { NEVER_RAN });
+                return Outcome::Error(if written.get() { CANCELLED } else { TOOL_NOT_REACHED });
             }
         };
         outcome.unwrap_or_else(|error: Box<dyn std::error::Error>| {
-            let never = !written.get();
+            let not_executed = !written.get();
             log::warn!(
                 "tool call {id}: {error}; {}",
-                if never {
-                    "it did not run"
+                if not_executed {
+                    "the tool did not run"
                 } else {
-                    "it may have run"
+                    "the tool may have run; the call is not repeated"
                 }
             );
-            Outcome::Error(if never { NEVER_RAN } else { UNKNOWN })
+            Outcome::Error(if not_executed {
+                TOOL_NOT_REACHED
+            } else {
+                OUTCOME_UNKNOWN
+            })
         })
     }
 
-    async fn tries(
+    async fn run_with_retries(
         &self,
         id: &str,
         body: Bytes,
         written: &Cell<bool>,
     ) -> Result<Outcome, Box<dyn std::error::Error>> {
-        let mut tries = 0;
+        let mut attempts = 0;
         loop {
-            tries += 1;
-            let outcome = self.once(id, body.clone(), written).await;
-            if written.get() || outcome.is_ok() || tries == CONNECTS {
+            attempts += 1;
+            let outcome = self.send_once(id, body.clone(), written).await;
+            if written.get() || outcome.is_ok() || attempts == MAX_CONNECT_ATTEMPTS {
                 return outcome;
             }
-            tokio::time::sleep(RECONNECT).await;
+            tokio::time::sleep(CONNECT_RETRY_DELAY).await;
         }
     }
 
-    async fn once(
+    async fn send_once(
         &self,
         id: &str,
         body: Bytes,
@@ -411,37 +429,41 @@
             may_have_run: written.get(),
         })?;
         self.counters.tool_runs.up();
-        // Taken to be written until the meter says otherwise, should this be dropped half-way.
+        // Assume that the call was written until the meter says otherwise: this future may be dropped while it sends.
         written.set(true);
-        let answered = connection.send_call(request, length, permit).await;
+        let result = connection.send_call(request, length, permit).await;
         written.set(meter.complete());
-        let (head, body) = answered?.into_parts();
+        let (head, body) = result?.into_parts();
         written.set(true);
-        let whole = match Limited::new(body, self.settings.max_result_bytes)
+        let response_body = match Limited::new(body, self.settings.max_result_bytes)
             .collect()
             .await
         {
-            Ok(whole) => whole.to_bytes(),
+            Ok(collected) => collected.to_bytes(),
             Err(error) if error.is::<LengthLimitError>() => {
                 return Ok(Outcome::Error(RESULT_TOO_LONG));
             }
             Err(error) => return Err(error.to_string().into()),
         };
         self.pool.put_back(&target, connection);
-        let response: ToolResponse = serde_json::from_slice(&whole)
-            .map_err(|e| format!("status {}, no JSON-RPC response: {e}", head.status))?;
+        let response: ToolResponse = serde_json::from_slice(&response_body).map_err(|e| {
+            format!(
+                "HTTP status {} without a JSON-RPC response: {e}",
+                head.status
+            )
+        })?;
         if response.jsonrpc != "2.0" || response.id != id {
-            return Err("a response to something else".into());
+            return Err("the response has another id or JSON-RPC version".into());
         }
         match (response.result, response.error) {
             (Some(result), None) => Ok(Outcome::Result(result.into())),
-            (None, Some(error)) => Ok(Outcome::ToolSaid(error.into())),
-            _ => Err("a response with neither or both of result and error".into()),
+            (None, Some(error)) => Ok(Outcome::ToolError(error.into())),
+            _ => Err("the response has neither or both of result and error".into()),
         }
     }
 }
 
-/// Arguments as one number: the same for the same values, however a writer spaces or orders them.
+/// A digest of a call's method and parameters. It depends on the JSON values only, not on spacing or key order.
 fn digest(method: &str, params: Option<&RawValue>) -> u128 {
     let value: serde_json::Value = params
         .and_then(|p| serde_json::from_str(p.get()).ok())
--- a/src/front/record.rs
+++ b/src/front/record.rs
@@ -1,6 +1,9 @@
-//! The tool-call front's side of the fleet's records: a claim to a named request, and what is written under it.
+//! The JSON-RPC front end's access to the fleet's replicated request records: claiming a named request, and recording
+//! its tool calls and its final response under that claim.
 
-use super::ledger::{NEVER_RAN, NO_ROOM, Outcome, REUSED, ToolError, UNKNOWN};
+use super::ledger::{
+    ARGUMENTS_DIFFER, CallError, OUTCOME_UNKNOWN, Outcome, TOO_MANY_CALLS, TOOL_NOT_REACHED,
+};
 use crate::fleet::transport::work::Work;
 use crate::fleet::work::recorder::Decision;
 use crate::fleet::work::{CallState, ClientRequestRecord, Command, FinalResponse, Rejection};
@@ -11,162 +14,175 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A named request that this conductor has in hand, by the fleet's log. Dropped before its final answer is on record,
-/// it is let go of: whichever conductor its client asks may go on.
+/// The ownership of a named request by this router, as recorded in the fleet's log. When the last clone is dropped before
+/// the final response is recorded, the claim is released, and any router that the client asks next may continue.
 #[derive(Clone)]
-pub struct Claim(Rc<Held>);
+pub struct Claim(Rc<ClaimState>);
 
-struct Held {
+struct ClaimState {
     work: Rc<Work>,
     name: String,
     generation: u64,
-    ended: Cell<bool>,
-    harmless: Cell<bool>,
+    completed: Cell<bool>,
+    not_executed: Cell<bool>,
 }
 
-impl Drop for Held {
+impl Drop for ClaimState {
     fn drop(&mut self) {
-        if !self.ended.get() {
+        if !self.completed.get() {
             let (name, generation) = (self.name.clone(), self.generation);
             self.work.tell(Command::Release {
                 name,
                 generation,
-                not_executed: self.harmless.get(),
+                not_executed: self.not_executed.get(),
             });
         }
     }
 }
 
-/// What came of asking for a request.
-pub enum Claimed {
-    /// It is in hand here.
-    Mine(Claim),
-    /// It has its final answer.
-    Ended(FinalResponse),
-    /// Another conductor has it, and was not seen to die in the time that there was.
-    InHand,
-    /// It has begun, and must not be begun anew.
-    Begun,
-    /// Nothing was done; trying again is harmless.
-    NotNow,
+/// The result of [`Claim::acquire`].
+pub enum ClaimResult {
+    /// This router owns the request now.
+    Granted(Claim),
+    /// The request has a final response on record.
+    Completed(FinalResponse),
+    /// Another router owns the request and was not found dead before the deadline.
+    OwnedElsewhere,
+    /// The request was started before and must not be started again.
+    AlreadyStarted,
+    /// No decision was reached, or there is no capacity. Nothing was done; a retry is harmless.
+    Unavailable,
 }
 
-/// An outcome as it is recorded.
+/// The recorded form of an [`Outcome`]; the outer names are stored data.
 #[derive(Serialize, Deserialize)]
-enum Recorded {
+enum RecordedOutcome {
     Result(Box<RawValue>),
-    ToolSaid(Box<RawValue>),
-    Own(i32),
+    #[serde(rename = "ToolSaid")]
+    ToolError(Box<RawValue>),
+    #[serde(rename = "Own")]
+    RouterError(i32),
 }
 
 fn encode(outcome: &Outcome) -> Vec<u8> {
     let recorded = match outcome {
-        Outcome::Result(raw) => Recorded::Result(raw.as_ref().to_owned()),
-        Outcome::ToolSaid(raw) => Recorded::ToolSaid(raw.as_ref().to_owned()),
-        Outcome::Error(error) => Recorded::Own(error.code),
+        Outcome::Result(raw) => RecordedOutcome::Result(raw.as_ref().to_owned()),
+        Outcome::ToolError(raw) => RecordedOutcome::ToolError(raw.as_ref().to_owned()),
+        Outcome::Error(error) => RecordedOutcome::RouterError(error.code),
     };
     serde_json::to_vec(&recorded).unwrap_or_default()
 }
 
 fn decode(bytes: &[u8]) -> Outcome {
     match serde_json::from_slice(bytes) {
-        Ok(Recorded::Result(raw)) => Outcome::Result(raw.into()),
-        Ok(Recorded::ToolSaid(raw)) => Outcome::ToolSaid(raw.into()),
-        Ok(Recorded::Own(code)) => Outcome::Error(ToolError::by_code(code)),
-        Err(_) => Outcome::Error(UNKNOWN),
+        Ok(RecordedOutcome::Result(raw)) => Outcome::Result(raw.into()),
+        Ok(RecordedOutcome::ToolError(raw)) => Outcome::ToolError(raw.into()),
+        Ok(RecordedOutcome::RouterError(code)) => Outcome::Error(CallError::by_code(code)),
+        Err(_) => Outcome::Error(OUTCOME_UNKNOWN),
     }
 }
 
 impl Claim {
-    /// Asks the fleet for a request, until `deadline` at the latest.
-    pub async fn ask(
+    /// Asks the fleet for the ownership of the request `name`, until `deadline` at the latest.
+    pub async fn acquire(
         work: &Rc<Work>,
         name: &str,
-        once: bool,
-        resumes: bool,
+        at_most_once: bool,
+        resume: bool,
         deadline: Micros,
-    ) -> Claimed {
-        let bounds = work.bounds();
+    ) -> ClaimResult {
+        let capacity = work.bounds();
         let command = Command::Claim {
             name: name.into(),
-            at_most_once: once,
-            resume: resumes,
-            capacity: bounds,
+            at_most_once,
+            resume,
+            capacity,
         };
         match work.ask_for(command, deadline).await {
-            Decision::Claimed(record) => Claimed::Mine(Claim::new(work, name, &record)),
-            Decision::Completed(answer) => Claimed::Ended(answer),
-            Decision::OwnedBy(_) => Claimed::InHand,
-            Decision::Rejected(Rejection::AlreadyStarted) => Claimed::Begun,
-            _ => Claimed::NotNow,
+            Decision::Claimed(record) => ClaimResult::Granted(Claim::new(work, name, &record)),
+            Decision::Completed(answer) => ClaimResult::Completed(answer),
+            Decision::OwnedBy(_) => ClaimResult::OwnedElsewhere,
+            Decision::Rejected(Rejection::AlreadyStarted) => ClaimResult::AlreadyStarted,
+            _ => ClaimResult::Unavailable,
         }
     }
 
     fn new(work: &Rc<Work>, name: &str, record: &ClientRequestRecord) -> Self {
         let (work, name, generation) = (work.clone(), name.to_owned(), record.generation);
         work.history().claimed(&name, generation);
-        Claim(Rc::new(Held {
+        Claim(Rc::new(ClaimState {
             work,
             name,
             generation,
-            ended: Cell::new(false),
-            harmless: Cell::new(false),
+            completed: Cell::new(false),
+            not_executed: Cell::new(false),
         }))
     }
 
-    /// The request's name and the claim's generation, for what is sent under it.
+    /// The request's name and the claim's generation, which identify the claim.
     pub fn key(&self) -> (String, u64) {
         (self.0.name.clone(), self.0.generation)
     }
 
-    /// Its client was told that trying again is harmless.
-    pub fn refused(&self) {
-        self.0.harmless.set(true);
+    /// Marks the request as not executed, because its client was told that a retry is harmless. The release on drop
+    /// records this.
+    pub fn mark_not_executed(&self) {
+        self.0.not_executed.set(true);
     }
 
-    /// The longest text that is kept with an answer, in bytes.
-    pub fn most_text(&self) -> usize {
+    /// The longest response text that is recorded with a final response, in bytes.
+    pub fn max_text_bytes(&self) -> usize {
         self.0.work.settings().most_text_bytes
     }
 
-    /// Its answer has begun.
-    pub fn began(&self) {
+    /// Records, without waiting, that the response has started.
+    pub fn response_started(&self) {
         let (name, generation) = self.key();
         self.0
             .work
             .tell(Command::ResponseStarted { name, generation });
     }
 
-    /// Asks to make a tool call. `None`: it may go out now, and by this conductor alone. Else its outcome.
-    pub async fn call(&self, ordinal: u32, arguments: u128, patience: Duration) -> Option<Outcome> {
+    /// Asks the fleet for permission to make a tool call. Returns `None` if this router, and no other, may send the call
+    /// now; otherwise the outcome to report instead.
+    pub async fn start_call(
+        &self,
+        ordinal: u32,
+        arguments: u128,
+        timeout: Duration,
+    ) -> Option<Outcome> {
         let (name, generation) = self.key();
-        let bounds = self.0.work.bounds();
+        let capacity = self.0.work.bounds();
         let command = Command::StartCall {
             name,
             generation,
             ordinal,
             arguments,
-            capacity: bounds,
+            capacity,
         };
-        // Another conductor may be at it: its outcome is worth the wait that a call may take.
-        let error = match self.0.work.ask_within(command, patience).await {
+        // Another router may be running the call: wait for its outcome as long as a call may take.
+        let error = match self.0.work.ask_within(command, timeout).await {
             Decision::Proceed => {
                 self.0.work.history().call_out(&self.0.name, ordinal);
                 return None;
             }
             Decision::KnownCall(CallState::Completed(outcome)) => return Some(decode(&outcome)),
-            Decision::KnownCall(CallState::OutcomeUnknown | CallState::InFlight) => UNKNOWN,
-            Decision::Rejected(Rejection::ArgumentsDiffer) => REUSED,
-            Decision::Rejected(Rejection::CapacityExceeded) => NO_ROOM,
-            _ => NEVER_RAN,
+            Decision::KnownCall(CallState::OutcomeUnknown | CallState::InFlight) => OUTCOME_UNKNOWN,
+            Decision::Rejected(Rejection::ArgumentsDiffer) => ARGUMENTS_DIFFER,
+            Decision::Rejected(Rejection::CapacityExceeded) => TOO_MANY_CALLS,
+            _ => TOOL_NOT_REACHED,
         };
         Some(Outcome::Error(error))
     }
 
-    /// Writes the outcome of a call down, and waits for it: what the writer makes of it must not be lost with it.
-    pub async fn call_ended(&self, ordinal: u32, outcome: &Outcome) {
-        let never = matches!(outcome, Outcome::Error(error) if *error == NEVER_RAN);
-        let (name, outcome) = (self.0.name.clone(), (!never).then(|| encode(outcome)));
+    /// Records the outcome of a call and waits until it is recorded: the decode worker continues its answer from this
+    /// outcome, so it must not be lost with this router.
+    pub async fn record_call_outcome(&self, ordinal: u32, outcome: &Outcome) {
+        let not_executed = matches!(outcome, Outcome::Error(error) if *error == TOOL_NOT_REACHED);
+        let (name, outcome) = (
+            self.0.name.clone(),
+            (!not_executed).then(|| encode(outcome)),
+        );
         self.0
             .work
             .told_soon(Command::CompleteCall {
@@ -178,31 +194,31 @@
         self.0.work.history().call_ended(&self.0.name, ordinal);
     }
 
-    /// Writes the final answer down. The answer that stands: this one, an earlier one, or none if this conductor can't
-    /// say.
-    pub async fn end(&self, answer: FinalResponse) -> Option<FinalResponse> {
+    /// Records the final response and waits for the decision. Returns the response on record, which is an earlier one if
+    /// there was one already, or `None` if this router cannot tell.
+    pub async fn complete(&self, answer: FinalResponse) -> Option<FinalResponse> {
         let (name, generation) = self.key();
         let command = Command::Complete {
             name,
             generation,
             response: answer.clone(),
         };
-        let stands = match self.0.work.ask_soon(command).await {
+        let recorded = match self.0.work.ask_soon(command).await {
             Decision::Proceed => Some(answer),
             Decision::Completed(earlier) => Some(earlier),
             _ => None,
         };
-        if stands.is_some() {
+        if recorded.is_some() {
             self.0.work.history().answered(&self.0.name);
         }
-        self.0.ended.set(stands.is_some());
-        stands
+        self.0.completed.set(recorded.is_some());
+        recorded
     }
 
-    /// The same, where its client is told at once.
-    pub fn ends(&self, answer: FinalResponse) {
+    /// Records the final response without waiting, for cases in which the client is answered at once.
+    pub fn complete_in_background(&self, answer: FinalResponse) {
         let (name, generation) = self.key();
-        self.0.ended.set(true);
+        self.0.completed.set(true);
         self.0.work.tell(Command::Complete {
             name,
             generation,
