--- a/src/front/jsonrpc.rs
+++ b/src/front/jsonrpc.rs
@@ -310,6 +310,7 @@
 /// A named request that this router is processing.
 struct ActiveRequest {
     stop: watch::Sender<StopSignal>,
+    /// Whether the answer has started to stream; shared with the [`ActiveGuard`].
     streaming: Rc<Cell<bool>>,
     /// Tells this request from a later one with the same name.
     serial: u64,
@@ -414,7 +415,7 @@
         id: Option<Box<RawValue>>,
         name: Rc<str>,
         /// The text that the client does not have yet.
-        rest: String,
+        remaining_text: String,
         last: FinalLine,
     },
 }
@@ -575,9 +576,11 @@
         }
         let id = message.id.clone();
         if message.method == "cancel" {
-            let known = self.cancel(&message);
-            return match known {
-                Ok(known) => json_response(StatusCode::OK, result_line(id.as_deref(), known)),
+            let cancelled = self.cancel(&message);
+            return match cancelled {
+                Ok(was_active) => {
+                    json_response(StatusCode::OK, result_line(id.as_deref(), was_active))
+                }
                 Err(error) => self.error_response(id.as_deref(), error),
             };
         }
@@ -586,12 +589,12 @@
             Ok(StartedRequest::Recorded {
                 id,
                 name,
-                rest,
+                remaining_text,
                 last,
             }) => {
                 let mut body = Vec::new();
-                if !rest.is_empty() {
-                    let text = Some(rest.as_str());
+                if !remaining_text.is_empty() {
+                    let text = Some(remaining_text.as_str());
                     body = notification_line(
                         "delta",
                         NotificationParams {
@@ -649,18 +652,20 @@
         let encode_error =
             |ErrorResponse(_, error): ErrorResponse| Some(error_line(id.as_deref(), &error));
         if message.method == "cancel" {
-            return self.cancel(&message).map_or_else(encode_error, |known| {
-                Some(result_line(id.as_deref(), known))
-            });
+            return self
+                .cancel(&message)
+                .map_or_else(encode_error, |was_active| {
+                    Some(result_line(id.as_deref(), was_active))
+                });
         }
         match self.clone().start_request(message).await {
             Err(error) => encode_error(error),
             Ok(StartedRequest::Recorded {
                 id,
                 name,
-                rest,
+                remaining_text,
                 last,
-            }) => Some(last.line(id.as_deref(), &name, Some(&rest))),
+            }) => Some(last.line(id.as_deref(), &name, Some(&remaining_text))),
             Ok(StartedRequest::Streaming(request, stream, notifier)) => {
                 let mut sink = Sink::Text(String::new());
                 self.relay(request, stream, notifier, &mut sink)
@@ -688,11 +693,11 @@
             .and_then(|p| serde_json::from_str::<CancelParams>(p.get()).ok());
         let request = params.ok_or(INVALID_PARAMS)?.request;
         let active = self.active.borrow();
-        let known = active
+        let previous_signal = active
             .get(request.as_str())
             .map(|a| a.stop.send_replace(StopSignal::Cancelled));
         self.ledger.cancel(&request);
-        Ok(known.is_some())
+        Ok(previous_signal.is_some())
     }
 
     /// Validates a request, claims it, submits it and waits until its answer starts or fails.
@@ -753,8 +758,8 @@
             Ok(claim) => claim,
             Err(answer) => return recorded_answer(message.id, guard.name.clone(), &params, answer),
         };
-        // A reload (SIGHUP) may have changed the class in the meantime; the claim would then promise at-most-once execution
-        // that the dispatcher does not guarantee, or the reverse.
+        // A reload (SIGHUP) may have changed the class in the meantime; the claim and the
+        // dispatcher would then disagree on whether the request may run more than once.
         if !self.shared.has_class(&message.method)
             || self.shared.is_at_most_once(&message.method) != at_most_once
         {
@@ -1197,7 +1202,7 @@
         } => (text, last),
     };
     let received = params.resume.as_ref().map_or("", |r| r.text.as_str());
-    let rest = text
+    let remaining_text = text
         .as_deref()
         .and_then(|text| text.strip_prefix(received))
         .ok_or(TEXT_NOT_KEPT)?
@@ -1206,7 +1211,7 @@
     Ok(StartedRequest::Recorded {
         id,
         name,
-        rest,
+        remaining_text,
         last,
     })
 }
@@ -1249,21 +1254,21 @@
     /// ignored.
     fn next_event(&mut self) -> Result<Option<String>, RelayError> {
         let mut data = String::new();
-        let mut at = 0;
-        while let Some(end) = self.bytes[at..].iter().position(|b| *b == b'\n') {
-            let line = std::str::from_utf8(&self.bytes[at..at + end])
+        let mut consumed = 0;
+        while let Some(end) = self.bytes[consumed..].iter().position(|b| *b == b'\n') {
+            let line = std::str::from_utf8(&self.bytes[consumed..consumed + end])
                 .map_err(|_| RelayError::StreamBroken)?;
             let line = line.strip_suffix('\r').unwrap_or(line);
-            at += end + 1;
+            consumed += end + 1;
             if line.is_empty() {
-                let _ = self.bytes.split_to(at);
+                let _ = self.bytes.split_to(consumed);
                 return Ok(Some(data));
             }
-            if let Some(part) = line.strip_prefix("data:") {
+            if let Some(value) = line.strip_prefix("data:") {
                 if !data.is_empty() {
                     data.push('\n');
                 }
-                data.push_str(part.strip_prefix(' ').unwrap_or(part));
+                data.push_str(value.strip_prefix(' ').unwrap_or(value));
             }
         }
         if self.bytes.len() > MAX_EVENT_BYTES {
