--- a/src/exchange.rs
+++ b/src/exchange.rs
@@ -33,7 +33,7 @@
     pub id: String,
     /// Path and query of the request's URI.
     pub target: String,
-    /// The client's end-to-end headers (see [`crate::front::platform::end_to_end`]).
+    /// The client's end-to-end headers (see [`crate::front::platform::end_to_end_headers`]).
     pub headers: HeaderMap,
     /// Body of the request.
     pub body: Bytes,
--- a/src/net/client_connection.rs
+++ b/src/net/client_connection.rs
@@ -8,7 +8,7 @@
 use crate::admin::metrics::{RequestMetrics, RequestOutcome};
 use crate::counters::Counters;
 use crate::front::platform::{self, AnswerBody};
-use crate::front::shared::{Held, MOST_BODY};
+use crate::front::shared::{BudgetReservation, MAX_BODY_BYTES};
 use crate::routing::policy::close_permit::{
     CloseCause, CloseDenial, ClosePermit, ConnectionState, permit_close,
 };
@@ -43,7 +43,7 @@
 /// socket that is closed with unread input is reset, and response bytes that the client has not read yet are lost.
 pub(super) const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
 /// Maximum number of bytes read and discarded during that time.
-const MAX_LINGER_BYTES: usize = 2 * MOST_BODY;
+const MAX_LINGER_BYTES: usize = 2 * MAX_BODY_BYTES;
 /// Response to a request that was not received in time.
 const REQUEST_TIMEOUT_RESPONSE: &[u8] =
     b"HTTP/1.1 408 Request Timeout\r\nconnection: close\r\ncontent-length: 0\r\n\r\n";
@@ -104,12 +104,12 @@
 
 impl Body for TrackedBody {
     type Data = Bytes;
-    type Error = platform::Broken;
+    type Error = platform::StreamBroken;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<hyper::body::Frame<Bytes>, platform::Broken>>> {
+    ) -> Poll<Option<Result<hyper::body::Frame<Bytes>, platform::StreamBroken>>> {
         // When a body fails, hyper discards data that a slow client has not read yet. So the error is withheld until
         // that data is written; hyper polls again then.
         if matches!(self.body, AnswerBody::Breaking) && self.tracker.is_write_blocked() {
@@ -212,7 +212,7 @@
     service: S,
     stage: watch::Receiver<Stage>,
     tracker: &Rc<ConnectionTracker>,
-    read_ahead_budget: Held,
+    read_ahead_budget: BudgetReservation,
     counters: &Counters,
 ) where
     S: RequestService,
@@ -261,7 +261,7 @@
     service: S,
     mut stage: watch::Receiver<Stage>,
     tracker: &Rc<ConnectionTracker>,
-    mut read_ahead_budget: Held,
+    mut read_ahead_budget: BudgetReservation,
 ) -> ServeOutcome
 where
     S: RequestService,
--- a/src/net/framing.rs
+++ b/src/net/framing.rs
@@ -5,7 +5,7 @@
 //! here.
 
 use super::stream::{self, retry_interrupted};
-use crate::front::shared::Held;
+use crate::front::shared::BudgetReservation;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::io::{self, IoSlice};
@@ -169,7 +169,11 @@
     /// Reads input behind the request in progress into a buffer that is charged to `read_ahead_budget`; resolves after each read,
     /// with whether the client has closed. hyper stops reading at the first bytes of a next request, so it would not
     /// notice a close behind them.
-    pub async fn read_ahead(&self, socket: &TcpStream, read_ahead_budget: &mut Held) -> bool {
+    pub async fn read_ahead(
+        &self,
+        socket: &TcpStream,
+        read_ahead_budget: &mut BudgetReservation,
+    ) -> bool {
         let mut buffer = [0; 4096];
         match socket
             .readable()
@@ -214,7 +218,7 @@
 }
 
 impl ReadAhead {
-    fn push(&mut self, bytes: &[u8], read_ahead_budget: &mut Held) {
+    fn push(&mut self, bytes: &[u8], read_ahead_budget: &mut BudgetReservation) {
         self.overflowed = self.overflowed
             || self.bytes.len() + bytes.len() > MAX_READ_AHEAD_BYTES
             || !read_ahead_budget.grow(bytes.len());
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -10,8 +10,11 @@
 use crate::counters::Counters;
 use crate::exchange::UpstreamRequest;
 use crate::front::jsonrpc;
-use crate::front::platform::{self, AnswerBody, end_to_end, plain};
-use crate::front::shared::{COME_BACK, CUT_OFF, Held, InHand, MOST_BODY, Shared};
+use crate::front::platform::{self, AnswerBody, end_to_end_headers, plain};
+use crate::front::shared::{
+    ActiveRequestId, BudgetReservation, MAX_BODY_BYTES, RETRY_AFTER_CUT_OFF, RETRY_AFTER_OVERLOAD,
+    Shared,
+};
 use crate::routing::types::Micros;
 use bytes::{Bytes, BytesMut};
 use futures_util::FutureExt;
@@ -67,7 +70,7 @@
     /// request.
     fn request_metrics(&self, request: &Request<Incoming>) -> Rc<RequestMetrics> {
         let is_completion =
-            request.uri().path() == platform::PATH && request.method() == Method::POST;
+            request.uri().path() == platform::COMPLETIONS_PATH && request.method() == Method::POST;
         let class = request.headers().get("x-class").filter(|_| is_completion);
         let class = class.and_then(|value| value.to_str().ok()).map(str::trim);
         self.shared
@@ -106,11 +109,11 @@
             };
         }
         match (path, request.method()) {
-            (platform::PATH, &Method::POST) => {
+            (platform::COMPLETIONS_PATH, &Method::POST) => {
                 self.handle_completion(request, arrived, &tracker, &request_metrics)
                     .await
             }
-            (platform::PATH | "/healthz", _) => {
+            (platform::COMPLETIONS_PATH | "/healthz", _) => {
                 self.bad_request(StatusCode::METHOD_NOT_ALLOWED, "wrong method\n")
             }
             _ => self.bad_request(StatusCode::NOT_FOUND, "no such path\n"),
@@ -127,14 +130,14 @@
         let shared = self.shared.clone();
         if !(shared.may_serve)() {
             shared.counters.cut_off.up();
-            return platform::refusal(Some(CUT_OFF));
+            return platform::refusal(Some(RETRY_AFTER_CUT_OFF));
         }
         let (head, body) = request.into_parts();
         let mut intake = match platform::decode(&head.headers, arrived) {
             Ok(intake) => intake,
             Err(reason) => return self.bad_request(StatusCode::BAD_REQUEST, reason),
         };
-        if shared.gate.is_none() && !shared.knows(&intake.ask.class) {
+        if shared.gate.is_none() && !shared.has_class(&intake.spec.class) {
             return self.bad_request(StatusCode::BAD_REQUEST, "unknown class\n");
         }
         let (body, mut held) = match self.read_body(body, tracker).await {
@@ -146,7 +149,7 @@
             Ok(permit) => permit,
             Err(retry_after) => return platform::refusal(Some(retry_after)),
         };
-        let headers = end_to_end(&head.headers);
+        let headers = end_to_end_headers(&head.headers);
         if !held.grow(
             headers
                 .iter()
@@ -154,31 +157,31 @@
                 .sum(),
         ) {
             shared.counters.over_bound.up();
-            return platform::refusal(Some(COME_BACK));
+            return platform::refusal(Some(RETRY_AFTER_OVERLOAD));
         }
-        if !intake.stated {
+        if !intake.has_prompt_length {
             // Estimate: one token is four characters.
-            intake.ask.prompt_tokens = body.len() as u64 / 4;
+            intake.spec.prompt_tokens = body.len() as u64 / 4;
         }
-        let gate_pass = match shared.begin(intake.ask.deadline).await {
+        let gate_pass = match shared.begin(intake.spec.deadline).await {
             Ok(gate_pass) => gate_pass,
             Err(retry_after) => return platform::refusal(Some(retry_after)),
         };
         // Checked only here because the request runs under the settings epoch in force now.
-        if !shared.knows(&intake.ask.class) {
+        if !shared.has_class(&intake.spec.class) {
             return self.bad_request(StatusCode::BAD_REQUEST, "unknown class\n");
         }
         // Model hosts identify requests by id, so two concurrent requests with one id would share KV state. The id
         // stays registered until the last attempt and release of the request have ended; otherwise another client
         // could send a second copy of a request whose stream still runs.
-        if !shared.ids.borrow_mut().insert(intake.id.clone()) {
+        if !shared.active_ids.borrow_mut().insert(intake.id.clone()) {
             return self.bad_request(StatusCode::CONFLICT, "a request with this id is in hand\n");
         }
-        let in_hand = InHand::new(shared.clone(), intake.id.clone());
+        let in_hand = ActiveRequestId::new(shared.clone(), intake.id.clone());
         let target = head
             .uri
             .path_and_query()
-            .map_or(platform::PATH, |path| path.as_str())
+            .map_or(platform::COMPLETIONS_PATH, |path| path.as_str())
             .to_owned();
         let lifetime_guards: Option<Rc<dyn Any>> = Some(Rc::new((in_hand, held)));
         let call = UpstreamRequest {
@@ -189,7 +192,7 @@
             lifetime_guards,
             claim_key: None,
         };
-        let submitted = shared.dispatcher.submit(intake.ask, call, permit);
+        let submitted = shared.dispatcher.submit(intake.spec, call, permit);
         drop(gate_pass);
         let (answer, presence) = submitted.answer().await;
         platform::encode(answer, presence)
@@ -201,12 +204,13 @@
         &self,
         mut body: Incoming,
         tracker: &ConnectionTracker,
-    ) -> Result<(Bytes, Held), Response<AnswerBody>> {
+    ) -> Result<(Bytes, BudgetReservation), Response<AnswerBody>> {
         let too_long = || self.bad_request(StatusCode::PAYLOAD_TOO_LARGE, "body too long\n");
-        if body.size_hint().lower() > MOST_BODY as u64 {
+        if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
             return Err(too_long());
         }
-        let (mut received, mut held) = (BytesMut::new(), Held::new(self.shared.clone()));
+        let (mut received, mut held) =
+            (BytesMut::new(), BudgetReservation::new(self.shared.clone()));
         while let Some(frame) = body.frame().await {
             let Ok(frame) = frame else {
                 return Err(self.bad_request(StatusCode::BAD_REQUEST, "body broken\n"));
@@ -214,12 +218,12 @@
             let Ok(data) = frame.into_data() else {
                 continue;
             };
-            if received.len() + data.len() > MOST_BODY {
+            if received.len() + data.len() > MAX_BODY_BYTES {
                 return Err(too_long());
             }
             if !held.grow(data.len()) {
                 self.shared.counters.over_bound.up();
-                return Err(platform::refusal(Some(COME_BACK)));
+                return Err(platform::refusal(Some(RETRY_AFTER_OVERLOAD)));
             }
             received.extend_from_slice(&data);
         }
@@ -437,8 +441,10 @@
         if is_over_limit {
             counters.connections_over_bound.up();
         }
-        let (stage, read_ahead_budget) =
-            (self.stage.clone(), Held::new(self.service.shared.clone()));
+        let (stage, read_ahead_budget) = (
+            self.stage.clone(),
+            BudgetReservation::new(self.service.shared.clone()),
+        );
         let client_service = self.service.clone();
         tokio::task::spawn_local(async move {
             let _entry = entry;
@@ -460,7 +466,7 @@
                         request_metrics: request_metrics.clone(),
                     };
                     let mut response = if is_over_limit {
-                        platform::refusal(Some(COME_BACK))
+                        platform::refusal(Some(RETRY_AFTER_OVERLOAD))
                     } else {
                         respond_always(service.oneshot(incoming), &counters).await
                     };
@@ -495,7 +501,7 @@
         Ok(Ok(response)) => response,
         Ok(Err(_)) => {
             counters.over_bound.up();
-            platform::refusal(Some(COME_BACK))
+            platform::refusal(Some(RETRY_AFTER_OVERLOAD))
         }
         Err(_) => {
             counters.panics.up();
--- a/src/net/upgrade.rs
+++ b/src/net/upgrade.rs
@@ -14,7 +14,7 @@
 use super::server::MAX_REFUSED_CONNECTIONS;
 use crate::config::ConfigError;
 use crate::dispatch::DispatcherEvent;
-use crate::front::shared::{Held, Shared};
+use crate::front::shared::{BudgetReservation, Shared};
 use lock_file::{LockFile, LockFileError, ProcessPhase, ProcessStatus};
 use share::{DescriptorLimit, SocketSplit};
 use slow_start::SlowStartPermission;
@@ -158,7 +158,7 @@
 impl LimitSharing {
     /// Applies the shared limits until the process exits.
     pub async fn run(self: Rc<Self>) {
-        let mut budget: Option<Held> = None;
+        let mut budget: Option<BudgetReservation> = None;
         let mut had_other = false;
         loop {
             let has_other = self.update();
@@ -168,7 +168,7 @@
             if !has_other {
                 budget = None;
             } else if budget.is_none() {
-                let mut part = Held::new(self.shared.clone());
+                let mut part = BudgetReservation::new(self.shared.clone());
                 budget = part.grow(self.body_bytes_for_other).then_some(part);
             }
             tokio::time::sleep(POLL_INTERVAL).await;
--- a/src/run.rs
+++ b/src/run.rs
@@ -408,8 +408,8 @@
         shutdown: shutdown.clone(),
         counters: counters.clone(),
         metrics: Rc::new(Metrics::default()),
-        budget: Cell::new(config.limits.memory_mb * 1024 * 1024 / 3),
-        ids: RefCell::default(),
+        body_budget: Cell::new(config.limits.memory_mb * 1024 * 1024 / 3),
+        active_ids: RefCell::default(),
     });
     live_settings.on_change({
         let shared = Rc::downgrade(&shared);
@@ -467,7 +467,7 @@
         reserved,
         pool: pool.clone(),
         connections: connections.clone(),
-        body_bytes_for_other: shared.budget.get() / 2,
+        body_bytes_for_other: shared.body_budget.get() / 2,
         shared: shared.clone(),
         phase: Cell::new(ProcessPhase::Starting),
         other_process_serves: other_process_serves.clone(),
@@ -520,7 +520,7 @@
             _ = pool_cleanup.tick() => {
                 pool.evict_stale();
                 if let Some(front) = &tool_front {
-                    front.tidy();
+                    front.sweep();
                 }
             }
         }
