--- a/src/fleet/sites/command.rs
+++ b/src/fleet/sites/command.rs
@@ -43,13 +43,13 @@
 /// The part of a site that is lost.
 #[derive(Clone, Copy, Debug, ValueEnum)]
 pub enum Part {
-    /// Routers and model hosts.
+    /// The whole site: its routers and all its model hosts.
     All,
-    /// All model hosts.
+    /// All model hosts; the routers still accept clients.
     Hosts,
     /// Half of the model hosts.
     Half,
-    /// The routers.
+    /// All routers; the model hosts still serve.
     #[value(name = "conductors")]
     Routers,
 }
--- a/src/fleet/sites/describe.rs
+++ b/src/fleet/sites/describe.rs
@@ -48,9 +48,9 @@
     /// `read` (prefill), `write` (decode) or `mixed`; if absent, the role that the settings give the kind.
     #[serde(default)]
     pub role: Option<String>,
-    /// Number of hosts.
+    /// Number of hosts of this kind at the site when all are in service.
     pub count: u32,
-    /// Concurrent requests per host.
+    /// Number of requests that one host can process at the same time; greater than 0.
     pub slots: u32,
     /// Memory per host, in tokens of KV state.
     pub memory_tokens: f64,
@@ -76,7 +76,7 @@
     pub between: [String; 2],
     /// Tokens of KV state per second, in each direction.
     pub tokens_per_s: f64,
-    /// One-way delay in milliseconds.
+    /// One-way network delay between the two sites, in milliseconds.
     pub delay_ms: f64,
 }
 
@@ -86,7 +86,7 @@
 pub struct Class {
     /// Name of the class, as in `settings.classes`.
     pub name: String,
-    /// Prompt tokens per request.
+    /// Length of the prompt in tokens, including the cached part.
     pub prompt_tokens: f64,
     /// Share of the prompt that a prefill worker usually has cached.
     #[serde(default)]
@@ -94,7 +94,7 @@
     /// The same for clients whose requests move to another site; if absent, half of `kept`.
     #[serde(default)]
     pub kept_moved: Option<f64>,
-    /// Answer tokens per request.
+    /// Length of the answer in tokens.
     pub answer_tokens: f64,
     /// Worth of one request, relative to other classes; if absent, the priority weight of the class in the settings.
     #[serde(default)]
@@ -105,7 +105,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
-    /// Name of the tenant.
+    /// Name of the tenant, which [`Demand::tenant`] refers to; not empty, and unique in the file.
     pub name: String,
     /// Guaranteed requests per second over all classes and sites. They are the last to be refused.
     pub guaranteed_per_s: f64,
@@ -115,14 +115,14 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Demand {
-    /// Name of the class.
+    /// Name of the class, as in [`Class::name`].
     pub class: String,
     /// Name of the tenant; empty or absent: clients without a tenant.
     #[serde(default)]
     pub tenant: String,
     /// Name of the site whose routers these clients connect to.
     pub site: String,
-    /// Requests per second.
+    /// Requests per second; rows with the same class, tenant and site are added up.
     pub per_s: f64,
 }
 
@@ -148,19 +148,19 @@
     /// How a return is paced.
     #[serde(default)]
     pub ramp: RampSettings,
-    /// The sites.
+    /// The sites, at least two. Their order in the file gives each site its index.
     pub site: Vec<Site>,
     /// The model hosts, by site and kind.
     pub hosts: Vec<Hosts>,
     /// The links; sites without a link can't exchange KV state.
     #[serde(default)]
     pub links: Vec<Link>,
-    /// The request classes.
+    /// The request classes. Their order in the file gives each class its index.
     pub classes: Vec<Class>,
     /// The tenants with a guaranteed rate.
     #[serde(default)]
     pub tenants: Vec<Tenant>,
-    /// The usual demand.
+    /// Usual demand by class, tenant and site; a combination without a row has none.
     pub demand: Vec<Demand>,
 }
 
@@ -283,7 +283,7 @@
 pub struct Fleet {
     /// The tables that everything else is derived from.
     pub tables: Tables,
-    /// Capacity of each site.
+    /// Capacity of each site with all its hosts in service and warm.
     pub capacity: Vec<Capacity>,
     /// Worth of one request of each class.
     pub worth: Vec<f64>,
--- a/src/fleet/sites/epoch.rs
+++ b/src/fleet/sites/epoch.rs
@@ -31,7 +31,7 @@
     },
     /// Routers of one site report which part of another site is missing, or that nothing is missing any more.
     ReportMissing {
-        /// The reporting site.
+        /// Site of the router that makes the report.
         observer: SiteName,
         /// The site that the report is about.
         site: SiteName,
@@ -49,21 +49,21 @@
     TryStep {
         /// The epoch that this command was made for; refused in any other epoch.
         epoch: u64,
-        /// The returning site.
+        /// The returning site; refused unless its current step is confirmed and another step follows.
         site: SiteName,
     },
     /// Confirms the step that was tried. A return never falls back below a confirmed step.
     HoldStep {
         /// The epoch that this command was made for; refused in any other epoch.
         epoch: u64,
-        /// The returning site.
+        /// The returning site; refused unless it has a step that is tried but not confirmed.
         site: SiteName,
     },
     /// Gives up the step that is being tried and falls back to the last confirmed one.
     StepBack {
         /// The epoch that this command was made for; refused in any other epoch.
         epoch: u64,
-        /// The returning site.
+        /// The returning site; refused unless it has a step that is tried but not confirmed.
         site: SiteName,
     },
 }
@@ -162,11 +162,11 @@
     SiteChanged {
         /// The first epoch in which the new state is in force.
         epoch: u64,
-        /// The site that changed.
+        /// Name of the site whose state changed.
         site: SiteName,
-        /// The previous state.
+        /// State of the site before `epoch`.
         from: SiteState,
-        /// The new state.
+        /// State of the site from `epoch` on, until its next change.
         to: SiteState,
     },
     /// All routers act by the latest change.
@@ -285,7 +285,8 @@
         Ok(allocations)
     }
 
-    /// Applies a committed command.
+    /// Applies a command that the Raft log has committed and appends its effects to `out`. A command that
+    /// changes nothing yields only [`Effect::Refused`].
     pub fn apply(&mut self, command: Command, out: &mut Vec<Effect>) {
         let applied = match &command {
             Command::InstallPlans { plans, sites } => self.install(*plans, sites, out),
--- a/src/fleet/sites/member.rs
+++ b/src/fleet/sites/member.rs
@@ -12,7 +12,7 @@
 /// Reports are spread over this time: all routers of a site observe much the same at once, and one report is enough.
 const REPORT_SPREAD: Micros = 200_000;
 
-/// An input of [`Member::handle`].
+/// A timer tick, an observation or a change of the agreed state, passed to [`Member::handle`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
     /// Time has passed; due at [`Member::timeout`].
@@ -25,14 +25,14 @@
     Pacing(bool),
     /// Outcomes of requests at the hosts of a site.
     Outcomes {
-        /// The site.
+        /// Index of the site, in the order of the configuration file. Ignored unless the site is returning.
         site: usize,
         /// Counts since the previous report.
         counts: OutcomeCounts,
     },
 }
 
-/// Work for the caller.
+/// An action that the caller of [`Member::handle`] carries out, or news that it records.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
     /// Propose a command to the Raft group.
@@ -42,7 +42,7 @@
     /// Try to reach a model host of the site, not by a client's request, and report the result as
     /// [`watch::Event::Host`].
     Probe {
-        /// The site.
+        /// Index of the site, in the order of the configuration file.
         site: usize,
     },
     /// This router's view of a site changed; for the history.
@@ -122,7 +122,7 @@
         &self.allocation
     }
 
-    /// This router's failure detector.
+    /// Returns the failure detector of this router, from which the status of each site can be read.
     pub fn watch(&self) -> &Watch {
         &self.watch
     }
--- a/src/fleet/sites/plan.rs
+++ b/src/fleet/sites/plan.rs
@@ -35,7 +35,7 @@
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub enum Missing {
-    /// Nothing is missing.
+    /// No part of the site counts as missing; single routers or model hosts may be out of service.
     #[default]
     Nothing,
     /// The routers: clients connect to other sites, the model hosts still serve.
@@ -44,7 +44,7 @@
     HalfHosts,
     /// All model hosts: the routers accept clients and send their requests to other sites.
     Hosts,
-    /// Routers and model hosts.
+    /// The whole site: its routers and all its model hosts.
     All,
 }
 
@@ -80,7 +80,7 @@
 pub struct Loss(pub Vec<Missing>);
 
 impl Loss {
-    /// Nothing is missing.
+    /// The loss of a fleet with `sites` sites of which nothing is missing.
     pub fn none(sites: usize) -> Self {
         Loss(vec![Missing::Nothing; sites])
     }
@@ -151,14 +151,14 @@
     }
 }
 
-/// Use of one limit.
+/// How much of one limit a plan uses, and the price of the limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Load {
-    /// The limit.
+    /// The limit that the other fields describe; it gives the unit of `available` and `used`.
     pub limit: Limit,
     /// The available amount under the loss, including hosts that do both stages.
     pub available: f64,
-    /// The amount in use.
+    /// The amount that the plan uses.
     pub used: f64,
     /// Shadow price: the worth per second that doubling the limit would keep, at the margin; 0 where the limit is not
     /// scarce.
@@ -330,7 +330,7 @@
 /// A group of requests that a plan refuses, listed in the order of refusal.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Refusal {
-    /// The class.
+    /// Index of the class of these requests, in the order of the configuration file.
     pub class: usize,
     /// Whether these requests are guaranteed to tenants; otherwise they are beyond the guarantees.
     pub guaranteed: bool,
@@ -345,11 +345,11 @@
 /// Guaranteed requests that the remaining capacity can't serve.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Shortfall {
-    /// The tenant.
+    /// Index of the tenant in [`Fleet::tenants`].
     pub tenant: usize,
-    /// The class.
+    /// Index of the class of these requests, in the order of the configuration file.
     pub class: usize,
-    /// Guaranteed requests per second.
+    /// Guaranteed requests per second of this tenant and class that arrive, at all entries together.
     pub guaranteed: f64,
     /// Requests per second of them that are refused.
     pub refused: f64,
@@ -375,7 +375,7 @@
     pub allocation: Allocation,
     /// Arriving requests per second by class, tenant and entry.
     pub offered: Vec<Vec<Vec<f64>>>,
-    /// Use of each limit.
+    /// Use of each limit that has any capacity under the loss; the sites' limits come before the links.
     pub loads: Vec<Load>,
     /// All groups of requests that could be refused; the first is refused first.
     pub refusal_order: Vec<Refusal>,
@@ -1275,7 +1275,7 @@
         })
     }
 
-    /// All prepared plans.
+    /// All plans, ordered by loss: the prepared ones and those that [`Self::get_or_compute`] added.
     pub fn iter(&self) -> impl Iterator<Item = &Plan> {
         self.plans.values()
     }
--- a/src/fleet/sites/ramp.rs
+++ b/src/fleet/sites/ramp.rs
@@ -56,7 +56,7 @@
     pub refused: u32,
 }
 
-/// An input of [`Ramp::handle`].
+/// A timer tick, a change of the agreed state or a report of outcomes, passed to [`Ramp::handle`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
     /// Time has passed; due at [`Ramp::timeout`].
@@ -67,7 +67,7 @@
     Pacing(bool),
     /// Outcomes of requests at the hosts of a site.
     Outcomes {
-        /// The site.
+        /// Index of the site, in the order of the configuration file. Ignored unless the site is returning.
         site: usize,
         /// Counts since the previous report.
         counts: OutcomeCounts,
@@ -161,7 +161,7 @@
             Event::Table(table) => self.update_table(now, &table),
             Event::Pacing(pacing) => {
                 if pacing && !self.pacing {
-                    // Waits that a former pacer had began_at start over.
+                    // A new pacer restarts both timers: since the latest change and since the return began.
                     self.agreed.since = now;
                     self.agreed
                         .returning
--- a/src/fleet/sites/refuse.rs
+++ b/src/fleet/sites/refuse.rs
@@ -196,7 +196,7 @@
 /// The decision on a new request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Admission {
-    /// The request is admitted.
+    /// The request is admitted. If its class has a rate limit, a new request has been counted against it.
     Accept,
     /// The request is refused before anything was sent for it.
     Refuse {
@@ -229,7 +229,7 @@
         }
     }
 
-    /// The allocation in force.
+    /// Returns the allocation in force; until [`Self::set_allocation`] is called, one that admits all.
     pub fn allocation(&self) -> &RouterAllocation {
         &self.allocation
     }
--- a/src/fleet/sites/svg.rs
+++ b/src/fleet/sites/svg.rs
@@ -1,4 +1,4 @@
-//! A minimal SVG writer: rectangles, lines, bands and text.
+//! Writes SVG drawings that consist of rectangles, lines, bands and text.
 
 use std::fmt::Write as _;
 
--- a/src/fleet/sites/watch.rs
+++ b/src/fleet/sites/watch.rs
@@ -24,11 +24,11 @@
     Tick,
     /// The membership view of one site: how many of its routers are not dead.
     Routers {
-        /// The site.
+        /// Index of the site, in the order of the configuration file.
         site: usize,
         /// Routers that are alive or suspect.
         alive: u32,
-        /// Configured number of routers.
+        /// Number of routers that are configured for the site; if 0, its routers never count as missing.
         total: u32,
     },
     /// Whether this router is in contact with the leader of the Raft group.
@@ -38,23 +38,23 @@
     },
     /// A model host of the site was reached (by a request, an answer or a connection), or could not be.
     Host {
-        /// The site.
+        /// Index of the site, in the order of the configuration file.
         site: usize,
         /// Whether the host was reached.
         reached: bool,
     },
     /// The discovery list: how many model hosts of the site are in service.
     Listed {
-        /// The site.
+        /// Index of the site, in the order of the configuration file.
         site: usize,
-        /// Hosts in service now.
+        /// Number of model hosts that are in service now.
         ready: u32,
         /// The most hosts that were listed at once so far.
         total: u32,
     },
     /// The agreed table says that all load of the site has returned.
     FullyRestored {
-        /// The site.
+        /// Index of the site, in the order of the configuration file. Ignored unless the site is returning.
         site: usize,
     },
 }
@@ -88,7 +88,7 @@
 /// The reason for a status.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum Cause {
-    /// Nothing is wrong.
+    /// This router knows of no fault at the site or in its part of the discovery list.
     #[default]
     None,
     /// Neither routers nor model hosts can be reached.
@@ -123,9 +123,9 @@
 /// A change of this router's view of a site.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Change {
-    /// The site.
+    /// Index of the site, in the order of the configuration file.
     pub site: usize,
-    /// The previous status.
+    /// Status of the site before the change.
     pub from: Status,
     /// The new status; may equal `from` if only `missing` or `cause` changed.
     pub to: Status,
@@ -135,14 +135,14 @@
     pub cause: Cause,
 }
 
-/// Work for the caller.
+/// An action that the caller of [`Watch::handle`] carries out, or a change that it records.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
     /// This router's view of a site changed.
     Changed(Change),
     /// Try to reach a model host of the site, not by a client's request, and report the result as [`Event::Host`].
     Probe {
-        /// The site.
+        /// Index of the site, in the order of the configuration file.
         site: usize,
     },
 }
