--- a/src/dispatch/clock.rs
+++ b/src/dispatch/clock.rs
@@ -1,4 +1,4 @@
-//! The router's monotonic clock.
+//! Monotonic clock of the router, by which all deadlines and timers of the dispatcher are set.
 
 use crate::routing::types::Micros;
 use std::time::Duration;
--- a/src/dispatch/handle.rs
+++ b/src/dispatch/handle.rs
@@ -13,7 +13,7 @@
 
 /// An input of the dispatcher.
 pub enum DispatcherEvent {
-    /// A request was accepted.
+    /// A request was accepted from a client and is to be routed.
     RequestArrived {
         /// Description of the request for the routing policy.
         spec: RequestSpec,
@@ -28,20 +28,20 @@
     ClientDisconnected(RequestId),
     /// The first event of a stream has arrived.
     StreamStarted {
-        /// Request that is answered.
+        /// Request whose response has started.
         request: RequestId,
         /// Attempt that streams the response.
         attempt: AttemptIndex,
         /// Receives the frames of the stream.
         stream: StreamReceiver,
     },
-    /// An attempt has completed.
+    /// An attempt of a request has ended, successfully or not.
     AttemptCompleted {
         /// Request to which the attempt belongs.
         request: RequestId,
-        /// Attempt that has completed.
+        /// Index within the request of the attempt that has completed.
         attempt: AttemptIndex,
-        /// How the attempt ended.
+        /// How the attempt ended, with the kind of failure if it failed.
         outcome: AttemptOutcome,
         /// Prompt tokens that the worker found in its prefix cache.
         cached_tokens: u64,
@@ -72,7 +72,7 @@
 pub struct DispatcherHandle {
     events: mpsc::UnboundedSender<DispatcherEvent>,
     next_request: Rc<Cell<u64>>,
-    /// The dispatcher's clock.
+    /// Clock by which the dispatcher sets and compares deadlines.
     pub clock: Clock,
 }
 
--- a/src/dispatch/invariants.rs
+++ b/src/dispatch/invariants.rs
@@ -10,7 +10,7 @@
 /// Time for which the process may stall between a decision and the next check.
 const STALL_ALLOWANCE: Micros = 150_000;
 
-/// A violated invariant.
+/// A violation of a routing invariant, as found by the monitor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvariantViolation {
     /// An attempt was sent while another one was in flight.
--- a/src/dispatch/outbound.rs
+++ b/src/dispatch/outbound.rs
@@ -9,7 +9,7 @@
 
 /// One attempt of a request, to be sent by the upstream side.
 pub struct Attempt {
-    /// Number of the request.
+    /// Number of the request of which this is an attempt.
     pub request: RequestId,
     /// Index of the attempt within the request.
     pub attempt: AttemptIndex,
--- a/src/dispatch/tests.rs
+++ b/src/dispatch/tests.rs
@@ -6,7 +6,6 @@
 use bytes::Bytes;
 use std::rc::Rc;
 
-/// Sends nothing.
 struct NullOutbound;
 
 impl Outbound for NullOutbound {
--- a/src/dispatch/timers.rs
+++ b/src/dispatch/timers.rs
@@ -7,7 +7,6 @@
 /// Number of deadline timers that may remain set after their requests have ended.
 pub(super) const MAX_STALE_DEADLINES: usize = 1024;
 
-/// Purpose of a timer.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
     /// Set by the routing policy.
--- a/src/exchange.rs
+++ b/src/exchange.rs
@@ -35,7 +35,7 @@
     pub target: String,
     /// The client's end-to-end headers (see [`crate::front::platform::end_to_end`]).
     pub headers: HeaderMap,
-    /// Body of the request.
+    /// Body that is sent to the model host with each attempt.
     pub body: Bytes,
     /// Resources that are held until nothing of the request is in progress any more, which may be after its answer: the
     /// reservation of its id and the memory that its body counts against.
@@ -71,7 +71,7 @@
 /// A message about the request that the server side sends back to the model host that streams the response.
 #[derive(Debug)]
 pub struct Reply {
-    /// Body of the message.
+    /// Body of the message, as it is sent to the model host.
     pub body: Bytes,
     /// Receives whether the model host accepted the message.
     pub accepted: oneshot::Sender<bool>,
@@ -98,7 +98,7 @@
         self.frames.recv().await
     }
 
-    /// Polling variant of [`next`](Self::next).
+    /// Polling variant of [`next`](Self::next), for callers that implement a stream or a body.
     pub fn poll_next(&mut self, cx: &mut std::task::Context<'_>) -> std::task::Poll<Option<Frame>> {
         self.frames.poll_recv(cx)
     }
--- a/src/fleet/policy_epoch.rs
+++ b/src/fleet/policy_epoch.rs
@@ -39,26 +39,26 @@
     },
     /// This member's vote: whether it can apply the proposed content.
     Vote {
-        /// Number of the proposal.
+        /// Number of the proposal that is voted on.
         proposal: u64,
         /// Why the member can't apply it; `None`: it can.
         refusal: Option<String>,
     },
     /// This member admits no requests until the proposal is decided.
     Closed {
-        /// Number of the proposal.
+        /// Number of the proposal for which this member has stopped admitting requests.
         proposal: u64,
     },
     /// This member has switched to an epoch.
     Switched {
-        /// The epoch.
+        /// Number of the epoch; the command is refused if another epoch is in force.
         epoch: u64,
     },
     /// Reject the proposal, whatever the votes and confirmations so far.
     Abort {
-        /// Number of the proposal.
+        /// Number of the open proposal to reject.
         proposal: u64,
-        /// The reason, for people.
+        /// Why the proposal is aborted, as text for people; cut off at [`MAX_TEXT_BYTES`].
         cause: String,
     },
 }
@@ -68,7 +68,7 @@
 pub enum Reply {
     /// The proposal is accepted for a vote under this number, or was accepted before.
     Accepted(u64),
-    /// The command is applied.
+    /// The command is applied and has no other result.
     Done,
     /// The command is refused and has changed nothing.
     Refused(Refusal),
@@ -87,7 +87,7 @@
     Busy {
         /// Number of the open proposal.
         proposal: u64,
-        /// Its proposer.
+        /// Member that made the open proposal.
         by: MemberInstance,
     },
     /// The proposal was made for another epoch than the one in force.
@@ -95,7 +95,7 @@
     StaleBase {
         /// The epoch that the proposal names.
         base: u64,
-        /// The epoch in force.
+        /// Number of the epoch in force, for which the proposal can be made again.
         epoch: u64,
     },
     /// The content is empty or longer than [`MAX_CONTENT_BYTES`].
@@ -114,28 +114,28 @@
 pub enum Notice {
     /// A proposal was staged: vote on it.
     Staged {
-        /// Number of the proposal.
+        /// Number of the proposal, which the vote has to name.
         proposal: u64,
-        /// The proposed content.
+        /// The proposed policy, in canonical form.
         content: String,
     },
     /// All live members have voted yes: stop admitting requests, and confirm that.
     Closing {
-        /// Number of the proposal.
+        /// Number of the proposal, which the confirmation has to name.
         proposal: u64,
     },
     /// The proposal ended without effect: refused, aborted, or only checked.
     Rejected {
-        /// Number of the proposal.
+        /// Number of the proposal that has ended.
         proposal: u64,
-        /// The reason, for people.
+        /// Why the proposal ended without effect, as text for people.
         why: String,
     },
     /// A new epoch is in force.
     InForce {
-        /// Number of the epoch.
+        /// Number of the new epoch, one more than that of the epoch before it.
         epoch: u64,
-        /// The policy in force.
+        /// The policy of the new epoch, in canonical form.
         content: String,
     },
 }
@@ -143,11 +143,11 @@
 /// The open proposal. Encoded by postcard: the order of fields is fixed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct OpenProposal {
-    /// Number of the proposal.
+    /// Number of the proposal, counted from 1 over all proposals of the fleet.
     pub proposal: u64,
     /// Number chosen by the proposer, unique to the proposal.
     pub nonce: u64,
-    /// The proposer.
+    /// Member that made the proposal; the proposal is rejected when its session ends.
     pub by: MemberInstance,
     /// Time of the proposal in microseconds since 1970 by the proposer's clock.
     pub at_us: u64,
@@ -168,11 +168,11 @@
 /// A finished proposal. Encoded by postcard: the order of fields is fixed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct FinishedProposal {
-    /// Number of the proposal.
+    /// Number of the proposal, counted from 1 over all proposals of the fleet.
     pub proposal: u64,
     /// Number chosen by the proposer, unique to the proposal.
     pub nonce: u64,
-    /// The proposer.
+    /// Member that made the proposal.
     pub by: MemberInstance,
     /// Time of the proposal in microseconds since 1970 by the proposer's clock.
     pub at_us: u64,
@@ -180,7 +180,7 @@
     pub digest: u64,
     /// Differences from the epoch that was in force, for people.
     pub difference: String,
-    /// How the proposal ended.
+    /// Whether the proposal took effect, was only checked, or was rejected.
     pub outcome: Outcome,
 }
 
--- a/src/fleet/transport/admin.rs
+++ b/src/fleet/transport/admin.rs
@@ -39,22 +39,22 @@
 /// A router's reply. Encoded by postcard: new variants are added at the end only.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reply {
-    /// Reply to [`Request::Status`].
+    /// Reply to [`Request::Status`], with the status as this router knows it.
     Status(Box<StatusReport>),
     /// The request was refused, with the reason for the operator.
     Refused(String),
     /// The request was accepted and is in progress; the status shows its effect.
     Accepted,
-    /// Reply to [`Request::Policy`].
+    /// Reply to [`Request::Policy`], with the result of the command.
     Policy(policy_epoch::Reply),
-    /// Reply to [`Request::PolicyStatus`].
+    /// Reply to [`Request::PolicyStatus`], with the state that this router has applied.
     PolicyStatus(Box<PolicyStatus>),
 }
 
 /// The policy's state as a member has applied it from the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PolicyStatus {
-    /// The member that replies.
+    /// The member that replies, with its incarnation.
     pub member: MemberInstance,
     /// The epoch in force and the proposals.
     pub table: policy_epoch::Table,
@@ -65,7 +65,7 @@
 /// A member's status and its role in the Raft group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StatusReport {
-    /// The member's status.
+    /// Status of the member and of the fleet as it knows it.
     pub status: NodeStatus,
     /// `leader`, `candidate`, `follower` or `learner`.
     pub role: String,
--- a/src/fleet/transport/disk.rs
+++ b/src/fleet/transport/disk.rs
@@ -60,7 +60,7 @@
 
 /// An opened store and its contents.
 pub struct OpenedStore {
-    /// The open store.
+    /// The open store, ready for writes.
     pub disk: Disk,
     /// Random number that the store got when it was formatted.
     pub store_id: u64,
--- a/src/fleet/transport/drive.rs
+++ b/src/fleet/transport/drive.rs
@@ -84,11 +84,11 @@
     pub fleet: Fleet,
     /// Accepts peer connections, and holds the opener of all frames.
     pub reception: Rc<Reception>,
-    /// Socket for datagrams.
+    /// Socket that sends and receives the datagrams of the fleet.
     pub socket: UdpSocket,
     /// Messages of other members and requests of operators.
     pub incoming: mpsc::Receiver<Incoming>,
-    /// Requests of this process.
+    /// Requests from other parts of this process, sent through [`Fleet`].
     pub local_requests: mpsc::Receiver<LocalRequest>,
     /// Seed of the pseudo-random numbers; mixed with the store's number and the incarnation.
     pub seed: u64,
@@ -98,7 +98,7 @@
 enum IncarnationEnd {
     /// The log has ended it. The next incarnation has to have at least this number.
     EndedByLog(u64),
-    /// The store failed.
+    /// The store returned an error or did not complete a write in time.
     StoreFailed(DiskError),
     /// All handles of the fleet are dropped: the process stops.
     HandleDropped,
@@ -114,7 +114,7 @@
         .min(MAX_BACKOFF)
 }
 
-/// Where the store is.
+/// State of the store: available, in use by a writing thread, or in transition.
 enum StoreState {
     Idle(Box<Disk>),
     /// A write is in progress on a blocking thread.
--- a/src/fleet/transport/links.rs
+++ b/src/fleet/transport/links.rs
@@ -43,7 +43,7 @@
     pub limits: FrameLimits,
     /// Maximum size of the queue to one member, in bytes of payload.
     pub max_queue_bytes: usize,
-    /// Maximum number of links.
+    /// Maximum number of links, one per member; messages that need a further link are dropped.
     pub max_links: usize,
     /// Seed of the jitter in reconnect delays.
     pub seed: u64,
--- a/src/fleet/transport/reception.rs
+++ b/src/fleet/transport/reception.rs
@@ -60,7 +60,7 @@
     pub counters: Rc<FleetCounters>,
     /// Clock that limits the senders' rates.
     pub clock: Clock,
-    /// Queue to the driver.
+    /// Queue of accepted messages and operators' requests, read by the driver.
     pub inbox: mpsc::Sender<Incoming>,
     /// Maximum number of authenticated connections.
     pub max_authenticated: usize,
--- a/src/fleet/transport/seal.rs
+++ b/src/fleet/transport/seal.rs
@@ -443,7 +443,7 @@
 }
 
 impl TokenBucket {
-    /// Creates a full bucket.
+    /// Creates a bucket that holds `burst` tokens and is refilled at `frames_per_second`.
     pub fn new(now: Micros, frames_per_second: u32, burst: u32) -> Self {
         TokenBucket {
             frames_per_second,
--- a/src/fleet/transport/work.rs
+++ b/src/fleet/transport/work.rs
@@ -416,11 +416,11 @@
     work: Rc<TakeoverClient>,
     dispatcher: DispatcherHandle,
     prefills_only: Box<dyn Fn(&WorkerId) -> bool>,
-    /// Recorded sends by id.
+    /// Sends recorded in the fleet's log that are not completed yet, by request id.
     recorded: RefCell<HashMap<String, RecordedSend>>,
 }
 
-/// A recorded send.
+/// A send that is recorded in the fleet's log, so that another member can take it over.
 struct RecordedSend {
     /// The request; the record is completed once it is dropped.
     call: Weak<UpstreamRequest>,
--- a/src/net/answer.rs
+++ b/src/net/answer.rs
@@ -41,9 +41,9 @@
 pub(super) struct StartedStream {
     /// The first event, with complete events that were received together with it.
     pub first_events: Bytes,
-    /// The events after those.
+    /// Receives the events that follow `first_events`.
     pub events: EventStream,
-    /// The response's `content-type`.
+    /// The response's `content-type` header, if it has one.
     pub content_type: Option<String>,
     /// Whether the body is chunked or has a content length, so that its end differs from a closed connection.
     pub is_framed: bool,
@@ -53,7 +53,7 @@
 pub(super) enum HostResponse {
     /// The response is complete. `is_reusable`: whether the connection can carry another request.
     Complete { end: AttemptEnd, is_reusable: bool },
-    /// A stream has started.
+    /// The first event of a stream has arrived, and more events may follow.
     Stream(StartedStream),
 }
 
--- a/src/net/client.rs
+++ b/src/net/client.rs
@@ -44,15 +44,15 @@
 pub struct HostClient {
     /// Addresses and states of the model hosts, kept up to date by discovery.
     pub directory: Rc<Directory>,
-    /// Connections to model hosts.
+    /// Pool of connections to model hosts.
     pub pool: Pool,
     /// Receives the outcomes of attempts.
     pub dispatcher: DispatcherHandle,
-    /// Counters of the process.
+    /// Counters of the process, which attempts and releases update.
     pub counters: Rc<Counters>,
     /// Notified when the dispatcher wants the discovery watch to be opened again.
     pub resubscribe: Rc<Notify>,
-    /// Releases in progress.
+    /// Number of releases in progress, for which shutdown waits.
     pub pending_releases: Rc<PendingReleases>,
     /// Abandoned attempts whose request may still reach its model host.
     pub late_arrivals: Rc<LateArrivalTracker>,
--- a/src/net/client/tests.rs
+++ b/src/net/client/tests.rs
@@ -118,7 +118,6 @@
     (listener, address)
 }
 
-/// Reads a request head.
 async fn read_head(stream: &mut TcpStream) -> String {
     let mut read = Vec::new();
     while !read.ends_with(b"\r\n\r\n") {
--- a/src/net/connections.rs
+++ b/src/net/connections.rs
@@ -39,7 +39,7 @@
 }
 
 impl Connections {
-    /// Number of open connections.
+    /// Number of open client connections, whether idle or with a request.
     pub fn count(&self) -> usize {
         self.by_id.borrow().len()
     }
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -82,7 +82,7 @@
     host: String,
     /// The address; if it is missing, the known one stays valid.
     dial: Option<SocketAddr>,
-    /// The zone.
+    /// Zone in which the host runs; empty if missing.
     #[serde(default)]
     site: String,
     #[serde(default, rename = "class")]
@@ -90,7 +90,7 @@
     #[serde(default, rename = "block")]
     cell: u64,
     health: Health,
-    /// The weight.
+    /// Weight of the host, that is, its capacity relative to other hosts; 1 if missing.
     #[serde(default = "default_weight")]
     share: f64,
     /// Start time of the host's process as Unix time in milliseconds; 0 if unknown.
@@ -345,7 +345,7 @@
 
 /// Keeps the directory and the dispatcher up to date with discovery, for as long as the router runs.
 pub struct DiscoveryWatcher {
-    /// The directory to update.
+    /// Directory of model hosts that each listing updates.
     pub directory: Rc<Directory>,
     /// Receives the updates of endpoints.
     pub dispatcher: DispatcherHandle,
@@ -356,7 +356,7 @@
     pub subscribe_request: Option<Rc<Notify>>,
     /// Notified when the full list is to be fetched while a watch is open.
     pub fetch_list: Rc<Notify>,
-    /// Counters of the process.
+    /// Counters of the process, for example of lost watches.
     pub counters: Rc<Counters>,
     /// Adjusts the endpoints of each listing for the dispatcher; the directory gets them unadjusted.
     pub adjust_endpoints: Option<AdjustEndpoints>,
--- a/src/net/fault.rs
+++ b/src/net/fault.rs
@@ -12,7 +12,7 @@
 /// The system call that failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SystemCall {
-    /// accept(2) or accept4(2).
+    /// accept(2) or accept4(2), on a listening socket.
     Accept,
     /// socket(2) and connect(2), including the TCP handshake.
     Connect,
--- a/src/net/framing.rs
+++ b/src/net/framing.rs
@@ -82,7 +82,7 @@
         })
     }
 
-    /// Current receive state.
+    /// How much of the next request has been received.
     pub fn phase(&self) -> RequestPhase {
         self.phase.get()
     }
@@ -247,7 +247,7 @@
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum ScanState {
-    /// In a head.
+    /// Within a request head, or before its first byte.
     #[default]
     Head,
     /// In a body, with this many bytes to come.
@@ -365,7 +365,7 @@
 }
 
 impl TrackedStream {
-    /// Wraps a client's socket.
+    /// Wraps a client's socket, so that `tracker` records what is read from it and whether a write is blocked.
     pub fn new(stream: Rc<TcpStream>, tracker: Rc<ConnectionTracker>) -> Self {
         TrackedStream { stream, tracker }
     }
--- a/src/net/late_arrivals.rs
+++ b/src/net/late_arrivals.rs
@@ -31,7 +31,7 @@
 /// The requests to release at one host now.
 #[derive(Debug, PartialEq, Eq)]
 pub struct ReleaseRound {
-    /// The host to call.
+    /// Host that receives the release call.
     pub worker: WorkerId,
     /// Ids of the requests to release there, the latest first.
     pub requests: Vec<String>,
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -507,7 +507,7 @@
         });
     }
 
-    /// Closes all idle connections.
+    /// Closes the idle connections to all hosts; connections in use are not affected.
     pub fn close_all_idle(&self) {
         self.idle.borrow_mut().clear();
     }
--- a/src/net/reachability.rs
+++ b/src/net/reachability.rs
@@ -24,7 +24,6 @@
     reached_at: Option<Instant>,
     /// A connect failed, or a call was not answered in time.
     unreachable_at: Option<Instant>,
-    /// A connect failed.
     connect_failed_at: Option<Instant>,
     /// A complete response was received.
     response_at: Option<Instant>,
@@ -44,7 +43,7 @@
 enum Rank {
     /// Reached, with no failure since. Holds the time since then: the most recently reached host ranks first.
     Reached(Duration),
-    /// Without a recent observation.
+    /// Neither reached nor found unreachable, as far as the table records.
     Unknown,
     /// Not reached since the last failure.
     Unreachable,
--- a/src/net/release_fanout/tests.rs
+++ b/src/net/release_fanout/tests.rs
@@ -16,7 +16,7 @@
     Responsive,
     /// The process has died: new connections are refused.
     Refusing,
-    /// New connections time out.
+    /// The machine does not respond: connecting times out after `CONNECT_TIMEOUT`.
     Silent,
     /// The call is written to an idle connection that looks open, and is never answered.
     SilentWithIdleConnection,
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -300,7 +300,7 @@
 
 /// Accepts client connections until [`Stage`] forbids it, at most `max_connections` at once.
 pub struct Listener {
-    /// Answers the requests.
+    /// Service that answers the requests of all connections.
     pub service: ClientService,
     /// Maximum number of client connections. [`MAX_REFUSED_CONNECTIONS`] more are accepted to receive a refusal.
     pub max_connections: usize,
@@ -308,7 +308,7 @@
     pub max_waiting_requests: usize,
     /// Current stage of client connections.
     pub stage: watch::Receiver<Stage>,
-    /// Table of open connections.
+    /// Table to which each accepted connection is added.
     pub connections: Rc<Connections>,
     /// Whether another process serves the same address.
     pub other_process_serves: Rc<Cell<bool>>,
--- a/src/net/server/tests.rs
+++ b/src/net/server/tests.rs
@@ -45,7 +45,7 @@
     spawn_blocking(read).await.unwrap()
 }
 
-/// Reads one response.
+/// Reads up to the end of a response whose body is `here`; the connection stays open.
 async fn read_response(client: &std::net::TcpStream) -> String {
     let mut client = client.try_clone().unwrap();
     let read = move || {
--- a/src/net/upgrade.rs
+++ b/src/net/upgrade.rs
@@ -141,7 +141,7 @@
     pub reserved: usize,
     /// Pool of connections to model hosts.
     pub pool: Pool,
-    /// Table of client connections.
+    /// Table of client connections, whose limit follows this process's share of the descriptors.
     pub connections: Rc<Connections>,
     /// Shared state with the memory budget of bodies.
     pub shared: Rc<Shared>,
--- a/src/net/upgrade/lock_file.rs
+++ b/src/net/upgrade/lock_file.rs
@@ -44,7 +44,7 @@
 /// Status that a process publishes in its lock file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProcessStatus {
-    /// Life-cycle phase.
+    /// Whether the process is starting, serves clients or is shutting down.
     pub phase: ProcessPhase,
     /// Maximum number of descriptors that the process may hold.
     pub sockets: usize,
--- a/src/net/upgrade/share.rs
+++ b/src/net/upgrade/share.rs
@@ -54,7 +54,7 @@
 /// Division of one process's sockets between clients and model hosts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SocketSplit {
-    /// Connections to model hosts.
+    /// Maximum number of connections to model hosts.
     pub hosts: usize,
     /// Client connections, including those that are refused because the limit is reached.
     pub clients: usize,
--- a/src/reload.rs
+++ b/src/reload.rs
@@ -11,15 +11,15 @@
 
 /// State that a reload reads and changes.
 pub struct Reload {
-    /// Source of the configuration.
+    /// Where the configuration is loaded from at each reload.
     pub source: ConfigSource,
-    /// The configuration in force.
+    /// The configuration in force, which a valid new one replaces as far as its values can be reloaded.
     pub current: Config,
-    /// Publishes discovery's address.
+    /// Sends the address of the discovery service, or `None` if none is configured.
     pub discovery: watch::Sender<Option<SocketAddr>>,
-    /// Publishes new settings.
+    /// Settings for new requests, replaced when a reload changes them.
     pub live_settings: Rc<LiveSettings>,
-    /// Counters of reloads.
+    /// Counters of the process, among them those of successful and failed reloads.
     pub counters: Rc<Counters>,
 }
 
--- a/src/routing/model/learned.rs
+++ b/src/routing/model/learned.rs
@@ -34,7 +34,7 @@
 }
 
 impl Distance {
-    /// The next larger distance.
+    /// The next larger distance; `Remote` if there is none.
     pub fn next_larger(self) -> Distance {
         match self {
             Distance::SameCell => Distance::SameZone,
@@ -76,7 +76,7 @@
     pub median_latency_factor: PerRole<f64>,
     /// Prompt tokens per request that the prefill worker had not cached.
     pub uncached_tokens: Ewma,
-    /// Prompt tokens per request.
+    /// Mean number of prompt tokens per request, over all requests that have arrived.
     pub prompt_tokens: Ewma,
 }
 
--- a/src/routing/policy.rs
+++ b/src/routing/policy.rs
@@ -45,7 +45,6 @@
 const SWEEPS_PER_HOLD_LIMIT: Micros = 12;
 /// Minimum interval between sweeps, unless the batch interval is longer.
 const MIN_SWEEP_INTERVAL: Micros = 1_000;
-/// Maximum interval between sweeps.
 const MAX_SWEEP_INTERVAL: Micros = 100_000;
 /// Half-life of load reports and of recent outcomes. Workers queue requests for seconds before they reject
 /// any, so load changes on this time scale.
--- a/src/routing/policy/admission.rs
+++ b/src/routing/policy/admission.rs
@@ -57,7 +57,7 @@
         }
     }
 
-    /// The request's time-to-first-token objective.
+    /// Time-to-first-token objective of the request's class, including the part for the length of the prompt.
     pub(super) fn ttft_objective(&self, request: &Request) -> Micros {
         let class = &self.config.classes[request.class];
         let per_1000_tokens = class.ttft_objective_per_1000_tokens as f64;
--- a/src/routing/policy/send_permit.rs
+++ b/src/routing/policy/send_permit.rs
@@ -47,7 +47,7 @@
     /// The worker is in slow start and this router's share of its budget is used up.
     #[error("the worker is in slow start and this router's share of its budget is used up")]
     SlowStart,
-    /// The client has disconnected.
+    /// The client has disconnected, so that there is no one to receive a response.
     #[error("the client has disconnected")]
     ClientDisconnected,
 }
--- a/src/routing/types/action.rs
+++ b/src/routing/types/action.rs
@@ -10,7 +10,7 @@
 pub enum Action {
     /// Send the request to a worker as its next attempt.
     Send {
-        /// Request to send.
+        /// Number of the request of which this is an attempt.
         request: RequestId,
         /// Worker that receives the attempt.
         worker: WorkerId,
@@ -30,7 +30,7 @@
     },
     /// Reject the request. Tells the client that a retry is safe.
     Reject {
-        /// Request to reject.
+        /// Request to reject, which either has not run or does no harm when it is repeated.
         request: RequestId,
         /// Why no worker answers it.
         reason: EndReason,
@@ -39,7 +39,7 @@
     },
     /// Fail the request without promising that a retry is safe, because it may have run.
     Fail {
-        /// Request to fail.
+        /// Request to fail; an attempt of it may have run.
         request: RequestId,
         /// Why no worker answers it.
         reason: EndReason,
@@ -48,7 +48,7 @@
     Cancel {
         /// Request to which the attempt belongs.
         request: RequestId,
-        /// Attempt to cancel.
+        /// Index within the request of the attempt to cancel.
         attempt: AttemptIndex,
     },
     /// Release all KV state that workers hold for the request.
@@ -58,7 +58,7 @@
         /// Why the KV state is no longer needed.
         reason: ReleaseReason,
     },
-    /// Set a timer.
+    /// Set a timer. It comes back as [`Event::Timer`](super::Event::Timer) when it expires.
     Timer {
         /// Time at which the timer expires.
         at: Micros,
--- a/src/routing/types/config.rs
+++ b/src/routing/types/config.rs
@@ -9,7 +9,7 @@
     Prefill,
     /// Fetches KV state from a prefill worker and streams the response.
     Decode,
-    /// Serves both stages.
+    /// Serves both stages: reads prompts and streams responses.
     #[default]
     Mixed,
 }
@@ -53,9 +53,9 @@
 pub enum DeduplicationScope {
     /// All workers of the deployment.
     All,
-    /// Workers of one zone.
+    /// Workers in the same zone; a key is unknown in other zones.
     Zone,
-    /// Workers of one cell.
+    /// Workers in the same cell; a key is unknown in other cells.
     Cell,
 }
 
@@ -94,7 +94,7 @@
 /// How workers report their load.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LoadReporting {
-    /// Workers report no load.
+    /// Workers report no load at all, neither in responses nor in results of health checks.
     #[default]
     None,
     /// Workers report load only in results of health checks.
--- a/src/routing/types/endpoint.rs
+++ b/src/routing/types/endpoint.rs
@@ -17,7 +17,7 @@
 /// A worker's entry in the endpoint list.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
-    /// Name of the worker.
+    /// Name by which discovery, actions and events refer to the worker.
     pub worker: WorkerId,
     /// Zone in which the worker runs.
     pub zone: String,
--- a/src/routing/types/event.rs
+++ b/src/routing/types/event.rs
@@ -23,9 +23,9 @@
 pub struct AttemptCompleted {
     /// Request to which the attempt belongs.
     pub request: RequestId,
-    /// Attempt that has completed.
+    /// Index within the request of the attempt that has completed.
     pub attempt: AttemptIndex,
-    /// How the attempt ended.
+    /// How the attempt ended, with the kind of failure if it failed.
     pub outcome: AttemptOutcome,
     /// Time between the attempt's send and its completion.
     pub elapsed: Micros,
@@ -52,14 +52,14 @@
     RequestArrived(RequestSpec),
     /// The first output token of a response has arrived.
     StreamStarted {
-        /// Request that is answered.
+        /// Request whose response has started.
         request: RequestId,
         /// Attempt that streams the response.
         attempt: AttemptIndex,
         /// Time between the attempt's send and its first token.
         elapsed: Micros,
     },
-    /// An attempt has ended.
+    /// An attempt of a request has ended, successfully or not.
     AttemptCompleted(AttemptCompleted),
     /// Result of a capacity reservation. Sent only by the simulator's protocol; ignored.
     ReservationResult {
@@ -70,16 +70,16 @@
         /// Whether the worker holds the capacity reserved.
         held: bool,
     },
-    /// The client has disconnected.
+    /// The client has disconnected, or the dispatcher itself has rejected or failed the request.
     ClientDisconnected {
-        /// Request of the client.
+        /// Request that has no client waiting for it any more.
         request: RequestId,
     },
     /// A timer set by [`Action::Timer`](super::Action::Timer) has expired.
     Timer(TimerId),
     /// Result of a health check. Sent only by the simulator's protocol.
     HealthCheckCompleted {
-        /// Worker that was checked.
+        /// Worker to which the health check was sent.
         worker: WorkerId,
         /// `Served`, or the kind of failure.
         outcome: AttemptOutcome,
@@ -96,7 +96,7 @@
     GossipReceived {
         /// Index of the router that sent the message.
         from: u32,
-        /// Content of the message.
+        /// Content of the message, which the routing policy does not decode.
         payload: Vec<u8>,
     },
 }
--- a/src/routing/types/request.rs
+++ b/src/routing/types/request.rs
@@ -29,7 +29,7 @@
     pub tenant: Option<String>,
 }
 
-/// How an attempt ended.
+/// How an attempt ended, as the upstream side reports it to the dispatcher and the routing policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
     /// The response was delivered to the client.
@@ -97,7 +97,7 @@
     SendUnanswered,
     /// An attempt has ended that may have left KV state behind, or that did not find it.
     AttemptEnded,
-    /// The request has ended.
+    /// The request has ended, so that no attempt of it needs the KV state any more.
     RequestFinished,
     /// The router that had the request failed, and another router has taken the request over.
     RouterFailed,
--- a/src/run.rs
+++ b/src/run.rs
@@ -152,7 +152,6 @@
     }
 }
 
-/// Binds the admin endpoint.
 async fn bind_admin_listener(address: SocketAddr) -> Result<TcpListener, ConfigError> {
     TcpListener::bind(address)
         .await
--- a/src/run/graceful_shutdown.rs
+++ b/src/run/graceful_shutdown.rs
@@ -30,7 +30,6 @@
     pub shutdown: Shutdown,
     /// Whether another process serves the address.
     pub other_process_serves: Rc<Cell<bool>>,
-    /// Table of client connections.
     pub connections: Rc<Connections>,
     /// Sets the stage of client connections.
     pub stage: watch::Sender<Stage>,
