--- a/src/routing/model/learned.rs
+++ b/src/routing/model/learned.rs
@@ -76,7 +76,7 @@
     pub median_latency_factor: PerRole<f64>,
     /// Prompt tokens per request that the prefill worker had not cached.
     pub uncached_tokens: Ewma,
-    /// Mean number of prompt tokens per request, over all requests that have arrived.
+    /// Moving average of the prompt tokens per request, over all requests that arrive.
     pub prompt_tokens: Ewma,
 }
 
