--- a/src/fleet/transport/admin.rs
+++ b/src/fleet/transport/admin.rs
@@ -213,7 +213,7 @@
         epoch,
         ..
     } = status;
-    let leader = leader.as_ref().map_or("none", MemberName::as_str);
+    let leader = leader.as_ref().map_or("nobody", MemberName::as_str);
     let mut text = format!(
         "fleet as seen by {member} at site {site}, role {role}, session {session}\n\
          leader {leader}, term {}, commit {}, applied {}, epoch {epoch}\n\n",
